--- /dev/null
+++ b/internal/claims/compatibility_test.go
@@ -0,0 +1,26 @@
+package claims
+
+import (
+	"bytes"
+	"fmt"
+	"testing"
+
+	"stairvane.org/stairvane/internal/golden"
+)
+
+// TestLandedForms guards the messages between directors: an older version must read them.
+func TestLandedForms(t *testing.T) {
+	var m Message
+	golden.Fill(&m)
+	m.Kind, m.Verdict = Closed, Unreached
+	bulks, err := m.Bulks(1 << 10)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Text(t, "message.txt", fmt.Sprintf("%s\n%s", m.Head(), bytes.Join(bulks, []byte("--\n"))))
+	read, err := Decode(m.Head(), bulks)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Text(t, "message-read.txt", golden.Values(read))
+}
--- /dev/null
+++ b/internal/controlplane/store/compatibility_test.go
@@ -0,0 +1,209 @@
+package store
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+	bolt "go.etcd.io/bbolt"
+
+	"stairvane.org/stairvane/internal/fleet"
+	"stairvane.org/stairvane/internal/fleet/apply"
+	"stairvane.org/stairvane/internal/fleet/plan"
+	"stairvane.org/stairvane/internal/golden"
+)
+
+// TestLandedForms guards the stored values: a later version reads what an older one wrote.
+func TestLandedForms(t *testing.T) {
+	golden.Check[chained](t, "event.cbor", fleet.Encode, cbor.Unmarshal)
+	golden.Check[snapshot](t, "snapshot.cbor", fleet.Encode, cbor.Unmarshal)
+	golden.Check[outcome](t, "outcome.cbor", fleet.Encode, cbor.Unmarshal)
+	golden.Check[batch](t, "batch.cbor", cbor.Marshal, cbor.Unmarshal)
+	golden.Check[Identity](t, "identity.cbor", cbor.Marshal, cbor.Unmarshal)
+	golden.Check[Position](t, "position.cbor", cbor.Marshal, cbor.Unmarshal)
+	golden.Check[Taken](t, "applied.cbor", cbor.Marshal, cbor.Unmarshal)
+	golden.Check[Hard](t, "hard-state.cbor", cbor.Marshal, cbor.Unmarshal)
+}
+
+// landedPlan is the plan file that the plan package keeps.
+func landedPlan(t *testing.T) (*plan.Plan, []byte) {
+	t.Helper()
+	file, err := os.ReadFile("../../fleet/plan/testdata/golden/landed.plan")
+	check(t, err)
+	p, err := plan.Decode(file)
+	check(t, err)
+	return p, file
+}
+
+var landedOptions = Options{SnapshotEvery: 4, Keep: 2, Clock: func() int64 { return 1_700_000_000_000 }}
+
+// landedHistory makes events of every kind, an apply that has ended, one under way, and a remembered write.
+func landedHistory(t *testing.T, do func(func(*Tx) error) error) {
+	t.Helper()
+	p, file := landedPlan(t)
+	sum, err := plan.Sum(p)
+	check(t, err)
+	group := 3
+	rules := fleet.DefaultRules()
+	for i, e := range []fleet.Event{
+		{Rules: &rules}, {Location: &fleet.Location{Name: "west", Floor: 1, Load: 2, Sources: []string{"store"}}},
+		{Member: &fleet.Member{Box: fleet.Box{Name: "store", Role: fleet.Origin, Address: "10.0.0.1:1", Site: "mid", Class: "o", Share: 40}, State: fleet.InService, Serving: 40}},
+		{Member: &fleet.Member{Box: fleet.Box{Name: "c-1", Role: fleet.Cache, Address: "10.0.0.2:1", Site: "west", Class: "c", Block: 2, Share: 4}, State: fleet.InService, Serving: 2, BornMS: 7}},
+		{Purge: &fleet.Purge{Object: "00000000000000ab", IssuedMS: 1_699_999_999_000}}, {Purge: &fleet.Purge{Group: &group, IssuedMS: 1_699_999_999_500}},
+		{Roll: &fleet.RollChange{Joined: []fleet.Director{{Name: "d1", Incarnation: "i1", Location: "west", Machine: "m", Site: "s", Version: "v", Claims: "a:1"}},
+			Slots: []fleet.SlotChange{{Slot: 5, Homes: []string{"d1/i1"}, From: []string{"d0/i0"}}}}},
+	} {
+		e.Who = fmt.Sprint("writer ", i)
+		check(t, do(func(t *Tx) error {
+			_, err := t.Append(e)
+			return errors.Join(err, t.Remember(Write{ID: fmt.Sprint("w", i), Body: []byte("body")}, i))
+		}))
+	}
+	for _, running := range []bool{false, true} {
+		check(t, do(func(t *Tx) error {
+			r, err := t.Create(apply.Record{PlanSum: sum, Who: "op", Status: apply.Running}, file, fleet.Wish{Rules: rules})
+			if err != nil {
+				return err
+			}
+			if r, err = t.Lease(r); err != nil {
+				return err
+			}
+			if !running {
+				r.Status = apply.Done
+				return t.SetRecord(r)
+			}
+			r.Steps, r.StepsDone = len(p.Steps), 1
+			return errors.Join(t.SetRecord(r), t.SetStep(r.ID, 1, apply.StepState{Phase: apply.Over, EventNo: 3, EffectMS: 4, DoneMS: 5}))
+		}))
+	}
+}
+
+// landedContent is all that a store tells, by value and not by the names of fields.
+func landedContent(t *testing.T, s *Store) string {
+	t.Helper()
+	var b strings.Builder
+	show := func(what string, v any) {
+		text, err := json.Marshal(v)
+		check(t, err)
+		fmt.Fprintf(&b, "%s %s\n", what, text)
+	}
+	fmt.Fprintf(&b, "chain %x\n", s.Chain())
+	show("fleet", s.Fleet().Dump())
+	check(t, s.View(func(v *View) error {
+		events, err := v.Events(0, 1<<20)
+		check(t, err)
+		show("events", events)
+		records, err := v.Records()
+		check(t, err)
+		show("applies", records)
+		holder, err := v.Holder()
+		check(t, err)
+		show("holder", holder)
+		byPlan, err := v.ByPlan(holder.PlanSum)
+		check(t, err)
+		show("by plan", byPlan)
+		before, err := v.Before(holder.ID)
+		check(t, err)
+		show("before", before)
+		machine, err := v.Machine(*holder)
+		check(t, err)
+		show("steps", machine.Steps())
+		var outcome int
+		done, err := v.Repeated(Write{ID: "w3", Body: []byte("body")}, &outcome)
+		check(t, err)
+		show("write", []any{done, outcome})
+		return nil
+	}))
+	return b.String()
+}
+
+// openLanded opens a copy of a landed store; make writes it anew when golden files are updated.
+func openLanded(t *testing.T, name string, opt Options, make func(path string)) *Store {
+	t.Helper()
+	var made []byte
+	path := filepath.Join(t.TempDir(), "store")
+	if golden.Updating() {
+		make(path)
+		var err error
+		made, err = os.ReadFile(path)
+		check(t, err)
+		check(t, os.Remove(path))
+	}
+	check(t, os.WriteFile(path, golden.Bytes(t, name, made), 0o600))
+	s, err := Open(path, opt)
+	check(t, err)
+	t.Cleanup(func() { _ = s.Close() })
+	return s
+}
+
+// compact writes a store's file anew without the pages that it no longer uses.
+func compact(t *testing.T, path string) {
+	t.Helper()
+	from, err := bolt.Open(path, 0o600, nil)
+	check(t, err)
+	to, err := bolt.Open(path+".small", 0o600, nil)
+	check(t, err)
+	check(t, bolt.Compact(to, from, 1<<20))
+	check(t, errors.Join(to.Close(), from.Close(), os.Rename(path+".small", path)))
+}
+
+// TestLandedStoreOfOneIsRead opens a store that the landed version wrote for a control plane that is alone.
+func TestLandedStoreOfOneIsRead(t *testing.T) {
+	s := openLanded(t, "alone.db", landedOptions, func(path string) {
+		s, err := Open(path, landedOptions)
+		check(t, err)
+		landedHistory(t, s.Do)
+		check(t, s.Close())
+		compact(t, path)
+	})
+	golden.Text(t, "alone.txt", landedContent(t, s))
+	check(t, add(s, purge(9)))
+}
+
+// TestLandedStoreOfAReplicaIsRead opens a store that the landed version wrote for one replica of three: log, snapshot and members.
+func TestLandedStoreOfAReplicaIsRead(t *testing.T) {
+	opt := landedOptions
+	opt.Group = true
+	s := openLanded(t, "replica.db", opt, func(path string) { writeReplica(t, path, opt) })
+	golden.Text(t, "replica.txt", landedContent(t, s))
+	persisted, err := s.Promises()
+	check(t, err)
+	persisted.Identity.Inode, persisted.Identity.BornNS = 0, 0
+	golden.Text(t, "replica-raft.txt", golden.Values(persisted))
+	if _, copied := s.Identity(); !copied {
+		t.Error("the file was made on another disk, and is not told to be a copy")
+	}
+}
+
+// writeReplica makes a replica's store: what the log led to, and entries that follow.
+func writeReplica(t *testing.T, path string, opt Options) {
+	t.Helper()
+	s, err := Open(path, opt)
+	check(t, err)
+	members := []byte("\xa1\x01\xa3\x64Name\x61a\x67Machine\x62ma\x64Site\x65north") // as the replica package encodes them
+	check(t, s.Become(Identity{Group: 0xabc, Disk: 1, Name: "a"}, &Taken{At: Position{Index: 1, Term: 1}, Conf: []byte{8, 1}, Members: members}))
+	index := uint64(1)
+	do := func(change func(*Tx) error) error {
+		r := &Request{do: change, done: make(chan error, 1)}
+		data, results, err := s.Evaluate([]*Request{r})
+		if err = errors.Join(append(results, err)...); err != nil {
+			return err
+		}
+		index++
+		if err := s.Save([]Entry{{Index: index, Data: fmt.Appendf(nil, "entry %d", index)}}, &Hard{Term: 2, Vote: 1, Commit: index}); err != nil {
+			return err
+		}
+		return s.Take(Position{Index: index, Term: 2}, data, nil, nil)
+	}
+	landedHistory(t, do)
+	s.Forget(Position{Index: 4, Term: 2})
+	check(t, s.Take(Position{Index: index, Term: 2}, nil, []byte{8, 1, 8, 2, 8, 3}, members))
+	check(t, s.Save([]Entry{{Index: index + 1, Data: []byte("not committed")}}, &Hard{Term: 3, Vote: 2, Commit: index}))
+	check(t, s.Close())
+	compact(t, path)
+}
--- a/internal/controlplane/store/group.go
+++ b/internal/controlplane/store/group.go
@@ -31,25 +31,32 @@
 
 // Identity is what a disk is. Inode and BornNS mark the very file that it was made in: a copy of the file has others.
 type Identity struct {
-	Group  uint64 // 0: it waits to be let in
-	Disk   uint64
-	Name   string
-	Inode  uint64
-	BornNS int64 // 0 where the file system does not tell
+	Group  uint64 `cbor:"Group"` // 0: it waits to be let in
+	Disk   uint64 `cbor:"Disk"`
+	Name   string `cbor:"Name"`
+	Inode  uint64 `cbor:"Inode"`
+	BornNS int64  `cbor:"BornNS"` // 0 where the file system does not tell
 }
 
 // Position is a place in the group's log.
-type Position struct{ Index, Term uint64 }
+type Position struct {
+	Index uint64 `cbor:"Index"`
+	Term  uint64 `cbor:"Term"`
+}
 
 // Taken is what the log has led to: a position, and who the members are there, in bytes of the caller's.
 type Taken struct {
-	At      Position
-	Conf    []byte
-	Members []byte
+	At      Position `cbor:"At"`
+	Conf    []byte   `cbor:"Conf"`
+	Members []byte   `cbor:"Members"`
 }
 
 // Hard is what the copy has promised to the others.
-type Hard struct{ Term, Vote, Commit uint64 }
+type Hard struct {
+	Term   uint64 `cbor:"Term"`
+	Vote   uint64 `cbor:"Vote"`
+	Commit uint64 `cbor:"Commit"`
+}
 
 // Entry is an entry of the log, in bytes of the caller's.
 type Entry struct {
@@ -77,8 +84,8 @@
 
 // batch is what the group decides on.
 type batch struct {
-	Base int64 // the revision that it builds on
-	Puts []wirePair
+	Base int64      `cbor:"Base"` // the revision that it builds on
+	Puts []wirePair `cbor:"Puts"`
 }
 
 type wirePair struct {
--- a/internal/controlplane/store/store.go
+++ b/internal/controlplane/store/store.go
@@ -129,14 +129,14 @@
 
 // chained is an event as it is stored.
 type chained struct {
-	Event []byte
-	Chain []byte
+	Event []byte `cbor:"Event"`
+	Chain []byte `cbor:"Chain"`
 }
 
 // snapshot is a fleet as it is stored.
 type snapshot struct {
-	Fleet fleet.Dump
-	Chain []byte
+	Fleet fleet.Dump `cbor:"Fleet"`
+	Chain []byte     `cbor:"Chain"`
 }
 
 // Open opens or makes the store at a path. The error wraps ErrLocked, ErrDamaged or ErrNewer where it is one of them; the
--- a/internal/controlplane/store/tx.go
+++ b/internal/controlplane/store/tx.go
@@ -300,8 +300,8 @@
 
 // outcome is what a write led to.
 type outcome struct {
-	Of    []byte // checksum of what was asked for
-	Value []byte
+	Of    []byte `cbor:"Of"` // checksum of what was asked for
+	Value []byte `cbor:"Value"`
 }
 
 // ErrReused is the error of a write under an id that another write had.
--- /dev/null
+++ b/internal/fleet/compatibility_test.go
@@ -0,0 +1,21 @@
+package fleet
+
+import (
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"stairvane.org/stairvane/internal/golden"
+)
+
+// TestLandedForms guards stored events and snapshots, and the sums that plans compare: they must not change with a field's name.
+func TestLandedForms(t *testing.T) {
+	golden.Check[Event](t, "event.cbor", Encode, cbor.Unmarshal)
+	golden.Check[Dump](t, "fleet.cbor", Encode, cbor.Unmarshal)
+	golden.Check[Wish](t, "desired.cbor", Encode, cbor.Unmarshal)
+	golden.Check[Rules](t, "rules.cbor", Encode, cbor.Unmarshal)
+	golden.Check[Read](t, "read.cbor", Encode, cbor.Unmarshal)
+	golden.JSON[Event](t, "event")
+	golden.JSON[Dump](t, "fleet")
+	golden.JSON[Observation](t, "observation")
+}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -94,7 +94,7 @@
 
 // PurgeMark is a purge with the number of its event.
 type PurgeMark struct {
-	No int64
+	No int64 `json:"No"`
 	Purge
 }
 
--- /dev/null
+++ b/internal/fleet/plan/compatibility_test.go
@@ -0,0 +1,33 @@
+package plan
+
+import (
+	"bytes"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"stairvane.org/stairvane/internal/fleet"
+	"stairvane.org/stairvane/internal/golden"
+)
+
+// TestLandedForms guards the plan file: one that an older version wrote is read to the same steps and written to the same bytes.
+func TestLandedForms(t *testing.T) {
+	golden.Check[Plan](t, "plan.cbor", fleet.Encode, cbor.Unmarshal)
+	golden.JSON[Plan](t, "plan")
+	golden.JSON[Moved](t, "moved")
+	golden.JSON[Impossible](t, "impossible")
+	var made []byte
+	if golden.Updating() {
+		made = sample(t)
+	}
+	file := golden.Bytes(t, "landed.plan", made)
+	p, err := Decode(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Text(t, "landed.txt", text(p))
+	again, err := Encode(p)
+	if err != nil || !bytes.Equal(again, file) {
+		t.Errorf("the landed plan file is written in another form, %v", err)
+	}
+}
--- /dev/null
+++ b/internal/opfile/compatibility_test.go
@@ -0,0 +1,46 @@
+package opfile
+
+import (
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"stairvane.org/stairvane/internal/golden"
+	"stairvane.org/stairvane/internal/sexpr"
+)
+
+// TestLandedForms guards the operator's files: every key keeps its spelling and its meaning.
+func TestLandedForms(t *testing.T) {
+	programs := []string{"../../deploy/stairvane.scm", "testdata/every-program-key.scm"}
+	fleets := []string{"testdata/every-fleet-key.scm"}
+	quickstart, err := filepath.Glob("../../deploy/quickstart/*.scm")
+	if err != nil || len(quickstart) == 0 {
+		t.Fatalf("%d files of the quick start, %v", len(quickstart), err)
+	}
+	for _, path := range quickstart {
+		switch name := filepath.Base(path); {
+		case strings.HasPrefix(name, "fleet"):
+			fleets = append(fleets, path)
+		case name != "kinds.scm": // which the others include
+			programs = append(programs, path)
+		}
+	}
+	for _, path := range programs {
+		program, faults := ReadProgram(path, os.ReadFile)
+		checkRead(t, path, faults, program)
+	}
+	for _, path := range fleets {
+		desired, faults := Fleet(path, os.ReadFile)
+		checkRead(t, path, faults, desired)
+	}
+}
+
+func checkRead(t *testing.T, path string, faults sexpr.Faults, read any) {
+	t.Helper()
+	if len(faults) > 0 {
+		t.Errorf("%s: %v", path, faults)
+	}
+	name := filepath.Base(filepath.Dir(path)) + "-" + strings.TrimSuffix(filepath.Base(path), ".scm")
+	golden.Text(t, name+".txt", golden.Values(read))
+}
--- /dev/null
+++ b/internal/opfile/testdata/every-template-key.scm
@@ -0,0 +1,5 @@
+(rules (cold (start 0.2) (warm 2s) (fall 3)) (cold-hub (start 0.1) (warm 3s) (fall 2.5)) (miss 0.3) (cold-most 0.5) (width 4)
+  (on-trouble revert) (drain-settle 5s) (told-within 6s) (give-up 90s))
+(template small (class small-box) (share 4))
+(template big (like small) (share 8) (block 2))
+(pool west-boxes 10.1.0.0/24 fd00:1::/64)
--- /dev/null
+++ b/internal/quota/compatibility_test.go
@@ -0,0 +1,14 @@
+package quota
+
+import (
+	"testing"
+
+	"stairvane.org/stairvane/internal/golden"
+)
+
+// TestLandedForms guards what directors, relays and the leader send each other: an older version must read it.
+func TestLandedForms(t *testing.T) {
+	golden.JSON[Renewal](t, "renewal")
+	golden.JSON[Grant](t, "grant")
+	golden.JSON[Held](t, "allocation")
+}
--- a/internal/replica/driver.go
+++ b/internal/replica/driver.go
@@ -195,7 +195,7 @@
 
 // change is what goes with a change of members.
 type change struct {
-	Members map[uint64]Member // as they are after it
+	Members map[uint64]Member `cbor:"Members"` // as they are after it
 }
 
 // Change puts a change of members forward, one at a time.
--- a/internal/replica/members.go
+++ b/internal/replica/members.go
@@ -7,11 +7,11 @@
 
 // Member is a copy of the group. A name may pass from one disk to another; a disk is a member once.
 type Member struct {
-	Name     string
-	Machine  string
-	Site     string
-	Replaces uint64 `cbor:",omitempty"` // the disk whose place it takes once it has caught up; 0: none
-	Left     bool   `cbor:",omitempty"` // it was taken out
+	Name     string `cbor:"Name"`
+	Machine  string `cbor:"Machine"`
+	Site     string `cbor:"Site"`
+	Replaces uint64 `cbor:"Replaces,omitempty"` // the disk whose place it takes once it has caught up; 0: none
+	Left     bool   `cbor:"Left,omitempty"`     // it was taken out
 }
 
 // Place is a copy as the operator's file lists it.
--- a/internal/signals/signals.go
+++ b/internal/signals/signals.go
@@ -86,7 +86,10 @@
 )
 
 // Place is where a director is: the machine that fails as one, and the location whose directors send to the same boxes.
-type Place struct{ Machine, Location string }
+type Place struct {
+	Machine  string `json:"Machine"`
+	Location string `json:"Location"`
+}
 
 // seen is what one director tells of a box.
 type seen struct {
