--- a/cmd/stairvane-fleet/apply.go
+++ b/cmd/stairvane-fleet/apply.go
@@ -67,18 +67,18 @@
 
 // wishUnchanged refuses a plan whose wished file has been edited since. A file that is elsewhere now is not looked for.
 func wishUnchanged(p *plan.Plan) error {
-	if p.WishFile == "" {
+	if p.DesiredFile == "" {
 		return nil
 	}
-	if _, err := os.Stat(p.WishFile); err != nil {
+	if _, err := os.Stat(p.DesiredFile); err != nil {
 		return nil
 	}
-	wish, faults := opfile.Fleet(p.WishFile, os.ReadFile)
+	wish, faults := opfile.ReadFleet(p.DesiredFile, os.ReadFile)
 	if len(faults) > 0 {
-		return &exit{exitStale, fmt.Sprintf("the plan is stale: %s has been edited since it was made, and has faults: %s", p.WishFile, faults[0].Error())}
+		return &exit{exitStale, fmt.Sprintf("the plan is stale: %s has been edited since it was made, and has faults: %s", p.DesiredFile, faults[0].Error())}
 	}
-	if fleet.Sum(wish) != p.WishSum {
-		return &exit{exitStale, fmt.Sprintf("the plan is stale: %s has been edited since it was made; plan again", p.WishFile)}
+	if fleet.Sum(wish) != p.DesiredSum {
+		return &exit{exitStale, fmt.Sprintf("the plan is stale: %s has been edited since it was made; plan again", p.DesiredFile)}
 	}
 	return nil
 }
@@ -173,7 +173,7 @@
 			continue
 		}
 		state := "begun"
-		if s.Phase == apply.Over {
+		if s.Phase == apply.Completed {
 			state = "done "
 		}
 		if _, err := fmt.Fprintf(p.out, "%s %4d/%d  %s\n", state, s.ID, a.Record.Steps, s.What); err != nil {
--- a/cmd/stairvane-fleet/board.go
+++ b/cmd/stairvane-fleet/board.go
@@ -25,10 +25,10 @@
 	if len(faults) > 0 {
 		return faults
 	}
-	if !set.Board.Listen.IsValid() {
+	if !set.ControlPlane.Listen.IsValid() {
 		return fmt.Errorf("%s: (board ...) is missing", c.Config)
 	}
-	b, err := controlplane.New(set.Board, controlplane.Options{AcceptOlder: c.AcceptOlder, Found: c.Found, NewDisk: c.NewDisk})
+	b, err := controlplane.New(set.ControlPlane, controlplane.Options{AcceptOlder: c.AcceptOlder, Found: c.Found, NewDisk: c.NewDisk})
 	if err != nil {
 		return err
 	}
--- a/cmd/stairvane-fleet/copies.go
+++ b/cmd/stairvane-fleet/copies.go
@@ -32,7 +32,7 @@
 type known struct {
 	Address string `json:"address"`
 	Error   string `json:"error,omitempty"`
-	*api.Copies
+	*api.GroupStatus
 }
 
 func (c copiesShowCmd) Run(s streams) error {
@@ -41,12 +41,12 @@
 		return err
 	}
 	var all []known
-	var leader *api.Copies
-	client.EachCopy(func(address string, k api.Copies, err error) {
+	var leader *api.GroupStatus
+	client.EachReplica(func(address string, k api.GroupStatus, err error) {
 		one := known{Address: address}
 		if err != nil {
 			one.Error = err.Error()
-		} else if one.Copies = &k; k.Leads {
+		} else if one.GroupStatus = &k; k.IsLeader {
 			leader = &k
 		}
 		all = append(all, one)
@@ -62,26 +62,26 @@
 	return err
 }
 
-func showCopies(s streams, all []known, leader *api.Copies) error {
+func showCopies(s streams, all []known, leader *api.GroupStatus) error {
 	for _, k := range all {
 		switch {
-		case k.Copies == nil:
+		case k.GroupStatus == nil:
 			fmt.Fprintf(s.out, "%s: no answer: %s\n", k.Address, k.Error)
-		case k.Why != "":
-			fmt.Fprintf(s.out, "%s: copy %s is %s: %s\n", k.Address, k.Copy, k.Phase, k.Why)
+		case k.Reason != "":
+			fmt.Fprintf(s.out, "%s: copy %s is %s: %s\n", k.Address, k.Name, k.Phase, k.Reason)
 		default:
-			fmt.Fprintf(s.out, "%s: copy %s is %s, term %d, event %d, taken over up to %d\n", k.Address, k.Copy, k.Phase, k.Term, k.Revision, k.Taken)
+			fmt.Fprintf(s.out, "%s: copy %s is %s, term %d, event %d, taken over up to %d\n", k.Address, k.Name, k.Phase, k.Term, k.Revision, k.Applied)
 		}
 	}
 	if leader == nil {
 		return nil
 	}
-	fmt.Fprintf(s.out, "copy %s leads; the group bears the loss of %d\n", leader.Copy, leader.Bears)
+	fmt.Fprintf(s.out, "copy %s leads; the group bears the loss of %d\n", leader.Name, leader.ToleratedFailures)
 	t := tablewriter.NewWriter(s.out)
 	t.Header("copy", "machine", "site", "disk", "votes", "alive", "behind", "told", "lease")
-	for _, m := range leader.List {
+	for _, m := range leader.Replicas {
 		votes := "yes"
-		if !m.Votes {
+		if !m.IsVoter {
 			votes = "learns"
 		}
 		if m.Replaces != "" {
@@ -89,16 +89,16 @@
 		}
 		alive := "yes"
 		if !m.Alive {
-			alive = "not for " + (time.Duration(m.GoneMS) * time.Millisecond).Round(100*time.Millisecond).String()
+			alive = "not for " + (time.Duration(m.SilentMS) * time.Millisecond).Round(100*time.Millisecond).String()
 		}
-		if err := t.Append(m.Name, m.Machine, m.Site, m.Disk, votes, alive, fmt.Sprint(m.Behind), fmt.Sprint(m.Told), fmt.Sprintf("%d ms", m.LeaseMS)); err != nil {
+		if err := t.Append(m.Name, m.Machine, m.Site, m.Disk, votes, alive, fmt.Sprint(m.Behind), fmt.Sprint(m.Acknowledged), fmt.Sprintf("%d ms", m.LeaseMS)); err != nil {
 			return err
 		}
 	}
 	if err := t.Render(); err != nil {
 		return err
 	}
-	for _, w := range leader.Waits {
+	for _, w := range leader.Waiting {
 		fmt.Fprintf(s.out, "copy %s waits to be let in\n", w)
 	}
 	return nil
@@ -117,25 +117,25 @@
 	}
 	said := ""
 	for end := time.Now().Add(c.For); ; time.Sleep(100 * time.Millisecond) {
-		var leader *api.Copies
-		client.EachCopy(func(_ string, k api.Copies, err error) {
-			if err == nil && k.Leads {
+		var leader *api.GroupStatus
+		client.EachReplica(func(_ string, k api.GroupStatus, err error) {
+			if err == nil && k.IsLeader {
 				leader = &k
 			}
 		})
 		now := "no copy leads"
 		if leader != nil {
 			votes, there := 0, 0
-			for _, m := range leader.List {
-				if m.Votes {
+			for _, m := range leader.Replicas {
+				if m.IsVoter {
 					votes++
 				}
-				if m.Votes && m.Alive && m.Behind == 0 {
+				if m.IsVoter && m.Alive && m.Behind == 0 {
 					there++
 				}
 			}
-			now = fmt.Sprintf("%d of %d copies vote, %d of them are there", votes, leader.Listed, there)
-			if votes >= leader.Listed && there == votes && !leader.Joint {
+			now = fmt.Sprintf("%d of %d copies vote, %d of them are there", votes, leader.Configured, there)
+			if votes >= leader.Configured && there == votes && !leader.Joint {
 				if c.Output == "json" {
 					return writeJSON(s.out, leader)
 				}
@@ -154,12 +154,12 @@
 }
 
 // order has the leader change the group and shows what it says.
-func order(at boardAt, how output, s streams, o api.CopiesOrder, done string) error {
+func order(at boardAt, how output, s streams, o api.ReplicaChange, done string) error {
 	client, err := at.client()
 	if err != nil {
 		return err
 	}
-	k, err := client.OrderCopies(o)
+	k, err := client.ChangeReplicas(o)
 	if err != nil {
 		return err
 	}
@@ -177,7 +177,7 @@
 }
 
 func (c copiesAddCmd) Run(s streams) error {
-	return order(c.boardAt, c.output, s, api.CopiesOrder{Do: "add", Name: c.Name}, "copy "+c.Name+" is let in; it votes once it has caught up")
+	return order(c.boardAt, c.output, s, api.ReplicaChange{Action: "add", Name: c.Name}, "copy "+c.Name+" is let in; it votes once it has caught up")
 }
 
 type copiesRemoveCmd struct {
@@ -188,7 +188,7 @@
 }
 
 func (c copiesRemoveCmd) Run(s streams) error {
-	return order(c.boardAt, c.output, s, api.CopiesOrder{Do: "remove", Name: c.Name, Fewer: c.Fewer}, "copy "+c.Name+" is being taken out")
+	return order(c.boardAt, c.output, s, api.ReplicaChange{Action: "remove", Name: c.Name, AllowLowerTolerance: c.Fewer}, "copy "+c.Name+" is being taken out")
 }
 
 type copiesReplaceCmd struct {
@@ -199,7 +199,7 @@
 }
 
 func (c copiesReplaceCmd) Run(s streams) error {
-	return order(c.boardAt, c.output, s, api.CopiesOrder{Do: "replace", Name: c.Name, By: c.By}, "the new disk is let in; it takes the place of copy "+c.Name+" once it has caught up")
+	return order(c.boardAt, c.output, s, api.ReplicaChange{Action: "replace", Name: c.Name, Replacement: c.By}, "the new disk is let in; it takes the place of copy "+c.Name+" once it has caught up")
 }
 
 type copiesHandCmd struct {
@@ -209,7 +209,7 @@
 }
 
 func (c copiesHandCmd) Run(s streams) error {
-	return order(c.boardAt, c.output, s, api.CopiesOrder{Do: "hand-over", Name: c.Name}, "the lead is being handed over")
+	return order(c.boardAt, c.output, s, api.ReplicaChange{Action: "hand-over", Name: c.Name}, "the lead is being handed over")
 }
 
 type copiesRecoverCmd struct {
@@ -223,17 +223,17 @@
 	if len(faults) > 0 {
 		return faults
 	}
-	if set.Board.Copies.Self == "" {
+	if set.ControlPlane.Replicas.Self == "" {
 		return errors.New(c.Config + ": the file lists no copies")
 	}
-	r, err := replicas.Recover(set.Board, c.Yes)
+	r, err := replicas.Recover(set.ControlPlane, c.Yes)
 	if err != nil {
 		return err
 	}
 	if c.Output == "json" {
 		return writeJSON(s.out, r)
 	}
-	fmt.Fprintf(s.out, "copy %s has the history up to event %d, of %s (index %d of term %d in the log", r.Copy, r.Revision, time.UnixMilli(r.LastEventMS).UTC().Format(time.RFC3339), r.Taken, r.Term)
+	fmt.Fprintf(s.out, "copy %s has the history up to event %d, of %s (index %d of term %d in the log", r.Replica, r.Revision, time.UnixMilli(r.LastEventMS).UTC().Format(time.RFC3339), r.Applied, r.Term)
 	if r.Undecided > 0 {
 		fmt.Fprintf(s.out, "; %d entries after it are not known to be accepted and are dropped", r.Undecided)
 	}
--- a/cmd/stairvane-fleet/director.go
+++ b/cmd/stairvane-fleet/director.go
@@ -25,15 +25,15 @@
 		return faults
 	}
 	d := set.Director
-	beyond := config.Beyond{Cores: d.Cores, Bulletins: d.Bulletins}
+	beyond := config.OperatorSettings{Cores: d.Cores, ControlPlanes: d.ControlPlanes}
 	if d.Machine != "" {
 		if d.Cores > 1 {
 			return errors.New(c.Config + ": director.machine: a director on the roll has one core")
 		}
-		beyond.Roll = &config.Roll{Machine: d.Machine, Site: d.Site, Incarnation: rand.Text(), Version: buildVersion(), BehindMost: d.BehindMost, Signals: d.Signals}
+		beyond.Membership = &config.Membership{Machine: d.Machine, Site: d.Site, Incarnation: rand.Text(), Version: buildVersion(), MaxStaleness: d.MaxStaleness, Health: d.Health}
 	}
 	if k := d.Claims; k.Listen.IsValid() {
-		beyond.Claims = &config.Claims{Listen: k.Listen, Allows: allows(k.Peers), Most: k.Most, Unreached: k.Unreached, ByClass: k.ByClass}
+		beyond.Claims = &config.Claims{Listen: k.Listen, Allows: allows(k.Peers), MaxClaims: k.MaxClaims, UnreachablePolicy: k.UnreachablePolicy, PolicyByClass: k.PolicyByClass}
 	}
 	return program.Serve(beyond)
 }
--- a/cmd/stairvane-fleet/files.go
+++ b/cmd/stairvane-fleet/files.go
@@ -26,7 +26,7 @@
 		if c.Program {
 			_, found = opfile.ReadProgram(name, os.ReadFile)
 		} else {
-			_, found = opfile.Fleet(name, os.ReadFile)
+			_, found = opfile.ReadFleet(name, os.ReadFile)
 		}
 		faults = append(faults, found...)
 	}
--- a/cmd/stairvane-fleet/model.go
+++ b/cmd/stairvane-fleet/model.go
@@ -53,7 +53,7 @@
 	var rows []modelRow
 	passed := 0
 	for i, n := range c.Directors {
-		cfg := fleetsim.Config{Seed: c.Seed, Directors: n, Boxes: c.Boxes, Length: c.Length, Skew: c.Skew, Load: c.Load, Loss: c.Loss, Double: c.Double,
+		cfg := fleetsim.Config{Seed: c.Seed, Directors: n, Caches: c.Boxes, Length: c.Length, Skew: c.Skew, Load: c.Load, Loss: c.Loss, Double: c.Double,
 			Halve: c.Halve, Cut: c.Cut, Regrant: c.Regrant, Even: c.Even}
 		begin, said := time.Now(), time.Now()
 		r, err := fleetsim.Run(cfg, func(done float64) {
--- a/cmd/stairvane-fleet/plan.go
+++ b/cmd/stairvane-fleet/plan.go
@@ -26,7 +26,7 @@
 
 // Run plans here, against the world that the board tells; the board judges the plan again when it is applied.
 func (c planCmd) Run(s streams) error {
-	wish, faults := opfile.Fleet(c.File, os.ReadFile)
+	wish, faults := opfile.ReadFleet(c.File, os.ReadFile)
 	if len(faults) > 0 {
 		return faults
 	}
@@ -54,16 +54,16 @@
 	return putPlan(s.out, p, c.Out, c.Output)
 }
 
-func (b boardAt) world() (fleet.World, error) {
+func (b boardAt) world() (fleet.ObservedState, error) {
 	client, err := b.client()
 	if err != nil {
-		return fleet.World{}, err
+		return fleet.ObservedState{}, err
 	}
-	world, err := client.World()
+	world, err := client.State()
 	if err != nil {
-		return fleet.World{}, err
+		return fleet.ObservedState{}, err
 	}
-	return world.Seen()
+	return world.ObservedState()
 }
 
 // putPlan shows a plan and writes its file. Its status tells whether there is anything to do.
@@ -111,7 +111,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "plan %s\nat revision %d, wish %s, %d things read\n", sum[:16], p.Revision, p.WishSum, len(p.Reads))
+	fmt.Fprintf(out, "plan %s\nat revision %d, wish %s, %d things read\n", sum[:16], p.Revision, p.DesiredSum, len(p.Reads))
 	if p.RevertOf != 0 {
 		fmt.Fprintf(out, "back to what was before apply %d\n", p.RevertOf)
 	}
@@ -131,7 +131,7 @@
 			sums = append(sums, fmt.Sprintf("%d %s", counts[k], k))
 		}
 	}
-	_, err = fmt.Fprintf(out, "%d steps: %s; on trouble: %s\n", len(p.Steps), strings.Join(sums, ", "), p.Rules.OnTrouble)
+	_, err = fmt.Fprintf(out, "%d steps: %s; on trouble: %s\n", len(p.Steps), strings.Join(sums, ", "), p.Rules.OnFault)
 	return err
 }
 
--- a/cmd/stairvane-fleet/roll.go
+++ b/cmd/stairvane-fleet/roll.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		return err
 	}
-	r, err := client.Roll()
+	r, err := client.Members()
 	if err != nil {
 		return err
 	}
@@ -31,13 +31,13 @@
 	t := tablewriter.NewWriter(s.out)
 	t.Header("director", "incarnation", "location", "machine", "site", "version", "heard", "by relay", "claims")
 	for _, d := range r.Directors {
-		heard := fmt.Sprintf("%d ms ago", d.HeardMS)
+		heard := fmt.Sprintf("%d ms ago", d.LastHeardMS)
 		if d.Suspected {
 			heard += ", suspected"
 		}
 		claims := "takes none"
 		if d.Claims != "" {
-			claims = fmt.Sprintf("decides on %d of 256", d.Slots)
+			claims = fmt.Sprintf("decides on %d of 256", d.Shards)
 		}
 		served, _, _ := strings.Cut(d.Relay, "/")
 		if err := t.Append(d.Name, d.Incarnation[:min(8, len(d.Incarnation))], d.Location, d.Machine, d.Site, d.Version, heard, served, claims); err != nil {
@@ -55,7 +55,7 @@
 }
 
 // writeRelays lists the relays, if there are any.
-func writeRelays(s streams, relays []api.RelayEntry) error {
+func writeRelays(s streams, relays []api.RelayStatus) error {
 	if len(relays) == 0 {
 		return nil
 	}
@@ -84,7 +84,7 @@
 	if err != nil {
 		return err
 	}
-	held, err := client.Turns()
+	held, err := client.Quotas()
 	if err != nil {
 		return err
 	}
@@ -116,14 +116,14 @@
 	if err != nil {
 		return err
 	}
-	all, err := client.Signals()
+	all, err := client.Health()
 	if err != nil {
 		return err
 	}
 	if c.Box != "" {
-		all = slices.DeleteFunc(all, func(b signals.Box) bool {
-			name, _, _ := strings.Cut(b.Box, "@")
-			return c.Box != b.Box && c.Box != name
+		all = slices.DeleteFunc(all, func(b signals.CacheStatus) bool {
+			name, _, _ := strings.Cut(b.Cache, "@")
+			return c.Box != b.Cache && c.Box != name
 		})
 		if len(all) == 0 {
 			return &exit{exitFailed, "nothing is told of " + c.Box + ": no director with (signals) has sent there lately"}
@@ -142,12 +142,12 @@
 		for _, b := range all {
 			share, lag, age := "too few tell", "", ""
 			if b.Enough {
-				share, lag = fmt.Sprintf("%.0f %%", 100*b.Bad), fmt.Sprintf("%.0f ms", b.LagMS)
-				if b.Bad > 0 {
+				share, lag = fmt.Sprintf("%.0f %%", 100*b.FailureShare), fmt.Sprintf("%.0f ms", b.LagMS)
+				if b.FailureShare > 0 {
 					age = fmt.Sprintf("%d ms ago", b.AgeMS)
 				}
 			}
-			if err := t.Append(b.Box, share, lag, fmt.Sprint(b.Machines), fmt.Sprint(len(b.By)), age); err != nil {
+			if err := t.Append(b.Cache, share, lag, fmt.Sprint(b.Machines), fmt.Sprint(len(b.By)), age); err != nil {
 				return err
 			}
 		}
@@ -156,7 +156,7 @@
 	t.Header("box", "director", "machine", "attempts", "went wrong", "of the last few", "answers late by", "heard")
 	for _, b := range all {
 		for _, d := range b.By {
-			if err := t.Append(b.Box, d.Holder, d.Machine, fmt.Sprintf("%.0f", d.Tried), fmt.Sprintf("%.0f", d.Bad), fmt.Sprintf("%.0f %%", 100*d.Share), fmt.Sprintf("%.0f ms", d.LagMS), fmt.Sprintf("%d ms ago", d.AgeMS)); err != nil {
+			if err := t.Append(b.Cache, d.Holder, d.Machine, fmt.Sprintf("%.0f", d.Tried), fmt.Sprintf("%.0f", d.Bad), fmt.Sprintf("%.0f %%", 100*d.Share), fmt.Sprintf("%.0f ms", d.LagMS), fmt.Sprintf("%d ms ago", d.AgeMS)); err != nil {
 				return err
 			}
 		}
--- a/cmd/stairvane/director.go
+++ b/cmd/stairvane/director.go
@@ -6,4 +6,4 @@
 )
 
 // runDirector is one director on one core.
-func runDirector() error { return program.Serve(config.Beyond{Cores: 1}) }
+func runDirector() error { return program.Serve(config.OperatorSettings{Cores: 1}) }
--- a/internal/capacity/measure/module.go
+++ b/internal/capacity/measure/module.go
@@ -32,29 +32,29 @@
 func newModule() *module {
 	m := &module{router: stairvane.NewRouter(settings(usualDirectors), 1), now: time.Hour}
 	m.take(m.router.Start(m.now))
-	list := []stairvane.Member{{Host: 900, Zone: "hub", Kind: "origin"}}
+	list := []stairvane.Endpoint{{Host: 900, Zone: "hub", Kind: "origin"}}
 	for i := range 2 {
-		list = append(list, stairvane.Member{Host: stairvane.HostID(500 + i), Zone: "hub", Kind: "parent"})
+		list = append(list, stairvane.Endpoint{Host: stairvane.HostID(500 + i), Zone: "hub", Kind: "parent"})
 	}
 	for i := range cachesOfZone {
-		list = append(list, stairvane.Member{Host: stairvane.HostID(100 + i), Zone: zoneName(0), Kind: "cache", Cell: i})
+		list = append(list, stairvane.Endpoint{Host: stairvane.HostID(100 + i), Zone: zoneName(0), Kind: "cache", Cell: i})
 	}
 	for i := range list {
 		list[i].Readiness, list[i].Weight = stairvane.Ready, 1
 	}
-	m.take(m.router.Handle(m.now, stairvane.Topology{Kind: stairvane.ListAll, Version: 1, Members: list}))
+	m.take(m.router.Handle(m.now, stairvane.EndpointUpdate{Kind: stairvane.UpdateSnapshot, Version: 1, Endpoints: list}))
 	return m
 }
 
 // take notes the module's upkeep among actions, and gives the attempts.
-func (m *module) take(actions []stairvane.Action) (attempts []stairvane.Obtain) {
+func (m *module) take(actions []stairvane.Action) (attempts []stairvane.StartAttempt) {
 	for _, action := range actions {
 		switch a := action.(type) {
-		case stairvane.After:
+		case stairvane.SetTimer:
 			if a.Token == "sweep" {
 				m.sweep = m.now + a.Delay
 			}
-		case stairvane.Obtain:
+		case stairvane.StartAttempt:
 			attempts = append(attempts, a)
 		}
 	}
@@ -62,10 +62,10 @@
 }
 
 // ask takes in a request for an object that nobody has asked for before.
-func (m *module) ask() []stairvane.Obtain {
+func (m *module) ask() []stairvane.StartAttempt {
 	m.asked++
-	return m.take(m.router.Handle(m.now, stairvane.Query{
-		Request: stairvane.RequestID(strconv.Itoa(m.asked)), Object: stairvane.ObjectID(0x9e3779b97f4a7c15 * uint64(m.asked)), Group: m.asked % 251,
+	return m.take(m.router.Handle(m.now, stairvane.Request{
+		ID: stairvane.RequestID(strconv.Itoa(m.asked)), Object: stairvane.ObjectID(0x9e3779b97f4a7c15 * uint64(m.asked)), PurgeGroup: m.asked % 251,
 		Class: "clips", SizeKB: 200, TimeLeft: 6 * time.Second,
 	}))
 }
@@ -90,7 +90,7 @@
 	}
 	return timeOf(func(n int) {
 		object := stairvane.ObjectID(0xd1b54a32d192ed03 * uint64(n%1000+1))
-		m.router.Handle(m.now, stairvane.Invalidated{Object: object})
+		m.router.Handle(m.now, stairvane.Purge{Object: object})
 	}), nil
 }
 
@@ -117,10 +117,10 @@
 				return m
 			}
 			a := attempts[0]
-			m.take(m.router.Handle(m.now, stairvane.Answer{Request: a.Request, Terminal: true, Host: a.Host, Status: stairvane.OK,
-				Note: stairvane.NoteHit, Elapsed: time.Millisecond, FirstByte: time.Millisecond}))
+			m.take(m.router.Handle(m.now, stairvane.AttemptResult{Request: a.Request, Terminal: true, Host: a.Host, Status: stairvane.OK,
+				CacheStatus: stairvane.CacheStatusHit, Elapsed: time.Millisecond, FirstByte: time.Millisecond}))
 			if m.now >= m.sweep {
-				m.take(m.router.Handle(m.now, stairvane.Alarm{Token: "sweep"}))
+				m.take(m.router.Handle(m.now, stairvane.TimerFired{Token: "sweep"}))
 			}
 		}
 		runtime.GC()
--- a/internal/capacity/measure/wire.go
+++ b/internal/capacity/measure/wire.go
@@ -22,7 +22,7 @@
 			Unit: capacity.Bytes, Sizes: eventSizes, At: hostBytes},
 		{Name: "wire.bytes.members", About: "the answer with so many directors that join in one event", XUnit: "director that joins",
 			Unit: capacity.Bytes, Sizes: eventSizes, At: func(size int) (float64, error) {
-				return eventBytes(fleet.RollChange{Joined: directorsOf(size)})
+				return eventBytes(fleet.MembershipChange{Joined: directorsOf(size)})
 			}},
 		{Name: "wire.bytes.gone", About: "the answer with so many directors that leave in one event", XUnit: "director that leaves",
 			Unit: capacity.Bytes, Sizes: eventSizes, At: goneBytes},
@@ -60,7 +60,7 @@
 func hostBytes(count int) (float64, error) {
 	var events []fleet.Event
 	for i := range count {
-		events = append(events, fleet.Event{No: int64(i + 2), AtMS: 1, Who: "operator@example", Member: memberOf(i % usualCaches)})
+		events = append(events, fleet.Event{No: int64(i + 2), AtMS: 1, Who: "operator@example", Host: memberOf(i % usualCaches)})
 	}
 	return answersOf(events)
 }
@@ -70,11 +70,11 @@
 	for _, d := range directorsOf(count) {
 		gone = append(gone, d.ID())
 	}
-	return eventBytes(fleet.RollChange{Gone: gone})
+	return eventBytes(fleet.MembershipChange{Left: gone})
 }
 
-func eventBytes(change fleet.RollChange) (float64, error) {
-	return answersOf([]fleet.Event{{No: 2, AtMS: 1, Who: "leader", Roll: &change}})
+func eventBytes(change fleet.MembershipChange) (float64, error) {
+	return answersOf([]fleet.Event{{No: 2, AtMS: 1, Who: "leader", Membership: &change}})
 }
 
 // answersOf is the bytes of the answers, one or several, that carry events.
--- a/internal/claims/grant.go
+++ b/internal/claims/grant.go
@@ -14,9 +14,9 @@
 
 // handleRequest decides on a claim that another director requests.
 func (n *Node) handleRequest(from string, m Message, now time.Duration) {
-	s, want := &n.slots[m.Slot], m.Claims[0]
+	s, want := &n.slots[m.Shard], m.Claims[0]
 	answer := func(v Verdict, c *Claim) {
-		a := Message{Kind: Answer, Seq: m.Seq, Epoch: m.Epoch, Slot: m.Slot, Verdict: v}
+		a := Message{Kind: Answer, Seq: m.Seq, Epoch: m.Epoch, Shard: m.Shard, Verdict: v}
 		if c != nil {
 			one := *c
 			one.At = now - one.At
@@ -35,7 +35,7 @@
 		c = nil
 	}
 	if c == nil {
-		if n.held >= n.set.Most {
+		if n.held >= n.set.MaxClaims {
 			answer(Full, nil)
 			return
 		}
@@ -43,7 +43,7 @@
 		c.At, c.Owner, c.Seq = now, from, m.Seq
 		n.insert(s, c)
 		c.waiters = []waiter{{from, m}}
-		n.replicate(m.Slot, c, now)
+		n.replicate(m.Shard, c, now)
 		return
 	}
 	own := c.Owner == from && c.Request == want.Request
@@ -60,11 +60,11 @@
 		c.Group, c.At, c.Seq = want.Group, now, m.Seq
 		c.Version++
 		c.waiters = []waiter{{from, m}}
-		n.replicate(m.Slot, c, now)
+		n.replicate(m.Shard, c, now)
 	case own && c.Group == want.Group:
 		answer(Granted, &c.Claim)
 	default:
-		answer(Bound, &c.Claim)
+		answer(HeldElsewhere, &c.Claim)
 	}
 }
 
@@ -86,7 +86,7 @@
 	one.At = now - one.At
 	for _, id := range s.homes[1:] {
 		c.pending[id] = true
-		n.retryUntilAnswered(Sending{id, Message{Kind: Copy, Epoch: s.epoch, Slot: i, Claims: []Claim{one}}}, c.Token, now)
+		n.retryUntilAnswered(Sending{id, Message{Kind: Copy, Epoch: s.epoch, Shard: i, Claims: []Claim{one}}}, c.Token, now)
 	}
 	if len(s.homes) == 1 {
 		n.Counts.Thin++
@@ -105,7 +105,7 @@
 
 // handleReplica stores replicated claims.
 func (n *Node) handleReplica(m Message, now time.Duration) Verdict {
-	s := &n.slots[m.Slot]
+	s := &n.slots[m.Shard]
 	if m.Epoch != s.epoch || m.Epoch < s.closed || !slices.Contains(s.homes, n.id) {
 		return Later
 	}
@@ -129,7 +129,7 @@
 	if w == nil || w.Kind != Copy || w.To != from {
 		return
 	}
-	s := &n.slots[w.Slot]
+	s := &n.slots[w.Shard]
 	if w.Epoch != s.epoch {
 		delete(n.waits, m.Seq)
 		return
@@ -141,7 +141,7 @@
 	if w.token == "" {
 		delete(s.fills, from)
 		if s.closes != nil {
-			n.collect(w.Slot, now)
+			n.collect(w.Shard, now)
 		}
 		return
 	}
@@ -154,7 +154,7 @@
 
 // handleDrop releases a claim under which nothing has run.
 func (n *Node) handleDrop(from string, m Message) {
-	s, d := &n.slots[m.Slot], m.Claims[0]
+	s, d := &n.slots[m.Shard], m.Claims[0]
 	c := s.claims[d.Token]
 	if c == nil || c.Owner != d.Owner || c.Request != d.Request || len(c.pending) > 0 || m.Epoch != s.epoch || m.Epoch < s.closed {
 		return
@@ -167,7 +167,7 @@
 	n.held--
 	if first {
 		for _, id := range s.homes[1:] {
-			n.send(id, Message{Kind: Drop, Epoch: s.epoch, Slot: m.Slot, Claims: []Claim{d}})
+			n.send(id, Message{Kind: Drop, Epoch: s.epoch, Shard: m.Shard, Claims: []Claim{d}})
 		}
 	}
 }
--- a/internal/claims/messages.go
+++ b/internal/claims/messages.go
@@ -34,12 +34,12 @@
 
 // Verdicts.
 const (
-	Granted   Verdict = iota
-	Bound             // the token runs elsewhere: Group and age tell where and since when
-	Reused            // the token is that of another object
-	Full              // no room for further claims
-	Later             // not now, or not here
-	Unreached         // nobody answered in time
+	Granted       Verdict = iota
+	HeldElsewhere         // the token runs elsewhere: Group and age tell where and since when
+	Reused                // the token is that of another object
+	Full                  // no room for further claims
+	Later                 // not now, or not here
+	Unreached             // nobody answered in time
 )
 
 // Message goes from one director to another.
@@ -47,7 +47,7 @@
 	Kind    Kind
 	Seq     uint64 // of the asker; the answer carries it back
 	Epoch   int64
-	Slot    int
+	Shard   int
 	Verdict Verdict
 	Moves   bool    // Ask: nothing of the request has run, and its claim may move to another group
 	Claims  []Claim // times are ages
@@ -61,9 +61,9 @@
 
 // Outcome ends an asking.
 type Outcome struct {
-	Key     uint64
-	Verdict Verdict
-	Group   string        // Bound: where it runs
-	Age     time.Duration // Bound: since when, or a little longer
-	Asked   time.Duration // when the answer was asked for: the claim counts from later than that
+	Key         uint64
+	Verdict     Verdict
+	Group       string        // Bound: where it runs
+	Age         time.Duration // Bound: since when, or a little longer
+	RequestedAt time.Duration // when the answer was asked for: the claim counts from later than that
 }
--- a/internal/claims/node.go
+++ b/internal/claims/node.go
@@ -7,10 +7,10 @@
 
 // Settings of a director's claims.
 type Settings struct {
-	Slots     int
+	Shards    int
 	Slack     time.Duration // beyond its lifetime: an attempt may be sent a little after its claim was granted
 	MaxWindow time.Duration // of any class
-	Most      int           // claims held, as primary and as replica
+	MaxClaims int           // claims held, as primary and as replica
 	Again     time.Duration // after which an unanswered message is sent again
 }
 
@@ -77,7 +77,7 @@
 
 // New makes the node of a director.
 func New(id string, set Settings) *Node {
-	return &Node{set: set, id: id, on: map[string]bool{}, slots: make([]shard, set.Slots), asks: map[uint64]*pendingRequest{}, waits: map[uint64]*pendingMessage{}}
+	return &Node{set: set, id: id, on: map[string]bool{}, slots: make([]shard, set.Shards), asks: map[uint64]*pendingRequest{}, waits: map[uint64]*pendingMessage{}}
 }
 
 // Take returns, once, the messages to send, the finished requests, and the completed shards.
@@ -108,7 +108,7 @@
 
 func (n *Node) isPending(to string, k Kind, slot int) bool {
 	for _, w := range n.waits {
-		if w.To == to && w.Kind == k && w.Slot == slot && w.Epoch == n.slots[slot].epoch {
+		if w.To == to && w.Kind == k && w.Shard == slot && w.Epoch == n.slots[slot].epoch {
 			return true
 		}
 	}
@@ -117,7 +117,7 @@
 
 func (n *Node) stopRetrying(to string, k Kind, slot int) {
 	for seq, w := range n.waits {
-		if w.To == to && w.Kind == k && w.Slot == slot {
+		if w.To == to && w.Kind == k && w.Shard == slot {
 			delete(n.waits, seq)
 		}
 	}
@@ -128,7 +128,7 @@
 
 // Receive handles a message.
 func (n *Node) Receive(from string, m Message, now time.Duration) {
-	if m.Slot < 0 || m.Slot >= len(n.slots) {
+	if m.Shard < 0 || m.Shard >= len(n.slots) {
 		return
 	}
 	switch m.Kind {
@@ -139,7 +139,7 @@
 	case Answer:
 		n.handleAnswer(m, now)
 	case Copy:
-		n.send(from, Message{Kind: Held, Seq: m.Seq, Epoch: m.Epoch, Slot: m.Slot, Verdict: n.handleReplica(m, now)})
+		n.send(from, Message{Kind: Held, Seq: m.Seq, Epoch: m.Epoch, Shard: m.Shard, Verdict: n.handleReplica(m, now)})
 	case Held:
 		n.handleConfirm(from, m, now)
 	case Drop:
@@ -160,7 +160,7 @@
 		a := n.asks[seq]
 		switch {
 		case now >= a.until:
-			n.finish(seq, Outcome{Key: a.key, Verdict: Unreached, Asked: a.first})
+			n.finish(seq, Outcome{Key: a.key, Verdict: Unreached, RequestedAt: a.first})
 		case !a.pending && now-a.asked >= n.set.Again/2, now-a.asked >= 4*n.set.Again:
 			n.ask(seq, a, now)
 		}
@@ -168,12 +168,12 @@
 	n.waitOrder = slices.DeleteFunc(n.waitOrder, func(seq uint64) bool { return n.waits[seq] == nil })
 	for _, seq := range n.waitOrder {
 		w := n.waits[seq]
-		if w.Epoch != n.slots[w.Slot].epoch {
+		if w.Epoch != n.slots[w.Shard].epoch {
 			delete(n.waits, seq)
 		} else if now-w.at >= n.set.Again {
 			w.at = now
 			if w.Kind == Copy && w.token == "" && len(w.Claims) > 0 { // ages have grown
-				w.Claims = n.claimsWithAges(&n.slots[w.Slot], now)
+				w.Claims = n.claimsWithAges(&n.slots[w.Shard], now)
 			}
 			n.send(w.To, w.Message)
 		}
--- a/internal/claims/request.go
+++ b/internal/claims/request.go
@@ -26,7 +26,7 @@
 }
 
 func (n *Node) ask(seq uint64, a *pendingRequest, now time.Duration) {
-	i := SlotOf(a.claim.Token, n.set.Slots)
+	i := SlotOf(a.claim.Token, n.set.Shards)
 	s := &n.slots[i]
 	a.asked, a.pending = now, true
 	if len(s.homes) == 0 {
@@ -34,7 +34,7 @@
 	}
 	c := a.claim
 	c.At = 0
-	n.send(s.homes[0], Message{Kind: Ask, Seq: seq, Epoch: s.epoch, Slot: i, Moves: a.moves, Claims: []Claim{c}})
+	n.send(s.homes[0], Message{Kind: Ask, Seq: seq, Epoch: s.epoch, Shard: i, Moves: a.moves, Claims: []Claim{c}})
 }
 
 func (n *Node) handleAnswer(m Message, now time.Duration) {
@@ -46,7 +46,7 @@
 		a.pending = false // Tick asks again
 		return
 	}
-	o := Outcome{Key: a.key, Verdict: m.Verdict, Asked: a.first}
+	o := Outcome{Key: a.key, Verdict: m.Verdict, RequestedAt: a.first}
 	if len(m.Claims) == 1 {
 		o.Group, o.Age = m.Claims[0].Group, m.Claims[0].At+(now-a.first)
 	}
@@ -58,7 +58,7 @@
 	switch o.Verdict {
 	case Granted:
 		n.Counts.Granted++
-	case Bound:
+	case HeldElsewhere:
 		n.Counts.Bound++
 	case Reused:
 		n.Counts.Reused++
@@ -72,8 +72,8 @@
 
 // Release gives up a claim under which nothing has run.
 func (n *Node) Release(token, request string) {
-	i := SlotOf(token, n.set.Slots)
+	i := SlotOf(token, n.set.Shards)
 	if s := &n.slots[i]; len(s.homes) > 0 {
-		n.send(s.homes[0], Message{Kind: Drop, Epoch: s.epoch, Slot: i, Claims: []Claim{{Token: token, Owner: n.id, Request: request}}})
+		n.send(s.homes[0], Message{Kind: Drop, Epoch: s.epoch, Shard: i, Claims: []Claim{{Token: token, Owner: n.id, Request: request}}})
 	}
 }
--- a/internal/claims/shards.go
+++ b/internal/claims/shards.go
@@ -8,11 +8,11 @@
 
 // ShardState is a shard as the membership events describe it.
 type ShardState struct {
-	Slot     int
-	Epoch    int64
-	Homes    []string
-	From     []string
-	Complete int64 // set alone: all replicas of this epoch are filled
+	Shard            int
+	Epoch            int64
+	Replicas         []string
+	PreviousReplicas []string
+	Complete         int64 // set alone: all replicas of this epoch are filled
 }
 
 // ApplyMembership applies a change of the membership and of the shards.
@@ -27,7 +27,7 @@
 		n.on[id] = true
 	}
 	for _, t := range slots {
-		s := &n.slots[t.Slot]
+		s := &n.slots[t.Shard]
 		switch {
 		case t.Complete > 0:
 			if s.epoch == t.Complete {
@@ -36,7 +36,7 @@
 			}
 		case t.Epoch > s.epoch:
 			n.beginEpoch(t, now)
-		case t.Epoch == s.epoch && len(t.From) == 0: // the whole state again
+		case t.Epoch == s.epoch && len(t.PreviousReplicas) == 0: // the whole state again
 			s.from = nil
 			n.resetShard(s)
 		}
@@ -58,17 +58,17 @@
 
 // beginEpoch begins an epoch of a shard.
 func (n *Node) beginEpoch(t ShardState, now time.Duration) {
-	s := &n.slots[t.Slot]
+	s := &n.slots[t.Shard]
 	n.refuseWaiting(s) // they ask again under this epoch
-	first := !s.ever && len(t.From) == 0
-	s.epoch, s.homes, s.from, s.ready, s.closes, s.fills, s.ever = t.Epoch, t.Homes, t.From, false, nil, nil, true
+	first := !s.ever && len(t.PreviousReplicas) == 0
+	s.epoch, s.homes, s.from, s.ready, s.closes, s.fills, s.ever = t.Epoch, t.Replicas, t.PreviousReplicas, false, nil, nil, true
 	if !slices.Contains(s.homes, n.id) && !slices.Contains(s.from, n.id) {
 		n.resetShard(s)
 	}
 	if len(s.homes) == 0 || s.homes[0] != n.id {
 		return
 	}
-	if first || len(t.From) == 0 {
+	if first || len(t.PreviousReplicas) == 0 {
 		s.ready = true
 		return
 	}
@@ -78,7 +78,7 @@
 			s.closes[id] = true
 		}
 	}
-	n.collect(t.Slot, now)
+	n.collect(t.Shard, now)
 }
 
 // refuseWaiting answers all callers that wait for claims of a shard that they may retry.
@@ -86,7 +86,7 @@
 	for _, token := range tokens(s) {
 		c := s.claims[token]
 		for _, w := range c.waiters {
-			n.send(w.to, Message{Kind: Answer, Seq: w.Seq, Epoch: w.Epoch, Slot: w.Slot, Verdict: Later})
+			n.send(w.to, Message{Kind: Answer, Seq: w.Seq, Epoch: w.Epoch, Shard: w.Shard, Verdict: Later})
 		}
 		c.waiters, c.pending = nil, nil
 	}
@@ -102,7 +102,7 @@
 			delete(s.closes, id)
 			n.stopRetrying(id, Close, i)
 		} else if !n.isPending(id, Close, i) {
-			n.retryUntilAnswered(Sending{id, Message{Kind: Close, Epoch: s.epoch, Slot: i}}, "", now)
+			n.retryUntilAnswered(Sending{id, Message{Kind: Close, Epoch: s.epoch, Shard: i}}, "", now)
 		}
 	}
 	if len(s.closes) == 0 && !s.knows && s.blind == 0 { // claims may be in force that no remaining replica knows
@@ -115,7 +115,7 @@
 		s.fills = map[string]bool{}
 		for _, id := range s.homes[1:] {
 			s.fills[id] = true
-			n.retryUntilAnswered(Sending{id, Message{Kind: Copy, Epoch: s.epoch, Slot: i, Claims: n.claimsWithAges(s, now)}}, "", now)
+			n.retryUntilAnswered(Sending{id, Message{Kind: Copy, Epoch: s.epoch, Shard: i, Claims: n.claimsWithAges(s, now)}}, "", now)
 		}
 	}
 	if len(s.fills) == 0 {
@@ -148,13 +148,13 @@
 
 // handleClose ends older epochs of a shard here and returns its claims.
 func (n *Node) handleClose(from string, m Message, now time.Duration) {
-	s := &n.slots[m.Slot]
+	s := &n.slots[m.Shard]
 	if m.Epoch < s.epoch || m.Epoch < s.closed {
 		return
 	}
 	s.closed = m.Epoch
 	n.refuseWaiting(s)
-	n.send(from, Message{Kind: Closed, Seq: m.Seq, Epoch: m.Epoch, Slot: m.Slot, Claims: n.claimsWithAges(s, now)})
+	n.send(from, Message{Kind: Closed, Seq: m.Seq, Epoch: m.Epoch, Shard: m.Shard, Claims: n.claimsWithAges(s, now)})
 }
 
 // handleCollected takes over the claims of a replica of an earlier epoch. Ages count from the request.
@@ -164,7 +164,7 @@
 		return
 	}
 	delete(n.waits, m.Seq)
-	s := &n.slots[m.Slot]
+	s := &n.slots[m.Shard]
 	if s.epoch != m.Epoch || s.closes == nil {
 		return
 	}
@@ -175,5 +175,5 @@
 	}
 	delete(s.closes, from)
 	s.knows = true
-	n.collect(m.Slot, now)
+	n.collect(m.Shard, now)
 }
--- a/internal/claims/table.go
+++ b/internal/claims/table.go
@@ -64,14 +64,14 @@
 	for i := range slots {
 		s := slots[i]
 		homes := Homes(i, most, places)
-		if slices.Equal(homes, s.Homes) {
+		if slices.Equal(homes, s.Replicas) {
 			continue
 		}
-		from := s.From
+		from := s.PreviousReplicas
 		if len(from) == 0 {
-			from = s.Homes
+			from = s.Replicas
 		}
-		changed = append(changed, ShardState{Slot: i, Homes: homes, From: from})
+		changed = append(changed, ShardState{Shard: i, Replicas: homes, PreviousReplicas: from})
 	}
 	return changed
 }
--- a/internal/claims/wire.go
+++ b/internal/claims/wire.go
@@ -11,9 +11,9 @@
 // Messages travel in the caches' form, as arrays of bulk strings: a head of numbers, then claims, a line each, parted into
 // bulk strings of a bounded size. Words are parted by blanks, so that none may hold one.
 
-// MostBulks is how many bulk strings of claims a message has at most; with so many bytes in each it holds a slot of some
+// MaxBulks is how many bulk strings of claims a message has at most; with so many bytes in each it holds a slot of some
 // ten thousand claims.
-const MostBulks = 6
+const MaxBulks = 6
 
 var errMessage = errors.New("claims: malformed message")
 
@@ -23,7 +23,7 @@
 	if m.Moves {
 		moves = 1
 	}
-	return fmt.Appendf(nil, "%d %d %d %d %d %d", m.Kind, m.Seq, m.Epoch, m.Slot, m.Verdict, moves)
+	return fmt.Appendf(nil, "%d %d %d %d %d %d", m.Kind, m.Seq, m.Epoch, m.Shard, m.Verdict, moves)
 }
 
 // Bulks writes the claims of a message, each part no longer than most bytes. An error means that they do not fit.
@@ -41,7 +41,7 @@
 	if len(b) > 0 {
 		bulks = append(bulks, b)
 	}
-	if len(bulks) > MostBulks {
+	if len(bulks) > MaxBulks {
 		return nil, fmt.Errorf("claims: %d claims of one slot do not fit a message", len(m.Claims))
 	}
 	return bulks, nil
@@ -69,7 +69,7 @@
 	if n[0] > int64(Closed) || n[4] > int64(Unreached) {
 		return m, errMessage
 	}
-	m = Message{Kind: Kind(n[0]), Seq: uint64(n[1]), Epoch: n[2], Slot: int(n[3]), Verdict: Verdict(n[4]), Moves: n[5] == 1}
+	m = Message{Kind: Kind(n[0]), Seq: uint64(n[1]), Epoch: n[2], Shard: int(n[3]), Verdict: Verdict(n[4]), Moves: n[5] == 1}
 	for _, b := range bulks {
 		for line := range bytes.Lines(b) {
 			c, err := decodeClaim(line)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -27,20 +27,20 @@
 
 // Config is all that a director is told.
 type Config struct {
-	Name     string
-	Listen   netip.AddrPort
-	Bulletin netip.AddrPort
-	Seed     uint64
-	MemoryMB int
-	Sockets  int
-	Known    bulletin.Feed
-	Settings stairvane.Settings
-	// Bulletins are further addresses of the bulletin; this file does not name them.
-	Bulletins []netip.AddrPort
-	Mark      string  // of what the file says but for what is new with each start: equal where that is equal
-	Roll      *Roll   // nil: off; this file does not name it
-	Claims    *Claims // likewise
-	Pools     wire.SocketSettings
+	Name      string
+	Listen    netip.AddrPort
+	Discovery netip.AddrPort
+	Seed      uint64
+	MemoryMB  int
+	Sockets   int
+	Known     bulletin.WatchResponse
+	Settings  stairvane.Settings
+	// ControlPlanes are further addresses of the bulletin; this file does not name them.
+	ControlPlanes []netip.AddrPort
+	Fingerprint   string      // of what the file says but for what is new with each start: equal where that is equal
+	Membership    *Membership // nil: off; this file does not name it
+	Claims        *Claims     // likewise
+	Pools         wire.SocketSettings
 }
 
 type file struct {
@@ -51,9 +51,9 @@
 		MemoryMB *float64 `json:"memory_mb"`
 		Sockets  *float64 `json:"sockets"`
 	} `json:"limits"`
-	Bulletin string          `json:"bulletin"`
-	Known    bulletin.Feed   `json:"known"`
-	Settings json.RawMessage `json:"settings"`
+	Bulletin string                 `json:"bulletin"`
+	Known    bulletin.WatchResponse `json:"known"`
+	Settings json.RawMessage        `json:"settings"`
 }
 
 // Load reads the file that LB_CONFIG names. LB_NAME and LB_LISTEN, where set, go before what the file says.
@@ -84,12 +84,12 @@
 	c := Config{Name: f.Name, Known: f.Known}
 	mark := fnv.New64a()
 	mark.Write(f.Settings)
-	c.Mark = strconv.FormatUint(mark.Sum64(), 16)
+	c.Fingerprint = strconv.FormatUint(mark.Sum64(), 16)
 	var err error
 	if c.Listen, err = netip.ParseAddrPort(f.Listen); err != nil {
 		return Config{}, fmt.Errorf("listen (or LB_LISTEN): %w", err)
 	}
-	if c.Bulletin, err = netip.ParseAddrPort(f.Bulletin); err != nil {
+	if c.Discovery, err = netip.ParseAddrPort(f.Bulletin); err != nil {
 		return Config{}, fmt.Errorf("bulletin: %w", err)
 	}
 	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
--- a/internal/controlplane/admin.go
+++ b/internal/controlplane/admin.go
@@ -112,7 +112,7 @@
 			ctx, cancel := context.WithTimeout(r.Context(), barrierWithin)
 			defer cancel()
 			if err := b.group.Barrier(ctx); err != nil {
-				b.failWith(w, store.ErrNotLeading)
+				b.failWith(w, store.ErrNotLeader)
 				return
 			}
 		}
@@ -140,7 +140,7 @@
 	}
 	e, err := b.membership.Adoption(no)
 	switch {
-	case errors.Is(err, store.ErrNotLeading):
+	case errors.Is(err, store.ErrNotLeader):
 		b.failWith(w, err)
 	case err != nil:
 		fail(w, http.StatusNotFound, api.Error{Kind: api.NotFound, Message: err.Error()})
@@ -150,18 +150,18 @@
 }
 
 func (b *Server) postCopies(w http.ResponseWriter, r *http.Request) {
-	var o api.CopiesOrder
+	var o api.ReplicaChange
 	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxSmallBody))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&o); err != nil {
 		fail(w, http.StatusBadRequest, api.Error{Kind: api.BadRequest, Message: "order: " + err.Error()})
 		return
 	}
-	if err := b.group.Obey(o); err != nil {
+	if err := b.group.ChangeMembers(o); err != nil {
 		b.failWith(w, err)
 		return
 	}
-	slog.Info("copies.order", "do", o.Do, "name", o.Name, "by", o.By, "who", who(r))
+	slog.Info("copies.order", "do", o.Action, "name", o.Name, "by", o.Replacement, "who", who(r))
 	reply(w, b.group.Status())
 }
 
@@ -252,23 +252,23 @@
 func (b *Server) failWith(w http.ResponseWriter, err error) {
 	e := api.Error{Kind: api.Failed, Message: err.Error()}
 	status := http.StatusInternalServerError
-	var refusal *apply.Refusal
+	var refusal *apply.RejectedError
 	if errors.As(err, &refusal) {
-		e.Moved, e.Holder = refusal.Moved, refusal.Holder
+		e.Moved, e.LeaseHolder = refusal.Moved, refusal.Holder
 	}
-	var no *replica.Refusal
+	var no *replica.RejectedError
 	switch {
-	case errors.Is(err, store.ErrNotLeading) || errors.Is(err, replica.ErrNotLeading):
-		status, e.Kind = http.StatusMisdirectedRequest, api.NotLeading
+	case errors.Is(err, store.ErrNotLeader) || errors.Is(err, replica.ErrNotLeader):
+		status, e.Kind = http.StatusMisdirectedRequest, api.NotLeader
 		if b.group != nil {
 			e.Leader = b.group.Status().Leader
 		}
-	case errors.Is(err, store.ErrUnknown):
-		status, e.Kind = http.StatusServiceUnavailable, api.Unknown
+	case errors.Is(err, store.ErrOutcomeUnknown):
+		status, e.Kind = http.StatusServiceUnavailable, api.OutcomeUnknown
 	case errors.Is(err, store.ErrReused):
 		status, e.Kind = http.StatusBadRequest, api.BadRequest
 	case errors.As(err, &no) || errors.Is(err, replica.ErrBusy):
-		status, e.Kind = http.StatusConflict, api.Refused
+		status, e.Kind = http.StatusConflict, api.Rejected
 	case errors.Is(err, apply.ErrStale):
 		status, e.Kind = http.StatusConflict, api.Stale
 	case errors.Is(err, apply.ErrBusy):
@@ -287,9 +287,9 @@
 
 func (b *Server) getWorld(w http.ResponseWriter, _ *http.Request) {
 	world := b.World()
-	out := api.World{Fleet: world.Dump(), Observed: world.Observed, NowMS: world.NowMS, Observer: b.observer.on(), Followers: b.watches.Count(), ToldUpTo: b.acknowledgedRevision()}
+	out := api.State{Fleet: world.Dump(), Observed: world.Observed, NowMS: world.NowMS, Observer: b.observer.on(), Followers: b.watches.Count(), AcknowledgedUpTo: b.acknowledgedRevision()}
 	err := b.store.View(func(v *store.View) (err error) {
-		out.Holder, err = v.Holder()
+		out.LeaseHolder, err = v.Holder()
 		return err
 	})
 	if err != nil {
@@ -363,7 +363,7 @@
 }
 
 func (b *Server) getBefore(w http.ResponseWriter, r *http.Request) {
-	var out fleet.Wish
+	var out fleet.DesiredState
 	err := b.store.View(func(v *store.View) error {
 		found, err := v.Record(applyID(r))
 		if err != nil {
@@ -372,7 +372,7 @@
 		if found == nil {
 			return errNoApply
 		}
-		out, err = v.Before(found.ID)
+		out, err = v.DesiredBefore(found.ID)
 		return err
 	})
 	if err != nil {
@@ -432,7 +432,7 @@
 	var refused error
 	write := writeOf(r, body)
 	err = b.store.Do(func(t *store.Tx) (err error) {
-		if done, err := t.Repeated(write, &out); done || err != nil {
+		if done, err := t.RepeatedWrite(write, &out); done || err != nil {
 			return err
 		}
 		p := p // it may be tried again
@@ -442,10 +442,10 @@
 			return refused
 		}
 		out.IssuedMS = p.IssuedMS
-		if out.No, err = t.Append(e); err != nil {
+		if out.Revision, err = t.Append(e); err != nil {
 			return err
 		}
-		return t.Remember(write, out)
+		return t.RememberWrite(write, out)
 	})
 	switch {
 	case refused != nil:
--- a/internal/controlplane/api/api.go
+++ b/internal/controlplane/api/api.go
@@ -38,46 +38,46 @@
 
 // Kinds of errors.
 const (
-	Stale      = "stale"
-	Busy       = "busy"
-	Damaged    = "damaged"
-	Newer      = "newer"
-	NotFound   = "not-found"
-	WrongState = "wrong-state"
-	NotAllowed = "not-allowed"
-	BadRequest = "bad-request"
-	Failed     = "failed"
-	NotLeading = "not-leading" // another copy leads: Leader, if it is known
-	Unknown    = "unknown"     // nobody knows whether it was done: repeat it under the same id
-	Refused    = "refused"     // a change of the copies that is not made
+	Stale          = "stale"
+	Busy           = "busy"
+	Damaged        = "damaged"
+	Newer          = "newer"
+	NotFound       = "not-found"
+	WrongState     = "wrong-state"
+	NotAllowed     = "not-allowed"
+	BadRequest     = "bad-request"
+	Failed         = "failed"
+	NotLeader      = "not-leading" // another copy leads: Leader, if it is known
+	OutcomeUnknown = "unknown"     // nobody knows whether it was done: repeat it under the same id
+	Rejected       = "refused"     // a change of the copies that is not made
 )
 
 // Error is the answer to what is refused.
 type Error struct {
-	Kind    string        `json:"error"`
-	Message string        `json:"message"`
-	Moved   []plan.Moved  `json:"moved,omitempty"`
-	Holder  *apply.Record `json:"holder,omitempty"`
-	Leader  string        `json:"leader,omitempty"` // the copy that leads
+	Kind        string           `json:"error"`
+	Message     string           `json:"message"`
+	Moved       []plan.StaleRead `json:"moved,omitempty"`
+	LeaseHolder *apply.Record    `json:"holder,omitempty"`
+	Leader      string           `json:"leader,omitempty"` // the copy that leads
 }
 
 func (e *Error) Error() string { return e.Message }
 
-// World is the fleet as it is declared and as it was seen.
-type World struct {
-	Fleet     fleet.Dump                   `json:"fleet"`
-	Observed  map[string]fleet.Observation `json:"observed"`
-	NowMS     int64                        `json:"now_ms"`
-	Observer  bool                         `json:"observer"`
-	Followers int                          `json:"followers"`
-	ToldUpTo  int64                        `json:"told_up_to"`
-	Holder    *apply.Record                `json:"holder,omitempty"`
+// State is the fleet as it is declared and as it was seen.
+type State struct {
+	Fleet            fleet.Dump                   `json:"fleet"`
+	Observed         map[string]fleet.Observation `json:"observed"`
+	NowMS            int64                        `json:"now_ms"`
+	Observer         bool                         `json:"observer"`
+	Followers        int                          `json:"followers"`
+	AcknowledgedUpTo int64                        `json:"told_up_to"`
+	LeaseHolder      *apply.Record                `json:"holder,omitempty"`
 }
 
-// Seen is the world that plans are made against.
-func (w World) Seen() (fleet.World, error) {
+// ObservedState is the world that plans are made against.
+func (w State) ObservedState() (fleet.ObservedState, error) {
 	f, err := fleet.Restore(w.Fleet)
-	return fleet.World{Fleet: f, Observed: w.Observed, NowMS: w.NowMS}, err
+	return fleet.ObservedState{Fleet: f, Observed: w.Observed, NowMS: w.NowMS}, err
 }
 
 // History is a page of events.
@@ -108,58 +108,58 @@
 
 // Purged is the answer to a purge.
 type Purged struct {
-	No       int64 `json:"no"`
+	Revision int64 `json:"no"`
 	IssuedMS int64 `json:"issued_ms"`
 }
 
 // Heartbeats are what a copy tells the leader of the directors that follow it.
 type Heartbeats struct {
-	Directors []Heartbeat     `json:"directors,omitempty"`
-	Complete  []int64         `json:"complete,omitempty"` // slot and epoch, in turn
-	Beats     []quota.Renewal `json:"beats,omitempty"`    // what they want of what is shared
-	Reports   []Report        `json:"reports,omitempty"`  // what they have seen of boxes
+	Directors     []Heartbeat     `json:"directors,omitempty"`
+	ReadyShards   []int64         `json:"complete,omitempty"` // slot and epoch, in turn
+	QuotaRenewals []quota.Renewal `json:"beats,omitempty"`    // what they want of what is shared
+	HealthReports []HealthReport  `json:"reports,omitempty"`  // what they have seen of boxes
 }
 
-// Report is what a director has seen of boxes, and where it is.
-type Report struct {
+// HealthReport is what a director has seen of boxes, and where it is.
+type HealthReport struct {
 	signals.Report
 	signals.Place
 }
 
 // LeaseAnswer are what a copy is told for the directors that follow it.
 type LeaseAnswer struct {
-	Turns    map[string]quota.Grant `json:"turns,omitempty"`
-	Opinions *signals.Opinions      `json:"opinions,omitempty"`
+	QuotaGrants      map[string]quota.Grant    `json:"turns,omitempty"`
+	AggregatedHealth *signals.AggregatedHealth `json:"opinions,omitempty"`
 }
 
 // Heartbeat is that a director was there. Director is what it says of itself, where it is told again.
 type Heartbeat struct {
-	ID       string          `json:"id"`
-	AgeMS    int64           `json:"age_ms"`
-	Leaving  bool            `json:"leaving,omitempty"`
-	Acts     int64           `json:"acts"` // number of the last event that it acts by
-	Config   string          `json:"config,omitempty"`
-	Director *fleet.Director `json:"director,omitempty"`
+	ID              string          `json:"id"`
+	AgeMS           int64           `json:"age_ms"`
+	Leaving         bool            `json:"leaving,omitempty"`
+	AppliedRevision int64           `json:"acts"` // number of the last event that it acts by
+	Config          string          `json:"config,omitempty"`
+	Director        *fleet.Director `json:"director,omitempty"`
 }
 
-// Roll is which directors there are.
-type Roll struct {
-	Revision  int64        `json:"revision"`
-	Directors []RollEntry  `json:"directors"`
-	Relays    []RelayEntry `json:"relays,omitempty"`
-	Lost      []LostEntry  `json:"lost,omitempty"` // went without a word lately
-	Moving    int          `json:"moving"`         // parts of the claims that their new holders do not have whole yet
+// Members is which directors there are.
+type Members struct {
+	Revision  int64          `json:"revision"`
+	Directors []MemberStatus `json:"directors"`
+	Relays    []RelayStatus  `json:"relays,omitempty"`
+	Lost      []LostDirector `json:"lost,omitempty"` // went without a word lately
+	Moving    int            `json:"moving"`         // parts of the claims that their new holders do not have whole yet
 }
 
-// LostEntry is a director that has gone without a word.
-type LostEntry struct {
+// LostDirector is a director that has gone without a word.
+type LostDirector struct {
 	fleet.Director
-	LostMS int64 `json:"lost_ms"` // since it was heard of last
-	Acts   int64 `json:"acts"`    // number of the last event that it acted by
+	LostMS          int64 `json:"lost_ms"` // since it was heard of last
+	AppliedRevision int64 `json:"acts"`    // number of the last event that it acted by
 }
 
-// RelayEntry is a relay that has a session with the leader.
-type RelayEntry struct {
+// RelayStatus is a relay that has a session with the leader.
+type RelayStatus struct {
 	membership.Relay
 	Directors    int                        `json:"directors"`    // in lease with it
 	RenewedMS    int64                      `json:"renewed_ms"`   // since its last request
@@ -171,57 +171,57 @@
 	Stale        []membership.StaleDirector `json:"stale,omitempty"` // the first of them
 }
 
-// RollEntry is a director on the roll.
-type RollEntry struct {
+// MemberStatus is a director on the roll.
+type MemberStatus struct {
 	fleet.Director
-	Relay     string `json:"relay,omitempty"` // that serves it
-	HeardMS   int64  `json:"heard_ms"`        // since it was heard of last
-	Suspected bool   `json:"suspected"`       // it misses more than its line usually does
-	Acts      int64  `json:"acts"`            // number of the last event that it acts by
-	BehindMS  int64  `json:"behind_ms"`       // for how long it has not acted by the last one that there is
-	Config    string `json:"config"`          // a mark of its configuration: equal where that is
-	Slots     int    `json:"slots"`           // parts of the claims on which it decides
-}
-
-// Copies is what one copy knows of the group that it is in.
-type Copies struct {
-	Copy     string       `json:"copy"`
-	Disk     string       `json:"disk"`
-	Phase    string       `json:"phase"`
-	Why      string       `json:"why,omitempty"`
-	Leads    bool         `json:"leads"`
-	Leader   string       `json:"leader,omitempty"`
-	Term     uint64       `json:"term"`
-	Taken    uint64       `json:"taken"` // index of the log up to which this copy has taken over
-	Revision int64        `json:"revision"`
-	Listed   int          `json:"listed"` // copies that this one's file lists, besides spares
-	Bears    int          `json:"bears"`  // copies that may be lost with the group going on
-	Joint    bool         `json:"joint,omitempty"`
-	List     []CopyStatus `json:"copies"`
-	Waits    []string     `json:"waits,omitempty"` // copies whose disks wait to be let in
-}
-
-// CopyStatus is a copy as the leader sees it; at the others only who it is.
-type CopyStatus struct {
-	Name     string `json:"name"`
-	Machine  string `json:"machine"`
-	Site     string `json:"site"`
-	Disk     string `json:"disk"`
-	Votes    bool   `json:"votes"`
-	Replaces string `json:"replaces,omitempty"`
-	Behind   uint64 `json:"behind"`   // entries
-	Alive    bool   `json:"alive"`    // as the leader heard
-	GoneMS   int64  `json:"gone_ms"`  // for how long the leader received nothing from it, by the ticks of the leader while it leads
-	Told     int64  `json:"told"`     // up to which its followers have all events
-	LeaseMS  int64  `json:"lease_ms"` // that is left of its lease
-}
-
-// CopiesOrder is a change of members by a hand.
-type CopiesOrder struct {
-	Do    string `json:"do"` // add, remove, replace or hand-over
-	Name  string `json:"name"`
-	By    string `json:"by,omitempty"`    // replace: the copy whose waiting disk takes the place; empty: the same name
-	Fewer bool   `json:"fewer,omitempty"` // remove: the group may bear less than before
+	Relay           string `json:"relay,omitempty"` // that serves it
+	LastHeardMS     int64  `json:"heard_ms"`        // since it was heard of last
+	Suspected       bool   `json:"suspected"`       // it misses more than its line usually does
+	AppliedRevision int64  `json:"acts"`            // number of the last event that it acts by
+	BehindMS        int64  `json:"behind_ms"`       // for how long it has not acted by the last one that there is
+	Config          string `json:"config"`          // a mark of its configuration: equal where that is
+	Shards          int    `json:"slots"`           // parts of the claims on which it decides
+}
+
+// GroupStatus is what one copy knows of the group that it is in.
+type GroupStatus struct {
+	Name              string          `json:"copy"`
+	Disk              string          `json:"disk"`
+	Phase             string          `json:"phase"`
+	Reason            string          `json:"why,omitempty"`
+	IsLeader          bool            `json:"leads"`
+	Leader            string          `json:"leader,omitempty"`
+	Term              uint64          `json:"term"`
+	Applied           uint64          `json:"taken"` // index of the log up to which this copy has taken over
+	Revision          int64           `json:"revision"`
+	Configured        int             `json:"listed"` // copies that this one's file lists, besides spares
+	ToleratedFailures int             `json:"bears"`  // copies that may be lost with the group going on
+	Joint             bool            `json:"joint,omitempty"`
+	Replicas          []ReplicaStatus `json:"copies"`
+	Waiting           []string        `json:"waits,omitempty"` // copies whose disks wait to be let in
+}
+
+// ReplicaStatus is a copy as the leader sees it; at the others only who it is.
+type ReplicaStatus struct {
+	Name         string `json:"name"`
+	Machine      string `json:"machine"`
+	Site         string `json:"site"`
+	Disk         string `json:"disk"`
+	IsVoter      bool   `json:"votes"`
+	Replaces     string `json:"replaces,omitempty"`
+	Behind       uint64 `json:"behind"`   // entries
+	Alive        bool   `json:"alive"`    // as the leader heard
+	SilentMS     int64  `json:"gone_ms"`  // for how long the leader received nothing from it, by the ticks of the leader while it leads
+	Acknowledged int64  `json:"told"`     // up to which its followers have all events
+	LeaseMS      int64  `json:"lease_ms"` // that is left of its lease
+}
+
+// ReplicaChange is a change of members by a hand.
+type ReplicaChange struct {
+	Action              string `json:"do"` // add, remove, replace or hand-over
+	Name                string `json:"name"`
+	Replacement         string `json:"by,omitempty"`    // replace: the copy whose waiting disk takes the place; empty: the same name
+	AllowLowerTolerance bool   `json:"fewer,omitempty"` // remove: the group may bear less than before
 }
 
 // Client calls a board's write side, or those of the copies of one: it finds the one that leads, and repeats what was not
@@ -308,7 +308,7 @@
 		err := c.one(ctx, c.servers[c.at], method, path, write, body, out)
 		cancel()
 		var refused *Error
-		if err == nil || errors.As(err, &refused) && refused.Kind != NotLeading && refused.Kind != Unknown {
+		if err == nil || errors.As(err, &refused) && refused.Kind != NotLeader && refused.Kind != OutcomeUnknown {
 			return err
 		}
 		if time.Now().After(end) {
@@ -345,7 +345,7 @@
 		if json.Unmarshal(text, e) != nil || e.Message == "" {
 			e = &Error{Kind: Failed, Message: fmt.Sprintf("board: %s: %.200s", res.Status, text)}
 		}
-		if e.Kind == NotLeading && e.Leader != "" {
+		if e.Kind == NotLeader && e.Leader != "" {
 			e.Message += "; copy " + e.Leader + " does"
 		}
 		return e
@@ -356,19 +356,19 @@
 	return nil
 }
 
-// World asks for the world.
-func (c *Client) World() (w World, err error) { return w, c.call("GET", "/v1/world", nil, &w) }
+// State asks for the world.
+func (c *Client) State() (w State, err error) { return w, c.call("GET", "/v1/world", nil, &w) }
 
-// Roll asks which directors there are.
-func (c *Client) Roll() (r Roll, err error) { return r, c.call("GET", "/v1/roll", nil, &r) }
+// Members asks which directors there are.
+func (c *Client) Members() (r Members, err error) { return r, c.call("GET", "/v1/roll", nil, &r) }
 
-// Turns asks what is leased to whom.
-func (c *Client) Turns() (held []quota.Held, err error) {
+// Quotas asks what is leased to whom.
+func (c *Client) Quotas() (held []quota.Allocation, err error) {
 	return held, c.call("GET", "/v1/turns", nil, &held)
 }
 
-// Signals asks what is known of all boxes.
-func (c *Client) Signals() (all []signals.Box, err error) {
+// Health asks what is known of all boxes.
+func (c *Client) Health() (all []signals.CacheStatus, err error) {
 	return all, c.call("GET", "/v1/signals", nil, &all)
 }
 
@@ -398,7 +398,7 @@
 }
 
 // Before asks what the fleet was before an apply.
-func (c *Client) Before(id int64) (w fleet.Wish, err error) {
+func (c *Client) Before(id int64) (w fleet.DesiredState, err error) {
 	return w, c.call("GET", fmt.Sprintf("/v1/applies/%d/before", id), nil, &w)
 }
 
@@ -416,10 +416,10 @@
 	return out, c.call("POST", "/v1/purges", body, &out)
 }
 
-// EachCopy asks each copy what it knows of the group. The addresses are in the order in which they were given.
-func (c *Client) EachCopy(f func(address string, known Copies, err error)) {
+// EachReplica asks each copy what it knows of the group. The addresses are in the order in which they were given.
+func (c *Client) EachReplica(f func(address string, known GroupStatus, err error)) {
 	for _, s := range c.servers {
-		var known Copies
+		var known GroupStatus
 		ctx, cancel := context.WithTimeout(context.Background(), tryOne)
 		err := c.one(ctx, s, http.MethodGet, "/v1/copies", "", nil, &known)
 		cancel()
@@ -427,8 +427,8 @@
 	}
 }
 
-// OrderCopies has the leader change the group.
-func (c *Client) OrderCopies(o CopiesOrder) (known Copies, err error) {
+// ChangeReplicas has the leader change the group.
+func (c *Client) ChangeReplicas(o ReplicaChange) (known GroupStatus, err error) {
 	body, err := json.Marshal(o)
 	if err != nil {
 		return known, err
--- a/internal/controlplane/exec.go
+++ b/internal/controlplane/exec.go
@@ -177,7 +177,7 @@
 
 func (x *executor) input() apply.Input {
 	told := x.board.acknowledgedRevision()
-	return apply.Input{World: x.board.World(), Told: func(no int64) bool { return no <= told }, Looks: x.board.observer.on()}
+	return apply.Input{State: x.board.World(), Acknowledged: func(no int64) bool { return no <= told }, HasObserver: x.board.observer.on()}
 }
 
 // carry makes one decision durable and tells the machine.
@@ -188,16 +188,16 @@
 	case apply.StepOver:
 		now := x.board.clock()
 		state := m.Step(d.Step)
-		state.Phase, state.DoneMS = apply.Over, now
+		state.Phase, state.DoneMS = apply.Completed, now
 		if err := x.fenced(m.Record, func(t *store.Tx) error { return t.SetStep(m.Record.ID, d.Step, state) }); err != nil {
 			return err
 		}
-		m.Finished(d.Step, now)
+		m.MarkFinished(d.Step, now)
 		slog.Info("apply.step_done", "apply", m.Record.ID, "step", d.Step, "of", m.Record.Steps, "what", m.Plan.Steps[d.Step-1].String())
 		return nil
 	case apply.End:
 		return x.conclude(m, apply.Done, "")
-	case apply.Trouble:
+	case apply.Fault:
 		slog.Warn("apply.trouble", "apply", m.Record.ID, "step", d.Step, "reason", d.Reason, "revert", d.Revert)
 		if d.Revert {
 			return x.planBack(m, d.Reason)
@@ -222,7 +222,7 @@
 	if err != nil {
 		return err
 	}
-	m.Begun(d.Step, no, at)
+	m.MarkBegun(d.Step, no, at)
 	slog.Info("apply.step_begun", "apply", m.Record.ID, "step", d.Step, "of", m.Record.Steps, "event", no, "what", m.Plan.Steps[d.Step-1].String())
 	return nil
 }
@@ -261,7 +261,7 @@
 	var back *apply.Machine
 	old := m.Record
 	err := x.fenced(m.Record, func(t *store.Tx) error {
-		before, err := t.Before(old.ID)
+		before, err := t.DesiredBefore(old.ID)
 		if err != nil {
 			return err
 		}
@@ -299,7 +299,7 @@
 }
 
 // begin keeps a new apply of a plan.
-func (x *executor) begin(t *store.Tx, p *plan.Plan, who string, w fleet.World) (apply.Record, error) {
+func (x *executor) begin(t *store.Tx, p *plan.Plan, who string, w fleet.ObservedState) (apply.Record, error) {
 	file, err := plan.Encode(p)
 	if err != nil {
 		return apply.Record{}, err
@@ -309,7 +309,7 @@
 		return apply.Record{}, err
 	}
 	return t.Create(apply.Record{PlanSum: sum, Who: who, StartedMS: t.NowMS, Status: apply.Running, RevertOf: p.RevertOf,
-		Steps: len(p.Steps)}, file, w.AsWish())
+		Steps: len(p.Steps)}, file, w.DesiredState())
 }
 
 // submit begins an apply of a plan file, or tells why not. already is an apply that has carried the same plan out.
@@ -323,7 +323,7 @@
 	var m *apply.Machine
 	repeated := false
 	err = x.board.store.Do(func(t *store.Tx) error {
-		if repeated, err = t.Repeated(write, &r); repeated || err != nil {
+		if repeated, err = t.RepeatedWrite(write, &r); repeated || err != nil {
 			return err
 		}
 		earlier, err := t.ByPlan(sum)
@@ -350,7 +350,7 @@
 		if r, err = x.begin(t, p, who, w); err != nil {
 			return err
 		}
-		if err := t.Remember(write, r); err != nil {
+		if err := t.RememberWrite(write, r); err != nil {
 			return err
 		}
 		m, err = apply.New(r, p, nil)
@@ -372,7 +372,7 @@
 	m := x.machine
 	repeated := false
 	err = x.board.store.Do(func(t *store.Tx) error {
-		if repeated, err = t.Repeated(write, &r); repeated || err != nil {
+		if repeated, err = t.RepeatedWrite(write, &r); repeated || err != nil {
 			return err
 		}
 		found, err := t.Record(id)
@@ -403,7 +403,7 @@
 		if err := t.SetRecord(r); err != nil {
 			return err
 		}
-		return t.Remember(write, r)
+		return t.RememberWrite(write, r)
 	})
 	if err != nil || repeated {
 		return r, err
--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -71,9 +71,9 @@
 }
 
 func newMembershipService(b *Server) *membershipService {
-	return &membershipService{board: b, stop: make(chan struct{}), ended: make(chan struct{}), here: map[string]*present{}, complete: map[int]int64{}, beats: map[string]quota.Renewal{}, grants: map[string]quota.Grant{}, health: healthReports{teller: signals.NewTeller()},
+	return &membershipService{board: b, stop: make(chan struct{}), ended: make(chan struct{}), here: map[string]*present{}, complete: map[int]int64{}, beats: map[string]quota.Renewal{}, grants: map[string]quota.Grant{}, health: healthReports{teller: signals.NewNotifier()},
 		// A copy that is cut off goes on answering directors until its own lease ends, and their leases count from then.
-		roll: membership.New(membership.Settings{Lease: rollLease + b.set.Copies.Lease, Drift: rollDrift, Gather: rollGather,
+		roll: membership.New(membership.Settings{Lease: rollLease + b.set.Replicas.Lease, Drift: rollDrift, Gather: rollGather,
 			Director: rollLease, Session: b.relayLease()})}
 }
 
@@ -92,14 +92,14 @@
 		p.said = 0
 	}
 	p.Director, p.heard, p.leaving, p.acts, p.config = d, now, a.Leaving, acts, a.Config
-	k.roll.Heard(membership.Heartbeat{ID: d.ID(), Director: &d, Leaving: a.Leaving, At: now, Applied: acts, Config: a.Config})
+	k.roll.RecordHeartbeat(membership.Heartbeat{ID: d.ID(), Director: &d, Leaving: a.Leaving, At: now, Applied: acts, Config: a.Config})
 	if k.record != nil {
 		k.record.Heard(d.ID(), acts, now)
 	}
-	k.completed(a.Complete)
+	k.completed(a.ReadyShards)
 	k.evidence(a, now)
 	var b quota.Renewal
-	if len(a.Turns) == 0 || json.Unmarshal(a.Turns, &b) != nil || b.Holder != d.ID() {
+	if len(a.QuotaRenewal) == 0 || json.Unmarshal(a.QuotaRenewal, &b) != nil || b.Holder != d.ID() {
 		return
 	}
 	k.beats[b.Holder] = b
@@ -129,12 +129,12 @@
 	if k.granter == nil {
 		return s
 	}
-	s.Turns = map[string]quota.Grant{}
+	s.QuotaGrants = map[string]quota.Grant{}
 	for _, b := range beats {
-		s.Turns[b.Holder] = k.granter.Renew(b, now)
+		s.QuotaGrants[b.Holder] = k.granter.Renew(b, now)
 	}
-	o := k.health.merger.Opinions(now)
-	s.Opinions = &o
+	o := k.health.merger.Aggregated(now)
+	s.AggregatedHealth = &o
 	return s
 }
 
@@ -143,27 +143,27 @@
 	now := replicas.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for id, g := range s.Turns {
+	for id, g := range s.QuotaGrants {
 		k.grants[id] = g
 	}
-	if s.Opinions != nil {
-		k.spread(*s.Opinions, now)
+	if s.AggregatedHealth != nil {
+		k.spread(*s.AggregatedHealth, now)
 	}
 }
 
 // Held are the parts that are in force.
-func (k *membershipService) Held() []quota.Held {
+func (k *membershipService) Held() []quota.Allocation {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.granter == nil {
 		return nil
 	}
-	return k.granter.Held(replicas.Now())
+	return k.granter.Allocations(replicas.Now())
 }
 
 func (k *membershipService) completed(pairs []int64) {
 	for i := 0; i+1 < len(pairs); i += 2 {
-		if slot := int(pairs[i]); slot >= 0 && slot < fleet.Slots {
+		if slot := int(pairs[i]); slot >= 0 && slot < fleet.ShardCount {
 			k.complete[slot] = max(k.complete[slot], pairs[i+1])
 		}
 	}
@@ -181,7 +181,7 @@
 			delete(k.here, id)
 			continue
 		}
-		sign := api.Heartbeat{ID: id, AgeMS: age.Milliseconds(), Leaving: p.leaving, Acts: p.acts}
+		sign := api.Heartbeat{ID: id, AgeMS: age.Milliseconds(), Leaving: p.leaving, AppliedRevision: p.acts}
 		if p.said == 0 || now-p.said > rollSaid {
 			d := p.Director
 			sign.Director, sign.Config, p.said = &d, p.config, now
@@ -189,12 +189,12 @@
 		s.Directors = append(s.Directors, sign)
 	}
 	for id, b := range k.beats {
-		s.Beats = append(s.Beats, b)
+		s.QuotaRenewals = append(s.QuotaRenewals, b)
 		delete(k.beats, id)
 	}
-	s.Reports, k.health.reports = k.health.reports, nil
+	s.HealthReports, k.health.reports = k.health.reports, nil
 	for slot, epoch := range k.complete {
-		s.Complete = append(s.Complete, int64(slot), epoch)
+		s.ReadyShards = append(s.ReadyShards, int64(slot), epoch)
 		if !k.leads {
 			delete(k.complete, slot) // said again by the director until it is told
 		}
@@ -208,32 +208,32 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, d := range s.Directors {
-		k.roll.Heard(membership.Heartbeat{ID: d.ID, Director: d.Director, Leaving: d.Leaving, At: now - time.Duration(d.AgeMS)*time.Millisecond,
-			Applied: d.Acts, Config: d.Config})
+		k.roll.RecordHeartbeat(membership.Heartbeat{ID: d.ID, Director: d.Director, Leaving: d.Leaving, At: now - time.Duration(d.AgeMS)*time.Millisecond,
+			Applied: d.AppliedRevision, Config: d.Config})
 		if k.record != nil {
-			k.record.Heard(d.ID, d.Acts, now-time.Duration(d.AgeMS)*time.Millisecond)
+			k.record.Heard(d.ID, d.AppliedRevision, now-time.Duration(d.AgeMS)*time.Millisecond)
 		}
 	}
 	if k.health.merger != nil {
-		for _, r := range s.Reports {
+		for _, r := range s.HealthReports {
 			k.health.merger.Take(r.Report, r.Place, now)
 		}
-		k.spread(k.health.merger.Opinions(now), now)
+		k.spread(k.health.merger.Aggregated(now), now)
 	}
-	k.completed(s.Complete)
+	k.completed(s.ReadyShards)
 }
 
 // Members is who is on the roll, as this board knows if it leads.
-func (k *membershipService) Members() api.Roll {
+func (k *membershipService) Members() api.Members {
 	f, now := k.board.store.Fleet(), replicas.Now()
-	out := api.Roll{Revision: f.Revision}
+	out := api.Members{Revision: f.Revision}
 	holds := map[string]int{}
-	for i := range fleet.Slots {
-		s := f.Slot(i)
-		if len(s.From) > 0 {
+	for i := range fleet.ShardCount {
+		s := f.Shard(i)
+		if len(s.PreviousReplicas) > 0 {
 			out.Moving++
 		}
-		for n, id := range s.Homes {
+		for n, id := range s.Replicas {
 			if n == 0 {
 				holds[id]++
 			}
@@ -246,14 +246,14 @@
 	out.Relays = relayEntries(k.roll.Sessions(now))
 	for d := range f.Directors() {
 		v := versions[d.ID()]
-		e := api.RollEntry{Relay: v.Relay, Acts: v.At, BehindMS: v.Behind.Milliseconds(), Config: v.Config, Director: *d, Slots: holds[d.ID()], Suspected: k.roll.Suspected(d.ID(), now)}
+		e := api.MemberStatus{Relay: v.Relay, AppliedRevision: v.Applied, BehindMS: v.Behind.Milliseconds(), Config: v.Config, Director: *d, Shards: holds[d.ID()], Suspected: k.roll.Suspected(d.ID(), now)}
 		if at, known := k.roll.LastHeard(d.ID()); known {
-			e.HeardMS = (now - at).Milliseconds()
+			e.LastHeardMS = (now - at).Milliseconds()
 		}
 		out.Directors = append(out.Directors, e)
 	}
 	for _, l := range k.roll.Lost(now) {
-		out.Lost = append(out.Lost, api.LostEntry{Director: l.Director, LostMS: (now - l.Since).Milliseconds(), Acts: l.Acts})
+		out.Lost = append(out.Lost, api.LostDirector{Director: l.Director, LostMS: (now - l.Since).Milliseconds(), AppliedRevision: l.Applied})
 	}
 	return out
 }
@@ -272,7 +272,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.record == nil {
-		return adoption.Event{}, store.ErrNotLeading
+		return adoption.Event{}, store.ErrNotLeader
 	}
 	e, from, to, is := k.record.Event(no, replicas.Now())
 	if !is {
@@ -291,7 +291,7 @@
 			return
 		case <-ticker.C:
 		}
-		if err := k.writeChanges(); err != nil && !errors.Is(err, store.ErrNotLeading) && !errors.Is(err, store.ErrUnknown) {
+		if err := k.writeChanges(); err != nil && !errors.Is(err, store.ErrNotLeader) && !errors.Is(err, store.ErrOutcomeUnknown) {
 			slog.Warn("roll.not_written", "err", err)
 		}
 	}
@@ -305,32 +305,32 @@
 	if leads && !k.leads {
 		k.roll.Begin(f, now)
 		// What the one before it has granted, within its own lease and for one more, is over by then.
-		k.granter = quota.NewAllocator(quotaSettings(k.board.set.Relays), k.board.term(), now+k.board.set.Copies.Lease, f.Roll() == nil)
-		k.health.merger = signals.NewMerger(signals.Usual, k.board.term())
+		k.granter = quota.NewAllocator(quotaSettings(k.board.set.Relays), k.board.term(), now+k.board.set.Replicas.Lease, f.Membership() == nil)
+		k.health.merger = signals.NewAggregator(signals.DefaultSettings, k.board.term())
 		k.record = adoption.New(adoptionKept, f.Revision)
 	} else if !leads {
 		k.granter, k.health.merger, k.record = nil, nil, nil
 	} else if k.granter != nil {
 		k.granter.Sweep(now)
 		k.health.merger.Sweep(now)
-		k.record.Served(k.roll.Served)
+		k.record.Served(k.roll.ServedByRelay)
 		k.record.Gone(k.takes, now)
 	}
 	k.leads = leads
-	var c *fleet.RollChange
+	var c *fleet.MembershipChange
 	if leads {
 		c = k.roll.Change(f, now)
 		k.roll.Observe(f.Revision, now)
 	}
-	var done []fleet.SlotChange
+	var done []fleet.ShardChange
 	for slot, epoch := range k.complete {
-		if s := f.Slot(slot); s.Epoch != epoch || len(s.From) == 0 {
+		if s := f.Shard(slot); s.Epoch != epoch || len(s.PreviousReplicas) == 0 {
 			if s.Epoch >= epoch {
 				delete(k.complete, slot)
 			}
 			continue
 		}
-		done = append(done, fleet.SlotChange{Slot: slot, Complete: epoch})
+		done = append(done, fleet.ShardChange{Shard: slot, ReadyEpoch: epoch})
 	}
 	k.mu.Unlock()
 	if !leads || c == nil && len(done) == 0 {
@@ -338,15 +338,15 @@
 	}
 	err := k.board.store.Do(func(t *store.Tx) error {
 		now := t.Fleet()
-		if now.Revision != f.Revision && now.Roll() != nil && f.Roll() == nil {
+		if now.Revision != f.Revision && now.Membership() != nil && f.Membership() == nil {
 			return nil // it was made before the first roll
 		}
-		change := &fleet.RollChange{Slots: done}
+		change := &fleet.MembershipChange{Shards: done}
 		if c != nil {
-			change.Joined, change.Gone = c.Joined, c.Gone
-			change.Slots = append(change.Slots, k.assign(now, *c)...)
+			change.Joined, change.Left = c.Joined, c.Left
+			change.Shards = append(change.Shards, k.assign(now, *c)...)
 		}
-		_, err := t.Append(fleet.Event{Who: "board", Roll: change})
+		_, err := t.Append(fleet.Event{Who: "board", Membership: change})
 		return err
 	})
 	if err != nil {
@@ -354,20 +354,20 @@
 	}
 	if c != nil {
 		k.mu.Lock()
-		k.roll.Announced(replicas.Now())
+		k.roll.MarkAnnounced(replicas.Now())
 		k.mu.Unlock()
-		slog.Info("roll.changed", "joined", len(c.Joined), "gone", c.Gone)
+		slog.Info("roll.changed", "joined", len(c.Joined), "gone", c.Left)
 	}
 	return nil
 }
 
 // assign is who holds the claims once a change is made.
-func (k *membershipService) assign(f fleet.Fleet, c fleet.RollChange) (changes []fleet.SlotChange) {
+func (k *membershipService) assign(f fleet.Fleet, c fleet.MembershipChange) (changes []fleet.ShardChange) {
 	on := map[string]fleet.Director{}
 	for d := range f.Directors() {
 		on[d.ID()] = *d
 	}
-	for _, id := range c.Gone {
+	for _, id := range c.Left {
 		delete(on, id)
 	}
 	for _, d := range c.Joined {
@@ -379,18 +379,18 @@
 			places = append(places, claims.Place{ID: id, Name: d.Name, Machine: d.Machine, Site: d.Site})
 		}
 	}
-	slots := make([]claims.ShardState, fleet.Slots)
+	slots := make([]claims.ShardState, fleet.ShardCount)
 	any := len(places) > 0
 	for i := range slots {
-		s := f.Slot(i)
-		slots[i] = claims.ShardState{Slot: i, Epoch: s.Epoch, Homes: s.Homes, From: s.From}
-		any = any || len(s.Homes) > 0
+		s := f.Shard(i)
+		slots[i] = claims.ShardState{Shard: i, Epoch: s.Epoch, Replicas: s.Replicas, PreviousReplicas: s.PreviousReplicas}
+		any = any || len(s.Replicas) > 0
 	}
 	if !any {
 		return nil
 	}
-	for _, s := range claims.Reassign(slots, 1+k.board.set.ClaimCopies, places) {
-		changes = append(changes, fleet.SlotChange{Slot: s.Slot, Homes: s.Homes, From: s.From})
+	for _, s := range claims.Reassign(slots, 1+k.board.set.ClaimReplicas, places) {
+		changes = append(changes, fleet.ShardChange{Shard: s.Shard, Replicas: s.Replicas, PreviousReplicas: s.PreviousReplicas})
 	}
 	return changes
 }
--- a/internal/controlplane/observer.go
+++ b/internal/controlplane/observer.go
@@ -45,7 +45,7 @@
 	if !o.on() {
 		return
 	}
-	for m := range o.board.store.Fleet().Members() {
+	for m := range o.board.store.Fleet().Hosts() {
 		o.watcher.Declare(m.Name, m.Address, false, o.board.clock())
 	}
 	o.tick.Fire, o.publish.Fire = o.look, o.tell
@@ -59,7 +59,7 @@
 		return
 	}
 	for _, e := range events {
-		m := e.Member
+		m := e.Host
 		if m == nil {
 			continue
 		}
@@ -82,11 +82,11 @@
 		return
 	}
 	for name := range o.watcher.Seen() {
-		if f.Member(name) == nil {
+		if f.Host(name) == nil {
 			o.watcher.Forget(name)
 		}
 	}
-	for m := range f.Members() {
+	for m := range f.Hosts() {
 		o.watcher.Declare(m.Name, m.Address, false, o.board.clock())
 	}
 	o.tell()
@@ -104,7 +104,7 @@
 	for _, a := range actions {
 		if a.Address != "" {
 			o.dial(a)
-		} else if c := o.conns[a.Box]; c != nil && c.conn != nil {
+		} else if c := o.conns[a.Host]; c != nil && c.conn != nil {
 			o.buf = resp.AppendHead(o.buf[:0], 2)
 			o.buf = resp.AppendBulk(o.buf, "ping")
 			o.buf = resp.AppendBulk(o.buf, a.Tag)
@@ -114,18 +114,18 @@
 }
 
 func (o *observer) dial(a observe.Action) {
-	if c := o.conns[a.Box]; c != nil {
+	if c := o.conns[a.Host]; c != nil {
 		c.end()
 	}
 	addr, err := netip.ParseAddrPort(a.Address)
 	if err == nil {
-		c := &boxConn{observer: o, name: a.Box}
+		c := &boxConn{observer: o, name: a.Host}
 		if c.conn, err = o.board.loop.Dial(addr, o.board.set.Observer.Timeout, c); err == nil {
-			o.conns[a.Box] = c
+			o.conns[a.Host] = c
 			return
 		}
 	}
-	o.watcher.Lost(a.Box, errors.Is(err, unix.ECONNREFUSED), o.board.clock())
+	o.watcher.Lost(a.Host, errors.Is(err, unix.ECONNREFUSED), o.board.clock())
 }
 
 // changed has the observations published soon.
--- a/internal/controlplane/relay/owner.go
+++ b/internal/controlplane/relay/owner.go
@@ -31,7 +31,7 @@
 func (o owner) Granted(directorID string) *quota.Grant { return o.relay.session.Granted(directorID) }
 
 // Health implements watch.Owner.
-func (o owner) Health(directorID string) *signals.Opinions {
+func (o owner) Health(directorID string) *signals.AggregatedHealth {
 	return o.relay.session.Health(directorID, replicas.Now())
 }
 
--- a/internal/controlplane/relay/relay.go
+++ b/internal/controlplane/relay/relay.go
@@ -58,13 +58,13 @@
 	if r.loop, err = transport.NewLoop(); err != nil {
 		return nil, err
 	}
-	if r.events, err = newEventLog(set.Keep); err == nil {
+	if r.events, err = newEventLog(set.KeepEvents); err == nil {
 		r.watches, err = watch.New(r.loop, watch.Settings{
 			Listen:      set.Listen,
 			Allowed:     set.Watchers,
 			MaxWatchers: set.MaxWatchers,
 			Gather:      set.Gather,
-		}, owner{r}, r.events.log, r.events.fleet.Rules().ToldWithinMS)
+		}, owner{r}, r.events.log, r.events.fleet.Rules().NotifiedWithinMS)
 	}
 	if err != nil {
 		r.loop.Release()
@@ -131,7 +131,7 @@
 func (r *Server) drain() {
 	slog.Info("relay.leaves", "name", r.set.Name, "directors", r.session.Len())
 	r.linger.Fire = r.loop.Stop
-	r.watches.Drain(r.set.LeaveOver, func() { r.loop.Set(&r.linger, r.loop.Now()+lingerTime) })
+	r.watches.Drain(r.set.DrainTime, func() { r.loop.Set(&r.linger, r.loop.Now()+lingerTime) })
 }
 
 // Stop ends Run at once.
@@ -198,7 +198,7 @@
 func (r *Server) startOver(why error) {
 	slog.Error("relay.log_broken", "name", r.set.Name, "err", why, "revision", r.events.fleet.Revision)
 	r.lease.End()
-	empty, err := newEventLog(r.set.Keep)
+	empty, err := newEventLog(r.set.KeepEvents)
 	if err != nil {
 		r.failed(err)
 		return
--- a/internal/controlplane/relays.go
+++ b/internal/controlplane/relays.go
@@ -28,7 +28,7 @@
 
 // relayLease is for how long a relay may serve after a request that was answered.
 func (b *Server) relayLease() time.Duration {
-	if group := b.set.Copies.Lease; b.set.Copies.Self != "" {
+	if group := b.set.Replicas.Lease; b.set.Replicas.Self != "" {
 		return min(relay.Lease, group) // the group counts no lease for longer
 	}
 	return relay.Lease
@@ -63,7 +63,7 @@
 // moment after a change of the leader, while there may be directors that are not known.
 func (b *Server) acknowledgedRevision() int64 {
 	own := b.watchedRevision()
-	within := time.Duration(b.store.Fleet().Rules().ToldWithinMS) * time.Millisecond
+	within := time.Duration(b.store.Fleet().Rules().NotifiedWithinMS) * time.Millisecond
 	if b.set.Relays && within > 0 && !b.membership.settled() {
 		return 0
 	}
@@ -97,7 +97,7 @@
 		ctx, cancel := context.WithTimeout(r.Context(), b.relayLease())
 		defer cancel()
 		if err := b.group.Barrier(ctx); err != nil {
-			b.failWith(w, store.ErrNotLeading)
+			b.failWith(w, store.ErrNotLeader)
 			return
 		}
 	}
@@ -171,8 +171,8 @@
 	weight := 0
 	for i, e := range events {
 		weight++
-		if e.Roll != nil {
-			weight += len(e.Roll.Joined) + len(e.Roll.Gone) + len(e.Roll.Slots)
+		if e.Membership != nil {
+			weight += len(e.Membership.Joined) + len(e.Membership.Left) + len(e.Membership.Shards)
 		}
 		if i > 0 && weight > maxAnswerWeight {
 			return i
@@ -188,7 +188,7 @@
 	defer k.mu.Unlock()
 	now := replicas.Now()
 	if !k.leads || k.granter == nil {
-		return relay.Answer{}, store.ErrNotLeading
+		return relay.Answer{}, store.ErrNotLeader
 	}
 	registered, err := k.roll.Update(q.Update, rand.Uint64(), now)
 	if err != nil {
@@ -196,7 +196,7 @@
 	}
 	answer := relay.Answer{Sequence: q.Sequence, NeedFull: registered.NeedFull, Registration: registered.Registration}
 	k.recordRelay(q.Update, now)
-	k.completed(q.Complete)
+	k.completed(q.ReadyShards)
 	k.takeReports(q, &answer, now)
 	if q.Quota != nil && q.Quota.Holder == q.Relay.ID() {
 		grant := k.granter.Renew(*q.Quota, now)
@@ -236,19 +236,19 @@
 	for _, r := range q.Reports {
 		k.health.merger.Take(r.Report, r.Place, now)
 	}
-	opinions := k.health.merger.Opinions(now)
+	opinions := k.health.merger.Aggregated(now)
 	if len(q.Reports) > 0 {
 		k.spread(opinions, now)
 	}
-	if len(opinions.All) > 0 || q.OpinionsEpoch != opinions.Epoch || q.OpinionsSeq != opinions.Seq {
-		answer.Opinions = &opinions
+	if len(opinions.Caches) > 0 || q.HealthEpoch != opinions.Epoch || q.HealthSeq != opinions.Seq {
+		answer.AggregatedHealth = &opinions
 	}
 }
 
 // relayEntries lists sessions for the operator.
-func relayEntries(sessions []membership.Session) (all []api.RelayEntry) {
+func relayEntries(sessions []membership.Session) (all []api.RelayStatus) {
 	for _, s := range sessions {
-		all = append(all, api.RelayEntry{
+		all = append(all, api.RelayStatus{
 			Relay:        s.Update.Relay,
 			Directors:    s.Directors,
 			RenewedMS:    s.Renewed.Milliseconds(),
--- a/internal/controlplane/replicas/greeting.go
+++ b/internal/controlplane/replicas/greeting.go
@@ -46,7 +46,7 @@
 				go g.greetOne(l, &lastReason)
 			}
 		case In:
-			if !g.Holds() {
+			if !g.HasLease() {
 				for _, l := range g.links {
 					go l.askMember()
 				}
@@ -89,7 +89,7 @@
 	done := make(chan struct{})
 	if !g.post(func() {
 		defer close(done)
-		p, err := g.store.Promises()
+		p, err := g.store.PersistedState()
 		if ok = err == nil; ok {
 			own = replica.Seen{Term: p.Term, Vote: p.Vote, Last: p.Before.Index + uint64(len(p.Entries))}
 		}
@@ -113,7 +113,7 @@
 		}
 		g.met[l.to.Name] = true
 	case g.phase == Waiting && answer.Leads && answer.Member && answer.Group != 0:
-		if err := g.store.Join(answer.Group); err != nil {
+		if err := g.store.JoinGroup(answer.Group); err != nil {
 			slog.Error("copies.not_joined", "err", err)
 			return
 		}
--- a/internal/controlplane/replicas/links.go
+++ b/internal/controlplane/replicas/links.go
@@ -44,11 +44,11 @@
 // peer carries messages to one other copy, in order, one call at a time.
 type peer struct {
 	group *Group
-	to    opfile.Copy
+	to    opfile.Replica
 	queue chan *pb.Message
 }
 
-func newPeer(g *Group, to opfile.Copy) *peer {
+func newPeer(g *Group, to opfile.Replica) *peer {
 	return &peer{group: g, to: to, queue: make(chan *pb.Message, linkQueue)}
 }
 
@@ -261,7 +261,7 @@
 	defer cancel()
 	stuck := time.AfterFunc(wholeStuck, cancel)
 	defer stuck.Stop()
-	err = g.store.Export(func(t store.Taken, size int64, write func(io.Writer) error) error {
+	err = g.store.Export(func(t store.AppliedState, size int64, write func(io.Writer) error) error {
 		length = size
 		r, w := io.Pipe()
 		go func() { w.CloseWithError(write(w)) }()
@@ -288,7 +288,7 @@
 			return
 		case <-time.After(every):
 		}
-		if err := g.renew(); err != nil && !errors.Is(err, store.ErrNotLeading) {
+		if err := g.renew(); err != nil && !errors.Is(err, store.ErrNotLeader) {
 			slog.Debug("copies.no_lease", "err", err)
 		}
 	}
@@ -308,16 +308,16 @@
 	defer cancel()
 	lease := replica.Lease{Length: g.set.Lease, Drift: g.set.Drift}
 	switch {
-	case s.Leads:
+	case s.IsLeader:
 		if err := g.Barrier(ctx); err != nil {
 			return err
 		}
 	case s.leaderName == "":
-		return store.ErrNotLeading
+		return store.ErrNotLeader
 	default:
 		l := g.links[s.leaderName]
 		if l == nil {
-			return store.ErrNotLeading
+			return store.ErrNotLeader
 		}
 		var granted api.LeaseAnswer
 		if err := g.ask(ctx, l.url("/v1/copies/lease"), LeaseRequest{g.set.Acknowledged(), g.store.Fleet().Revision, g.set.Heartbeats()}, &granted); err != nil {
