--- a/internal/controlplane/replicas/serve.go
+++ b/internal/controlplane/replicas/serve.go
@@ -28,7 +28,7 @@
 
 // status is what this copy knows of the group, for those beside the loop.
 type status struct {
-	api.Copies
+	api.GroupStatus
 	leader     uint64
 	leaderName string
 	members    map[uint64]replica.Member
@@ -38,19 +38,19 @@
 // publish makes what the loop knows known to others.
 func (g *Group) publish() {
 	identity, _ := g.store.Identity()
-	s := &status{Copies: api.Copies{Copy: g.set.Self, Disk: hex(identity.Disk), Phase: string(g.phase), Why: g.why, Revision: g.store.Fleet().Revision}}
-	for _, place := range g.set.List {
+	s := &status{GroupStatus: api.GroupStatus{Name: g.set.Self, Disk: hex(identity.Disk), Phase: string(g.phase), Reason: g.why, Revision: g.store.Fleet().Revision}}
+	for _, place := range g.set.Replicas {
 		if !place.Spare {
-			s.Listed++
+			s.Configured++
 		}
 	}
 	if g.driver != nil {
 		g.publishMembers(s)
 	}
 	for name := range g.asks {
-		s.Waits = append(s.Waits, name)
+		s.Waiting = append(s.Waiting, name)
 	}
-	slices.Sort(s.Waits)
+	slices.Sort(s.Waiting)
 	g.status.Store(s)
 }
 
@@ -59,7 +59,7 @@
 	state := g.driver.State()
 	s.members, s.removed, s.leader = g.driver.Members(), map[uint64]bool{}, state.Leader
 	s.leaderName = g.nameOf(state.Leader)
-	s.Leader, s.Leads, s.Term, s.Taken, s.Joint, s.Bears = s.leaderName, g.leads && state.Leads, state.Term, state.Applied, state.Joint, replica.Bears(len(state.Voters))
+	s.Leader, s.IsLeader, s.Term, s.Applied, s.Joint, s.ToleratedFailures = s.leaderName, g.leads && state.Leads, state.Term, state.Applied, state.Joint, replica.ToleratedFailures(len(state.Voters))
 	g.mu.Lock()
 	leases := g.granter.Held(Now())
 	g.mu.Unlock()
@@ -68,28 +68,28 @@
 			s.removed[disk] = g.driver.Removed(disk)
 			continue
 		}
-		c := api.CopyStatus{Name: member.Name, Machine: member.Machine, Site: member.Site, Disk: hex(disk), Votes: slices.Contains(state.Voters, disk), Replaces: s.members[member.Replaces].Name}
+		c := api.ReplicaStatus{Name: member.Name, Machine: member.Machine, Site: member.Site, Disk: hex(disk), IsVoter: slices.Contains(state.Voters, disk), Replaces: s.members[member.Replaces].Name}
 		if progress, known := state.Progress[disk]; known {
 			c.Alive = progress.Active
 			if progress.Match < state.Commit {
 				c.Behind = state.Commit - progress.Match
 			}
 			if disk != state.Disk {
-				c.GoneMS = g.contacts.Silence(disk).Milliseconds()
+				c.SilentMS = g.contacts.Silence(disk).Milliseconds()
 			}
 		}
 		if lease, held := leases[disk]; held {
-			c.Told, c.LeaseMS = lease.Acknowledged, lease.Left.Milliseconds()
+			c.Acknowledged, c.LeaseMS = lease.Acknowledged, lease.Left.Milliseconds()
 		}
-		s.List = append(s.List, c)
+		s.Replicas = append(s.Replicas, c)
 	}
-	slices.SortFunc(s.List, func(a, b api.CopyStatus) int { return strings.Compare(a.Name+a.Disk, b.Name+b.Disk) })
+	slices.SortFunc(s.Replicas, func(a, b api.ReplicaStatus) int { return strings.Compare(a.Name+a.Disk, b.Name+b.Disk) })
 }
 
 func hex(n uint64) string { return strconv.FormatUint(n, 16) }
 
 // Status is what this copy knows of the group.
-func (g *Group) Status() api.Copies { return g.status.Load().Copies }
+func (g *Group) Status() api.GroupStatus { return g.status.Load().GroupStatus }
 
 // Mount puts the copies' calls on a mux.
 func (g *Group) Mount(mux *http.ServeMux) {
@@ -138,7 +138,7 @@
 func (g *Group) checkMember(w http.ResponseWriter, disk uint64) (ok bool) {
 	s := g.status.Load()
 	_, known := s.members[disk]
-	if s.removed[disk] || s.Leads && !known {
+	if s.removed[disk] || s.IsLeader && !known {
 		http.Error(w, wasRemoved, http.StatusGone)
 		return false
 	}
@@ -294,11 +294,11 @@
 	g.granter.Give(disk, asks.Told, Now())
 	g.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(g.set.Grant(asks.Signs.Beats))
+	_ = json.NewEncoder(w).Encode(g.set.Grant(asks.Signs.QuotaRenewals))
 }
 
-// Obey carries out an order, if this copy leads. A refusal is a *replica.Refusal.
-func (g *Group) Obey(o api.CopiesOrder) error {
+// ChangeMembers carries out an order, if this copy leads. A refusal is a *replica.Refusal.
+func (g *Group) ChangeMembers(o api.ReplicaChange) error {
 	done := make(chan error, 1)
 	if !g.post(func() { done <- g.obey(o) }) {
 		return store.ErrClosed
@@ -306,23 +306,23 @@
 	return <-done
 }
 
-func (g *Group) obey(o api.CopiesOrder) error {
+func (g *Group) obey(o api.ReplicaChange) error {
 	if g.driver == nil || !g.leads {
-		return store.ErrNotLeading
+		return store.ErrNotLeader
 	}
 	v := g.view()
 	var c *replica.Change
 	var err error
-	switch o.Do {
+	switch o.Action {
 	case "add":
 		c, err = v.Add(o.Name, g.asks[o.Name])
 	case "remove":
-		c, err = v.Remove(o.Name, o.Fewer)
+		c, err = v.Remove(o.Name, o.AllowLowerTolerance)
 	case "replace":
-		if o.By == "" {
-			o.By = o.Name
+		if o.Replacement == "" {
+			o.Replacement = o.Name
 		}
-		c, err = v.Replace(o.Name, o.By, g.asks[o.By])
+		c, err = v.Replace(o.Name, o.Replacement, g.asks[o.Replacement])
 	case "hand-over":
 		var to uint64
 		if to, err = v.Successor(o.Name); err == nil {
@@ -331,7 +331,7 @@
 		}
 		return err
 	default:
-		return &replica.Refusal{Why: fmt.Sprintf("nothing is called %q", o.Do)}
+		return &replica.RejectedError{Reason: fmt.Sprintf("nothing is called %q", o.Action)}
 	}
 	if err != nil || c == nil {
 		return err
--- a/internal/controlplane/store/recovery.go
+++ b/internal/controlplane/store/recovery.go
@@ -182,7 +182,7 @@
 		}
 		st.atMS = max(st.atMS, e.AtMS)
 		s.tail = append(s.tail, e)
-		if most := s.opt.Keep + 1000; len(s.tail) > 2*most { // without a snapshot there may be a million
+		if most := s.opt.KeepEvents + 1000; len(s.tail) > 2*most { // without a snapshot there may be a million
 			s.first += int64(len(s.tail) - most)
 			s.tail = append([]fleet.Event(nil), s.tail[len(s.tail)-most:]...)
 		}
--- a/internal/controlplane/store/store.go
+++ b/internal/controlplane/store/store.go
@@ -62,16 +62,16 @@
 
 // Options of a store. Zero values stand for what is in brackets.
 type Options struct {
-	SnapshotEvery int                 // events from one snapshot to the next (10,000)
-	Keep          int                 // events kept after a snapshot, for those who were away (0)
-	Batch         int                 // changes in one transaction, at most (256)
-	AcceptOlder   bool                // go on from the older of two heads if the newer can't be read
-	NoSync        bool                // for tests and measurements alone
-	Clock         func() int64        // Unix milliseconds (the system's)
-	Committed     func([]fleet.Event) // told of durable events, in order, before their changes return; must not call the store
-	At            func(point string)  // a test's kill point
-	Group         bool                // a copy of a group: nothing is written but what the group has accepted
-	Remember      time.Duration       // for how long outcomes are kept for repeated writes (10 min)
+	SnapshotEvery  int                 // events from one snapshot to the next (10,000)
+	KeepEvents     int                 // events kept after a snapshot, for those who were away (0)
+	Batch          int                 // changes in one transaction, at most (256)
+	AcceptOlder    bool                // go on from the older of two heads if the newer can't be read
+	NoSync         bool                // for tests and measurements alone
+	Clock          func() int64        // Unix milliseconds (the system's)
+	Committed      func([]fleet.Event) // told of durable events, in order, before their changes return; must not call the store
+	KillPoint      func(point string)  // a test's kill point
+	Group          bool                // a copy of a group: nothing is written but what the group has accepted
+	RememberWrites time.Duration       // for how long outcomes are kept for repeated writes (10 min)
 }
 
 // Store is an open store. Its methods are safe for concurrent use.
@@ -148,14 +148,14 @@
 	if opt.Batch <= 0 {
 		opt.Batch = 256
 	}
-	if opt.Remember <= 0 {
-		opt.Remember = 10 * time.Minute
+	if opt.RememberWrites <= 0 {
+		opt.RememberWrites = 10 * time.Minute
 	}
 	if opt.Clock == nil {
 		opt.Clock = func() int64 { return time.Now().UnixMilli() }
 	}
-	if opt.At == nil {
-		opt.At = func(string) {}
+	if opt.KillPoint == nil {
+		opt.KillPoint = func(string) {}
 	}
 	if opt.Committed == nil {
 		opt.Committed = func([]fleet.Event) {}
@@ -314,7 +314,7 @@
 	results := make([]error, len(batch))
 	err := s.db.Update(func(tx *bolt.Tx) error {
 		for i, r := range batch {
-			t := &Tx{View: View{tx: tx}, NowMS: s.opt.Clock(), remember: s.opt.Remember, state: next}
+			t := &Tx{View: View{tx: tx}, NowMS: s.opt.Clock(), remember: s.opt.RememberWrites, state: next}
 			if results[i] = r.do(t); results[i] != nil {
 				continue
 			}
@@ -326,16 +326,16 @@
 			next = t.state
 			events = append(events, t.events...)
 		}
-		s.opt.At(BeforeCommit)
+		s.opt.KillPoint(BeforeCommit)
 		return nil
 	})
 	if err == nil {
 		s.state.Store(&next)
-		s.opt.At(AfterCommit)
+		s.opt.KillPoint(AfterCommit)
 		if len(events) > 0 {
 			s.opt.Committed(events)
 		}
-		s.opt.At(AfterNotice)
+		s.opt.KillPoint(AfterNotice)
 	}
 	for i, r := range batch {
 		if results[i] == nil && err != nil {
@@ -349,7 +349,7 @@
 // events stay, and it is tried again later.
 func (s *Store) snapshot() {
 	st := s.state.Load()
-	s.opt.At(BeforeSnapshot)
+	s.opt.KillPoint(BeforeSnapshot)
 	err := s.db.Update(func(tx *bolt.Tx) error {
 		raw, err := fleet.Encode(snapshot{Fleet: st.fleet.Dump(), Chain: st.chain[:]})
 		if err != nil {
@@ -359,7 +359,7 @@
 			return err
 		}
 		c := tx.Bucket(eventBucket).Cursor()
-		for k, _ := c.First(); k != nil && int64(binary.BigEndian.Uint64(k)) <= st.fleet.Revision-int64(s.opt.Keep); k, _ = c.Next() {
+		for k, _ := c.First(); k != nil && int64(binary.BigEndian.Uint64(k)) <= st.fleet.Revision-int64(s.opt.KeepEvents); k, _ = c.Next() {
 			if err := c.Delete(); err != nil {
 				return err
 			}
@@ -369,5 +369,5 @@
 	if err == nil {
 		s.snapped = st.fleet.Revision
 	}
-	s.opt.At(AfterSnapshot)
+	s.opt.KillPoint(AfterSnapshot)
 }
--- a/internal/controlplane/store/transfer.go
+++ b/internal/controlplane/store/transfer.go
@@ -12,7 +12,7 @@
 
 // Export hands out the whole store as it is at this moment, while writes go on: what it has taken over, its length in
 // bytes, and what writes it.
-func (s *Store) Export(f func(t Taken, length int64, write func(io.Writer) error) error) error {
+func (s *Store) Export(f func(t AppliedState, length int64, write func(io.Writer) error) error) error {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.db.View(func(tx *bolt.Tx) error {
@@ -20,7 +20,7 @@
 		if err != nil {
 			return err
 		}
-		var t Taken
+		var t AppliedState
 		if err := decode(raw, &t); err != nil {
 			return err
 		}
@@ -34,7 +34,7 @@
 // Candidate is a whole store that came from another copy and was checked. It is to be adopted or dropped.
 type Candidate struct {
 	store *Store
-	Taken Taken
+	Taken AppliedState
 }
 
 // Receive keeps a whole store beside this one and checks every value of it.
@@ -66,7 +66,7 @@
 		return nil, fmt.Errorf("store: %s: %w", path, err)
 	}
 	opt := s.opt
-	opt.At, opt.Committed = nil, nil
+	opt.KillPoint, opt.Committed = nil, nil
 	in, err := Open(path, opt)
 	if err != nil {
 		return nil, err
@@ -97,7 +97,7 @@
 
 // Adopt puts a candidate in this store's place, under this disk's identity and promises. After an error the store is what
 // it was.
-func (s *Store) Adopt(c *Candidate, hard Hard) error {
+func (s *Store) Adopt(c *Candidate, hard HardState) error {
 	in := c.store
 	i := *s.identity.Load()
 	var err error
--- a/internal/controlplane/store/tx.go
+++ b/internal/controlplane/store/tx.go
@@ -84,7 +84,7 @@
 }
 
 // Create keeps a new apply with its plan and what the fleet was before, takes the lease, and numbers both.
-func (t *Tx) Create(r apply.Record, planFile []byte, before fleet.Wish) (apply.Record, error) {
+func (t *Tx) Create(r apply.Record, planFile []byte, before fleet.DesiredState) (apply.Record, error) {
 	last, err := t.number("last-apply")
 	if err != nil {
 		return r, err
@@ -130,7 +130,7 @@
 		return err
 	}
 	if holder != r.ID || epoch != r.Epoch {
-		return &apply.Refusal{Err: apply.ErrFenced, Detail: fmt.Sprintf("apply %d in epoch %d; it is apply %d's in epoch %d", r.ID, r.Epoch, holder, epoch)}
+		return &apply.RejectedError{Err: apply.ErrFenced, Detail: fmt.Sprintf("apply %d in epoch %d; it is apply %d's in epoch %d", r.ID, r.Epoch, holder, epoch)}
 	}
 	return nil
 }
@@ -214,8 +214,8 @@
 	return bytes.Clone(raw), err
 }
 
-// Before is what the fleet was, as a wish, when an apply began.
-func (v *View) Before(applyID int64) (w fleet.Wish, err error) {
+// DesiredBefore is what the fleet was, as a wish, when an apply began.
+func (v *View) DesiredBefore(applyID int64) (w fleet.DesiredState, err error) {
 	raw, err := v.get(wishBucket, id(applyID))
 	if err != nil {
 		return w, err
@@ -307,8 +307,8 @@
 // ErrReused is the error of a write under an id that another write had.
 var ErrReused = errors.New("this id was used for another write")
 
-// Repeated reads the outcome of a write that was made before.
-func (v *View) Repeated(w Write, out any) (done bool, err error) {
+// RepeatedWrite reads the outcome of a write that was made before.
+func (v *View) RepeatedWrite(w Write, out any) (done bool, err error) {
 	if w.ID == "" {
 		return false, nil
 	}
@@ -326,8 +326,8 @@
 	return true, decode(o.Value, out)
 }
 
-// Remember keeps the outcome of a write for the store's time, and forgets some that are older.
-func (t *Tx) Remember(w Write, v any) error {
+// RememberWrite keeps the outcome of a write for the store's time, and forgets some that are older.
+func (t *Tx) RememberWrite(w Write, v any) error {
 	if w.ID == "" {
 		return nil
 	}
--- a/internal/controlplane/watch/server.go
+++ b/internal/controlplane/watch/server.go
@@ -37,7 +37,7 @@
 	// Granted is the grant for a director, once; nil if there is none.
 	Granted(directorID string) *quota.Grant
 	// Health are those on caches that a director is to be sent now; nil if nothing is new to it.
-	Health(directorID string) *signals.Opinions
+	Health(directorID string) *signals.AggregatedHealth
 	// AcknowledgedChanged tells that Acknowledged may have risen. It must not block.
 	AcknowledgedChanged()
 	// ClockMS is the time in milliseconds since the Unix epoch; called from any goroutine.
@@ -129,7 +129,7 @@
 	}
 	s.mu.Lock()
 	s.last = s.log.Last()
-	s.tracker.Within(after.Rules().ToldWithinMS)
+	s.tracker.Within(after.Rules().NotifiedWithinMS)
 	s.mu.Unlock()
 	for c := range s.watchers {
 		if c.waiting {
@@ -142,7 +142,7 @@
 // PublishHealth answers those who wait and share in what is seen of caches.
 func (s *Server) PublishHealth() {
 	for c := range s.watchers {
-		if c.waiting && c.call.Announce != nil && len(c.call.Announce.Signals) > 0 {
+		if c.waiting && c.call.Announcement != nil && len(c.call.Announcement.HealthReport) > 0 {
 			c.offer()
 		}
 	}
--- a/internal/controlplane/watch/watcher.go
+++ b/internal/controlplane/watch/watcher.go
@@ -18,7 +18,7 @@
 	conn    *transport.Conn
 	peer    netip.Addr
 	id      int64
-	call    bulletin.Call
+	call    bulletin.WatchRequest
 	waiting bool
 	ended   bool
 	refusal int             // status that answers the first call; 0: the caller is admitted
@@ -79,11 +79,11 @@
 	if c.ended {
 		return len(b), 0, nil
 	}
-	call, used, need, err := bulletin.ParseCall(b)
+	call, used, need, err := bulletin.ParseWatchRequest(b)
 	if err == nil && (c.waiting || used > 0 && used < len(b)) {
-		err = &bulletin.CallError{Status: 400, Message: "a second call before the answer to the first"}
+		err = &bulletin.RequestError{Status: 400, Message: "a second call before the answer to the first"}
 	}
-	var refused *bulletin.CallError
+	var refused *bulletin.RequestError
 	if errors.As(err, &refused) {
 		slog.Info("follower.malformed", "addr", c.peer.String(), "err", refused.Message)
 		c.leave()
@@ -101,7 +101,7 @@
 // personal is what ends the answer to a director that shares in quotas, or in what is seen of caches; nil if there is nothing.
 // opinions: there are some in it.
 func (c *watcher) personal() (out []byte, opinions bool) {
-	if c.call.Announce == nil {
+	if c.call.Announcement == nil {
 		return nil, false
 	}
 	add := func(name string, v any) {
@@ -110,11 +110,11 @@
 		}
 	}
 	owner := c.server.owner
-	if g := owner.Granted(c.call.Announce.ID()); g != nil {
+	if g := owner.Granted(c.call.Announcement.ID()); g != nil {
 		add("turns", g)
 	}
-	if len(c.call.Announce.Signals) > 0 {
-		if o := owner.Health(c.call.Announce.ID()); o != nil {
+	if len(c.call.Announcement.HealthReport) > 0 {
+		if o := owner.Health(c.call.Announcement.ID()); o != nil {
 			add("signals", o)
 			opinions = true
 		}
@@ -127,7 +127,7 @@
 
 // wantsMembers tells whether the watcher announces itself and has nothing of the membership, though there is one.
 func (c *watcher) wantsMembers() bool {
-	return c.call.Announce != nil && c.call.Announce.Roll == 0 && c.server.log.HasRoll()
+	return c.call.Announcement != nil && c.call.Announcement.MembershipRevision == 0 && c.server.log.HasMembership()
 }
 
 // refuseCall has the first call of a caller that is not admitted answered with an error. An answer before the call would meet
@@ -141,7 +141,7 @@
 
 // readRefused reads the call of a caller that is not admitted, and answers it.
 func (c *watcher) readRefused(b []byte) (used, need int, err error) {
-	_, used, need, err = bulletin.ParseCall(b)
+	_, used, need, err = bulletin.ParseWatchRequest(b)
 	if err == nil && used == 0 {
 		return 0, need, nil
 	}
@@ -174,7 +174,7 @@
 	s.tracker.Ack(c.id, c.call.After)
 	behind := c.call.After < s.last || c.wantsMembers()
 	s.mu.Unlock()
-	if a := c.call.Announce; a != nil && !s.owner.Request(*a, c.call.After) {
+	if a := c.call.Announcement; a != nil && !s.owner.Request(*a, c.call.After) {
 		slog.Warn("follower.turned_away", "followers", len(s.watchers))
 		c.leave()
 		c.refuse(503)
@@ -184,7 +184,7 @@
 		s.owner.AcknowledgedChanged()
 	}
 	c.waiting = true
-	c.until = s.loop.Now() + time.Duration(c.call.PatienceMS)*time.Millisecond
+	c.until = s.loop.Now() + time.Duration(c.call.TimeoutMS)*time.Millisecond
 	s.loop.Set(&c.timer, c.until)
 	if behind {
 		c.offer()
@@ -230,7 +230,7 @@
 		c.close()
 		return
 	}
-	after, announced := c.call.After, c.call.Announce != nil
+	after, announced := c.call.After, c.call.Announcement != nil
 	if c.wantsMembers() {
 		after = 0 // the membership as a whole comes with the whole list
 	}
--- a/internal/controlplane/watch/watchtest/watchtest.go
+++ b/internal/controlplane/watch/watchtest/watchtest.go
@@ -41,7 +41,7 @@
 }
 
 // Answer reads the answer to what was asked.
-func (c *Client) Answer() (status int, feed bulletin.Feed, err error) {
+func (c *Client) Answer() (status int, feed bulletin.WatchResponse, err error) {
 	res, err := http.ReadResponse(c.in, nil)
 	if err != nil {
 		return 0, feed, err
@@ -51,12 +51,12 @@
 		return 0, feed, err
 	}
 	feed, err = bulletin.Decode(body)
-	c.Last = max(c.Last, feed.Last)
+	c.Last = max(c.Last, feed.LastRevision)
 	return res.StatusCode, feed, err
 }
 
 // Poll asks and reads the answer.
-func (c *Client) Poll(wait time.Duration) (status int, feed bulletin.Feed, err error) {
+func (c *Client) Poll(wait time.Duration) (status int, feed bulletin.WatchResponse, err error) {
 	if err := c.Ask(wait); err != nil {
 		return 0, feed, err
 	}
--- a/internal/controlplane/watchowner.go
+++ b/internal/controlplane/watchowner.go
@@ -16,13 +16,13 @@
 type watchOwner struct{ server *Server }
 
 func newWatchServer(b *Server, log *history.Log) (*watch.Server, error) {
-	set := watch.Settings{Listen: b.set.Listen, Allowed: b.set.Followers, MaxWatchers: maxWatchers}
-	return watch.New(b.loop, set, watchOwner{b}, log, b.store.Fleet().Rules().ToldWithinMS)
+	set := watch.Settings{Listen: b.set.Listen, Allowed: b.set.Watchers, MaxWatchers: maxWatchers}
+	return watch.New(b.loop, set, watchOwner{b}, log, b.store.Fleet().Rules().NotifiedWithinMS)
 }
 
 // hasLease tells whether the process may have watchers: a replica may under its lease alone, for it may be cut off from the
 // others and not know of it.
-func (b *Server) hasLease() bool { return b.group == nil || b.group.Holds() }
+func (b *Server) hasLease() bool { return b.group == nil || b.group.HasLease() }
 
 // watchedRevision is the revision up to which every director has all events, those that watch other replicas included.
 func (b *Server) watchedRevision() int64 {
@@ -47,7 +47,7 @@
 }
 
 // Health implements watch.Owner.
-func (o watchOwner) Health(directorID string) *signals.Opinions {
+func (o watchOwner) Health(directorID string) *signals.AggregatedHealth {
 	return o.server.membership.aggregatedHealth(directorID)
 }
 
--- a/internal/fleet/apply/apply.go
+++ b/internal/fleet/apply/apply.go
@@ -50,9 +50,9 @@
 
 // Phases.
 const (
-	Pending Phase = "pending"
-	Waiting Phase = "waiting" // its event is in the history
-	Over    Phase = "done"
+	Pending   Phase = "pending"
+	Waiting   Phase = "waiting" // its event is in the history
+	Completed Phase = "done"
 )
 
 // StepState is how far a step is.
@@ -71,7 +71,7 @@
 	Wait     Kind = "wait"   // nothing to do before UntilMS, or until something is seen or told
 	Effect   Kind = "effect" // append Event and mark Step as waiting, in one transaction
 	StepOver Kind = "step-over"
-	Trouble  Kind = "trouble" // pause, or plan back, as the plan's rules say
+	Fault    Kind = "trouble" // pause, or plan back, as the plan's rules say
 	End      Kind = "end"
 )
 
@@ -89,9 +89,9 @@
 // Input is the world at the moment of a decision. Told tells whether every director has an event; Looks, whether an
 // observer looks at the boxes.
 type Input struct {
-	World fleet.World
-	Told  func(no int64) bool
-	Looks bool
+	State        fleet.ObservedState
+	Acknowledged func(no int64) bool
+	HasObserver  bool
 }
 
 // Machine is one apply.
@@ -119,11 +119,11 @@
 		if m.steps[i].Phase == "" {
 			m.steps[i].Phase = Pending
 		}
-		if m.steps[i].Phase == Over {
+		if m.steps[i].Phase == Completed {
 			m.Record.StepsDone++
 		}
 		for _, a := range s.After {
-			if m.steps[a-1].Phase != Over {
+			if m.steps[a-1].Phase != Completed {
 				m.opens[i]++
 			}
 			m.next[a-1] = append(m.next[a-1], i)
@@ -131,7 +131,7 @@
 	}
 	for i, s := range m.steps {
 		switch {
-		case s.Phase == Waiting && m.opens[i] > 0, s.Phase == Over && m.opens[i] > 0:
+		case s.Phase == Waiting && m.opens[i] > 0, s.Phase == Completed && m.opens[i] > 0:
 			return nil, fmt.Errorf("apply %d: step %d is %s before those that it comes after", r.ID, i+1, s.Phase)
 		case s.Phase == Waiting:
 			m.waits = append(m.waits, i)
@@ -171,12 +171,12 @@
 		if over {
 			return Decision{Kind: StepOver, Step: i + 1}
 		}
-		late := max(m.steps[i].EffectMS, m.Record.ResumedMS) + m.Plan.Rules.GiveUpMS
-		if late <= in.World.NowMS && overdue == nil {
-			overdue = &Decision{Kind: Trouble, Step: i + 1, Revert: m.reverts(), Reason: fmt.Sprintf("step %d, %v, is not done after %d s: it waits until it is %s",
-				i+1, m.Plan.Steps[i], m.Plan.Rules.GiveUpMS/1000, m.Plan.Steps[i].Wait)}
+		late := max(m.steps[i].EffectMS, m.Record.ResumedMS) + m.Plan.Rules.StepTimeoutMS
+		if late <= in.State.NowMS && overdue == nil {
+			overdue = &Decision{Kind: Fault, Step: i + 1, Revert: m.reverts(), Reason: fmt.Sprintf("step %d, %v, is not done after %d s: it waits until it is %s",
+				i+1, m.Plan.Steps[i], m.Plan.Rules.StepTimeoutMS/1000, m.Plan.Steps[i].Wait)}
 		}
-		at = min(at, max(late, in.World.NowMS+1))
+		at = min(at, max(late, in.State.NowMS+1))
 		if until == 0 || at < until {
 			until = at
 		}
@@ -190,7 +190,7 @@
 	if len(m.ready) == 0 && len(m.waits) == 0 {
 		return Decision{Kind: End}
 	}
-	if len(m.ready) > 0 && len(m.waits) < max(1, m.Plan.Rules.Width) {
+	if len(m.ready) > 0 && len(m.waits) < max(1, m.Plan.Rules.MaxParallelSteps) {
 		return m.begin(m.ready[0], in)
 	}
 	return Decision{Kind: Wait, UntilMS: until}
@@ -200,21 +200,21 @@
 func (m *Machine) begin(i int, in Input) Decision {
 	s := m.Plan.Steps[i]
 	trouble := func(format string, args ...any) Decision {
-		return Decision{Kind: Trouble, Step: i + 1, Revert: m.reverts(), Reason: fmt.Sprintf("step %d, %v: ", i+1, s) + fmt.Sprintf(format, args...)}
+		return Decision{Kind: Fault, Step: i + 1, Revert: m.reverts(), Reason: fmt.Sprintf("step %d, %v: ", i+1, s) + fmt.Sprintf(format, args...)}
 	}
 	switch {
-	case s.Member != nil:
-		is := in.World.Member(s.Member.Name)
+	case s.Host != nil:
+		is := in.State.Host(s.Host.Name)
 		if !sameMember(is, s.Before) {
-			return trouble("the box is %s, not as planned", in.World.ReadBox(s.Member.Name).Brief)
+			return trouble("the box is %s, not as planned", in.State.ReadHost(s.Host.Name).Brief)
 		}
 	case s.Location != nil:
-		if is := in.World.Location(s.Location.Name); fleet.Sum(is) != fleet.Sum(s.WasAt) {
-			return trouble("the location is %s, not as planned", in.World.ReadLocation(s.Location.Name).Brief)
+		if is := in.State.Location(s.Location.Name); fleet.Sum(is) != fleet.Sum(s.WasAt) {
+			return trouble("the location is %s, not as planned", in.State.ReadLocation(s.Location.Name).Brief)
 		}
 	}
-	e := s.Event(in.World.Revision+1, in.World.NowMS, m.Record.Who, m.Record.ID)
-	broken, err := in.World.Admit(e)
+	e := s.Event(in.State.Revision+1, in.State.NowMS, m.Record.Who, m.Record.ID)
+	broken, err := in.State.Admit(e)
 	if err != nil {
 		return trouble("%v", err)
 	}
@@ -225,7 +225,7 @@
 }
 
 // sameMember compares a box with what a step begins from. When it was born is the board's to set.
-func sameMember(is, want *fleet.Member) bool {
+func sameMember(is, want *fleet.Host) bool {
 	if is == nil || want == nil {
 		return is == want
 	}
@@ -237,11 +237,11 @@
 
 // over tells whether a step's wait is over, and otherwise the earliest time at which it can be.
 func (m *Machine) over(i int, in Input) (bool, int64) {
-	s, st, now := m.Plan.Steps[i], m.steps[i], in.World.NowMS
-	bound := st.EffectMS + m.Plan.Rules.ToldWithinMS
+	s, st, now := m.Plan.Steps[i], m.steps[i], in.State.NowMS
+	bound := st.EffectMS + m.Plan.Rules.NotifiedWithinMS
 	toldAt, told := m.told[i]
 	if !told {
-		if now < bound && !in.Told(st.EventNo) {
+		if now < bound && !in.Acknowledged(st.EventNo) {
 			return false, bound
 		}
 		toldAt = now
@@ -252,14 +252,14 @@
 		at := toldAt + m.Plan.Rules.DrainSettleMS
 		return now >= at, at
 	case plan.Warm:
-		box := in.World.Member(s.Member.Name)
+		box := in.State.Host(s.Host.Name)
 		if box == nil {
 			return false, now + 1000
 		}
-		if until := in.World.ColdUntil(box); until > now {
+		if until := in.State.ColdUntil(box); until > now {
 			return false, until
 		}
-		if in.Looks && in.World.Observed[s.Member.Name].Sight != fleet.Up {
+		if in.HasObserver && in.State.Observed[s.Host.Name].Sight != fleet.Up {
 			return false, now + 1000
 		}
 	}
@@ -267,11 +267,11 @@
 }
 
 func (m *Machine) reverts() bool {
-	return m.Plan.Rules.OnTrouble == fleet.Revert && m.Record.RevertOf == 0
+	return m.Plan.Rules.OnFault == fleet.Revert && m.Record.RevertOf == 0
 }
 
-// Begun tells that a step's event is durable.
-func (m *Machine) Begun(step int, no, nowMS int64) {
+// MarkBegun tells that a step's event is durable.
+func (m *Machine) MarkBegun(step int, no, nowMS int64) {
 	i := step - 1
 	if len(m.ready) == 0 || m.ready[0] != i {
 		panic(fmt.Sprintf("apply %d: step %d was begun out of turn", m.Record.ID, step))
@@ -281,8 +281,8 @@
 	m.waits = append(m.waits, i)
 }
 
-// Finished tells that the end of a step's wait is durable.
-func (m *Machine) Finished(step int, nowMS int64) {
+// MarkFinished tells that the end of a step's wait is durable.
+func (m *Machine) MarkFinished(step int, nowMS int64) {
 	i := step - 1
 	at := slices.Index(m.waits, i)
 	if at < 0 {
@@ -290,7 +290,7 @@
 	}
 	m.waits = slices.Delete(m.waits, at, at+1)
 	delete(m.told, i)
-	m.steps[i].Phase, m.steps[i].DoneMS = Over, nowMS
+	m.steps[i].Phase, m.steps[i].DoneMS = Completed, nowMS
 	m.Record.StepsDone++
 	for _, n := range m.next[i] {
 		if m.opens[n]--; m.opens[n] == 0 {
--- a/internal/fleet/apply/decide.go
+++ b/internal/fleet/apply/decide.go
@@ -18,22 +18,22 @@
 	ErrFenced     = errors.New("the lease is another's")
 )
 
-// Refusal is one of the errors above with what a person needs to know.
-type Refusal struct {
+// RejectedError is one of the errors above with what a person needs to know.
+type RejectedError struct {
 	Err    error
 	Detail string
-	Moved  []plan.Moved // of a stale plan
-	Holder *Record      // of the apply under way
+	Moved  []plan.StaleRead // of a stale plan
+	Holder *Record          // of the apply under way
 }
 
-func (r *Refusal) Error() string {
+func (r *RejectedError) Error() string {
 	if r.Detail == "" {
 		return r.Err.Error()
 	}
 	return r.Err.Error() + ": " + r.Detail
 }
 
-func (r *Refusal) Unwrap() error { return r.Err }
+func (r *RejectedError) Unwrap() error { return r.Err }
 
 // Answer to a plan that was submitted.
 type Answer struct {
@@ -44,13 +44,13 @@
 // Submit decides what becomes of a plan: earlier is the last apply of the same plan, if there is one, and holder the one
 // that has the lease. The order matters: a plan that was carried out changes nothing even if the world has moved since,
 // and a busy board does not judge a plan against a world that is being changed.
-func Submit(p *plan.Plan, w fleet.World, earlier, holder *Record) (Answer, error) {
+func Submit(p *plan.Plan, w fleet.ObservedState, earlier, holder *Record) (Answer, error) {
 	if holder != nil {
 		same := ""
 		if earlier != nil && earlier.ID == holder.ID {
 			same = " of this same plan"
 		}
-		return Answer{}, &Refusal{Err: ErrBusy, Holder: holder, Detail: fmt.Sprintf("apply %d%s by %s since %d, %s, %d of %d steps done",
+		return Answer{}, &RejectedError{Err: ErrBusy, Holder: holder, Detail: fmt.Sprintf("apply %d%s by %s since %d, %s, %d of %d steps done",
 			holder.ID, same, holder.Who, holder.StartedMS, holder.Status, holder.StepsDone, holder.Steps)}
 	}
 	if earlier != nil && earlier.Status == Done {
@@ -72,7 +72,7 @@
 			}
 			detail += m.String()
 		}
-		return Answer{}, &Refusal{Err: ErrStale, Moved: moved, Detail: detail}
+		return Answer{}, &RejectedError{Err: ErrStale, Moved: moved, Detail: detail}
 	}
 	return Answer{Start: true}, nil
 }
@@ -91,13 +91,13 @@
 func Obey(r Record, o Order) (Status, error) {
 	switch {
 	case r.Status.Ended():
-		return "", &Refusal{Err: ErrEnded, Detail: fmt.Sprintf("apply %d is %s", r.ID, r.Status)}
+		return "", &RejectedError{Err: ErrEnded, Detail: fmt.Sprintf("apply %d is %s", r.ID, r.Status)}
 	case o == OrderPause && r.Status != Running:
-		return "", &Refusal{Err: ErrNotRunning, Detail: fmt.Sprintf("apply %d is %s", r.ID, r.Status)}
+		return "", &RejectedError{Err: ErrNotRunning, Detail: fmt.Sprintf("apply %d is %s", r.ID, r.Status)}
 	case o == OrderPause:
 		return Paused, nil
 	case o == OrderResume && r.Status != Paused:
-		return "", &Refusal{Err: ErrNotPaused, Detail: fmt.Sprintf("apply %d is %s", r.ID, r.Status)}
+		return "", &RejectedError{Err: ErrNotPaused, Detail: fmt.Sprintf("apply %d is %s", r.ID, r.Status)}
 	case o == OrderResume:
 		return Running, nil
 	case o == OrderCancel:
--- a/internal/fleet/constraints.go
+++ b/internal/fleet/constraints.go
@@ -50,11 +50,11 @@
 // sums are what the constraints are made of at one location.
 type sums struct {
 	warm, coldCapacity, capacity, serving float64
-	colds                                 []*Member
-	caches                                []*Member // that serve
+	colds                                 []*Host
+	caches                                []*Host // that serve
 }
 
-func (w World) sums(location string) (s sums) {
+func (w ObservedState) sums(location string) (s sums) {
 	for m := range w.InSite(location) {
 		if m.Role != Cache || !w.Serves(m) {
 			continue
@@ -74,7 +74,7 @@
 
 // LocationSlacks measures the constraints of one location. One without load is not open yet, and where a
 // single cache is all there is no other way: the cold rules do not count there.
-func (w World) LocationSlacks(name string) (all []Slack) {
+func (w ObservedState) LocationSlacks(name string) (all []Slack) {
 	l := w.Location(name)
 	if l == nil {
 		return nil
@@ -95,7 +95,7 @@
 		return all
 	}
 	if len(s.colds) > 1 {
-		allowed := w.Rules().ColdMost * s.capacity
+		allowed := w.Rules().MaxColdShare * s.capacity
 		all = append(all, Slack{Constraint: ColdAtOnce, Thing: name, Have: s.coldCapacity, Need: allowed, Slack: allowed - s.coldCapacity})
 	}
 	for _, b := range s.colds {
@@ -105,8 +105,8 @@
 }
 
 // coldSlack splits the location's load by the shares that directors are told.
-func (w World) coldSlack(l *Location, s sums, b *Member) Slack {
-	worst := Slack{Constraint: ColdBears, Thing: b.Name, Need: w.Rules().Cache.Bears(b.Share), Have: l.Load * b.Serving / s.serving}
+func (w ObservedState) coldSlack(l *Location, s sums, b *Host) Slack {
+	worst := Slack{Constraint: ColdBears, Thing: b.Name, Need: w.Rules().Cache.BearableLoad(b.Share), Have: l.Load * b.Serving / s.serving}
 	raw := worst.Have
 	for _, m := range s.caches {
 		rest := s.serving - m.Serving
@@ -123,12 +123,12 @@
 	return worst
 }
 
-func (w World) sourceSlack(l *Location) Slack {
+func (w ObservedState) sourceSlack(l *Location) Slack {
 	s := Slack{Constraint: SourceHolds, Thing: l.Name, Need: 1}
 	for _, name := range l.Sources {
-		if m := w.Member(name); m != nil && w.Serves(m) {
+		if m := w.Host(name); m != nil && w.Serves(m) {
 			s.Have++
-			if m.Role == Hub && s.Dying == "" {
+			if m.Role == Parent && s.Dying == "" {
 				s.Dying = name
 			}
 		}
@@ -145,13 +145,13 @@
 	if warm+cold <= 0 {
 		return 0
 	}
-	return load * (r.Miss + (1-r.Miss)*cold/(warm+cold))
+	return load * (r.MissShare + (1-r.MissShare)*cold/(warm+cold))
 }
 
 // HubSlacks measures the constraint of one hub; there is none if it is warm or does not serve.
-func (w World) HubSlacks(name string) []Slack {
-	h := w.Member(name)
-	if h == nil || h.Role != Hub || !w.Serves(h) || !w.IsCold(h) {
+func (w ObservedState) HubSlacks(name string) []Slack {
+	h := w.Host(name)
+	if h == nil || h.Role != Parent || !w.Serves(h) || !w.IsCold(h) {
 		return nil
 	}
 	// One death: of another source of the location, or of one of its caches, so that more of it is cold.
@@ -168,7 +168,7 @@
 			}
 		}
 		for _, s := range l.Sources {
-			if m := w.Member(s); m != nil && w.Serves(m) && m.Name != dying {
+			if m := w.Host(s); m != nil && w.Serves(m) && m.Name != dying {
 				sources += m.Serving
 			}
 		}
@@ -186,7 +186,7 @@
 	deaths := map[string]bool{"": true}
 	for _, l := range users {
 		for _, s := range l.Sources {
-			if m := w.Member(s); m != nil && m.Role == Hub && s != name && w.Serves(m) {
+			if m := w.Host(s); m != nil && m.Role == Parent && s != name && w.Serves(m) {
 				deaths[s] = true
 			}
 		}
@@ -196,7 +196,7 @@
 			}
 		}
 	}
-	worst := Slack{Constraint: ColdHubBears, Thing: name, Need: w.Rules().Hub.Bears(h.Share)}
+	worst := Slack{Constraint: ColdHubBears, Thing: name, Need: w.Rules().Parent.BearableLoad(h.Share)}
 	for _, d := range slices.Sorted(maps.Keys(deaths)) {
 		asked[d] = 0
 		for _, l := range users {
@@ -211,11 +211,11 @@
 }
 
 // Touched are the locations and hubs whose constraints an event bears on.
-func (w World) Touched(e Event) (locations, hubs []string) {
+func (w ObservedState) Touched(e Event) (locations, hubs []string) {
 	add := func(l *Location) {
 		locations = append(locations, l.Name)
 		for _, s := range l.Sources {
-			if m := w.Member(s); m != nil && m.Role == Hub {
+			if m := w.Host(s); m != nil && m.Role == Parent {
 				hubs = append(hubs, s)
 			}
 		}
@@ -226,14 +226,14 @@
 		if old := w.Location(e.Location.Name); old != nil {
 			add(old)
 		}
-	case e.Member != nil && e.Member.Role == Cache:
-		if l := w.Location(e.Member.Site); l != nil {
+	case e.Host != nil && e.Host.Role == Cache:
+		if l := w.Location(e.Host.Site); l != nil {
 			add(l)
 		}
-	case e.Member != nil:
-		hubs = append(hubs, e.Member.Name)
+	case e.Host != nil:
+		hubs = append(hubs, e.Host.Name)
 		for l := range w.Locations() {
-			if slices.Contains(l.Sources, e.Member.Name) {
+			if slices.Contains(l.Sources, e.Host.Name) {
 				add(l)
 			}
 		}
@@ -244,7 +244,7 @@
 }
 
 // Slacks measures all constraints of some locations and hubs.
-func (w World) Slacks(locations, hubs []string) (all []Slack) {
+func (w ObservedState) Slacks(locations, hubs []string) (all []Slack) {
 	for _, l := range locations {
 		all = append(all, w.LocationSlacks(l)...)
 	}
@@ -266,7 +266,7 @@
 
 // Admit tells what an event would break: constraints that do not hold after it and held, or held better, before. A
 // world that is bad already may be made better step by step, never worse.
-func (w World) Admit(e Event) ([]Slack, error) {
+func (w ObservedState) Admit(e Event) ([]Slack, error) {
 	after := w
 	var err error
 	if after.Fleet, err = w.Apply(e); err != nil {
--- a/internal/fleet/dump.go
+++ b/internal/fleet/dump.go
@@ -32,20 +32,20 @@
 
 // Dump is a fleet in the form in which it is stored and sent.
 type Dump struct {
-	Revision  int64       `json:"revision"`
-	RosterNo  int64       `json:"roster_no"`
-	Rules     *Rules      `json:"rules,omitempty"`
-	Members   []*Member   `json:"members"`
-	Locations []*Location `json:"locations"`
-	Purges    []PurgeMark `json:"purges"`
-	Roll      *RollDump   `json:"roll,omitempty"`
+	Revision         int64           `json:"revision"`
+	EndpointRevision int64           `json:"roster_no"`
+	Rules            *Rules          `json:"rules,omitempty"`
+	Hosts            []*Host         `json:"members"`
+	Locations        []*Location     `json:"locations"`
+	Purges           []PurgeMark     `json:"purges"`
+	Membership       *MembershipDump `json:"roll,omitempty"`
 }
 
 // Dump lists all that a fleet holds.
 func (f Fleet) Dump() Dump {
-	d := Dump{Revision: f.Revision, RosterNo: f.RosterNo, Rules: f.rules, Purges: f.PurgesAfter(0), Roll: f.Roll()}
-	for m := range f.Members() {
-		d.Members = append(d.Members, m)
+	d := Dump{Revision: f.Revision, EndpointRevision: f.EndpointRevision, Rules: f.rules, Purges: f.PurgesAfter(0), Membership: f.Membership()}
+	for m := range f.Hosts() {
+		d.Hosts = append(d.Hosts, m)
 	}
 	for l := range f.Locations() {
 		d.Locations = append(d.Locations, l)
@@ -55,15 +55,15 @@
 
 // Restore makes a fleet of a dump.
 func Restore(d Dump) (Fleet, error) {
-	f := Fleet{Revision: d.Revision, RosterNo: d.RosterNo, rules: d.Rules}
-	for _, m := range d.Members {
+	f := Fleet{Revision: d.Revision, EndpointRevision: d.EndpointRevision, rules: d.Rules}
+	for _, m := range d.Hosts {
 		if m == nil || m.State == Terminated {
 			return Fleet{}, fmt.Errorf("fleet: a dump with a box that is not there")
 		}
-		if f.Member(m.Name) != nil {
+		if f.Host(m.Name) != nil {
 			return Fleet{}, fmt.Errorf("fleet: a dump with box %s twice", m.Name)
 		}
-		if err := f.checkMember(&Member{Box: m.Box, State: InService}); err != nil {
+		if err := f.checkMember(&Host{HostSpec: m.HostSpec, State: InService}); err != nil {
 			return Fleet{}, err
 		}
 		f.setMember(m)
@@ -80,5 +80,5 @@
 	if len(d.Purges) > 0 {
 		f.purgeMarks = immutable.NewList(d.Purges...)
 	}
-	return f, f.restoreRoll(d.Roll)
+	return f, f.restoreRoll(d.Membership)
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -16,7 +16,7 @@
 // Roles. The origin is the central store: it is no box that can die, start cold or lack.
 const (
 	Cache  Role = "cache"
-	Hub    Role = "hub"
+	Parent Role = "hub"
 	Origin Role = "origin"
 )
 
@@ -30,8 +30,8 @@
 	Terminated  State = "terminated"
 )
 
-// Box is a box as declared. Share is its capacity in the unit of the operator's file.
-type Box struct {
+// HostSpec is a box as declared. Share is its capacity in the unit of the operator's file.
+type HostSpec struct {
 	Name    string  `json:"name"`
 	Role    Role    `json:"role"`
 	Address string  `json:"address"`
@@ -42,16 +42,16 @@
 	Running bool    `json:"running,omitempty"` // it ran, warm, before it was added; of no meaning later
 }
 
-// Member is a box in the fleet. Serving is the share that directors are told: less than Share while a cold box enters.
-type Member struct {
-	Box
+// Host is a box in the fleet. Serving is the share that directors are told: less than Share while a cold box enters.
+type Host struct {
+	HostSpec
 	State   State   `json:"state"`
 	Serving float64 `json:"serving"`
 	BornMS  int64   `json:"born_ms"` // when it was put in service late; 0: it was there from the start, warm
 }
 
 // StartsCold tells whether a box that is put in service is cold at first.
-func (b Box) StartsCold() bool { return b.Role != Origin && !b.Running }
+func (b HostSpec) StartsCold() bool { return b.Role != Origin && !b.Running }
 
 // Location is a depot: its caches' site, what must stay in service, what its clients ask for, and where its misses are
 // filled from. Floor and Load are in units of share.
@@ -72,21 +72,21 @@
 // Event is one numbered change. Exactly one of Member, Location, Rules, Purge and Roll is set; Who, Apply and Step tell whose
 // change it was.
 type Event struct {
-	No       int64       `json:"no"`
-	AtMS     int64       `json:"at_ms"`
-	Who      string      `json:"who"`
-	Apply    int64       `json:"apply,omitempty"`
-	Step     int         `json:"step,omitempty"`
-	Member   *Member     `json:"member,omitempty"`
-	Location *Location   `json:"location,omitempty"`
-	Gone     bool        `json:"gone,omitempty"` // the location is given up
-	Rules    *Rules      `json:"rules,omitempty"`
-	Purge    *Purge      `json:"purge,omitempty"`
-	Roll     *RollChange `json:"roll,omitempty"`
+	No         int64             `json:"no"`
+	AtMS       int64             `json:"at_ms"`
+	Who        string            `json:"who"`
+	Apply      int64             `json:"apply,omitempty"`
+	Step       int               `json:"step,omitempty"`
+	Host       *Host             `json:"member,omitempty"`
+	Location   *Location         `json:"location,omitempty"`
+	Removed    bool              `json:"gone,omitempty"` // the location is given up
+	Rules      *Rules            `json:"rules,omitempty"`
+	Purge      *Purge            `json:"purge,omitempty"`
+	Membership *MembershipChange `json:"roll,omitempty"`
 }
 
-// Roster tells whether directors see the event as a change of the list; purges they see as such.
-func (e Event) Roster() bool { return e.Purge == nil }
+// ChangesEndpoints tells whether directors see the event as a change of the list; purges they see as such.
+func (e Event) ChangesEndpoints() bool { return e.Purge == nil }
 
 // PurgeKeepMS is how long a purge is told again to directors that come with an old number. Every copy that a purge is
 // about has gone from the caches after some seconds; this leaves room for far slower ones.
@@ -99,23 +99,23 @@
 }
 
 type (
-	memberMap   = immutable.SortedMap[string, *Member]
+	memberMap   = immutable.SortedMap[string, *Host]
 	locationMap = immutable.SortedMap[string, *Location]
 )
 
 // Fleet is the declared state after the event numbered Revision. It is a value: Apply makes a new one and leaves the
 // old one as it was, sharing what is alike. The zero Fleet is empty.
 type Fleet struct {
-	Revision   int64
-	RosterNo   int64 // the last event that directors see as a change of the list
-	rules      *Rules
-	members    *memberMap
-	locations  *locationMap
-	bySite     *immutable.Map[string, *memberMap]
-	addresses  *immutable.Map[string, string] // address: name
-	purgeMarks *immutable.List[PurgeMark]
-	directors  *directorMap
-	slots      *[Slots]Slot
+	Revision         int64
+	EndpointRevision int64 // the last event that directors see as a change of the list
+	rules            *Rules
+	members          *memberMap
+	locations        *locationMap
+	bySite           *immutable.Map[string, *memberMap]
+	addresses        *immutable.Map[string, string] // address: name
+	purgeMarks       *immutable.List[PurgeMark]
+	directors        *directorMap
+	slots            *[ShardCount]Shard
 }
 
 // Rules in force.
@@ -132,19 +132,19 @@
 	return f
 }
 
-// Member finds a box; nil if there is none of that name.
-func (f Fleet) Member(name string) *Member { return get(f.members, name) }
+// Host finds a box; nil if there is none of that name.
+func (f Fleet) Host(name string) *Host { return get(f.members, name) }
 
 // Location finds a location; nil if there is none of that name.
 func (f Fleet) Location(name string) *Location { return get(f.locations, name) }
 
-// At finds the box that has an address.
-func (f Fleet) At(address string) *Member {
+// HostAt finds the box that has an address.
+func (f Fleet) HostAt(address string) *Host {
 	if f.addresses == nil {
 		return nil
 	}
 	name, _ := f.addresses.Get(address)
-	return f.Member(name)
+	return f.Host(name)
 }
 
 // Len is how many boxes there are.
@@ -155,16 +155,16 @@
 	return f.members.Len()
 }
 
-// Members are all boxes by name.
-func (f Fleet) Members() iter.Seq[*Member] { return values(f.members) }
+// Hosts are all boxes by name.
+func (f Fleet) Hosts() iter.Seq[*Host] { return values(f.members) }
 
 // Locations are all locations by name.
 func (f Fleet) Locations() iter.Seq[*Location] { return values(f.locations) }
 
 // InSite are the boxes of one site by name.
-func (f Fleet) InSite(site string) iter.Seq[*Member] {
+func (f Fleet) InSite(site string) iter.Seq[*Host] {
 	if f.bySite == nil {
-		return values[Member](nil)
+		return values[Host](nil)
 	}
 	m, _ := f.bySite.Get(site)
 	return values(m)
@@ -191,7 +191,7 @@
 		return fmt.Errorf("event %d can't follow event %d", e.No, f.Revision)
 	}
 	set := 0
-	for _, is := range []bool{e.Member != nil, e.Location != nil, e.Rules != nil, e.Purge != nil, e.Roll != nil} {
+	for _, is := range []bool{e.Host != nil, e.Location != nil, e.Rules != nil, e.Purge != nil, e.Membership != nil} {
 		if is {
 			set++
 		}
@@ -200,20 +200,20 @@
 		return fmt.Errorf("event %d changes %d things, not one", e.No, set)
 	}
 	switch {
-	case e.Member != nil:
-		return f.checkMember(e.Member)
+	case e.Host != nil:
+		return f.checkMember(e.Host)
 	case e.Purge != nil:
 		return e.Purge.check()
-	case e.Roll != nil:
-		return e.Roll.check(f)
+	case e.Membership != nil:
+		return e.Membership.check(f)
 	case e.Location != nil && e.Location.Name == "":
 		return fmt.Errorf("event %d: a location without a name", e.No)
 	}
 	return nil
 }
 
-func (f Fleet) checkMember(m *Member) error {
-	old := f.Member(m.Name)
+func (f Fleet) checkMember(m *Host) error {
+	old := f.Host(m.Name)
 	switch {
 	case m.Name == "" || m.Address == "":
 		return fmt.Errorf("box %q at %q: name and address are needed", m.Name, m.Address)
@@ -222,7 +222,7 @@
 	case old == nil && m.State != InService:
 		return fmt.Errorf("box %s is not in the fleet", m.Name)
 	}
-	if other := f.At(m.Address); other != nil && other.Name != m.Name && m.State != Terminated {
+	if other := f.HostAt(m.Address); other != nil && other.Name != m.Name && m.State != Terminated {
 		return fmt.Errorf("box %s: address %s is still that of %s", m.Name, m.Address, other.Name)
 	}
 	return nil
@@ -256,17 +256,17 @@
 		return f, err
 	}
 	f.Revision = e.No
-	if e.Roster() {
-		f.RosterNo = e.No
+	if e.ChangesEndpoints() {
+		f.EndpointRevision = e.No
 	}
 	switch {
-	case e.Member != nil:
-		f.setMember(e.Member)
+	case e.Host != nil:
+		f.setMember(e.Host)
 	case e.Location != nil:
 		if f.locations == nil {
 			f.locations = &locationMap{}
 		}
-		if e.Gone {
+		if e.Removed {
 			f.locations = f.locations.Delete(e.Location.Name)
 		} else {
 			f.locations = f.locations.Set(e.Location.Name, e.Location)
@@ -275,18 +275,18 @@
 		f.rules = e.Rules
 	case e.Purge != nil:
 		f.addPurge(PurgeMark{No: e.No, Purge: *e.Purge}, e.AtMS)
-	case e.Roll != nil:
-		f.applyRoll(*e.Roll, e.No)
+	case e.Membership != nil:
+		f.applyRoll(*e.Membership, e.No)
 	}
 	return f, nil
 }
 
-func (f *Fleet) setMember(m *Member) {
+func (f *Fleet) setMember(m *Host) {
 	if f.members == nil {
 		f.members, f.bySite = &memberMap{}, &immutable.Map[string, *memberMap]{}
 		f.addresses = &immutable.Map[string, string]{}
 	}
-	if old := f.Member(m.Name); old != nil {
+	if old := f.Host(m.Name); old != nil {
 		f.members = f.members.Delete(m.Name)
 		f.addresses = f.addresses.Delete(old.Address)
 		f.inSite(old.Site, func(s *memberMap) *memberMap { return s.Delete(m.Name) })
--- a/internal/fleet/fleettest/fleettest.go
+++ b/internal/fleet/fleettest/fleettest.go
@@ -17,20 +17,20 @@
 // Rules are for small worlds: generous enough that many wishes have a plan, tight enough that many orders break something.
 func Rules() fleet.Rules {
 	r := fleet.DefaultRules()
-	r.Width = 3
+	r.MaxParallelSteps = 3
 	return r
 }
 
 // DrawWish draws a small wished fleet: two locations that share names, addresses and sources.
-func DrawWish(t *rapid.T, boxes int) fleet.Wish {
-	w := fleet.Wish{Rules: Rules()}
-	w.Rules.ColdMost = rapid.SampledFrom([]float64{0.25, 0.5, 1}).Draw(t, "cold-most")
+func DrawWish(t *rapid.T, boxes int) fleet.DesiredState {
+	w := fleet.DesiredState{Rules: Rules()}
+	w.Rules.MaxColdShare = rapid.SampledFrom([]float64{0.25, 0.5, 1}).Draw(t, "cold-most")
 	hubs := rapid.IntRange(0, 2).Draw(t, "hubs")
-	w.Boxes = append(w.Boxes, fleet.Box{Name: "store", Role: fleet.Origin, Address: "10.9.0.1:1", Site: "north", Class: "store", Share: 20})
+	w.Hosts = append(w.Hosts, fleet.HostSpec{Name: "store", Role: fleet.Origin, Address: "10.9.0.1:1", Site: "north", Class: "store", Share: 20})
 	sources := []string{"store"}
 	for i := range hubs {
 		name := fmt.Sprintf("h-%d", i)
-		w.Boxes = append(w.Boxes, fleet.Box{Name: name, Role: fleet.Hub, Address: fmt.Sprintf("10.8.0.%d:1", i), Site: "north",
+		w.Hosts = append(w.Hosts, fleet.HostSpec{Name: name, Role: fleet.Parent, Address: fmt.Sprintf("10.8.0.%d:1", i), Site: "north",
 			Class: "hub", Share: float64(rapid.IntRange(4, 12).Draw(t, "hub share"))})
 		sources = append(sources, name)
 	}
@@ -40,16 +40,16 @@
 			continue
 		}
 		// Few names and fewer addresses, so that boxes are replaced under their name and at their address.
-		b := fleet.Box{Name: fmt.Sprintf("c-%d", i), Role: fleet.Cache, Class: "std", Share: float64(rapid.IntRange(1, 4).Draw(t, "share")),
+		b := fleet.HostSpec{Name: fmt.Sprintf("c-%d", i), Role: fleet.Cache, Class: "std", Share: float64(rapid.IntRange(1, 4).Draw(t, "share")),
 			Site: rapid.SampledFrom(sites).Draw(t, "site"), Address: fmt.Sprintf("10.1.0.%d:1", rapid.IntRange(0, 1).Draw(t, "at")*50+i%4)}
 		b.Running = rapid.IntRange(0, 7).Draw(t, "running") == 0
-		if !slices.ContainsFunc(w.Boxes, func(o fleet.Box) bool { return o.Address == b.Address }) {
-			w.Boxes = append(w.Boxes, b)
+		if !slices.ContainsFunc(w.Hosts, func(o fleet.HostSpec) bool { return o.Address == b.Address }) {
+			w.Hosts = append(w.Hosts, b)
 		}
 	}
 	for _, site := range sites {
 		sum, most := 0.0, 0.0
-		for _, b := range w.Boxes {
+		for _, b := range w.Hosts {
 			if b.Role == fleet.Cache && b.Site == site {
 				sum, most = sum+b.Share, max(most, b.Share)
 			}
@@ -62,12 +62,12 @@
 		w.Locations = append(w.Locations, fleet.Location{Name: site, Floor: floor,
 			Load: floor * rapid.SampledFrom([]float64{0.3, 0.6, 1}).Draw(t, "load"), Sources: slices.Clone(sources[:n])})
 	}
-	w.Normal()
+	w.Normalize()
 	return w
 }
 
 // Build makes a fleet that is as wished, warm.
-func Build(t interface{ Fatal(...any) }, wish fleet.Wish) fleet.Fleet {
+func Build(t interface{ Fatal(...any) }, wish fleet.DesiredState) fleet.Fleet {
 	var f fleet.Fleet
 	put := func(e fleet.Event) {
 		e.No = f.Revision + 1
@@ -80,16 +80,16 @@
 	for i := range wish.Locations {
 		put(fleet.Event{Location: &wish.Locations[i]})
 	}
-	for _, b := range wish.Boxes {
-		put(fleet.Event{Member: &fleet.Member{Box: b, State: fleet.InService, Serving: b.Share}})
+	for _, b := range wish.Hosts {
+		put(fleet.Event{Host: &fleet.Host{HostSpec: b, State: fleet.InService, Serving: b.Share}})
 	}
 	return f
 }
 
 // Broken looks for broken constraints the plain way: for each box, what is left if it dies now.
-func Broken(w fleet.World, death string) (all map[string]float64) {
+func Broken(w fleet.ObservedState, death string) (all map[string]float64) {
 	all = map[string]float64{}
-	serves := func(m *fleet.Member) bool { return w.Serves(m) && m.Name != death }
+	serves := func(m *fleet.Host) bool { return w.Serves(m) && m.Name != death }
 	for l := range w.Locations() {
 		warm, cold, serving, capacity, sources, caches := 0.0, 0.0, 0.0, 0.0, 0.0, 0
 		n := 0
@@ -108,7 +108,7 @@
 			}
 		}
 		for _, s := range l.Sources {
-			if m := w.Member(s); m != nil && serves(m) {
+			if m := w.Host(s); m != nil && serves(m) {
 				sources++
 			}
 		}
@@ -121,12 +121,12 @@
 		if l.Load == 0 || warm == 0 && (death != "" || caches == 1) {
 			continue
 		}
-		if most := w.Rules().ColdMost * capacity; death == "" && n > 1 && cold > most+1e-9 {
+		if most := w.Rules().MaxColdShare * capacity; death == "" && n > 1 && cold > most+1e-9 {
 			all["cold-most "+l.Name] = cold - most
 		}
 		for m := range w.InSite(l.Name) {
 			if m.Role == fleet.Cache && serves(m) && w.IsCold(m) {
-				if asked, bears := l.Load*m.Serving/serving, w.Rules().Cache.Fall*w.Rules().Cache.Start*m.Share; asked > bears+1e-9 {
+				if asked, bears := l.Load*m.Serving/serving, w.Rules().Cache.OverloadFactor*w.Rules().Cache.InitialShare*m.Share; asked > bears+1e-9 {
 					all["cold "+m.Name] = asked - bears
 				}
 			}
--- a/internal/fleet/observe/observe.go
+++ b/internal/fleet/observe/observe.go
@@ -21,7 +21,7 @@
 // Action is what the shell is to do with a box: dial its address (giving up an older connection), or ping on the
 // connection that it has.
 type Action struct {
-	Box     string
+	Host    string
 	Address string // to dial; empty: ping
 	Tag     string // of the ping
 }
@@ -101,7 +101,7 @@
 func (w *Watcher) ping(b *watch, nowMS int64) []Action {
 	w.tags++
 	b.tag, b.sentMS, b.nextMS = "o"+strconv.FormatInt(w.tags, 36), nowMS, nowMS+w.set.EveryMS
-	return []Action{{Box: b.name, Tag: b.tag}}
+	return []Action{{Host: b.name, Tag: b.tag}}
 }
 
 // Lost tells that a connection ended or did not come up; refused: the other end said that nobody listens.
@@ -168,7 +168,7 @@
 			continue
 		}
 		b.dialing, b.sentMS, b.nextMS = true, nowMS, nowMS+w.set.EveryMS
-		do = append(do, Action{Box: b.name, Address: b.address})
+		do = append(do, Action{Host: b.name, Address: b.address})
 	}
 	return do
 }
--- a/internal/fleet/plan/codec.go
+++ b/internal/fleet/plan/codec.go
@@ -119,7 +119,7 @@
 				return fmt.Errorf("step %d comes after step %d", s.ID, a)
 			}
 		}
-		if s.Wait != Told && s.Wait != Warm && s.Wait != Drained {
+		if s.Wait != Notified && s.Wait != Warm && s.Wait != Drained {
 			return fmt.Errorf("step %d waits for %q", s.ID, s.Wait)
 		}
 		if err := s.check(); err != nil {
@@ -138,7 +138,7 @@
 		}
 		return nil
 	}
-	m, l, r := s.Member != nil, s.Location != nil, s.Rules != nil
+	m, l, r := s.Host != nil, s.Location != nil, s.Rules != nil
 	switch s.Kind {
 	case SetRules:
 		return need(r, !m, !l)
@@ -147,7 +147,7 @@
 	case Add:
 		return need(m, !l, !r, s.Before == nil)
 	case Raise, Lower, Drain, Remove:
-		return need(m, !l, !r, s.Before != nil && m && s.Before.Name == s.Member.Name)
+		return need(m, !l, !r, s.Before != nil && m && s.Before.Name == s.Host.Name)
 	}
 	return fmt.Errorf("unknown kind %q", s.Kind)
 }
--- a/internal/fleet/plan/diff.go
+++ b/internal/fleet/plan/diff.go
@@ -35,8 +35,8 @@
 
 // differ collects the changes that make a wish of a world.
 type differ struct {
-	world   fleet.World
-	wish    fleet.Wish
+	world   fleet.ObservedState
+	wish    fleet.DesiredState
 	changes []*change
 	removes map[string]*change // by box
 	adds    map[string]*change
@@ -52,67 +52,67 @@
 
 func (d *differ) run() {
 	d.removes, d.adds, d.addsAt = map[string]*change{}, map[string]*change{}, map[string][]*change{}
-	wished := map[string]*fleet.Box{}
-	for i := range d.wish.Boxes {
-		wished[d.wish.Boxes[i].Name] = &d.wish.Boxes[i]
+	wished := map[string]*fleet.HostSpec{}
+	for i := range d.wish.Hosts {
+		wished[d.wish.Hosts[i].Name] = &d.wish.Hosts[i]
 	}
-	for m := range d.world.Members() {
+	for m := range d.world.Hosts() {
 		d.leave(m, wished[m.Name])
 	}
-	for i := range d.wish.Boxes {
-		d.enter(&d.wish.Boxes[i])
+	for i := range d.wish.Hosts {
+		d.enter(&d.wish.Hosts[i])
 	}
 	d.locations()
 }
 
 // home is the group node of a box: its location, or itself where it serves several.
-func home(b *fleet.Box) string {
+func home(b *fleet.HostSpec) string {
 	if b.Role == fleet.Cache {
 		return fleet.LocationKey(b.Site)
 	}
-	return fleet.BoxKey(b.Name)
+	return fleet.HostKey(b.Name)
 }
 
 // leave drains and removes a box that is not wished, or not as it is.
-func (d *differ) leave(m *fleet.Member, want *fleet.Box) {
-	if want != nil && m.State == fleet.InService && sameBox(m.Box, *want) {
+func (d *differ) leave(m *fleet.Host, want *fleet.HostSpec) {
+	if want != nil && m.State == fleet.InService && sameBox(m.HostSpec, *want) {
 		return
 	}
-	d.nodes.join(home(&m.Box), home(&m.Box))
+	d.nodes.join(home(&m.HostSpec), home(&m.HostSpec))
 	var before *change
 	gone := *m
 	if m.State == fleet.InService {
 		draining := *m
 		draining.State = fleet.Terminating
-		before = d.put(&change{Step: Step{Kind: Drain, Wait: Drained, Before: m, Member: &draining}, urge: urgeDrain})
+		before = d.put(&change{Step: Step{Kind: Drain, Wait: Drained, Before: m, Host: &draining}, urge: urgeDrain})
 		gone = draining
 	}
 	was := gone
 	gone.State = fleet.Terminated
-	remove := d.put(&change{Step: Step{Kind: Remove, Wait: Told, Before: &was, Member: &gone}, urge: urgeRemove})
+	remove := d.put(&change{Step: Step{Kind: Remove, Wait: Notified, Before: &was, Host: &gone}, urge: urgeRemove})
 	if before != nil {
 		remove.needs = append(remove.needs, before)
 	}
 	d.removes[m.Name] = remove
 }
 
-func sameBox(a, b fleet.Box) bool {
+func sameBox(a, b fleet.HostSpec) bool {
 	a.Share, b.Share = 0, 0
 	a.Running, b.Running = false, false
 	return a == b
 }
 
 // enter adds a wished box, or changes its share.
-func (d *differ) enter(b *fleet.Box) {
-	m := d.world.Member(b.Name)
+func (d *differ) enter(b *fleet.HostSpec) {
+	m := d.world.Host(b.Name)
 	if m != nil && d.removes[b.Name] == nil {
 		d.share(m, b)
 		return
 	}
 	d.nodes.join(home(b), home(b))
-	c := d.put(&change{Step: Step{Kind: Add, Wait: Warm, Member: &fleet.Member{Box: *b, State: fleet.InService, Serving: b.Share}}, urge: urgeAdd})
+	c := d.put(&change{Step: Step{Kind: Add, Wait: Warm, Host: &fleet.Host{HostSpec: *b, State: fleet.InService, Serving: b.Share}}, urge: urgeAdd})
 	if !b.StartsCold() {
-		c.Wait = Told
+		c.Wait = Notified
 	}
 	d.adds[b.Name] = c
 	if b.Role == fleet.Cache {
@@ -121,7 +121,7 @@
 	if r := d.removes[b.Name]; r != nil { // the same name again
 		d.follow(c, r)
 	}
-	if other := d.world.At(b.Address); other != nil && other.Name != b.Name && d.removes[other.Name] != nil {
+	if other := d.world.HostAt(b.Address); other != nil && other.Name != b.Name && d.removes[other.Name] != nil {
 		d.follow(c, d.removes[other.Name])
 	}
 }
@@ -132,17 +132,17 @@
 	for _, drain := range remove.needs {
 		drain.urge = urgeUnblock
 	}
-	d.nodes.join(home(&add.Member.Box), home(&remove.Member.Box))
+	d.nodes.join(home(&add.Host.HostSpec), home(&remove.Host.HostSpec))
 }
 
-func (d *differ) share(m *fleet.Member, b *fleet.Box) {
+func (d *differ) share(m *fleet.Host, b *fleet.HostSpec) {
 	if m.Share == b.Share && m.Serving == b.Share {
 		return
 	}
 	d.nodes.join(home(b), home(b))
 	to := *m
 	to.Share, to.Serving = b.Share, b.Share
-	c := &change{Step: Step{Kind: Raise, Wait: Told, Before: m, Member: &to}, urge: urgeRaise}
+	c := &change{Step: Step{Kind: Raise, Wait: Notified, Before: m, Host: &to}, urge: urgeRaise}
 	if b.Share < m.Serving {
 		c.Kind, c.urge = Lower, urgeLower
 	}
@@ -174,9 +174,9 @@
 		d.nodes.join(fleet.LocationKey(l.Name), fleet.LocationKey(l.Name))
 		bare := *l
 		bare.Floor, bare.Load = 0, 0
-		forget := &change{Step: Step{Kind: Forget, Wait: Told, WasAt: &bare, Location: &bare}, urge: urgeForget}
+		forget := &change{Step: Step{Kind: Forget, Wait: Notified, WasAt: &bare, Location: &bare}, urge: urgeForget}
 		if l.Floor != 0 || l.Load != 0 {
-			forget.needs = append(forget.needs, d.put(&change{Step: Step{Kind: Locate, Wait: Told, WasAt: l, Location: &bare}, urge: urgeLocate}))
+			forget.needs = append(forget.needs, d.put(&change{Step: Step{Kind: Locate, Wait: Notified, WasAt: l, Location: &bare}, urge: urgeLocate}))
 		}
 		for m := range d.world.InSite(l.Name) {
 			if r := d.removes[m.Name]; r != nil && m.Role == fleet.Cache {
@@ -191,8 +191,8 @@
 func (d *differ) found(to fleet.Location) {
 	bare := to
 	bare.Floor, bare.Load = 0, 0
-	first := d.put(&change{Step: Step{Kind: Locate, Wait: Told, Location: &bare}, urge: urgeLocate})
-	open := &change{Step: Step{Kind: Locate, Wait: Told, WasAt: &bare, Location: &to}, urge: urgeLocate, needs: []*change{first}}
+	first := d.put(&change{Step: Step{Kind: Locate, Wait: Notified, Location: &bare}, urge: urgeLocate})
+	open := &change{Step: Step{Kind: Locate, Wait: Notified, WasAt: &bare, Location: &to}, urge: urgeLocate, needs: []*change{first}}
 	for _, add := range d.addsAt[to.Name] {
 		add.needs = append(add.needs, first)
 		open.needs = append(open.needs, add)
@@ -208,7 +208,7 @@
 	step := func(kind Kind, urge int, alter func(*fleet.Location), needs ...*change) {
 		alter(&now)
 		next := now
-		c := d.put(&change{Step: Step{Kind: kind, Wait: Told, WasAt: was, Location: &next}, urge: urge, needs: needs})
+		c := d.put(&change{Step: Step{Kind: kind, Wait: Notified, WasAt: was, Location: &next}, urge: urge, needs: needs})
 		if last != nil {
 			c.needs = append(c.needs, last)
 		}
--- a/internal/fleet/plan/ledger.go
+++ b/internal/fleet/plan/ledger.go
@@ -116,7 +116,7 @@
 }
 
 // open takes in a location as it is.
-func (b *book) open(w fleet.World, name string) *place {
+func (b *book) open(w fleet.ObservedState, name string) *place {
 	if p := b.places[name]; p != nil {
 		return p
 	}
@@ -155,13 +155,13 @@
 	}
 }
 
-func (b *book) openSource(w fleet.World, name string) *source {
+func (b *book) openSource(w fleet.ObservedState, name string) *source {
 	if s := b.sources[name]; s != nil {
 		return s
 	}
-	s := &source{name: name, role: fleet.Hub}
+	s := &source{name: name, role: fleet.Parent}
 	b.sources[name] = s
-	if m := w.Member(name); m != nil {
+	if m := w.Host(name); m != nil {
 		s.role, s.share = m.Role, m.Share
 		if w.Serves(m) {
 			s.cold = w.IsCold(m)
@@ -186,7 +186,7 @@
 	}
 	cold := p.coldCapacity()
 	if len(p.cold) > 1 {
-		allowed := b.rules.ColdMost * p.capacity
+		allowed := b.rules.MaxColdShare * p.capacity
 		if p.warmAt <= 1 { // whichever is warm first changes what the others are asked
 			allowed = 0
 		}
@@ -199,7 +199,7 @@
 	}
 	rest := p.spared()
 	for i, c := range p.cold {
-		bears, asked := b.rules.Cache.Bears(c.share), p.load
+		bears, asked := b.rules.Cache.BearableLoad(c.share), p.load
 		if rest+c.serving > 0 {
 			asked = p.load * c.serving / (rest + c.serving)
 		}
@@ -219,7 +219,7 @@
 	for _, name := range p.least {
 		if s := b.sources[name]; s != nil && (s.serving > 0 || s.cold) {
 			n++
-			hub = hub || s.role == fleet.Hub
+			hub = hub || s.role == fleet.Parent
 		}
 	}
 	if hub {
@@ -230,7 +230,7 @@
 
 // measureHub appends the constraint of a cold hub to l.
 func (b *book) measureHub(h *source, l []fleet.Slack) []fleet.Slack {
-	if !h.cold || h.role != fleet.Hub {
+	if !h.cold || h.role != fleet.Parent {
 		return l
 	}
 	asked, plain := 0.0, 0.0 // with any one death, and without
@@ -244,7 +244,7 @@
 		for _, name := range p.least {
 			if s := b.sources[name]; s != h && s != nil {
 				others += s.serving
-				if s.role == fleet.Hub {
+				if s.role == fleet.Parent {
 					most = max(most, s.serving)
 				}
 			}
@@ -254,7 +254,7 @@
 			plain += b.rules.Fills(p.load, p.warm.sum, cold) * h.enters / (others + h.enters)
 		}
 	}
-	need := b.rules.Hub.Bears(h.share)
+	need := b.rules.Parent.BearableLoad(h.share)
 	return append(l, fleet.Slack{Constraint: fleet.ColdHubBears, Thing: h.name, Have: asked, Need: need, Slack: need - asked, Raw: need - plain})
 }
 
@@ -263,11 +263,11 @@
 	switch {
 	case c.Location != nil:
 		places = append(places, b.places[c.Location.Name])
-	case c.Member.Role == fleet.Cache:
-		places = append(places, b.places[c.Member.Site])
+	case c.Host.Role == fleet.Cache:
+		places = append(places, b.places[c.Host.Site])
 	default:
-		places = b.users[c.Member.Name]
-		hubs = append(hubs, b.sources[c.Member.Name])
+		places = b.users[c.Host.Name]
+		hubs = append(hubs, b.sources[c.Host.Name])
 	}
 	for _, p := range places {
 		for _, name := range p.wide {
@@ -291,7 +291,7 @@
 
 // try places a change in the wave, unless a constraint would break, or break worse; then it tells which and leaves the
 // ledgers as they were.
-func (b *book) try(w fleet.World, c *change) *fleet.Slack {
+func (b *book) try(w fleet.ObservedState, c *change) *fleet.Slack {
 	places, hubs := b.touched(c)
 	before := b.measureAll(places, hubs, nil)
 	undo := b.begin(w, c)
@@ -311,14 +311,14 @@
 }
 
 // begin counts what a change takes; the function that it returns takes that back.
-func (b *book) begin(w fleet.World, c *change) (undo func()) {
+func (b *book) begin(w fleet.ObservedState, c *change) (undo func()) {
 	switch {
 	case c.Location != nil:
 		return b.beginLocation(b.places[c.Location.Name], c)
-	case c.Member != nil && c.Member.Role == fleet.Cache:
-		return b.beginCache(w, b.places[c.Member.Site], c)
-	case c.Member != nil:
-		return b.beginSource(w, b.sources[c.Member.Name], c)
+	case c.Host != nil && c.Host.Role == fleet.Cache:
+		return b.beginCache(w, b.places[c.Host.Site], c)
+	case c.Host != nil:
+		return b.beginSource(w, b.sources[c.Host.Name], c)
 	}
 	return func() {}
 }
@@ -341,26 +341,26 @@
 	return func() { p.floor, p.load, p.wide, p.least = was.floor, was.load, was.wide, was.least }
 }
 
-func (b *book) beginCache(w fleet.World, p *place, c *change) func() {
+func (b *book) beginCache(w fleet.ObservedState, p *place, c *change) func() {
 	switch c.Kind {
 	case Raise:
-		if i := p.coldAt(c.Member.Name); i >= 0 {
+		if i := p.coldAt(c.Host.Name); i >= 0 {
 			was := p.cold[i]
-			p.cold[i] = coldBox{c.Member.Name, c.Member.Share, c.Member.Serving}
+			p.cold[i] = coldBox{c.Host.Name, c.Host.Share, c.Host.Serving}
 			return func() { p.cold[i] = was }
 		}
 	case Add:
 		p.caches++
-		if !c.Member.StartsCold() {
+		if !c.Host.StartsCold() {
 			p.running++
 			return func() { p.caches--; p.running-- }
 		}
 		p.coming++
-		p.cold = append(p.cold, coldBox{c.Member.Name, c.Member.Share, c.Member.Serving})
-		p.capacity += c.Member.Share
+		p.cold = append(p.cold, coldBox{c.Host.Name, c.Host.Share, c.Host.Serving})
+		p.capacity += c.Host.Share
 		return func() {
 			p.cold = p.cold[:len(p.cold)-1]
-			p.capacity -= c.Member.Share
+			p.capacity -= c.Host.Share
 			p.caches--
 			p.coming--
 		}
@@ -371,13 +371,13 @@
 		}
 		taken := at.Serving
 		if c.Kind == Lower {
-			taken -= c.Member.Serving
+			taken -= c.Host.Serving
 		}
 		p.raw -= taken
 		if i := p.coldAt(at.Name); i >= 0 {
 			was := p.cold[i]
 			if c.Kind == Lower {
-				p.cold[i] = coldBox{c.Member.Name, c.Member.Share, c.Member.Serving}
+				p.cold[i] = coldBox{c.Host.Name, c.Host.Share, c.Host.Serving}
 			}
 			return func() {
 				p.raw += taken
@@ -386,9 +386,9 @@
 		}
 		left := 0.0
 		if c.Kind == Lower {
-			left = c.Member.Serving
+			left = c.Host.Serving
 			p.warm.add(left)
-			p.capacity -= at.Share - c.Member.Share
+			p.capacity -= at.Share - c.Host.Share
 		} else {
 			p.capacity -= at.Share
 		}
@@ -398,7 +398,7 @@
 			p.warm.add(at.Serving)
 			if c.Kind == Lower {
 				p.warm.remove(left)
-				p.capacity += at.Share - c.Member.Share
+				p.capacity += at.Share - c.Host.Share
 			} else {
 				p.capacity += at.Share
 			}
@@ -418,77 +418,77 @@
 	if c.Kind != Raise && c.Kind != Lower {
 		return false
 	}
-	if c.Member.Role == fleet.Cache {
-		return b.places[c.Member.Site].coldAt(c.Member.Name) >= 0
+	if c.Host.Role == fleet.Cache {
+		return b.places[c.Host.Site].coldAt(c.Host.Name) >= 0
 	}
-	return b.sources[c.Member.Name].cold
+	return b.sources[c.Host.Name].cold
 }
 
-func (b *book) beginSource(w fleet.World, s *source, c *change) func() {
+func (b *book) beginSource(w fleet.ObservedState, s *source, c *change) func() {
 	was := *s
 	switch c.Kind {
 	case Add:
-		s.role, s.share, s.enters = c.Member.Role, c.Member.Share, c.Member.Serving
-		s.cold = c.Member.StartsCold()
+		s.role, s.share, s.enters = c.Host.Role, c.Host.Share, c.Host.Serving
+		s.cold = c.Host.StartsCold()
 	case Drain:
 		s.serving, s.cold = 0, false
 	case Raise, Lower:
 		if s.cold {
-			s.share, s.enters = c.Member.Share, c.Member.Serving
+			s.share, s.enters = c.Host.Share, c.Host.Serving
 		} else {
-			s.serving = min(s.serving, c.Member.Serving)
+			s.serving = min(s.serving, c.Host.Serving)
 		}
 	}
 	return func() { *s = was }
 }
 
 // finish counts what a change gives, once its wave is done.
-func (b *book) finish(w fleet.World, c *change) {
+func (b *book) finish(w fleet.ObservedState, c *change) {
 	switch {
 	case c.Location != nil:
 		p := b.places[c.Location.Name]
 		p.floor, p.load = c.Location.Floor, c.Location.Load
 		p.least, p.wide = c.Location.Sources, c.Location.Sources
 		b.use(p, p.wide)
-	case c.Member != nil && c.Member.Role == fleet.Cache:
-		b.finishCache(w, b.places[c.Member.Site], c)
-	case c.Member != nil:
-		s := b.sources[c.Member.Name]
+	case c.Host != nil && c.Host.Role == fleet.Cache:
+		b.finishCache(w, b.places[c.Host.Site], c)
+	case c.Host != nil:
+		s := b.sources[c.Host.Name]
 		switch c.Kind {
 		case Add:
-			s.cold, s.serving = false, c.Member.Serving
+			s.cold, s.serving = false, c.Host.Serving
 		case Raise, Lower:
-			s.share = c.Member.Share
+			s.share = c.Host.Share
 			if s.serving > 0 {
-				s.serving = c.Member.Serving
+				s.serving = c.Host.Serving
 			}
 		}
 	}
 }
 
-func (b *book) finishCache(w fleet.World, p *place, c *change) {
-	i := p.coldAt(c.Member.Name)
+func (b *book) finishCache(w fleet.ObservedState, p *place, c *change) {
+	i := p.coldAt(c.Host.Name)
 	if c.Kind == Add {
-		p.raw += c.Member.Serving
+		p.raw += c.Host.Serving
 	} else if c.Kind == Raise && (c.fresh || w.Serves(c.Before)) {
-		p.raw += c.Member.Serving - c.Before.Serving
+		p.raw += c.Host.Serving - c.Before.Serving
 	}
 	switch c.Kind {
 	case Add:
 		if i >= 0 {
 			p.cold = slices.Delete(p.cold, i, i+1)
 		} else {
-			p.capacity += c.Member.Share
+			p.capacity += c.Host.Share
 		}
-		p.warm.add(c.Member.Serving)
+		p.warm.add(c.Host.Serving)
 	case Raise, Lower:
 		if i >= 0 {
-			p.cold[i].share, p.cold[i].serving = c.Member.Share, c.Member.Serving
-			p.capacity += c.Member.Share - c.Before.Share
+			p.cold[i].share, p.cold[i].serving = c.Host.Share, c.Host.Serving
+			p.capacity += c.Host.Share - c.Before.Share
 		} else if c.Kind == Raise && (c.fresh || w.Serves(c.Before)) {
 			p.warm.remove(c.Before.Serving)
-			p.warm.add(c.Member.Serving)
-			p.capacity += c.Member.Share - c.Before.Share
+			p.warm.add(c.Host.Serving)
+			p.capacity += c.Host.Share - c.Before.Share
 		}
 	case Drain:
 		if i >= 0 {
--- a/internal/fleet/plan/plan.go
+++ b/internal/fleet/plan/plan.go
@@ -32,9 +32,9 @@
 
 // Waits. Each holds the ones before it: what is drained was told first.
 const (
-	Told    Wait = "told"    // every director has the event, or counts as having it
-	Warm    Wait = "warm"    // the box has all of its capacity, and is seen up where an observer looks
-	Drained Wait = "drained" // told, and the last requests have had their time
+	Notified Wait = "told"    // every director has the event, or counts as having it
+	Warm     Wait = "warm"    // the box has all of its capacity, and is seen up where an observer looks
+	Drained  Wait = "drained" // told, and the last requests have had their time
 )
 
 // Step is one change and its event. Before is what the box or location must be when the step begins; nil: absent.
@@ -45,8 +45,8 @@
 	Wave     int             `json:"wave"`  // within its group; the steps of a wave may run at once, in any order
 	After    []int           `json:"after,omitempty"`
 	Wait     Wait            `json:"wait"`
-	Before   *fleet.Member   `json:"before,omitempty"`
-	Member   *fleet.Member   `json:"member,omitempty"` // as it is to be; its BornMS is set when an Add takes effect
+	Before   *fleet.Host     `json:"before,omitempty"`
+	Host     *fleet.Host     `json:"member,omitempty"` // as it is to be; its BornMS is set when an Add takes effect
 	WasAt    *fleet.Location `json:"was_at,omitempty"`
 	Location *fleet.Location `json:"location,omitempty"`
 	Rules    *fleet.Rules    `json:"rules,omitempty"`
@@ -54,13 +54,13 @@
 
 // Event is the event of a step that takes effect at a time.
 func (s Step) Event(no, nowMS int64, who string, apply int64) fleet.Event {
-	e := fleet.Event{No: no, AtMS: nowMS, Who: who, Apply: apply, Step: s.ID, Location: s.Location, Rules: s.Rules, Gone: s.Kind == Forget}
-	if s.Member != nil {
-		m := *s.Member
+	e := fleet.Event{No: no, AtMS: nowMS, Who: who, Apply: apply, Step: s.ID, Location: s.Location, Rules: s.Rules, Removed: s.Kind == Forget}
+	if s.Host != nil {
+		m := *s.Host
 		if s.Kind == Add && m.StartsCold() {
 			m.BornMS = nowMS
 		}
-		e.Member = &m
+		e.Host = &m
 	}
 	return e
 }
@@ -68,8 +68,8 @@
 // Thing is the key of what the step changes.
 func (s Step) Thing() string {
 	switch {
-	case s.Member != nil:
-		return fleet.BoxKey(s.Member.Name)
+	case s.Host != nil:
+		return fleet.HostKey(s.Host.Name)
 	case s.Location != nil:
 		return fleet.LocationKey(s.Location.Name)
 	}
@@ -87,50 +87,50 @@
 	case Forget:
 		return "forget location " + s.Location.Name
 	case Add:
-		share := fmt.Sprintf("share %.4g", s.Member.Serving)
-		if s.Member.Serving != s.Member.Share {
-			share = fmt.Sprintf("share %.4g of %.4g at first", s.Member.Serving, s.Member.Share)
+		share := fmt.Sprintf("share %.4g", s.Host.Serving)
+		if s.Host.Serving != s.Host.Share {
+			share = fmt.Sprintf("share %.4g of %.4g at first", s.Host.Serving, s.Host.Share)
 		}
-		if s.Member.Running {
+		if s.Host.Running {
 			share += ", running already"
 		}
-		return fmt.Sprintf("add %s %s at %s in %s, %s", s.Member.Role, s.Member.Name, s.Member.Address, s.Member.Site, share)
+		return fmt.Sprintf("add %s %s at %s in %s, %s", s.Host.Role, s.Host.Name, s.Host.Address, s.Host.Site, share)
 	case Raise, Lower:
-		return fmt.Sprintf("%s %s from share %.4g to %.4g", s.Kind, s.Member.Name, s.Before.Serving, s.Member.Serving)
+		return fmt.Sprintf("%s %s from share %.4g to %.4g", s.Kind, s.Host.Name, s.Before.Serving, s.Host.Serving)
 	}
-	return fmt.Sprintf("%s %s %s in %s", s.Kind, s.Member.Role, s.Member.Name, s.Member.Site)
+	return fmt.Sprintf("%s %s %s in %s", s.Kind, s.Host.Role, s.Host.Name, s.Host.Site)
 }
 
 // Plan is a change that is fixed: what was read, and the steps.
 type Plan struct {
-	Revision int64        `json:"revision"` // of the fleet that was read
-	NowMS    int64        `json:"now_ms"`   // when it was read
-	WishFile string       `json:"wish_file,omitempty"`
-	WishSum  string       `json:"wish_sum"`
-	RevertOf int64        `json:"revert_of,omitempty"` // the apply that this plan undoes
-	Rules    fleet.Rules  `json:"rules"`               // in force while it is carried out
-	Reads    []fleet.Read `json:"reads"`
-	Steps    []Step       `json:"steps"`
+	Revision    int64        `json:"revision"` // of the fleet that was read
+	NowMS       int64        `json:"now_ms"`   // when it was read
+	DesiredFile string       `json:"wish_file,omitempty"`
+	DesiredSum  string       `json:"wish_sum"`
+	RevertOf    int64        `json:"revert_of,omitempty"` // the apply that this plan undoes
+	Rules       fleet.Rules  `json:"rules"`               // in force while it is carried out
+	Reads       []fleet.Read `json:"reads"`
+	Steps       []Step       `json:"steps"`
 }
 
-// Moved is one thing that is not as a plan read it.
-type Moved struct {
+// StaleRead is one thing that is not as a plan read it.
+type StaleRead struct {
 	Thing string `json:"thing"`
 	Was   string `json:"was"`
 	Is    string `json:"is"`
 }
 
-func (m Moved) String() string { return fmt.Sprintf("%s was %s, is %s", m.Thing, m.Was, m.Is) }
+func (m StaleRead) String() string { return fmt.Sprintf("%s was %s, is %s", m.Thing, m.Was, m.Is) }
 
 // Stale compares what a plan read with the world as it is.
-func (p *Plan) Stale(w fleet.World) (moved []Moved, err error) {
+func (p *Plan) Stale(w fleet.ObservedState) (moved []StaleRead, err error) {
 	for _, r := range p.Reads {
 		is, err := w.Reread(r.Thing)
 		if err != nil {
 			return nil, err
 		}
 		if is.Sum != r.Sum {
-			moved = append(moved, Moved{Thing: r.Thing, Was: r.Brief, Is: is.Brief})
+			moved = append(moved, StaleRead{Thing: r.Thing, Was: r.Brief, Is: is.Brief})
 		}
 	}
 	return moved, nil
--- a/internal/fleet/plan/schedule.go
+++ b/internal/fleet/plan/schedule.go
@@ -15,21 +15,21 @@
 
 // Make plans the way from a world to a wish. Equal arguments give equal plans. The error is an *Impossible if no order
 // of steps keeps the constraints.
-func Make(w fleet.World, wish fleet.Wish, wishFile string) (*Plan, error) {
-	wish.Normal()
-	if flaws := wish.Flaws(); len(flaws) > 0 {
+func Make(w fleet.ObservedState, wish fleet.DesiredState, wishFile string) (*Plan, error) {
+	wish.Normalize()
+	if flaws := wish.Validate(); len(flaws) > 0 {
 		e := &Impossible{}
 		for _, f := range flaws {
 			e.Blocked = append(e.Blocked, Blocked{Change: "the wish itself, " + f.Thing, Why: f.Message, Remedy: "correct the file"})
 		}
 		return nil, e
 	}
-	p := &Plan{Revision: w.Revision, NowMS: w.NowMS, WishFile: wishFile, WishSum: fleet.Sum(wish), Rules: wish.Rules}
+	p := &Plan{Revision: w.Revision, NowMS: w.NowMS, DesiredFile: wishFile, DesiredSum: fleet.Sum(wish), Rules: wish.Rules}
 	p.Reads = append(p.Reads, w.ReadRules())
 	rulesChange := w.Rules() != wish.Rules
 	if rulesChange {
 		rules := wish.Rules
-		p.Steps = append(p.Steps, Step{ID: 1, Kind: SetRules, Wait: Told, Rules: &rules})
+		p.Steps = append(p.Steps, Step{ID: 1, Kind: SetRules, Wait: Notified, Rules: &rules})
 	}
 	w.Fleet = w.WithRules(wish.Rules)
 	d := &differ{world: w, wish: wish, nodes: newGroups()}
@@ -68,7 +68,7 @@
 
 // scheduler places changes in waves, group by group.
 type scheduler struct {
-	world   fleet.World
+	world   fleet.ObservedState
 	plan    *Plan
 	changes []*change
 	nodes   *groups
@@ -105,7 +105,7 @@
 	if c.Location != nil {
 		return fleet.LocationKey(c.Location.Name)
 	}
-	return home(&c.Member.Box)
+	return home(&c.Host.HostSpec)
 }
 
 // couple joins the locations that share a source that changes or is cold. A source that stays as it is, warm, does not
@@ -113,14 +113,14 @@
 func (s *scheduler) couple() {
 	hot := map[string]bool{}
 	for _, c := range s.changes {
-		if c.Member != nil && c.Member.Role != fleet.Cache {
-			hot[c.Member.Name] = true
+		if c.Host != nil && c.Host.Role != fleet.Cache {
+			hot[c.Host.Name] = true
 		}
 	}
 	join := func(l *fleet.Location) {
 		for _, name := range l.Sources {
-			if m := s.world.Member(name); hot[name] || m != nil && s.world.IsCold(m) {
-				s.nodes.join(fleet.LocationKey(l.Name), fleet.BoxKey(name))
+			if m := s.world.Host(name); hot[name] || m != nil && s.world.IsCold(m) {
+				s.nodes.join(fleet.LocationKey(l.Name), fleet.HostKey(name))
 			}
 		}
 	}
@@ -146,10 +146,10 @@
 			for _, name := range c.Location.Sources {
 				b.openSource(s.world, name)
 			}
-		case c.Member.Role == fleet.Cache:
-			b.open(s.world, c.Member.Site)
+		case c.Host.Role == fleet.Cache:
+			b.open(s.world, c.Host.Site)
 		default:
-			b.openSource(s.world, c.Member.Name)
+			b.openSource(s.world, c.Host.Name)
 		}
 	}
 	s.reads(b, changes)
@@ -181,7 +181,7 @@
 		for _, c := range placed {
 			b.finish(s.world, c)
 			q.finish(c)
-			if c.Kind == Add && c.Member.Serving < c.Member.Share {
+			if c.Kind == Add && c.Host.Serving < c.Host.Share {
 				q.left++
 				q.push(raise(c))
 			}
@@ -241,16 +241,16 @@
 	case Drain:
 		return c.Before.Serving
 	case Lower:
-		return c.Before.Serving - c.Member.Serving
+		return c.Before.Serving - c.Host.Serving
 	}
 	return 0
 }
 
 // raise brings a box that entered at a part of its share to all of it, once it is warm.
 func raise(add *change) *change {
-	from, to := *add.Member, *add.Member
+	from, to := *add.Host, *add.Host
 	to.Serving = to.Share
-	c := &change{Step: Step{Kind: Raise, Wait: Told, Before: &from, Member: &to}, urge: urgeRaise, fresh: true}
+	c := &change{Step: Step{Kind: Raise, Wait: Notified, Before: &from, Host: &to}, urge: urgeRaise, fresh: true}
 	c.key = c.Thing()
 	return c
 }
@@ -268,7 +268,7 @@
 func (s *scheduler) wave(b *book, q *queue) (placed []*change, blocked []blockedBy) {
 	misses := 0
 	for c := range q.all {
-		if len(placed) == max(1, s.plan.Rules.Width) || len(placed) > 0 && misses >= missesPerWave {
+		if len(placed) == max(1, s.plan.Rules.MaxParallelSteps) || len(placed) > 0 && misses >= missesPerWave {
 			break
 		}
 		alone := b.alone(c)
@@ -292,16 +292,16 @@
 func (s *scheduler) squeeze(b *book, q *queue) []*change {
 	for _, part := range entering {
 		for c := range q.all {
-			if c.Kind != Add || !c.Member.StartsCold() {
+			if c.Kind != Add || !c.Host.StartsCold() {
 				continue
 			}
-			full := c.Member
+			full := c.Host
 			less := *full
 			less.Serving = full.Share * part
-			if c.Member = &less; b.try(s.world, c) == nil {
+			if c.Host = &less; b.try(s.world, c) == nil {
 				return []*change{c}
 			}
-			c.Member = full
+			c.Host = full
 		}
 	}
 	return nil
@@ -310,9 +310,9 @@
 // reads lists what the group's plan rests on.
 func (s *scheduler) reads(b *book, changes []*change) {
 	box := func(name string) {
-		if key := fleet.BoxKey(name); !s.read[key] {
+		if key := fleet.HostKey(name); !s.read[key] {
 			s.read[key] = true
-			s.plan.Reads = append(s.plan.Reads, s.world.ReadBox(name))
+			s.plan.Reads = append(s.plan.Reads, s.world.ReadHost(name))
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(b.places)) {
@@ -325,8 +325,8 @@
 		box(name)
 	}
 	for _, c := range changes {
-		if c.Member != nil {
-			box(c.Member.Name)
+		if c.Host != nil {
+			box(c.Host.Name)
 		}
 	}
 }
@@ -335,8 +335,8 @@
 func (s *scheduler) explain(changes []*change, blocked []blockedBy, impossible *Impossible) {
 	for _, by := range blocked {
 		x := Blocked{Change: by.c.Step.String()}
-		if by.c.Member != nil {
-			x.Boxes = []string{by.c.Member.Name}
+		if by.c.Host != nil {
+			x.Boxes = []string{by.c.Host.Name}
 		}
 		l := by.l
 		x.Why = l.String()
--- a/internal/fleet/wish.go
+++ b/internal/fleet/wish.go
@@ -6,28 +6,30 @@
 	"slices"
 )
 
-// Cold is the rule for boxes of a role that have just started: what part of its capacity such a box has at first, after
+// SlowStart is the rule for boxes of a role that have just started: what part of its capacity such a box has at first, after
 // how long it has all, and at how many times its present capacity it falls over.
-type Cold struct {
-	Start  float64 `json:"start"`
-	WarmMS int64   `json:"warm_ms"`
-	Fall   float64 `json:"fall"`
+type SlowStart struct {
+	InitialShare   float64 `json:"start"`
+	WarmUpMS       int64   `json:"warm_ms"`
+	OverloadFactor float64 `json:"fall"`
 }
 
-// Bears is the load that a box of this capacity bears the moment it has started.
-func (c Cold) Bears(share float64) float64 { return c.Fall * c.Start * share }
+// BearableLoad is the load that a box of this capacity bears the moment it has started.
+func (c SlowStart) BearableLoad(share float64) float64 {
+	return c.OverloadFactor * c.InitialShare * share
+}
 
 // Rules are the constraints' figures and how a change is carried out.
 type Rules struct {
-	Cache         Cold    `json:"cache"`
-	Hub           Cold    `json:"hub"`
-	Miss          float64 `json:"miss"`      // part of a warm cache's requests that are filled from a source
-	ColdMost      float64 `json:"cold_most"` // part of a location's capacity that may be cold at once, one box at least
-	Width         int     `json:"width"`     // steps under way at once
-	OnTrouble     string  `json:"on_trouble"`
-	DrainSettleMS int64   `json:"drain_settle_ms"` // after the drain was told: until its last requests are answered
-	ToldWithinMS  int64   `json:"told_within_ms"`  // after which an event counts as told whether it arrived or not
-	GiveUpMS      int64   `json:"give_up_ms"`      // a step that is not done by then is trouble
+	Cache            SlowStart `json:"cache"`
+	Parent           SlowStart `json:"hub"`
+	MissShare        float64   `json:"miss"`      // part of a warm cache's requests that are filled from a source
+	MaxColdShare     float64   `json:"cold_most"` // part of a location's capacity that may be cold at once, one box at least
+	MaxParallelSteps int       `json:"width"`     // steps under way at once
+	OnFault          string    `json:"on_trouble"`
+	DrainSettleMS    int64     `json:"drain_settle_ms"` // after the drain was told: until its last requests are answered
+	NotifiedWithinMS int64     `json:"told_within_ms"`  // after which an event counts as told whether it arrived or not
+	StepTimeoutMS    int64     `json:"give_up_ms"`      // a step that is not done by then is trouble
 }
 
 // What an apply does in trouble.
@@ -39,48 +41,48 @@
 // DefaultRules are the figures of the deployment's terms.
 func DefaultRules() Rules {
 	return Rules{
-		Cache: Cold{Start: 0.17, WarmMS: 16_000, Fall: 4}, Hub: Cold{Start: 0.061, WarmMS: 20_000, Fall: 2},
-		Miss: 0.25, ColdMost: 0.25, Width: 8, OnTrouble: Pause,
-		DrainSettleMS: 6_500, ToldWithinMS: 7_000, GiveUpMS: 120_000,
+		Cache: SlowStart{InitialShare: 0.17, WarmUpMS: 16_000, OverloadFactor: 4}, Parent: SlowStart{InitialShare: 0.061, WarmUpMS: 20_000, OverloadFactor: 2},
+		MissShare: 0.25, MaxColdShare: 0.25, MaxParallelSteps: 8, OnFault: Pause,
+		DrainSettleMS: 6_500, NotifiedWithinMS: 7_000, StepTimeoutMS: 120_000,
 	}
 }
 
-// Cold is the rule for a role.
-func (r Rules) Cold(role Role) Cold {
-	if role == Hub {
-		return r.Hub
+// SlowStart is the rule for a role.
+func (r Rules) SlowStart(role Role) SlowStart {
+	if role == Parent {
+		return r.Parent
 	}
 	return r.Cache
 }
 
-// Wish is a wished fleet: boxes and locations by name. Normal brings it into that order.
-type Wish struct {
+// DesiredState is a wished fleet: boxes and locations by name. Normal brings it into that order.
+type DesiredState struct {
 	Rules     Rules      `json:"rules"`
 	Locations []Location `json:"locations"`
-	Boxes     []Box      `json:"boxes"`
+	Hosts     []HostSpec `json:"boxes"`
 }
 
-// Normal sorts a wish, so that equal wishes have equal sums.
-func (w *Wish) Normal() {
+// Normalize sorts a wish, so that equal wishes have equal sums.
+func (w *DesiredState) Normalize() {
 	slices.SortFunc(w.Locations, func(a, b Location) int { return cmp.Compare(a.Name, b.Name) })
-	slices.SortFunc(w.Boxes, func(a, b Box) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(w.Hosts, func(a, b HostSpec) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// Flaw is one thing that makes a wish impossible in itself. Thing is "box NAME" or "location NAME".
-type Flaw struct {
+// ValidationError is one thing that makes a wish impossible in itself. Thing is "box NAME" or "location NAME".
+type ValidationError struct {
 	Thing   string
 	Key     string
 	Message string
 }
 
-// Flaws are all that is wrong with a wish, whatever the world is.
-func (w Wish) Flaws() (flaws []Flaw) {
+// Validate are all that is wrong with a wish, whatever the world is.
+func (w DesiredState) Validate() (flaws []ValidationError) {
 	add := func(thing, key, format string, args ...any) {
-		flaws = append(flaws, Flaw{thing, key, fmt.Sprintf(format, args...)})
+		flaws = append(flaws, ValidationError{thing, key, fmt.Sprintf(format, args...)})
 	}
-	boxes, addresses := map[string]Box{}, map[string]string{}
-	sums, most := map[string]float64{}, map[string]Box{}
-	for _, b := range w.Boxes {
+	boxes, addresses := map[string]HostSpec{}, map[string]string{}
+	sums, most := map[string]float64{}, map[string]HostSpec{}
+	for _, b := range w.Hosts {
 		thing := "box " + b.Name
 		if _, twice := boxes[b.Name]; twice {
 			add(thing, "", "declared twice")
@@ -120,7 +122,7 @@
 				add(thing, "sources", "source %s is no box of this file", s)
 			case b.Role == Cache:
 				add(thing, "sources", "source %s is a cache; fills come from hubs and the origin", s)
-			case b.Role == Hub:
+			case b.Role == Parent:
 				hubs++
 			default:
 				stores++
@@ -130,7 +132,7 @@
 			add(thing, "sources", "no source: its caches could not be filled")
 		}
 	}
-	for _, b := range w.Boxes {
+	for _, b := range w.Hosts {
 		if b.Role == Cache && !seen[b.Site] {
 			add("box "+b.Name, "", "its location %s is not declared", b.Site)
 		}
@@ -145,12 +147,12 @@
 	return name
 }
 
-// AsWish is the wish that asks for the fleet as it is declared: what is draining is not wished.
-func (f Fleet) AsWish() Wish {
-	w := Wish{Rules: f.Rules()}
-	for m := range f.Members() {
+// DesiredState is the wish that asks for the fleet as it is declared: what is draining is not wished.
+func (f Fleet) DesiredState() DesiredState {
+	w := DesiredState{Rules: f.Rules()}
+	for m := range f.Hosts() {
 		if m.State == InService {
-			w.Boxes = append(w.Boxes, m.Box)
+			w.Hosts = append(w.Hosts, m.HostSpec)
 		}
 	}
 	for l := range f.Locations() {
--- a/internal/membership/changes.go
+++ b/internal/membership/changes.go
@@ -14,7 +14,7 @@
 
 // Change is what the next event must change of the members in f; nil if nothing, or if it is too soon. A director under the name
 // of another joins only with that one gone: it has ended it.
-func (r *Tracker) Change(f fleet.Fleet, now time.Duration) *fleet.RollChange {
+func (r *Tracker) Change(f fleet.Fleet, now time.Duration) *fleet.MembershipChange {
 	r.expireSessions(now)
 	if now-r.changed < r.set.Gather {
 		return nil
@@ -24,9 +24,9 @@
 		r.reconcile(f)
 		r.reconciled = now
 	}
-	c := &fleet.RollChange{Gone: r.gone(f)}
+	c := &fleet.MembershipChange{Left: r.gone(f)}
 	c.Joined = r.joined(f)
-	if len(c.Gone)+len(c.Joined) == 0 {
+	if len(c.Left)+len(c.Joined) == 0 {
 		return nil
 	}
 	return c
@@ -42,7 +42,7 @@
 		case r.isGone(d, now):
 			r.remove(id)
 			if len(r.names[d.Name]) == 0 {
-				r.lost[d.Name] = Lost{Director: d.Director, Since: d.lastContact(), Acts: d.applied}
+				r.lost[d.Name] = Lost{Director: d.Director, Since: d.lastContact(), Applied: d.applied}
 			}
 		}
 	}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -55,9 +55,9 @@
 
 // Version is what a director acts by, as it said.
 type Version struct {
-	At     int64  // number of the last event
-	Config string // a mark of its configuration
-	Relay  string // that said so for it; empty: itself
+	Applied int64  // number of the last event
+	Config  string // a mark of its configuration
+	Relay   string // that said so for it; empty: itself
 	// Behind is for how long it has not acted by the last event that there is; 0: it does.
 	Behind time.Duration
 }
@@ -161,8 +161,8 @@
 	Config   string // a mark of its configuration; empty: not said
 }
 
-// Heard takes a sign in.
-func (r *Tracker) Heard(s Heartbeat) {
+// RecordHeartbeat takes a sign in.
+func (r *Tracker) RecordHeartbeat(s Heartbeat) {
 	d := r.known[s.ID]
 	if d == nil {
 		if s.Director == nil || s.Leaving {
@@ -228,8 +228,8 @@
 	return d.lastContact(), true
 }
 
-// Served tells whether a relay speaks for a director.
-func (r *Tracker) Served(id string) bool {
+// ServedByRelay tells whether a relay speaks for a director.
+func (r *Tracker) ServedByRelay(id string) bool {
 	d := r.known[id]
 	return d != nil && len(d.sessions) > 0
 }
@@ -250,16 +250,16 @@
 func (r *Tracker) Versions() map[string]Version {
 	out := make(map[string]Version, len(r.known))
 	for id, d := range r.known {
-		out[id] = Version{At: d.applied, Config: d.config, Behind: d.behind}
+		out[id] = Version{Applied: d.applied, Config: d.config, Behind: d.behind}
 		if n := len(d.sessions); n > 0 {
 			s := d.sessions[n-1]
-			out[id] = Version{At: max(d.applied, s.update.Current), Config: d.config, Relay: s.update.Relay.ID(), Behind: s.behind}
+			out[id] = Version{Applied: max(d.applied, s.update.Current), Config: d.config, Relay: s.update.Relay.ID(), Behind: s.behind}
 		}
 	}
 	for _, s := range r.sessions {
 		for _, stale := range s.update.Stale {
 			if v, known := out[stale.ID]; known && v.Relay == s.update.Relay.ID() {
-				v.At, v.Behind = stale.Revision, time.Duration(stale.BehindMS)*time.Millisecond
+				v.Applied, v.Behind = stale.Revision, time.Duration(stale.BehindMS)*time.Millisecond
 				out[stale.ID] = v
 			}
 		}
@@ -270,8 +270,8 @@
 // Lost is a director that has gone without a word.
 type Lost struct {
 	fleet.Director
-	Since time.Duration // when it was heard of last
-	Acts  int64         // number of the last event that it acted by
+	Since   time.Duration // when it was heard of last
+	Applied int64         // number of the last event that it acted by
 }
 
 // lostFor is for how long one that has gone is named.
@@ -290,5 +290,5 @@
 	return all
 }
 
-// Announced tells that a change was made.
-func (r *Tracker) Announced(now time.Duration) { r.changed = now }
+// MarkAnnounced tells that a change was made.
+func (r *Tracker) MarkAnnounced(now time.Duration) { r.changed = now }
--- a/internal/opfile/fleet.go
+++ b/internal/opfile/fleet.go
@@ -52,15 +52,15 @@
 	decoder
 	read      ReadFile
 	included  map[string]bool
-	wish      fleet.Wish
+	wish      fleet.DesiredState
 	pools     map[string]*bart.Lite
 	templates map[string]*box
 	boxes     []*box
 	locations []*location
 }
 
-// Fleet reads the file of the wished fleet, and what it includes.
-func Fleet(name string, read ReadFile) (fleet.Wish, sexpr.Faults) {
+// ReadFleet reads the file of the wished fleet, and what it includes.
+func ReadFleet(name string, read ReadFile) (fleet.DesiredState, sexpr.Faults) {
 	r := &fleetReader{read: read, included: map[string]bool{}, pools: map[string]*bart.Lite{}, templates: map[string]*box{}}
 	r.wish.Rules = fleet.DefaultRules()
 	r.file(nil, name)
@@ -71,7 +71,7 @@
 		}
 		return a.Line - b.Line
 	})
-	r.wish.Normal()
+	r.wish.Normalize()
 	return r.wish, r.faults
 }
 
@@ -110,7 +110,7 @@
 		{name: "pool", many: true, read: r.pool},
 		{name: "template", many: true, read: r.template},
 		{name: "origin", many: true, read: r.source(fleet.Origin)},
-		{name: "hub", many: true, read: r.source(fleet.Hub)},
+		{name: "hub", many: true, read: r.source(fleet.Parent)},
 		{name: "location", many: true, read: r.location},
 	})
 }
@@ -130,25 +130,25 @@
 
 func (r *fleetReader) rules(n *sexpr.Node, args []*sexpr.Node, key string) {
 	u := &r.wish.Rules
-	cold := func(c *fleet.Cold) func(*sexpr.Node, []*sexpr.Node, string) {
+	cold := func(c *fleet.SlowStart) func(*sexpr.Node, []*sexpr.Node, string) {
 		return func(n *sexpr.Node, args []*sexpr.Node, key string) {
 			r.forms(n, key+".", args, []form{
-				{name: "start", read: r.number(&c.Start, 0.001, 1)},
-				{name: "warm", read: r.milliseconds(&c.WarmMS, 0, longest)},
-				{name: "fall", read: r.number(&c.Fall, 0.1, 1000)},
+				{name: "start", read: r.number(&c.InitialShare, 0.001, 1)},
+				{name: "warm", read: r.milliseconds(&c.WarmUpMS, 0, longest)},
+				{name: "fall", read: r.number(&c.OverloadFactor, 0.1, 1000)},
 			})
 		}
 	}
 	r.forms(n, key+".", args, []form{
 		{name: "cold", read: cold(&u.Cache)},
-		{name: "cold-hub", read: cold(&u.Hub)},
-		{name: "miss", read: r.number(&u.Miss, 0, 1)},
-		{name: "cold-most", read: r.number(&u.ColdMost, 0, 1)},
-		{name: "width", read: r.integer(&u.Width, 1, 1000)},
-		{name: "on-trouble", read: r.choice(&u.OnTrouble, fleet.Pause, fleet.Revert)},
+		{name: "cold-hub", read: cold(&u.Parent)},
+		{name: "miss", read: r.number(&u.MissShare, 0, 1)},
+		{name: "cold-most", read: r.number(&u.MaxColdShare, 0, 1)},
+		{name: "width", read: r.integer(&u.MaxParallelSteps, 1, 1000)},
+		{name: "on-trouble", read: r.choice(&u.OnFault, fleet.Pause, fleet.Revert)},
 		{name: "drain-settle", read: r.milliseconds(&u.DrainSettleMS, 0, longest)},
-		{name: "told-within", read: r.milliseconds(&u.ToldWithinMS, 0, longest)},
-		{name: "give-up", read: r.milliseconds(&u.GiveUpMS, time.Second, longest)},
+		{name: "told-within", read: r.milliseconds(&u.NotifiedWithinMS, 0, longest)},
+		{name: "give-up", read: r.milliseconds(&u.StepTimeoutMS, time.Second, longest)},
 	})
 }
 
@@ -326,7 +326,7 @@
 	}
 	for _, b := range r.boxes {
 		r.inherit(b, 0)
-		places[fleet.BoxKey(b.name)], keys[fleet.BoxKey(b.name)] = b.node, b.key
+		places[fleet.HostKey(b.name)], keys[fleet.HostKey(b.name)] = b.node, b.key
 		for _, missing := range []struct {
 			key string
 			is  bool
@@ -346,13 +346,13 @@
 		if len(pools) > 0 && b.at.IsValid() && !slices.ContainsFunc(pools, func(p string) bool { return r.pools[p] != nil && r.pools[p].Contains(b.at.Addr().Unmap()) }) {
 			r.fault(b.node, b.key+".at", "address %v is not in pool %s", b.at.Addr(), strings.Join(pools, " or "))
 		}
-		r.wish.Boxes = append(r.wish.Boxes, fleet.Box{Name: b.name, Role: b.role, Address: b.at.String(), Site: b.site,
+		r.wish.Hosts = append(r.wish.Hosts, fleet.HostSpec{Name: b.name, Role: b.role, Address: b.at.String(), Site: b.site,
 			Class: b.class, Block: b.block, Share: b.share, Running: b.running})
 	}
 	if len(r.faults) > 0 {
 		return // what follows would only tell their consequences
 	}
-	for _, f := range r.wish.Flaws() {
+	for _, f := range r.wish.Validate() {
 		n := places[f.Thing]
 		key := keys[f.Thing]
 		if f.Key != "" {
--- a/internal/opfile/relay.go
+++ b/internal/opfile/relay.go
@@ -20,8 +20,8 @@
 	Watchers      *bart.Lite       // who may watch; nil: loopback alone
 	Gather        time.Duration    // for how long events for a director that was answered a moment ago are gathered
 	MaxWatchers   int
-	Keep          int           // events that are kept for directors that were away
-	LeaveOver     time.Duration // the time over which watchers are closed when the relay ends
+	KeepEvents    int           // events that are kept for directors that were away
+	DrainTime     time.Duration // the time over which watchers are closed when the relay ends
 	TLS           *ClientTLS    // for calls to the replicas; nil: none
 }
 
@@ -30,7 +30,7 @@
 
 // DefaultRelay is a relay of whose settings the file says only what it must.
 func DefaultRelay() Relay {
-	return Relay{Gather: 100 * time.Millisecond, MaxWatchers: 2000, Keep: 10_000, LeaveOver: 2 * time.Second}
+	return Relay{Gather: 100 * time.Millisecond, MaxWatchers: 2000, KeepEvents: 10_000, DrainTime: 2 * time.Second}
 }
 
 func (d *decoder) relay(r *Relay, folder string) func(*sexpr.Node, []*sexpr.Node, string) {
@@ -45,8 +45,8 @@
 			{name: "watchers", read: d.addresses(&r.Watchers)},
 			{name: "gather", read: d.duration(&r.Gather, 0, 200*time.Millisecond)},
 			{name: "max-watchers", read: d.integer(&r.MaxWatchers, 1, 4000)},
-			{name: "keep", read: d.integer(&r.Keep, 100, 1_000_000)},
-			{name: "leave-over", read: d.duration(&r.LeaveOver, 0, time.Minute)},
+			{name: "keep", read: d.integer(&r.KeepEvents, 100, 1_000_000)},
+			{name: "leave-over", read: d.duration(&r.DrainTime, 0, time.Minute)},
 			{name: "tls", read: d.clientTLS(&r.TLS, folder)},
 		})
 		for _, address := range r.Upstream {
--- a/internal/program/caches.go
+++ b/internal/program/caches.go
@@ -74,11 +74,11 @@
 
 // optionWords are the words of the field do, by the module's bits.
 var optionWords = []struct {
-	bit  stairvane.Options
+	bit  stairvane.FetchOptions
 	word string
 }{
-	{stairvane.Join, "merge"}, {stairvane.SourceHolds, "local"},
-	{stairvane.ParentPasses, "skip"}, {stairvane.Renew, "revalidate"},
+	{stairvane.JoinFill, "merge"}, {stairvane.SourceCachedOnly, "local"},
+	{stairvane.ParentNoStore, "skip"}, {stairvane.Revalidate, "revalidate"},
 }
 
 // Send implements routing.Link.
@@ -159,17 +159,17 @@
 
 var replyWords = map[string]stairvane.Status{
 	"OK": stairvane.OK, "SAME": stairvane.OK, "MISS": stairvane.Miss, "BUSY": stairvane.Full,
-	"ERR": stairvane.Failed, "VOID": stairvane.Moot,
+	"ERR": stairvane.Failed, "VOID": stairvane.NotSent,
 }
 
 // notes are the words of the field n; their places are the module's numbers, from 1.
 var notes = [...]string{"local", "pulled", "pulled_far", "rode", "expired", "turned_away", "cut_off", "not_there",
 	"no_place", "far_fault"}
 
-var noteNumbers = func() map[string]stairvane.Note {
-	m := map[string]stairvane.Note{}
+var noteNumbers = func() map[string]stairvane.CacheStatus {
+	m := map[string]stairvane.CacheStatus{}
 	for i, word := range notes {
-		m[word] = stairvane.Note(i + 1)
+		m[word] = stairvane.CacheStatus(i + 1)
 	}
 	return m
 }()
--- a/internal/program/claims.go
+++ b/internal/program/claims.go
@@ -44,7 +44,7 @@
 func newClaimer(p *Program, c config.Config, own bulletin.Director) (*claimer, error) {
 	longest := time.Duration(0)
 	for _, k := range c.Settings.Classes {
-		if k.Effect == stairvane.Keyed {
+		if k.Idempotency == stairvane.IdempotentWithKey {
 			longest = max(longest, k.DedupWindow)
 		}
 	}
@@ -65,16 +65,16 @@
 	}
 	x.own = own
 	x.own.Claims = addr.String()
-	x.node = claims.New(x.own.ID(), claims.Settings{Slots: claimsSlots, Slack: routing.SendWithin + 200*time.Millisecond, MaxWindow: longest,
-		Most: c.Claims.Most, Again: claimsAgain})
+	x.node = claims.New(x.own.ID(), claims.Settings{Shards: claimsSlots, Slack: routing.SendWithin + 200*time.Millisecond, MaxWindow: longest,
+		MaxClaims: c.Claims.MaxClaims, Again: claimsAgain})
 	x.tick.Fire = x.due
 	p.loop.Set(&x.tick, p.loop.Now()+claimsTick)
 	return x, nil
 }
 
 // news takes a change of the roll in.
-func (x *claimer) news(r *bulletin.Roll) {
-	if r.Whole {
+func (x *claimer) news(r *bulletin.Membership) {
+	if r.Snapshot {
 		clear(x.addrs)
 	}
 	var joined []string
@@ -84,20 +84,20 @@
 			x.addrs[d.ID()] = addr
 		}
 	}
-	for _, id := range r.Gone {
+	for _, id := range r.Left {
 		delete(x.addrs, id)
 		if l := x.lines[id]; l != nil {
 			l.end()
 		}
 	}
 	var slots []claims.ShardState
-	for _, s := range r.Slots {
-		if s.No < 0 || s.No >= claimsSlots || s.Complete == 0 && len(s.Homes) == 0 {
+	for _, s := range r.Shards {
+		if s.Number < 0 || s.Number >= claimsSlots || s.ReadyEpoch == 0 && len(s.Replicas) == 0 {
 			continue
 		}
-		slots = append(slots, claims.ShardState{Slot: s.No, Epoch: s.Epoch, Homes: s.Homes, From: s.From, Complete: s.Complete})
+		slots = append(slots, claims.ShardState{Shard: s.Number, Epoch: s.Epoch, Replicas: s.Replicas, PreviousReplicas: s.PreviousReplicas, Complete: s.ReadyEpoch})
 	}
-	x.node.ApplyMembership(joined, r.Gone, r.Whole, slots, bootTime())
+	x.node.ApplyMembership(joined, r.Left, r.Snapshot, slots, bootTime())
 	x.work()
 }
 
@@ -117,17 +117,17 @@
 	}
 	x.key++
 	x.asks[x.key] = func(o claims.Outcome) {
-		r := routing.Claimed{Group: o.Group, Age: o.Age, Asked: x.prog.loop.Now() - (bootTime() - o.Asked)}
+		r := routing.Claimed{Group: o.Group, Age: o.Age, Asked: x.prog.loop.Now() - (bootTime() - o.RequestedAt)}
 		switch o.Verdict {
 		case claims.Granted:
 			r.End = routing.ClaimHeld
-		case claims.Bound:
+		case claims.HeldElsewhere:
 			r.End = routing.ClaimBound
 		case claims.Reused:
 			r.End = routing.ClaimReused
 		default:
 			r.End = routing.ClaimRefused
-			if policy == config.ClaimsGoOn {
+			if policy == config.ClaimsProceed {
 				r.End = routing.ClaimSkipped
 			}
 		}
--- a/internal/program/cores.go
+++ b/internal/program/cores.go
@@ -43,7 +43,7 @@
 
 // told is what the first core was told, and when: the graces of the rules run on every core from there.
 type told struct {
-	bulletin.Feed
+	bulletin.WatchResponse
 	at time.Duration
 }
 
@@ -73,7 +73,7 @@
 		g.cores = []*core{{group: g, prog: p}}
 		return g, err
 	}
-	c.Settings.Dispatchers = orDefault("settings.Balancers", c.Settings.Dispatchers, 1)
+	c.Settings.Directors = orDefault("settings.Balancers", c.Settings.Directors, 1)
 	part := divide(c, cores)
 	for i := range cores {
 		g.cores = append(g.cores, &core{group: g, index: i, cursor: g.news.Follow()})
@@ -103,10 +103,10 @@
 	if c.Settings.MaxOpen > 0 {
 		c.Settings.MaxOpen = max(1, c.Settings.MaxOpen/cores)
 	}
-	c.Settings.Dispatchers = max(1, c.Settings.Dispatchers) * cores
-	c.Settings.DispatchersByZone = slices.Clone(c.Settings.DispatchersByZone)
-	for i := range c.Settings.DispatchersByZone {
-		c.Settings.DispatchersByZone[i] *= cores
+	c.Settings.Directors = max(1, c.Settings.Directors) * cores
+	c.Settings.DirectorsByZone = slices.Clone(c.Settings.DirectorsByZone)
+	for i := range c.Settings.DirectorsByZone {
+		c.Settings.DirectorsByZone[i] *= cores
 	}
 	return c
 }
@@ -137,7 +137,7 @@
 
 // publish hands what the first core was told to the others, and wakes them. It waits for none: one that is stalled looks
 // at the news itself before it writes an attempt.
-func (c *core) publish(f bulletin.Feed) {
+func (c *core) publish(f bulletin.WatchResponse) {
 	c.group.news.Publish(told{f, c.prog.loop.Now()})
 	for _, o := range c.group.cores {
 		if o != c && o.prog != nil {
@@ -153,7 +153,7 @@
 	}
 	for f, ok := c.cursor.Next(); ok; f, ok = c.cursor.Next() {
 		p.director.Told(f.at)
-		p.discovery.apply(f.Feed)
+		p.discovery.apply(f.WatchResponse)
 		p.director.Told(0)
 	}
 }
--- a/internal/program/events.go
+++ b/internal/program/events.go
@@ -29,12 +29,12 @@
 	failing           bool
 	request           []byte
 	rng               *rand.Rand
-	directors         int                 // that watch the event stream, this one included
-	publish           func(bulletin.Feed) // to the other cores; nil: there are none
-	membership        *membershipClient   // nil: the director does not announce itself
-	requestedAt       time.Duration       // when the call that is open was made, since the machine started
-	leaveSent         bool                // the open call says that the director leaves
-	leaveAcknowledged bool                // a call that said so was answered
+	directors         int                          // that watch the event stream, this one included
+	publish           func(bulletin.WatchResponse) // to the other cores; nil: there are none
+	membership        *membershipClient            // nil: the director does not announce itself
+	requestedAt       time.Duration                // when the call that is open was made, since the machine started
+	leaveSent         bool                         // the open call says that the director leaves
+	leaveAcknowledged bool                         // a call that said so was answered
 
 	unreadable int // events that were skipped
 }
@@ -152,11 +152,11 @@
 	f.retry = f.timing().RetryMin
 	if f.membership != nil {
 		f.membership.renewed(f.requestedAt)
-		if len(news.Turns) > 0 {
-			f.membership.takeGrant(news.Turns)
+		if len(news.QuotaGrant) > 0 {
+			f.membership.takeGrant(news.QuotaGrant)
 		}
-		if len(news.Signals) > 0 && f.membership.health != nil {
-			f.membership.health.takeAggregate(news.Signals, f.requestedAt)
+		if len(news.AggregatedHealth) > 0 && f.membership.health != nil {
+			f.membership.health.takeAggregate(news.AggregatedHealth, f.requestedAt)
 		}
 		f.leaveAcknowledged = f.leaveAcknowledged || f.leaveSent
 	}
@@ -164,11 +164,11 @@
 		f.failing = false
 		slog.Info("bulletin.back", "at", f.applied, "addr", f.address.String())
 	}
-	for _, fault := range news.Faults {
+	for _, fault := range news.Malformed {
 		f.unreadable++
 		slog.Error("bulletin.item_unreadable", "err", fault)
 	}
-	if f.publish != nil && len(news.Items) > 0 {
+	if f.publish != nil && len(news.Events) > 0 {
 		f.publish(news) // first: the others need not wait for this core
 	}
 	f.apply(news)
@@ -192,61 +192,61 @@
 }
 
 // apply passes events on to the director, each once and in order.
-func (f *discovery) apply(news bulletin.Feed) {
-	for _, item := range news.Items {
-		if item.Roll != nil && f.membership != nil && (item.Roll.Whole || item.Number > f.applied) {
-			f.membership.applyChange(item.Number, item.Roll)
+func (f *discovery) apply(news bulletin.WatchResponse) {
+	for _, item := range news.Events {
+		if item.Membership != nil && f.membership != nil && (item.Membership.Snapshot || item.Revision > f.applied) {
+			f.membership.applyChange(item.Revision, item.Membership)
 		}
-		if item.Number <= f.applied {
+		if item.Revision <= f.applied {
 			continue
 		}
-		f.applied = item.Number
-		if item.Roster != nil {
-			f.applyHosts(item.Roster)
+		f.applied = item.Revision
+		if item.Endpoints != nil {
+			f.applyHosts(item.Endpoints)
 		}
-		if item.Recall != nil {
-			f.applyPurge(item.Recall)
-			slog.Debug("bulletin.purge", "no", item.Number)
+		if item.Purge != nil {
+			f.applyPurge(item.Purge)
+			slog.Debug("bulletin.purge", "no", item.Revision)
 		}
 	}
-	f.applied = max(f.applied, news.Last)
+	f.applied = max(f.applied, news.LastRevision)
 }
 
 var states = map[string]stairvane.Readiness{
 	"in_service": stairvane.Ready, "terminating": stairvane.Draining, "terminated": stairvane.Gone,
 }
 
-func (f *discovery) applyHosts(r *bulletin.Roster) {
-	members := make([]routing.Member, 0, len(r.Hosts))
-	for _, h := range r.Hosts {
+func (f *discovery) applyHosts(r *bulletin.EndpointList) {
+	members := make([]routing.Member, 0, len(r.Endpoints))
+	for _, h := range r.Endpoints {
 		state, known := states[h.Health]
 		if !known {
 			slog.Warn("bulletin.unknown_state", "host", h.Name, "state", h.Health)
 			state = stairvane.Draining
 		}
 		members = append(members, routing.Member{
-			Name: h.Name, Address: h.Dial,
-			Member: stairvane.Member{
+			Name: h.Name, Address: h.Address,
+			Endpoint: stairvane.Endpoint{
 				Zone: h.Site, Kind: h.Class, Cell: h.Block, Readiness: state, Weight: h.Share,
 				StartedAt: fromUnixMS(h.BornMS),
 			},
 		})
 	}
-	f.director.UpdateHosts(r.Sequence, r.Whole, members)
+	f.director.UpdateHosts(r.Sequence, r.Snapshot, members)
 }
 
-func (f *discovery) applyPurge(r *bulletin.Recall) {
+func (f *discovery) applyPurge(r *bulletin.Purge) {
 	issued := fromUnixMS(r.IssuedMS)
-	if r.Item != "" {
-		object, err := strconv.ParseUint(r.Item, 16, 64)
+	if r.Object != "" {
+		object, err := strconv.ParseUint(r.Object, 16, 64)
 		if err != nil {
-			slog.Error("bulletin.purge_unreadable", "object", r.Item)
+			slog.Error("bulletin.purge_unreadable", "object", r.Object)
 			return
 		}
 		f.director.PurgeObject(stairvane.ObjectID(object), issued)
 	}
-	if r.Lot != nil {
-		f.director.PurgeGroup(*r.Lot, issued)
+	if r.Group != nil {
+		f.director.PurgeGroup(*r.Group, issued)
 	}
 }
 
--- a/internal/program/health.go
+++ b/internal/program/health.go
@@ -16,13 +16,13 @@
 // the control plane, and gives the aggregated health of caches to the decision module.
 type healthReporter struct {
 	prog         *Program
-	witness      *signals.Witness
-	believer     *signals.Believer
+	witness      *signals.Reporter
+	believer     *signals.Tracker
 	publishTimer transport.Timer
 }
 
 func newHealthReporter(p *Program, id string) *healthReporter {
-	s := &healthReporter{prog: p, witness: signals.NewWitness(signals.Usual, id), believer: signals.NewBeliever(signals.Usual, id)}
+	s := &healthReporter{prog: p, witness: signals.NewReporter(signals.DefaultSettings, id), believer: signals.NewTracker(signals.DefaultSettings, id)}
 	s.publishTimer.Fire = s.publish
 	p.loop.Set(&s.publishTimer, p.loop.Now()+healthInterval)
 	return s
@@ -30,7 +30,7 @@
 
 // report is the health report that goes with a watch request, as JSON.
 func (s *healthReporter) report(now time.Duration) json.RawMessage {
-	s.prog.director.Evidence(s.witness.Saw)
+	s.prog.director.Evidence(s.witness.Record)
 	b, err := json.Marshal(s.witness.Report(now))
 	if err != nil {
 		panic(err) // texts and numbers
@@ -40,7 +40,7 @@
 
 // takeAggregate applies the aggregated health from the answer to a request made at a moment.
 func (s *healthReporter) takeAggregate(raw json.RawMessage, called time.Duration) {
-	var o signals.Opinions
+	var o signals.AggregatedHealth
 	if err := json.Unmarshal(raw, &o); err != nil {
 		slog.Warn("signals.malformed", "err", err)
 		return
@@ -53,9 +53,9 @@
 func (s *healthReporter) publish() {
 	s.prog.loop.Set(&s.publishTimer, s.prog.loop.Now()+healthInterval)
 	for _, c := range s.believer.Changes(bootTime()) {
-		if c.Bad == 0 || c.Was == 0 {
-			slog.Info("signals.doubted", "box", c.Box, "bad", math.Round(100*c.Bad)/100)
+		if c.FailureShare == 0 || c.Previous == 0 {
+			slog.Info("signals.doubted", "box", c.Cache, "bad", math.Round(100*c.FailureShare)/100)
 		}
-		s.prog.director.Opinion(c.Box, c.Bad)
+		s.prog.director.Opinion(c.Cache, c.FailureShare)
 	}
 }
--- a/internal/program/membership.go
+++ b/internal/program/membership.go
@@ -45,8 +45,8 @@
 	claims       *claimer // nil: idempotency claims are off
 	applied      int64    // number of the last membership event that was applied
 	leaving      bool
-	locations    map[string]string // by director ID, of all members
-	counted      stairvane.Fellows // as the decision module was given it
+	locations    map[string]string    // by director ID, of all members
+	counted      stairvane.PeerCounts // as the decision module was given it
 	shrinkTimer  transport.Timer
 	quota        *quota.Holder
 	shares       map[string]float64 // of cold caches' budgets, as the decision module was given them
@@ -58,18 +58,18 @@
 }
 
 func newMembershipClient(p *Program, c config.Config) (*membershipClient, error) {
-	r := &membershipClient{prog: p, locations: map[string]string{}, self: bulletin.Director{Name: c.Name, Incarnation: c.Roll.Incarnation, Location: c.Settings.Zone,
-		Machine: c.Roll.Machine, Site: c.Roll.Site, Version: c.Roll.Version}}
-	r.counted.All = max(1, c.Settings.Dispatchers)
-	r.counted.Here = r.counted.All
-	if i := slices.Index(c.Settings.Zones, c.Settings.Zone); i >= 0 && i < len(c.Settings.DispatchersByZone) {
-		r.counted.Here = c.Settings.DispatchersByZone[i]
-	}
-	r.maxStaleness = c.Roll.BehindMost
+	r := &membershipClient{prog: p, locations: map[string]string{}, self: bulletin.Director{Name: c.Name, Incarnation: c.Membership.Incarnation, Location: c.Settings.Zone,
+		Machine: c.Membership.Machine, Site: c.Membership.Site, Version: c.Membership.Version}}
+	r.counted.Total = max(1, c.Settings.Directors)
+	r.counted.InZone = r.counted.Total
+	if i := slices.Index(c.Settings.Zones, c.Settings.Zone); i >= 0 && i < len(c.Settings.DirectorsByZone) {
+		r.counted.InZone = c.Settings.DirectorsByZone[i]
+	}
+	r.maxStaleness = c.Membership.MaxStaleness
 	r.quota, r.shares = quota.NewHolder(r.self.ID(), QuotaSettings), map[string]float64{}
 	r.publishTimer.Fire = r.publishShares
 	p.loop.Set(&r.publishTimer, p.loop.Now()+sharesInterval)
-	if c.Roll.Signals {
+	if c.Membership.Health {
 		r.health = newHealthReporter(p, r.self.ID())
 	}
 	if c.Claims == nil {
@@ -84,19 +84,19 @@
 
 // announcement is the announcement that goes with a watch request, as JSON.
 func (r *membershipClient) announcement() []byte {
-	a := bulletin.Announcement{Director: r.self, Roll: r.applied, Leaving: r.leaving, Config: r.prog.config.Mark}
+	a := bulletin.Announcement{Director: r.self, MembershipRevision: r.applied, Leaving: r.leaving, Config: r.prog.config.Fingerprint}
 	if r.claims != nil {
-		a.Complete = r.claims.node.Incomplete()
+		a.ReadyShards = r.claims.node.Incomplete()
 	}
 	if !r.leaving {
 		r.updateDemands()
 	}
 	var err error
-	if a.Turns, err = json.Marshal(r.quota.Renewal(bootTime())); err != nil {
+	if a.QuotaRenewal, err = json.Marshal(r.quota.Renewal(bootTime())); err != nil {
 		panic(err) // texts and numbers
 	}
 	if r.health != nil {
-		a.Signals = r.health.report(bootTime())
+		a.HealthReport = r.health.report(bootTime())
 	}
 	b, err := json.Marshal(a)
 	if err != nil {
@@ -115,18 +115,18 @@
 }
 
 // applyChange applies a change of the membership.
-func (r *membershipClient) applyChange(no int64, c *bulletin.Roll) {
+func (r *membershipClient) applyChange(no int64, c *bulletin.Membership) {
 	r.applied = max(r.applied, no)
-	if c.Whole {
+	if c.Snapshot {
 		clear(r.locations)
 	}
-	for _, id := range c.Gone {
+	for _, id := range c.Left {
 		delete(r.locations, id)
 	}
 	for _, d := range c.Joined {
 		r.locations[d.ID()] = d.Location
 	}
-	if len(c.Joined)+len(c.Gone) > 0 || c.Whole {
+	if len(c.Joined)+len(c.Left) > 0 || c.Snapshot {
 		r.countDirectors()
 	}
 	if r.claims != nil {
@@ -204,13 +204,13 @@
 // countDirectors gives the decision module the number of directors to divide by. More count at once, fewer only after a
 // while: one that has left may only have lost its connection, and at a start of the fleet members join one by one.
 func (r *membershipClient) countDirectors() {
-	f := stairvane.Fellows{All: len(r.locations)}
+	f := stairvane.PeerCounts{Total: len(r.locations)}
 	for _, location := range r.locations {
 		if location == r.self.Location {
-			f.Here++
+			f.InZone++
 		}
 	}
-	told := stairvane.Fellows{Here: max(f.Here, r.counted.Here), All: max(f.All, r.counted.All)}
+	told := stairvane.PeerCounts{InZone: max(f.InZone, r.counted.InZone), Total: max(f.Total, r.counted.Total)}
 	if told != r.counted {
 		r.counted = told
 		r.prog.director.Fellows(told)
--- a/internal/program/run.go
+++ b/internal/program/run.go
@@ -59,12 +59,12 @@
 	limits := routing.Limits{
 		MaxOpen: s.MaxOpen, Streams: c.Pools.Streams, SilentAfter: silentAfter, DialTimeout: s.DialTimeout,
 		KeepaliveAfter: keepaliveAfter, KeepaliveTimeout: keepaliveTimeout, Settle: settle, MaxAttempts: s.MaxAttempts,
-		DrainGrace: s.DrainGrace, PurgeGrace: s.PurgeGrace, PurgeDone: s.PurgeDone, SecondCopies: s.SecondCopies,
+		DrainGrace: s.DrainGrace, PurgeGrace: s.PurgeGrace, PurgeDone: s.PurgeDone, SecondCopies: s.HedgedRequests,
 	}
 	for _, class := range s.Classes {
 		limits.LongestAnswer = max(limits.LongestAnswer, class.Deadline)
 	}
-	s.Dispatchers = orDefault("settings.Balancers", s.Dispatchers, 1)
+	s.Directors = orDefault("settings.Balancers", s.Directors, 1)
 	limits.Streams = orDefault("settings.Limits.Multiplex", limits.Streams, defaultStreams)
 	limits.DialTimeout = orDefault("settings.Limits.DialTimeout", limits.DialTimeout, defaultDial)
 	idle := orDefault("settings.Limits.ConnIdle", c.Pools.ConnIdle, defaultIdle)
@@ -78,12 +78,12 @@
 	if own != nil {
 		own.join(p, &limits)
 	}
-	if c.Roll != nil {
+	if c.Membership != nil {
 		if p.membership, err = newMembershipClient(p, c); err != nil {
 			return nil, err
 		}
 		limits.Spent = p.membership.shareExpired
-		if c.Roll.BehindMost > 0 {
+		if c.Membership.MaxStaleness > 0 {
 			limits.Behind = p.membership.stale
 		}
 		if p.membership.claims != nil {
@@ -94,11 +94,11 @@
 	d := routing.New(loop, s, c.Seed, limits, links)
 	p.director = d
 	d.Start()
-	crowd := s.Dispatchers
+	crowd := s.Directors
 	if own != nil { // the bulletin is followed once for all cores
 		crowd /= len(own.group.cores)
 	}
-	p.discovery = newDiscovery(loop, d, append([]netip.AddrPort{c.Bulletin}, c.Bulletins...), crowd, c.Seed)
+	p.discovery = newDiscovery(loop, d, append([]netip.AddrPort{c.Discovery}, c.ControlPlanes...), crowd, c.Seed)
 	if own != nil {
 		p.discovery.publish = own.publish
 	}
@@ -154,7 +154,7 @@
 	for _, key := range p.config.Differs(c) {
 		slog.Warn("reload.key_waits", "key", key)
 	}
-	p.discovery.moveTo(c.Bulletin)
+	p.discovery.moveTo(c.Discovery)
 	slog.Info("reload.done")
 }
 
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -20,7 +20,7 @@
 
 // Serve is the life of a director process on some cores: LB_CONFIG, LB_LISTEN and LB_NAME tell it what it is; SIGTERM
 // lets it answer what it has and leave; SIGHUP has it read LB_CONFIG anew; SIGUSR1 prints its counters.
-func Serve(beyond config.Beyond) error {
+func Serve(beyond config.OperatorSettings) error {
 	cores := beyond.Cores
 	// Signals are caught before anything else: the default of SIGHUP would end the process.
 	signals := make(chan os.Signal, 4)
@@ -29,7 +29,7 @@
 	if err != nil {
 		return err
 	}
-	c.Bulletins, c.Roll, c.Claims = beyond.Bulletins, beyond.Roll, beyond.Claims
+	c.ControlPlanes, c.Membership, c.Claims = beyond.ControlPlanes, beyond.Membership, beyond.Claims
 	procs := 1 // one loop
 	if cores > 1 {
 		procs = cores + 1 // the watch must run while all loops are busy
