--- a/internal/protocol/bulletin/serve.go
+++ b/internal/protocol/bulletin/serve.go
@@ -16,29 +16,29 @@
 
 const maxCall = 32 << 10
 
-// Call is one request for news.
-type Call struct {
-	After      int64
-	PatienceMS int64
-	Close      bool          // the caller ends the connection after the answer
-	Announce   *Announcement // nil: the caller does not present itself
+// WatchRequest is one request for news.
+type WatchRequest struct {
+	After        int64
+	TimeoutMS    int64
+	Close        bool          // the caller ends the connection after the answer
+	Announcement *Announcement // nil: the caller does not present itself
 }
 
-// CallError is a call that can't be served. The connection is closed after its answer.
-type CallError struct {
+// RequestError is a call that can't be served. The connection is closed after its answer.
+type RequestError struct {
 	Status  int
 	Message string
 }
 
-func (e *CallError) Error() string { return fmt.Sprintf("bulletin: %d: %s", e.Status, e.Message) }
+func (e *RequestError) Error() string { return fmt.Sprintf("bulletin: %d: %s", e.Status, e.Message) }
 
 func callError(status int, format string, args ...any) error {
-	return &CallError{status, fmt.Sprintf(format, args...)}
+	return &RequestError{status, fmt.Sprintf(format, args...)}
 }
 
-// ParseCall reads one call from the start of b. used is 0 while it is not whole; then need tells how many bytes must be
+// ParseWatchRequest reads one call from the start of b. used is 0 while it is not whole; then need tells how many bytes must be
 // there before it can be. Errors are *CallError.
-func ParseCall(b []byte) (c Call, used, need int, err error) {
+func ParseWatchRequest(b []byte) (c WatchRequest, used, need int, err error) {
 	headEnd := bytes.Index(b, []byte("\r\n\r\n"))
 	if headEnd < 0 {
 		if len(b) > maxCall {
@@ -64,8 +64,8 @@
 		case strings.EqualFold(name, "Content-Length") && value != "0", strings.EqualFold(name, "Transfer-Encoding"):
 			return c, 0, 0, callError(400, "a call has no body")
 		case strings.EqualFold(name, AnnounceHeader):
-			c.Announce = &Announcement{}
-			if err := json.Unmarshal([]byte(value), c.Announce); err != nil || c.Announce.Name == "" || c.Announce.Incarnation == "" {
+			c.Announcement = &Announcement{}
+			if err := json.Unmarshal([]byte(value), c.Announcement); err != nil || c.Announcement.Name == "" || c.Announcement.Incarnation == "" {
 				return c, 0, 0, callError(400, "malformed announcement")
 			}
 		case strings.EqualFold(name, "Connection"):
@@ -79,7 +79,7 @@
 	if path != "/bulletins" {
 		return c, 0, 0, callError(404, "only /bulletins is served here")
 	}
-	c.PatienceMS = MaxPatienceMS
+	c.TimeoutMS = MaxPatienceMS
 	for _, part := range strings.Split(query, "&") {
 		key, value, _ := strings.Cut(part, "=")
 		n, err := strconv.ParseInt(value, 10, 64)
@@ -87,7 +87,7 @@
 		case key == "after" && err == nil && n >= 0:
 			c.After = n
 		case key == "patience" && err == nil && n >= 0:
-			c.PatienceMS = min(n, MaxPatienceMS)
+			c.TimeoutMS = min(n, MaxPatienceMS)
 		case key == "after" || key == "patience":
 			return c, 0, 0, callError(400, "%s is no number from 0 up", key)
 		}
@@ -114,14 +114,14 @@
 
 var errItem = errors.New("bulletin: an item is either a list or a purge")
 
-// EncodeItem writes one event.
-func EncodeItem(i Item) ([]byte, error) {
-	if (i.Roster == nil) == (i.Recall == nil) {
+// EncodeEvent writes one event.
+func EncodeEvent(i Event) ([]byte, error) {
+	if (i.Endpoints == nil) == (i.Purge == nil) {
 		return nil, errItem
 	}
-	if i.Roll != nil {
-		if i.Roster != nil && i.Roster.Hosts == nil {
-			i.Roster.Hosts = []Host{}
+	if i.Membership != nil {
+		if i.Endpoints != nil && i.Endpoints.Endpoints == nil {
+			i.Endpoints.Endpoints = []Endpoint{}
 		}
 		b, err := json.Marshal(i)
 		if err != nil {
@@ -129,19 +129,19 @@
 		}
 		return b, nil
 	}
-	if i.Recall != nil {
-		r := i.Recall
-		if r.Lot != nil {
-			return fmt.Appendf(nil, `{"no":%d,"recall":{"lot":%d,"issued":%.0f}}`, i.Number, *r.Lot, r.IssuedMS), nil
+	if i.Purge != nil {
+		r := i.Purge
+		if r.Group != nil {
+			return fmt.Appendf(nil, `{"no":%d,"recall":{"lot":%d,"issued":%.0f}}`, i.Revision, *r.Group, r.IssuedMS), nil
 		}
-		return fmt.Appendf(nil, `{"no":%d,"recall":{"item":%q,"issued":%.0f}}`, i.Number, r.Item, r.IssuedMS), nil
+		return fmt.Appendf(nil, `{"no":%d,"recall":{"item":%q,"issued":%.0f}}`, i.Revision, r.Object, r.IssuedMS), nil
 	}
-	if i.Roster.Hosts == nil {
-		i.Roster.Hosts = []Host{}
+	if i.Endpoints.Endpoints == nil {
+		i.Endpoints.Endpoints = []Endpoint{}
 	}
-	list, err := json.Marshal(i.Roster)
+	list, err := json.Marshal(i.Endpoints)
 	if err != nil {
 		return nil, fmt.Errorf("bulletin: %w", err)
 	}
-	return fmt.Appendf(nil, `{"no":%d,"roster":%s}`, i.Number, list), nil
+	return fmt.Appendf(nil, `{"no":%d,"roster":%s}`, i.Revision, list), nil
 }
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -46,8 +46,8 @@
 	return answer
 }
 
-// Held lists what is in force and who waits.
-func (a *Allocator) Held(now time.Duration) []Held { return a.held(now) }
+// Allocations lists what is in force and who waits.
+func (a *Allocator) Allocations(now time.Duration) []Allocation { return a.held(now) }
 
 // Sweep forgets, in some calls, limits that nobody holds or wants any more. It is to be called several times a second.
 func (a *Allocator) Sweep(now time.Duration) { a.sweep(now) }
--- a/internal/quota/divider.go
+++ b/internal/quota/divider.go
@@ -237,14 +237,14 @@
 }
 
 // held lists what is in force and who waits.
-func (d *divider) held(now time.Duration) (all []Held) {
+func (d *divider) held(now time.Duration) (all []Allocation) {
 	now = d.clock(now)
 	for _, name := range slices.Sorted(maps.Keys(d.limits)) {
 		l := d.limits[name]
 		for _, id := range slices.Sorted(maps.Keys(l.accounts)) {
 			a := l.accounts[id]
 			l.count(a, now)
-			x := Held{Limit: name, Kind: l.kind, Holder: id, Part: a.used}
+			x := Allocation{Limit: name, Kind: l.kind, Holder: id, Part: a.used}
 			for _, group := range a.demand {
 				x.Demand += group.Demand * float64(group.Count)
 			}
--- a/internal/quota/node.go
+++ b/internal/quota/node.go
@@ -154,7 +154,7 @@
 func (n *Node) Leased(now time.Duration) bool { return n.outlasts(n.clock(now)) }
 
 // Held lists what of its holders is in force and who waits.
-func (n *Node) Held(now time.Duration) []Held { return n.held(now) }
+func (n *Node) Held(now time.Duration) []Allocation { return n.held(now) }
 
 // Sweep forgets, in some calls, limits that nobody holds or wants any more. It is to be called several times a second.
 func (n *Node) Sweep(now time.Duration) { n.sweep(now) }
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -103,8 +103,8 @@
 	Fallback float64 `json:"fallback,omitempty"`
 }
 
-// Held is a part in force, as the allocator counts.
-type Held struct {
+// Allocation is a part in force, as the allocator counts.
+type Allocation struct {
 	Limit  string        `json:"limit"`
 	Kind   Kind          `json:"kind"`
 	Holder string        `json:"holder"`
--- a/internal/relay/directors.go
+++ b/internal/relay/directors.go
@@ -79,8 +79,8 @@
 		}
 	}
 	for _, r := range s.reports {
-		for _, e := range r.Boxes {
-			if e.Bad > 0 {
+		for _, e := range r.Caches {
+			if e.Failures > 0 {
 				return true
 			}
 		}
--- a/internal/relay/session.go
+++ b/internal/relay/session.go
@@ -51,7 +51,7 @@
 	full         bool              // the next request begins a whole list
 	reports      []Report
 	complete     map[int]int64 // epoch by slot
-	opinions     *signals.Teller
+	opinions     *signals.Notifier
 	epoch        int64 // of the opinions
 	seq          uint64
 }
@@ -65,7 +65,7 @@
 		changes:   map[string]change{},
 		full:      true,
 		complete:  map[int]int64{},
-		opinions:  signals.NewTeller(),
+		opinions:  signals.NewNotifier(),
 	}
 }
 
@@ -77,7 +77,7 @@
 	if known == nil && !a.Leaving && len(s.directors) >= MaxDirectors {
 		return false
 	}
-	s.takeComplete(a.Complete)
+	s.takeComplete(a.ReadyShards)
 	s.takeReport(a)
 	grant := s.renew(a, now)
 	switch {
@@ -102,18 +102,18 @@
 
 func (s *Session) takeComplete(pairs []int64) {
 	for i := 0; i+1 < len(pairs); i += 2 {
-		if slot := pairs[i]; slot >= 0 && slot < fleet.Slots {
+		if slot := pairs[i]; slot >= 0 && slot < fleet.ShardCount {
 			s.complete[int(slot)] = max(s.complete[int(slot)], pairs[i+1])
 		}
 	}
 }
 
 func (s *Session) takeReport(a bulletin.Announcement) {
-	if len(a.Signals) == 0 || len(s.reports) >= MaxQueuedReports {
+	if len(a.HealthReport) == 0 || len(s.reports) >= MaxQueuedReports {
 		return
 	}
 	var r signals.Report
-	if json.Unmarshal(a.Signals, &r) != nil || r.Holder != a.ID() || len(r.Boxes) == 0 {
+	if json.Unmarshal(a.HealthReport, &r) != nil || r.Holder != a.ID() || len(r.Caches) == 0 {
 		return
 	}
 	s.reports = append(s.reports, Report{r, signals.Place{Machine: a.Machine, Location: a.Location}})
@@ -122,7 +122,7 @@
 // renew answers the quota renewal of an announcement; nil if it has none.
 func (s *Session) renew(a bulletin.Announcement, now time.Duration) *quota.Grant {
 	var renewal quota.Renewal
-	if s.quota == nil || len(a.Turns) == 0 || json.Unmarshal(a.Turns, &renewal) != nil || renewal.Holder != a.ID() {
+	if s.quota == nil || len(a.QuotaRenewal) == 0 || json.Unmarshal(a.QuotaRenewal, &renewal) != nil || renewal.Holder != a.ID() {
 		return nil
 	}
 	grant := s.quota.Renew(renewal, now)
@@ -141,7 +141,7 @@
 }
 
 // Health are what a director is to be sent of caches' health; nil if nothing is new to it.
-func (s *Session) Health(directorID string, now time.Duration) *signals.Opinions {
+func (s *Session) Health(directorID string, now time.Duration) *signals.AggregatedHealth {
 	if o, is := s.opinions.For(directorID, now); is {
 		return &o
 	}
@@ -153,7 +153,7 @@
 func (s *Session) Request(revision, acknowledged int64, now time.Duration) Request {
 	s.sweep(now)
 	s.sequence++
-	r := Request{Revision: revision, OpinionsEpoch: s.epoch, OpinionsSeq: s.seq}
+	r := Request{Revision: revision, HealthEpoch: s.epoch, HealthSeq: s.seq}
 	r.Relay, r.Session, r.Sequence, r.Answered, r.Full = s.set.Relay, s.set.Number, s.sequence, s.answered, s.full
 	r.Registration = s.registration
 	s.addChanges(&r.Update)
@@ -163,7 +163,7 @@
 		r.Quota = &renewal
 	}
 	for _, slot := range slices.Sorted(maps.Keys(s.complete)) {
-		r.Complete = append(r.Complete, int64(slot), s.complete[slot])
+		r.ReadyShards = append(r.ReadyShards, int64(slot), s.complete[slot])
 	}
 	clear(s.complete) // directors repeat it until the event log has it
 	sent := min(len(s.reports), MaxReports)
@@ -240,9 +240,9 @@
 	if a.Grant != nil && s.quota != nil {
 		s.quota.Take(*a.Grant, now)
 	}
-	if a.Opinions != nil {
-		s.epoch, s.seq = a.Opinions.Epoch, a.Opinions.Seq
-		opinionsChanged = s.opinions.Take(*a.Opinions, now)
+	if a.AggregatedHealth != nil {
+		s.epoch, s.seq = a.AggregatedHealth.Epoch, a.AggregatedHealth.Seq
+		opinionsChanged = s.opinions.Take(*a.AggregatedHealth, now)
 	}
 	if a.NeedFull {
 		s.restart()
--- a/internal/relay/wire.go
+++ b/internal/relay/wire.go
@@ -37,12 +37,12 @@
 type Request struct {
 	membership.Update
 	Revision int64 `json:"revision"` // the last event that the relay has
-	// OpinionsEpoch and OpinionsSeq name the opinions of caches that the relay has.
-	OpinionsEpoch int64          `json:"opinions_epoch,omitempty"`
-	OpinionsSeq   uint64         `json:"opinions_seq,omitempty"`
-	Quota         *quota.Renewal `json:"quota,omitempty"`    // its holder is the relay's ID
-	Complete      []int64        `json:"complete,omitempty"` // slot and epoch, in turn, of which all homes have everything
-	Reports       []Report       `json:"reports,omitempty"`
+	// HealthEpoch and OpinionsSeq name the opinions of caches that the relay has.
+	HealthEpoch int64          `json:"opinions_epoch,omitempty"`
+	HealthSeq   uint64         `json:"opinions_seq,omitempty"`
+	Quota       *quota.Renewal `json:"quota,omitempty"`    // its holder is the relay's ID
+	ReadyShards []int64        `json:"complete,omitempty"` // slot and epoch, in turn, of which all homes have everything
+	Reports     []Report       `json:"reports,omitempty"`
 }
 
 // Report is a health report of a director, and where the director is.
@@ -59,10 +59,10 @@
 	Registration uint64 `json:"registration"`
 	// LeaseMS is the lease in milliseconds, counted from before the request. It is 0 while the relay lacks more events than
 	// one answer holds: it then takes these and asks again at once.
-	LeaseMS  int64             `json:"lease_ms"`
-	Revision int64             `json:"revision"` // the leader's last event
-	Grant    *quota.Grant      `json:"grant,omitempty"`
-	Opinions *signals.Opinions `json:"opinions,omitempty"`
-	Events   []fleet.Event     `json:"events,omitempty"`
-	Snapshot *fleet.Dump       `json:"snapshot,omitempty"`
+	LeaseMS          int64                     `json:"lease_ms"`
+	Revision         int64                     `json:"revision"` // the leader's last event
+	Grant            *quota.Grant              `json:"grant,omitempty"`
+	AggregatedHealth *signals.AggregatedHealth `json:"opinions,omitempty"`
+	Events           []fleet.Event             `json:"events,omitempty"`
+	Snapshot         *fleet.Dump               `json:"snapshot,omitempty"`
 }
--- a/internal/replica/driver.go
+++ b/internal/replica/driver.go
@@ -21,8 +21,8 @@
 
 // Errors of a driver.
 var (
-	ErrNotLeading = errors.New("replica: this copy does not lead")
-	ErrBusy       = errors.New("replica: a proposal or a change of members is under way")
+	ErrNotLeader = errors.New("replica: this copy does not lead")
+	ErrBusy      = errors.New("replica: a proposal or a change of members is under way")
 )
 
 // Config is how a driver is made. Times are in ticks.
@@ -46,8 +46,8 @@
 // Position is a place in the log.
 type Position struct{ Index, Term uint64 }
 
-// Hard is what must be durable before a message that rests on it leaves.
-type Hard struct{ Term, Vote, Commit uint64 }
+// HardState is what must be durable before a message that rests on it leaves.
+type HardState struct{ Term, Vote, Commit uint64 }
 
 // Batch is a committed batch, or a committed change of members with neither data nor tag.
 type Batch struct {
@@ -61,7 +61,7 @@
 type Work struct {
 	Early     []*pb.Message // a leader's, which need not wait for its own disk
 	Entries   []*pb.Entry   // replace all from the index of the first one on
-	Hard      *Hard         // nil: as it was
+	Hard      *HardState    // nil: as it was
 	Must      bool          // whether Entries and Hard must be durable before Late is sent
 	Late      []*pb.Message
 	Install   *pb.SnapshotMetadata // the state as a whole, from the copy that was received with it
@@ -78,7 +78,7 @@
 	cfg      Config
 	node     *raft.RawNode
 	log      *log
-	hard     Hard
+	hard     HardState
 	members  map[uint64]Member
 	tags     uint64
 	inFlight uint64 // the tag of the proposal under way; 0: none
@@ -89,7 +89,7 @@
 
 // New makes a driver of what is durable.
 func New(cfg Config, d Durable) (*Driver, error) {
-	r := &Driver{cfg: cfg, members: d.Members, hard: Hard{d.Term, d.Vote, d.Commit}, tags: cfg.Seed}
+	r := &Driver{cfg: cfg, members: d.Members, hard: HardState{d.Term, d.Vote, d.Commit}, tags: cfg.Seed}
 	if r.members == nil {
 		r.members = map[uint64]Member{}
 	}
@@ -160,7 +160,7 @@
 func (r *Driver) Propose(data []byte) (tag uint64, err error) {
 	switch {
 	case !r.Ready():
-		return 0, ErrNotLeading
+		return 0, ErrNotLeader
 	case r.inFlight != 0:
 		return 0, ErrBusy
 	}
@@ -186,7 +186,7 @@
 // Barrier asks for a proof that the copy leads at this moment. It gives none while Ready is false.
 func (r *Driver) Barrier() (tag uint64, err error) {
 	if !r.Ready() {
-		return 0, ErrNotLeading
+		return 0, ErrNotLeader
 	}
 	r.tags++
 	r.node.ReadIndex(binary.BigEndian.AppendUint64(nil, r.tags))
@@ -202,7 +202,7 @@
 func (r *Driver) Change(c Change) error {
 	switch {
 	case !r.Ready():
-		return ErrNotLeading
+		return ErrNotLeader
 	case r.changing || len(r.log.conf.GetVotersOutgoing()) > 0:
 		return ErrBusy
 	}
@@ -242,7 +242,7 @@
 	rd := r.node.Ready()
 	w := &Work{Entries: rd.Entries, Must: rd.MustSync, ready: rd}
 	if h := rd.HardState; !raft.IsEmptyHardState(h) {
-		r.hard = Hard{h.GetTerm(), h.GetVote(), h.GetCommit()}
+		r.hard = HardState{h.GetTerm(), h.GetVote(), h.GetCommit()}
 		w.Hard = &r.hard
 	}
 	leads := r.node.BasicStatus().RaftState == raft.StateLeader
@@ -358,8 +358,8 @@
 // Last is the index of the last durable entry.
 func (r *Driver) Last() uint64 { n, _ := r.log.LastIndex(); return n }
 
-// Hard is the last state that was handed out to be written.
-func (r *Driver) Hard() Hard { return r.hard }
+// HardState is the last state that was handed out to be written.
+func (r *Driver) HardState() HardState { return r.hard }
 
 // Applied is what was taken over.
 func (r *Driver) Applied() Position { return r.log.applied }
@@ -368,7 +368,7 @@
 type State struct {
 	Disk, Leader uint64 // Leader is 0 while none is known
 	Leads        bool
-	Hard
+	HardState
 	Applied  uint64
 	Voters   []uint64
 	Learners []uint64
@@ -386,7 +386,7 @@
 // State looks at the group.
 func (r *Driver) State() State {
 	s := r.node.Status()
-	out := State{Disk: r.cfg.Disk, Leader: s.Lead, Leads: s.RaftState == raft.StateLeader, Hard: r.hard, Applied: r.log.applied.Index,
+	out := State{Disk: r.cfg.Disk, Leader: s.Lead, Leads: s.RaftState == raft.StateLeader, HardState: r.hard, Applied: r.log.applied.Index,
 		Voters: slices.Clone(r.log.conf.GetVoters()), Learners: slices.Clone(r.log.conf.GetLearners()), Joint: len(r.log.conf.GetVotersOutgoing()) > 0}
 	if out.Leads {
 		out.Progress = map[uint64]Progress{}
--- a/internal/replica/members.go
+++ b/internal/replica/members.go
@@ -22,9 +22,9 @@
 	Spare   bool // stands by to take the place of a copy that is gone
 }
 
-// CheckPlaces tells what is wrong with a list of places; empty if nothing. The group must be able to lose any one machine,
+// ValidatePlaces tells what is wrong with a list of places; empty if nothing. The group must be able to lose any one machine,
 // and any one site if there are three or more, without losing the majority.
-func CheckPlaces(places []Place) (faults []string) {
+func ValidatePlaces(places []Place) (faults []string) {
 	names, machines, sites := map[string]bool{}, map[string]string{}, map[string]int{}
 	serving := 0
 	for _, p := range places {
@@ -73,15 +73,15 @@
 // Change is a change of members. Several steps become valid together.
 type Change struct{ Steps []Step }
 
-// Refusal is why a change is not made.
-type Refusal struct{ Why string }
+// RejectedError is why a change is not made.
+type RejectedError struct{ Reason string }
 
-func (r *Refusal) Error() string { return r.Why }
+func (r *RejectedError) Error() string { return r.Reason }
 
-func refuse(format string, args ...any) error { return &Refusal{fmt.Sprintf(format, args...)} }
+func refuse(format string, args ...any) error { return &RejectedError{fmt.Sprintf(format, args...)} }
 
-// Bears is how many copies a group of so many voters can lose and go on.
-func Bears(voters int) int { return max(0, (voters-1)/2) }
+// ToleratedFailures is how many copies a group of so many voters can lose and go on.
+func ToleratedFailures(voters int) int { return max(0, (voters-1)/2) }
 
 // View is what decisions on members rest on: the leader's.
 type View struct {
@@ -235,8 +235,8 @@
 	if 2*alive <= left {
 		return nil, refuse("without copy %s only %d of %d copies would be there, which is no majority", name, alive, left)
 	}
-	if Bears(left) < Bears(len(v.Voters)) && !fewer {
-		return nil, refuse("%d copies bear the loss of %d; without %s they bear %d. Replace it, or accept that with --fewer", len(v.Voters), Bears(len(v.Voters)), name, Bears(left))
+	if ToleratedFailures(left) < ToleratedFailures(len(v.Voters)) && !fewer {
+		return nil, refuse("%d copies bear the loss of %d; without %s they bear %d. Replace it, or accept that with --fewer", len(v.Voters), ToleratedFailures(len(v.Voters)), name, ToleratedFailures(left))
 	}
 	return &Change{[]Step{{Kind: Leave, Disk: disk}}}, nil
 }
--- a/internal/routing/claims.go
+++ b/internal/routing/claims.go
@@ -58,7 +58,7 @@
 )
 
 // groupOf names the caches that drop repeats of a request that ran at a host.
-func groupOf(scope stairvane.Scope, h *host) string {
+func groupOf(scope stairvane.DedupScope, h *host) string {
 	switch scope {
 	case stairvane.ScopeZone:
 		return zoneMark + h.Zone
@@ -119,12 +119,12 @@
 			q.ranAt = at
 		}
 		zone, cell := placeOf(c.Group)
-		d.feed(stairvane.Bound{Request: q.key, Zone: zone, Cell: cell, Age: c.Age})
+		d.feed(stairvane.PriorAttempt{Request: q.key, Zone: zone, Cell: cell, Age: c.Age})
 		if a.ended {
 			return
 		}
 		if c.Group != group {
-			d.end(a, &Reply{Status: stairvane.Moot}) // the module decides anew, with what it knows now
+			d.end(a, &Reply{Status: stairvane.NotSent}) // the module decides anew, with what it knows now
 			return
 		}
 	case ClaimReused:
@@ -145,10 +145,10 @@
 func (d *Director) endUnclaimed(q *request, answer func()) {
 	d.conclude(q)
 	answer()
-	d.feed(stairvane.Left{Request: q.key})
+	d.feed(stairvane.ClientGone{Request: q.key})
 	for _, a := range q.attempts {
 		if !a.ended {
-			d.end(a, &Reply{Status: stairvane.Moot})
+			d.end(a, &Reply{Status: stairvane.NotSent})
 		}
 	}
 }
--- a/internal/routing/director.go
+++ b/internal/routing/director.go
@@ -47,11 +47,11 @@
 
 // class is what the guards need to know of a class.
 type class struct {
-	effect       stairvane.Effect
-	keeps        bool            // its answers are copies
-	oldest       time.Duration   // that a copy may be; 0: any age
-	resendWithin time.Duration   // of the first attempt that may have run; 0: the module's decision alone
-	scope        stairvane.Scope // of the caches that drop repeats within that
+	effect       stairvane.Idempotency
+	keeps        bool                 // its answers are copies
+	oldest       time.Duration        // that a copy may be; 0: any age
+	resendWithin time.Duration        // of the first attempt that may have run; 0: the module's decision alone
+	scope        stairvane.DedupScope // of the caches that drop repeats within that
 }
 
 // New makes a director. Start begins its life.
@@ -65,11 +65,11 @@
 		purges: newPurges(),
 	}
 	for _, c := range s.Classes {
-		k := class{effect: c.Effect, keeps: !c.Uncacheable}
-		if c.Fresh > 0 {
-			k.oldest = c.Fresh + c.StaleExtra
+		k := class{effect: c.Idempotency, keeps: !c.Uncacheable}
+		if c.FreshFor > 0 {
+			k.oldest = c.FreshFor + c.StaleFor
 		}
-		if c.Effect == stairvane.Keyed {
+		if c.Idempotency == stairvane.IdempotentWithKey {
 			k.resendWithin, k.scope = c.DedupWindow, c.DedupScope
 		}
 		d.classes[c.Name] = k
@@ -79,7 +79,7 @@
 		return m.Readiness == stairvane.Ready && m.Zone == s.Zone && !parent
 	}
 	if limits.Cold != nil {
-		d.module.ShareCold(limits.Cold)
+		d.module.SetSlowStartShare(limits.Cold)
 	}
 	d.upkeep.Fire, d.flush = d.tidy, d.sendOut
 	return d
@@ -105,11 +105,11 @@
 }
 
 // Carried is what the module has carried, now and at its best of late, in seconds of sending per second.
-func (d *Director) Carried() (now, best float64) { return d.module.Carried() }
+func (d *Director) Carried() (now, best float64) { return d.module.ServedRate() }
 
 // ColdWants tells of each cold host what of its budget this director would use.
 func (d *Director) ColdWants(f func(host string, demand float64)) {
-	d.module.ColdWants(func(id stairvane.HostID, demand float64) {
+	d.module.SlowStartDemand(func(id stairvane.HostID, demand float64) {
 		if h := d.hosts[id]; h != nil {
 			f(h.Name, demand)
 		}
@@ -130,13 +130,13 @@
 	} else {
 		share = max(share, leastPart)
 	}
-	d.feed(stairvane.Part{Host: h.Host, Share: share})
+	d.feed(stairvane.QuotaShare{Host: h.Host, Share: share})
 }
 
 // Evidence tells what was seen of each host since it was asked last, by the host's name and birth: a process that was started
 // anew under the name is another.
 func (d *Director) Evidence(f func(box string, tried, failed, lag float64)) {
-	d.module.Evidence(func(id stairvane.HostID, tried, failed, lag float64) {
+	d.module.HostOutcomes(func(id stairvane.HostID, tried, failed, lag float64) {
 		if h := d.hosts[id]; h != nil {
 			f(h.born(), tried, failed, lag)
 		}
@@ -151,12 +151,12 @@
 		name = box[:i]
 	}
 	if h := cmp.Or(d.byName[name], d.byName[box]); h != nil && h.born() == box {
-		d.feed(stairvane.Opinion{Host: h.Host, Bad: bad})
+		d.feed(stairvane.AggregatedHealth{Host: h.Host, FailureShare: bad})
 	}
 }
 
 // Fellows tells how many directors there are now, where that is known.
-func (d *Director) Fellows(f stairvane.Fellows) { d.feed(f) }
+func (d *Director) Fellows(f stairvane.PeerCounts) { d.feed(f) }
 
 // Open is how many requests are owed an answer.
 func (d *Director) Open() int { return d.open }
@@ -192,29 +192,29 @@
 // act carries out one action.
 func (d *Director) act(action stairvane.Action) {
 	switch a := action.(type) {
-	case stairvane.Obtain:
+	case stairvane.StartAttempt:
 		d.obtain(a)
-	case stairvane.Abort:
+	case stairvane.CancelAttempt:
 		d.abort(a)
-	case stairvane.Deny:
+	case stairvane.Reject:
 		if q := d.unanswered(a.Request); q != nil {
 			d.Counts.Refused++
 			d.conclude(q)
-			q.Caller.Refuse(q.Request, a.HoldOff)
+			q.Caller.Refuse(q.Request, a.RetryAfter)
 		}
-	case stairvane.Drop:
+	case stairvane.Fail:
 		if q := d.unanswered(a.Request); q != nil {
 			d.Counts.Failed++
 			d.conclude(q)
 			q.Caller.Fail(q.Request)
 		}
-	case stairvane.After:
+	case stairvane.SetTimer:
 		d.after(a.Delay, a.Token)
-	case stairvane.NoteDown:
-		slog.Info("module.remark", "line", a.Line)
-	case stairvane.Subscribe, stairvane.Pull:
+	case stairvane.LogLine:
+		slog.Info("module.remark", "line", a.Text)
+	case stairvane.WatchEndpoints, stairvane.PollEndpoints:
 		// The bulletin is followed from the start to the end.
-	case stairvane.Probe:
+	case stairvane.HealthCheck:
 		slog.Error("module.probe_asked", "host_number", a.Host)
 	}
 }
@@ -234,7 +234,7 @@
 		a.Fire = func() {
 			token := a.token
 			d.spare = append(d.spare, a)
-			d.feed(stairvane.Alarm{Token: token})
+			d.feed(stairvane.TimerFired{Token: token})
 		}
 	}
 	a.token = token
--- a/internal/routing/hosts.go
+++ b/internal/routing/hosts.go
@@ -49,9 +49,9 @@
 	if whole || version > d.version {
 		d.version = version
 	}
-	t := stairvane.Topology{Kind: stairvane.ListChanges, Version: version}
+	t := stairvane.EndpointUpdate{Kind: stairvane.UpdateDelta, Version: version}
 	if whole {
-		t.Kind = stairvane.ListAll
+		t.Kind = stairvane.UpdateSnapshot
 		listed := map[string]bool{}
 		for _, m := range members {
 			listed[m.Name] = true
@@ -75,7 +75,7 @@
 		}
 		h.moveTo(m.Readiness, now)
 		h.Member = m
-		t.Members = append(t.Members, m.Member)
+		t.Endpoints = append(t.Endpoints, m.Endpoint)
 	}
 	d.feed(t)
 }
@@ -442,7 +442,7 @@
 		c.Full++
 	case stairvane.Failed:
 		c.Errors++
-	case stairvane.Moot:
+	case stairvane.NotSent:
 		c.Void++
 	case stairvane.Reset:
 		c.Reset++
--- a/internal/routing/purges.go
+++ b/internal/routing/purges.go
@@ -26,7 +26,7 @@
 	now := d.loop.Now()
 	d.Counts.Purges++
 	d.purges.objects[object] = append(d.purges.objects[object], purge{issued, d.toldAt(), now})
-	d.feed(stairvane.Invalidated{Object: object, Age: max(0, now-issued)})
+	d.feed(stairvane.Purge{Object: object, Age: max(0, now-issued)})
 }
 
 // PurgeGroup takes in a purge of a group of objects.
@@ -34,7 +34,7 @@
 	now := d.loop.Now()
 	d.Counts.Purges++
 	d.purges.groups[group] = append(d.purges.groups[group], purge{issued, d.toldAt(), now})
-	d.feed(stairvane.Invalidated{Group: group, Whole: true, Age: max(0, now-issued)})
+	d.feed(stairvane.Purge{Group: group, ByGroup: true, Age: max(0, now-issued)})
 }
 
 func (p *purges) any(q *request, f func(purge) bool) bool {
--- a/internal/routing/repeats.go
+++ b/internal/routing/repeats.go
@@ -117,6 +117,6 @@
 	d.Counts.Repeats++
 	q.spoiled, q.unread, q.ranAt, q.times = slices.Clone(f.spoiled), slices.Clone(f.unread), f.ranAt, f.times
 	k := d.classes[q.Class]
-	return f.times <= mostRepeats && (f.ranAt == 0 || k.effect == stairvane.Safe ||
-		k.effect == stairvane.Keyed && k.scope == stairvane.ScopeAll && d.loop.Now()-f.ranAt < k.resendWithin)
+	return f.times <= mostRepeats && (f.ranAt == 0 || k.effect == stairvane.Idempotent ||
+		k.effect == stairvane.IdempotentWithKey && k.scope == stairvane.ScopeAll && d.loop.Now()-f.ranAt < k.resendWithin)
 }
--- a/internal/routing/requests.go
+++ b/internal/routing/requests.go
@@ -33,7 +33,7 @@
 type attempt struct {
 	req       *request
 	number    int
-	what      stairvane.Obtain
+	what      stairvane.StartAttempt
 	host      *host
 	source    *host // nil: no fill
 	decidedAt time.Duration
@@ -93,7 +93,7 @@
 	}
 	d.known[key] = q
 	d.open++
-	d.feed(stairvane.Query{Request: key, Object: r.Object, Part: r.Part, Group: r.Group, Class: r.Class,
+	d.feed(stairvane.Request{ID: key, Object: r.Object, Part: r.Part, PurgeGroup: r.Group, Class: r.Class,
 		SizeKB: r.SizeKB, TimeLeft: max(0, deadline-d.loop.Now())})
 }
 
@@ -109,10 +109,10 @@
 		d.Counts.Revoked++
 		q.left = true
 		d.conclude(q)
-		d.feed(stairvane.Left{Request: q.key})
+		d.feed(stairvane.ClientGone{Request: q.key})
 		for _, a := range q.attempts { // the module can't call off what waits where attempts are never called off
 			if !a.ended && a.link == nil {
-				d.end(a, &Reply{Status: stairvane.Moot})
+				d.end(a, &Reply{Status: stairvane.NotSent})
 			}
 		}
 	}
@@ -151,7 +151,7 @@
 }
 
 // obtain makes an attempt.
-func (d *Director) obtain(o stairvane.Obtain) {
+func (d *Director) obtain(o stairvane.StartAttempt) {
 	q, h := d.known[o.Request], d.hosts[o.Host]
 	if q == nil {
 		return
@@ -169,7 +169,7 @@
 		d.Counts.GuardStops++
 		slog.Error("attempt.not_made", "attempt", a.number, "id", q.ID, "answered", q.answered,
 			"host_known", h != nil, "source_known", known, "out", q.out)
-		d.end(a, &Reply{Status: stairvane.Moot})
+		d.end(a, &Reply{Status: stairvane.NotSent})
 		return
 	}
 	// Until it is written it may wait for a link, but no longer than a connection may take to come up.
@@ -247,14 +247,14 @@
 	if why := d.stale(a, now); why != "" {
 		d.Counts.GuardStops++
 		slog.Debug("attempt.not_sent", "attempt", a.number, "id", a.req.ID, "host", a.host.Name, "why", why)
-		d.end(a, &Reply{Status: stairvane.Moot})
+		d.end(a, &Reply{Status: stairvane.NotSent})
 		return
 	}
 	q := a.req
 	until := d.patience(a, now)
 	o := Order{
 		ID: q.ID, Class: q.Class, Object: q.Object, Part: q.Part, Patience: until - now, Token: q.Token,
-		Rank: a.what.Rank, MaxAge: a.what.MaxAge, Options: a.what.Options, Body: q.Body,
+		Rank: a.what.CachePriority, MaxAge: a.what.MaxAge, Options: a.what.Options, Body: q.Body,
 	}
 	if a.source != nil {
 		o.Source = a.source.Name
@@ -330,7 +330,7 @@
 		}
 		d.end(a, &Reply{Status: status})
 	case d.loop.Now() >= a.req.deadline:
-		d.end(a, &Reply{Status: stairvane.Moot})
+		d.end(a, &Reply{Status: stairvane.NotSent})
 	default:
 		d.Counts.NoCon++
 		d.end(a, &Reply{Status: stairvane.ConnectFailed})
@@ -338,7 +338,7 @@
 }
 
 // abort calls an attempt off for the module.
-func (d *Director) abort(o stairvane.Abort) {
+func (d *Director) abort(o stairvane.CancelAttempt) {
 	q := d.known[o.Request]
 	if q == nil || o.Attempt < 0 || o.Attempt >= len(q.attempts) || q.attempts[o.Attempt].ended {
 		return
@@ -404,8 +404,8 @@
 		q.spoil(a.link) // some caches answer twice, the second time some milliseconds late
 	}
 	d.forget(q)
-	d.feed(stairvane.Answer{Request: q.key, Terminal: q.answered, Host: a.what.Host, Attempt: a.number, Note: r.Note,
-		Status: status, Elapsed: d.loop.Now() - a.decidedAt, Report: r.Report})
+	d.feed(stairvane.AttemptResult{Request: q.key, Terminal: q.answered, Host: a.what.Host, Attempt: a.number, CacheStatus: r.Note,
+		Status: status, Elapsed: d.loop.Now() - a.decidedAt, Load: r.Report})
 }
 
 // spoil keeps further attempts of a request off a link.
@@ -418,7 +418,7 @@
 // mayHaveRun tells whether an end leaves open that the attempt has run.
 func mayHaveRun(s stairvane.Status) bool {
 	switch s {
-	case stairvane.Full, stairvane.ConnectFailed, stairvane.Moot, stairvane.Miss:
+	case stairvane.Full, stairvane.ConnectFailed, stairvane.NotSent, stairvane.Miss:
 		return false
 	}
 	return true
--- a/internal/routing/types.go
+++ b/internal/routing/types.go
@@ -44,7 +44,7 @@
 	Source   string // name of the host a miss is filled from; empty: no fill
 	Rank     int
 	MaxAge   time.Duration
-	Options  stairvane.Options
+	Options  stairvane.FetchOptions
 	Have     string
 	Body     []byte
 }
@@ -55,7 +55,7 @@
 	Same   bool   // the client's copy is the one; there is no body
 	Tag    string // of the copy; empty: not told
 	Body   []byte
-	Note   stairvane.Note
+	Note   stairvane.CacheStatus
 	Since  time.Duration // when the origin gave out this copy; 0: not told
 	Report stairvane.LoadReport
 }
@@ -85,7 +85,7 @@
 
 // Member is one line of the list of hosts. Its Host number is routing's to give.
 type Member struct {
-	stairvane.Member
+	stairvane.Endpoint
 	Name    string
 	Address string
 }
--- a/internal/scale/cluster.go
+++ b/internal/scale/cluster.go
@@ -55,7 +55,7 @@
 type cluster struct {
 	set       Settings
 	folder    string
-	group     *rig.Boards
+	group     *rig.Cluster
 	relays    []*member
 	directors []*rig.Director
 	hollows   []*member
@@ -74,7 +74,7 @@
 }
 
 func (c *cluster) startAll() (err error) {
-	if c.group, err = rig.NewBoards(c.set.Program, c.folder, c.set.Replicas, 0); err != nil {
+	if c.group, err = rig.NewCluster(c.set.Program, c.folder, c.set.Replicas, 0); err != nil {
 		return err
 	}
 	c.group.Relays = c.set.Relays > 0
@@ -119,7 +119,7 @@
 // startRelays starts the relays, and leads real directors to them.
 func (c *cluster) startRelays() error {
 	var upstream []string
-	for _, b := range c.group.List {
+	for _, b := range c.group.Replicas {
 		upstream = append(upstream, b.Write.Addr())
 	}
 	for i := range c.set.Relays {
@@ -137,7 +137,7 @@
 		}
 		c.relays = append(c.relays, relay)
 	}
-	for i, b := range c.group.List {
+	for i, b := range c.group.Replicas {
 		if len(c.relays) > 0 {
 			b.Follow.To(c.relays[i%len(c.relays)].address)
 		}
@@ -158,7 +158,7 @@
 	if len(addresses) > 0 {
 		return addresses, nil
 	}
-	for _, b := range c.group.List {
+	for _, b := range c.group.Replicas {
 		address, err := replicaWatch(b)
 		if err != nil {
 			return nil, err
@@ -169,7 +169,7 @@
 }
 
 // replicaWatch is the address of a replica's own watch server.
-func replicaWatch(b *rig.Board) (netip.AddrPort, error) {
+func replicaWatch(b *rig.Replica) (netip.AddrPort, error) {
 	serves, _, err := b.Event("board.serves", 0, startWithin)
 	if err != nil {
 		return netip.AddrPort{}, err
@@ -243,10 +243,10 @@
 // declareFleet makes the fleet: a location with two caches, which are warm, and what they are filled from.
 func (c *cluster) declareFleet() error {
 	rules := fleet.DefaultRules()
-	rules.Cache.WarmMS = 0
-	rules.Hub.WarmMS = 0
-	wanted := fleet.Wish{Rules: rules}
-	for _, box := range []fleet.Box{
+	rules.Cache.WarmUpMS = 0
+	rules.Parent.WarmUpMS = 0
+	wanted := fleet.DesiredState{Rules: rules}
+	for _, box := range []fleet.HostSpec{
 		{Name: "store", Role: fleet.Origin, Site: "hub", Class: "origin", Share: 40},
 		{Name: "west-0", Role: fleet.Cache, Site: "west", Class: "std", Share: 4, Running: true},
 		{Name: "west-1", Role: fleet.Cache, Site: "west", Class: "std", Share: 4, Running: true},
@@ -257,16 +257,16 @@
 		}
 		c.caches = append(c.caches, cache)
 		box.Address = cache.Addr()
-		wanted.Boxes = append(wanted.Boxes, box)
+		wanted.Hosts = append(wanted.Hosts, box)
 	}
 	wanted.Locations = []fleet.Location{{Name: "west", Floor: 1, Load: 1, Sources: []string{"store"}}}
-	wanted.Normal()
+	wanted.Normalize()
 	client, err := c.group.Client()
 	if err != nil {
 		return err
 	}
 	for end := time.Now().Add(startWithin); ; time.Sleep(retryPause) {
-		err := change(client, func(fleet.World) fleet.Wish { return wanted })
+		err := change(client, func(fleet.ObservedState) fleet.DesiredState { return wanted })
 		if err == nil || time.Now().After(end) {
 			return err
 		}
@@ -281,8 +281,8 @@
 	}
 	begin := time.Now()
 	for {
-		var roll api.Roll
-		if roll, err = client.Roll(); err == nil {
+		var roll api.Members
+		if roll, err = client.Members(); err == nil {
 			joined = len(roll.Directors)
 		}
 		took = time.Since(begin)
@@ -294,8 +294,8 @@
 }
 
 // members are all processes with their roles as they are now.
-func (c *cluster) members(leader *rig.Board) (all []*member) {
-	for _, b := range c.group.List {
+func (c *cluster) members(leader *rig.Replica) (all []*member) {
+	for _, b := range c.group.Replicas {
 		role := RoleReplica
 		if b == leader {
 			role = RoleLeader
--- a/internal/scale/hollow/answers.go
+++ b/internal/scale/hollow/answers.go
@@ -18,13 +18,13 @@
 // answers decodes the answers to the directors of a process. On machines of their own each would decode its own; here the part
 // that many are sent alike is decoded once.
 type answers struct {
-	decoded map[uint64]bulletin.Feed
+	decoded map[uint64]bulletin.WatchResponse
 }
 
-func newAnswers() answers { return answers{decoded: map[uint64]bulletin.Feed{}} }
+func newAnswers() answers { return answers{decoded: map[uint64]bulletin.WatchResponse{}} }
 
 // decode decodes the body of an answer. The items must not be changed. An event that can't be read is an error.
-func (a *answers) decode(body []byte) (bulletin.Feed, error) {
+func (a *answers) decode(body []byte) (bulletin.WatchResponse, error) {
 	shared, grant := body, []byte(nil)
 	if at := bytes.LastIndex(body, personalPart); at >= 0 {
 		shared = body[:at+1]
@@ -32,13 +32,13 @@
 	}
 	feed, err := a.decodeShared(shared, len(grant) > 0)
 	if len(grant) > 0 {
-		feed.Turns = json.RawMessage(grant)
+		feed.QuotaGrant = json.RawMessage(grant)
 	}
 	return feed, err
 }
 
 // decodeShared decodes the shared part; cut tells that the closing brace is missing.
-func (a *answers) decodeShared(shared []byte, cut bool) (bulletin.Feed, error) {
+func (a *answers) decodeShared(shared []byte, cut bool) (bulletin.WatchResponse, error) {
 	key := xxhash.Sum64(shared)
 	if feed, known := a.decoded[key]; known {
 		return feed, nil
@@ -51,8 +51,8 @@
 	if err != nil {
 		return feed, err
 	}
-	if len(feed.Faults) > 0 {
-		return feed, feed.Faults[0]
+	if len(feed.Malformed) > 0 {
+		return feed, feed.Malformed[0]
 	}
 	if len(a.decoded) >= maxDecoded {
 		clear(a.decoded)
--- a/internal/scale/hollow/director.go
+++ b/internal/scale/hollow/director.go
@@ -148,9 +148,9 @@
 		demand := max(LeastDemand, mean*(1+demandVaries*(2*d.random.Float64()-1)))
 		d.renewer.Want(quota.Want{Limit: limitName(cache), Kind: quota.Rate, Demand: demand})
 	}
-	a := bulletin.Announcement{Director: d.own, Roll: d.roll, Config: "0123456789abcdef"}
+	a := bulletin.Announcement{Director: d.own, MembershipRevision: d.roll, Config: "0123456789abcdef"}
 	var err error
-	if a.Turns, err = json.Marshal(d.renewer.Renewal(Now())); err != nil {
+	if a.QuotaRenewal, err = json.Marshal(d.renewer.Renewal(Now())); err != nil {
 		panic(err) // texts and numbers
 	}
 	header, err := json.Marshal(a)
@@ -190,28 +190,28 @@
 }
 
 // take takes a feed in, each event once.
-func (d *director) take(feed bulletin.Feed, now time.Duration) {
-	if len(feed.Turns) > 0 {
-		d.takeGrant(feed.Turns, now)
+func (d *director) take(feed bulletin.WatchResponse, now time.Duration) {
+	if len(feed.QuotaGrant) > 0 {
+		d.takeGrant(feed.QuotaGrant, now)
 	}
 	count := &d.process.count
 	hadRoll := d.roll > 0 // without it the server tells everything from the beginning
-	for _, item := range feed.Items {
-		if item.Roll != nil && (item.Roll.Whole || item.Number > d.last) {
-			d.roll = max(d.roll, item.Number)
+	for _, item := range feed.Events {
+		if item.Membership != nil && (item.Membership.Snapshot || item.Revision > d.last) {
+			d.roll = max(d.roll, item.Revision)
 		}
-		if item.Number <= d.last {
-			if item.Recall != nil && hadRoll {
+		if item.Revision <= d.last {
+			if item.Purge != nil && hadRoll {
 				count.repeated++
 			}
 			continue
 		}
-		d.last = item.Number
-		if item.Recall != nil && d.answers > 0 {
-			count.purges[item.Number] = append(count.purges[item.Number], int64(now))
+		d.last = item.Revision
+		if item.Purge != nil && d.answers > 0 {
+			count.purges[item.Revision] = append(count.purges[item.Revision], int64(now))
 		}
 	}
-	d.last = max(d.last, feed.Last)
+	d.last = max(d.last, feed.LastRevision)
 	d.answers++
 }
 
--- a/internal/scale/load.go
+++ b/internal/scale/load.go
@@ -40,7 +40,7 @@
 
 // startLoad begins the load. Purges fall due at even times, whether or not those before are answered; one that no writer is free
 // for in a whole period counts as not accepted.
-func startLoad(group *rig.Boards, set Settings) (*load, error) {
+func startLoad(group *rig.Cluster, set Settings) (*load, error) {
 	ctx, stop := context.WithCancel(context.Background())
 	l := &load{stop: stop}
 	due := make(chan int64, purgeWriters)
@@ -103,15 +103,15 @@
 		l.failed, l.lastFailure = append(l.failed, called), err
 		return
 	}
-	l.purges = append(l.purges, acceptedPurge{number: answer.No, called: called, accepted: hollow.Now()})
+	l.purges = append(l.purges, acceptedPurge{number: answer.Revision, called: called, accepted: hollow.Now()})
 }
 
 // change has the location's load go up and down. The write side takes changes of the configuration as plans alone, so that this
 // is the lightest one: a plan of one step.
 func (l *load) change(client *api.Client, n int64) {
 	called := hollow.Now()
-	err := change(client, func(w fleet.World) fleet.Wish {
-		wanted := w.AsWish()
+	err := change(client, func(w fleet.ObservedState) fleet.DesiredState {
+		wanted := w.DesiredState()
 		for i := range wanted.Locations {
 			wanted.Locations[i].Load = 1 + float64(n%2)/2
 		}
@@ -127,12 +127,12 @@
 }
 
 // change plans the way to a wished fleet and hands the plan in.
-func change(client *api.Client, wished func(fleet.World) fleet.Wish) error {
-	answer, err := client.World()
+func change(client *api.Client, wished func(fleet.ObservedState) fleet.DesiredState) error {
+	answer, err := client.State()
 	if err != nil {
 		return err
 	}
-	world, err := answer.Seen()
+	world, err := answer.ObservedState()
 	if err != nil {
 		return err
 	}
--- a/internal/scale/window.go
+++ b/internal/scale/window.go
@@ -130,7 +130,7 @@
 }
 
 // disturb makes the fault and the restarts that are wanted while the window goes on.
-func (w *window) disturb(ctx context.Context, leader *rig.Board) {
+func (w *window) disturb(ctx context.Context, leader *rig.Replica) {
 	if w.set.RestartPerSecond > 0 {
 		w.tasks.Go(func() {
 			each(ctx, float64(w.set.RestartPerSecond), func(n int64) {
--- a/internal/signals/signals.go
+++ b/internal/signals/signals.go
@@ -23,50 +23,50 @@
 	Boxes    int           // in one report and in one set of opinions, at most: bounds their bytes
 }
 
-// Usual are the settings that board and directors have.
-var Usual = Settings{Weight: 0.5, Lives: 8 * time.Second, Machines: 3, Doubt: 0.15, Boxes: 32}
+// DefaultSettings are the settings that board and directors have.
+var DefaultSettings = Settings{Weight: 0.5, Lives: 8 * time.Second, Machines: 3, Doubt: 0.15, Boxes: 32}
 
-// Evidence is what a director has seen of a box since its last report.
-type Evidence struct {
-	Box   string  `json:"b"`
-	Tried float64 `json:"n"`           // attempts, and fills that it was the source of
-	Bad   float64 `json:"f,omitempty"` // of them that went wrong by its fault
-	LagMS float64 `json:"l,omitempty"` // smoothed, beyond what an answer's size explains
+// Outcomes is what a director has seen of a box since its last report.
+type Outcomes struct {
+	Cache    string  `json:"b"`
+	Attempts float64 `json:"n"`           // attempts, and fills that it was the source of
+	Failures float64 `json:"f,omitempty"` // of them that went wrong by its fault
+	LagMS    float64 `json:"l,omitempty"` // smoothed, beyond what an answer's size explains
 }
 
 // Report is a director's evidence. Only boxes of which there is something to say are in it.
 type Report struct {
 	Holder string     `json:"holder"`
 	Seq    uint64     `json:"seq"` // rises with each: one that comes again, or late, counts for nothing
-	Boxes  []Evidence `json:"boxes"`
+	Caches []Outcomes `json:"boxes"`
 }
 
 // Trim keeps as many boxes of a report as one may have, those with the most that went wrong first.
-func (s Settings) Trim(all []Evidence) []Evidence {
-	slices.SortFunc(all, func(a, b Evidence) int {
-		return cmp.Or(cmp.Compare(b.Bad, a.Bad), cmp.Compare(b.Tried, a.Tried), cmp.Compare(a.Box, b.Box))
+func (s Settings) Trim(all []Outcomes) []Outcomes {
+	slices.SortFunc(all, func(a, b Outcomes) int {
+		return cmp.Or(cmp.Compare(b.Failures, a.Failures), cmp.Compare(b.Attempts, a.Attempts), cmp.Compare(a.Cache, b.Cache))
 	})
 	return all[:min(len(all), s.Boxes)]
 }
 
-// Opinion is what is believed of a box.
-type Opinion struct {
-	Box      string  `json:"box"`
-	Bad      float64 `json:"bad"`      // share of attempts that go wrong there, by two thirds of those who tell
-	Machines int     `json:"machines"` // that tell of it
-	LagMS    float64 `json:"lag_ms"`   // the median of what they tell
-	AgeMS    int64   `json:"age_ms"`   // of the newest evidence that it rests on
+// CacheHealth is what is believed of a box.
+type CacheHealth struct {
+	Cache        string  `json:"box"`
+	FailureShare float64 `json:"bad"`      // share of attempts that go wrong there, by two thirds of those who tell
+	Machines     int     `json:"machines"` // that tell of it
+	LagMS        float64 `json:"lag_ms"`   // the median of what they tell
+	AgeMS        int64   `json:"age_ms"`   // of the newest evidence that it rests on
 }
 
-// Opinions are all that there are at a moment. Boxes that are not named are not doubted.
-type Opinions struct {
-	Epoch int64     `json:"epoch"` // of who merged them: an older one's change nothing
-	Seq   uint64    `json:"seq"`   // rises with each change
-	All   []Opinion `json:"all,omitempty"`
+// AggregatedHealth are all that there are at a moment. Boxes that are not named are not doubted.
+type AggregatedHealth struct {
+	Epoch  int64         `json:"epoch"` // of who merged them: an older one's change nothing
+	Seq    uint64        `json:"seq"`   // rises with each change
+	Caches []CacheHealth `json:"all,omitempty"`
 }
 
-// Merger holds the evidence. It is not safe for concurrent use.
-type Merger struct {
+// Aggregator holds the evidence. It is not safe for concurrent use.
+type Aggregator struct {
 	set   Settings
 	epoch int64
 	seq   uint64
@@ -74,7 +74,7 @@
 	boxes map[string]map[string]*seen         // by box and holder
 	said  map[string]float64                  // what was believed when Opinions was asked last, in steps
 	hears map[string]map[string]time.Duration // machines by location, and when each told of anything last
-	found Opinions                            // as they were found last
+	found AggregatedHealth                    // as they were found last
 	at    time.Duration                       // when that was
 }
 
@@ -102,23 +102,23 @@
 	toldBad time.Duration // of the newest that something went wrong
 }
 
-// NewMerger makes a merger that knows nothing; a later one has a higher epoch.
-func NewMerger(set Settings, epoch int64) *Merger {
-	return &Merger{set: set, epoch: epoch, last: map[string]uint64{}, boxes: map[string]map[string]*seen{}, said: map[string]float64{}, hears: map[string]map[string]time.Duration{}, at: -1}
+// NewAggregator makes a merger that knows nothing; a later one has a higher epoch.
+func NewAggregator(set Settings, epoch int64) *Aggregator {
+	return &Aggregator{set: set, epoch: epoch, last: map[string]uint64{}, boxes: map[string]map[string]*seen{}, said: map[string]float64{}, hears: map[string]map[string]time.Duration{}, at: -1}
 }
 
 // sound tells whether evidence can be: one that says more than it may is dropped, not corrected.
-func (e Evidence) sound() bool {
-	return e.Box != "" && e.Tried > 0 && e.Tried < 1e9 && e.Bad >= 0 && e.Bad <= e.Tried && e.LagMS >= 0 && e.LagMS < 1e9
+func (e Outcomes) sound() bool {
+	return e.Cache != "" && e.Attempts > 0 && e.Attempts < 1e9 && e.Failures >= 0 && e.Failures <= e.Attempts && e.LagMS >= 0 && e.LagMS < 1e9
 }
 
 // Take takes a report in, of a director at a place. The order in which reports of several directors come is without influence.
-func (m *Merger) Take(r Report, at Place, now time.Duration) {
-	if r.Seq <= m.last[r.Holder] || len(r.Boxes) > m.set.Boxes {
+func (m *Aggregator) Take(r Report, at Place, now time.Duration) {
+	if r.Seq <= m.last[r.Holder] || len(r.Caches) > m.set.Boxes {
 		return
 	}
 	m.last[r.Holder] = r.Seq
-	for _, e := range r.Boxes {
+	for _, e := range r.Caches {
 		if !e.sound() {
 			continue
 		}
@@ -126,19 +126,19 @@
 			m.hears[at.Location] = map[string]time.Duration{}
 		}
 		m.hears[at.Location][at.Machine] = max(m.hears[at.Location][at.Machine], now)
-		if m.boxes[e.Box] == nil {
-			m.boxes[e.Box] = map[string]*seen{}
+		if m.boxes[e.Cache] == nil {
+			m.boxes[e.Cache] = map[string]*seen{}
 		}
-		s := m.boxes[e.Box][r.Holder]
+		s := m.boxes[e.Cache][r.Holder]
 		if s == nil {
 			s = &seen{}
-			m.boxes[e.Box][r.Holder] = s
+			m.boxes[e.Cache][r.Holder] = s
 		}
-		old := math.Pow(1-m.set.Weight, e.Tried)
-		s.share = old*s.share + (1-old)*e.Bad/e.Tried
+		old := math.Pow(1-m.set.Weight, e.Attempts)
+		s.share = old*s.share + (1-old)*e.Failures/e.Attempts
 		s.Place, s.told, s.lagMS = at, max(s.told, now), e.LagMS
-		s.tried, s.bad = s.tried+e.Tried, s.bad+e.Bad
-		if e.Bad > 0 {
+		s.tried, s.bad = s.tried+e.Attempts, s.bad+e.Failures
+		if e.Failures > 0 {
 			s.toldBad = max(s.toldBad, now)
 		}
 	}
@@ -152,7 +152,7 @@
 
 // audience counts the machines from which something could be heard of a box: those of the locations of which more than a third
 // tell of it, as far as they tell of anything. So the few that lie can't speak for a location that does not know the box.
-func (m *Merger) audience(tell map[Place]bool, now time.Duration) (machines int) {
+func (m *Aggregator) audience(tell map[Place]bool, now time.Duration) (machines int) {
 	for location, all := range m.hears {
 		active, telling := 0, 0
 		for machine, at := range all {
@@ -173,7 +173,7 @@
 // believed is what is believed of a box now; false if too few tell of it. Each machine has one vote, however much it tells. The
 // highest votes are left out, as many as there may be machines that lie, a third of those that could tell, and what is left is
 // averaged. So fewer than a third can neither accuse a healthy box nor acquit one that nearly all the others see failing.
-func (m *Merger) believed(box string, now time.Duration) (o Opinion, is bool) {
+func (m *Aggregator) believed(box string, now time.Duration) (o CacheHealth, is bool) {
 	votes, tell := map[string]*vote{}, map[Place]bool{}
 	for _, s := range m.boxes[box] {
 		if now-s.told >= m.set.Lives {
@@ -187,7 +187,7 @@
 		}
 		v.shares, v.directors, v.lag, v.toldBad = v.shares+s.share, v.directors+1, max(v.lag, s.lagMS), max(v.toldBad, s.toldBad)
 	}
-	o = Opinion{Box: box, Machines: len(votes)}
+	o = CacheHealth{Cache: box, Machines: len(votes)}
 	left := len(votes) - max(1, (m.audience(tell, now)-1)/3)
 	if len(votes) < m.set.Machines || left < m.set.Machines-1 {
 		return o, false
@@ -201,31 +201,33 @@
 	slices.Sort(lags)
 	slices.Sort(news) // what the same number brought last is left out too: who goes on accusing keeps no opinion alive
 	for _, share := range shares[:left] {
-		o.Bad += share / float64(left)
+		o.FailureShare += share / float64(left)
 	}
-	o.Bad = min(o.Bad, shares[left-2]) // one that had bad luck beside those that lie is not enough
+	o.FailureShare = min(o.FailureShare, shares[left-2]) // one that had bad luck beside those that lie is not enough
 	o.LagMS, o.AgeMS = lags[len(lags)/2], (now - news[left-1]).Milliseconds()
 	return o, true
 }
 
 const opinionSteps = 20 // of a share: smaller changes are not told
 
-// Opinions are those that are worth telling. Seq changes when what is said does.
-func (m *Merger) Opinions(now time.Duration) Opinions {
+// Aggregated are those that are worth telling. Seq changes when what is said does.
+func (m *Aggregator) Aggregated(now time.Duration) AggregatedHealth {
 	if m.at >= 0 && now-m.at < max(foundFor, time.Duration(len(m.last))*foundEach) {
 		return m.found
 	}
-	out := Opinions{Epoch: m.epoch}
+	out := AggregatedHealth{Epoch: m.epoch}
 	says := map[string]float64{}
 	for box := range m.boxes {
-		if o, is := m.believed(box, now); is && o.Bad >= m.set.Doubt && time.Duration(o.AgeMS)*time.Millisecond < m.set.Lives {
-			out.All = append(out.All, o)
+		if o, is := m.believed(box, now); is && o.FailureShare >= m.set.Doubt && time.Duration(o.AgeMS)*time.Millisecond < m.set.Lives {
+			out.Caches = append(out.Caches, o)
 		}
 	}
-	slices.SortFunc(out.All, func(a, b Opinion) int { return cmp.Or(cmp.Compare(b.Bad, a.Bad), cmp.Compare(a.Box, b.Box)) })
-	out.All = out.All[:min(len(out.All), m.set.Boxes)]
-	for _, o := range out.All {
-		says[o.Box] = math.Round(o.Bad * opinionSteps)
+	slices.SortFunc(out.Caches, func(a, b CacheHealth) int {
+		return cmp.Or(cmp.Compare(b.FailureShare, a.FailureShare), cmp.Compare(a.Cache, b.Cache))
+	})
+	out.Caches = out.Caches[:min(len(out.Caches), m.set.Boxes)]
+	for _, o := range out.Caches {
+		says[o.Cache] = math.Round(o.FailureShare * opinionSteps)
 	}
 	if !maps.Equal(says, m.said) {
 		m.said = says
@@ -237,7 +239,7 @@
 }
 
 // Sweep forgets evidence that weighs nothing any more.
-func (m *Merger) Sweep(now time.Duration) {
+func (m *Aggregator) Sweep(now time.Duration) {
 	heard := map[string]bool{}
 	for box, all := range m.boxes {
 		for holder, s := range all {
@@ -259,8 +261,8 @@
 	maps.DeleteFunc(m.last, func(holder string, _ uint64) bool { return !heard[holder] })
 }
 
-// Told is what one director tells of a box.
-type Told struct {
+// ReportedOutcomes is what one director tells of a box.
+type ReportedOutcomes struct {
 	Holder  string  `json:"director"`
 	Machine string  `json:"machine"`
 	Tried   float64 `json:"tried"` // in all
@@ -270,70 +272,70 @@
 	AgeMS   int64   `json:"age_ms"`
 }
 
-// Box is all that is known of a box.
-type Box struct {
-	Opinion
-	Enough bool   `json:"enough"` // whether enough machines tell of it for an opinion
-	By     []Told `json:"by"`
+// CacheStatus is all that is known of a box.
+type CacheStatus struct {
+	CacheHealth
+	Enough bool               `json:"enough"` // whether enough machines tell of it for an opinion
+	By     []ReportedOutcomes `json:"by"`
 }
 
-// Boxes lists what is known of all boxes.
-func (m *Merger) Boxes(now time.Duration) (all []Box) {
+// Caches lists what is known of all boxes.
+func (m *Aggregator) Caches(now time.Duration) (all []CacheStatus) {
 	for _, box := range slices.Sorted(maps.Keys(m.boxes)) {
-		b := Box{}
-		b.Opinion, b.Enough = m.believed(box, now)
-		b.Box = box
+		b := CacheStatus{}
+		b.CacheHealth, b.Enough = m.believed(box, now)
+		b.Cache = box
 		for _, holder := range slices.Sorted(maps.Keys(m.boxes[box])) {
 			s := m.boxes[box][holder]
-			b.By = append(b.By, Told{holder, s.Machine, s.tried, s.bad, s.share, s.lagMS, (now - s.told).Milliseconds()})
+			b.By = append(b.By, ReportedOutcomes{holder, s.Machine, s.tried, s.bad, s.share, s.lagMS, (now - s.told).Milliseconds()})
 		}
 		all = append(all, b)
 	}
 	return all
 }
 
-// Believer is a director's side: what it is told, fading. It is not safe for concurrent use.
-type Believer struct {
+// Tracker is a director's side: what it is told, fading. It is not safe for concurrent use.
+type Tracker struct {
 	set   Settings
 	epoch int64
 	seq   uint64
 	asked time.Duration // when the call was made that brought the last news
-	all   map[string]Opinion
+	all   map[string]CacheHealth
 	lives time.Duration
 	told  map[string]float64 // by Changes
 }
 
-// NewBeliever makes a believer that doubts nothing. Each believes for another part of an opinion's life, by its name, from a half to
+// NewTracker makes a believer that doubts nothing. Each believes for another part of an opinion's life, by its name, from a half to
 // all of it: so when nobody has tried a doubted box for a while, a few look first, and not all at once.
-func NewBeliever(set Settings, name string) *Believer {
+func NewTracker(set Settings, name string) *Tracker {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	part := 0.5 + 0.5*float64(h.Sum64()>>11)/(1<<53)
-	return &Believer{set: set, all: map[string]Opinion{}, told: map[string]float64{}, lives: time.Duration(part * float64(set.Lives))}
+	return &Tracker{set: set, all: map[string]CacheHealth{}, told: map[string]float64{}, lives: time.Duration(part * float64(set.Lives))}
 }
 
 // Take takes opinions in that answer a call made at a moment: their age counts from there. Those of an older merger, or said before
 // others that were taken, change nothing.
-func (b *Believer) Take(o Opinions, asked time.Duration) {
+func (b *Tracker) Take(o AggregatedHealth, asked time.Duration) {
 	if o.Epoch < b.epoch || o.Epoch == b.epoch && (o.Seq < b.seq || asked < b.asked) {
 		return
 	}
 	b.epoch, b.seq, b.asked = o.Epoch, o.Seq, asked
 	clear(b.all)
-	for _, x := range o.All[:min(len(o.All), b.set.Boxes)] {
-		if x.Bad > 0 && x.Bad <= 1 && x.AgeMS >= 0 && x.Machines >= b.set.Machines {
-			b.all[x.Box] = x
+	for _, x := range o.Caches[:min(len(o.Caches), b.set.Boxes)] {
+		if x.FailureShare > 0 && x.FailureShare <= 1 && x.AgeMS >= 0 && x.Machines >= b.set.Machines {
+			b.all[x.Cache] = x
 		}
 	}
 }
 
 // Doubts are the boxes that are doubted, and how much, 0 to 1: less and less, and not at all once an opinion's life is over.
-func (b *Believer) Doubts(now time.Duration) map[string]float64 {
+func (b *Tracker) Doubts(now time.Duration) map[string]float64 {
 	out := make(map[string]float64, len(b.all))
 	for box, o := range b.all {
 		age := now - b.asked + time.Duration(o.AgeMS)*time.Millisecond
 		if left := 1 - float64(age)/float64(b.lives); left > 0 && age >= 0 {
-			out[box] = o.Bad * min(1, 2*left) // whole for the first half of its life
+			out[box] = o.FailureShare * min(1, 2*left) // whole for the first half of its life
 		}
 	}
 	return out
--- a/internal/standin/cache.go
+++ b/internal/standin/cache.go
@@ -16,8 +16,8 @@
 	"stairvane.org/stairvane/internal/protocol/resp"
 )
 
-// Order is one attempt that came to a cache.
-type Order struct {
+// Attempt is one attempt that came to a cache.
+type Attempt struct {
 	ID, Source, Token string
 	At                time.Time
 }
@@ -26,7 +26,7 @@
 type Cache struct {
 	listener net.Listener
 	mu       sync.Mutex
-	orders   []Order
+	orders   []Attempt
 	conns    map[net.Conn]bool
 	closed   bool
 	slow     time.Duration
@@ -42,8 +42,8 @@
 	c.sources = sources
 }
 
-// Spoilt is when it said that a source turned it away.
-func (c *Cache) Spoilt() []time.Time {
+// Corrupted is when it said that a source turned it away.
+func (c *Cache) Corrupted() []time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]time.Time(nil), c.spoilt...)
@@ -70,11 +70,11 @@
 // Addr is where it listens.
 func (c *Cache) Addr() string { return c.listener.Addr().String() }
 
-// Orders are all that has come so far.
-func (c *Cache) Orders() []Order {
+// Attempts are all that has come so far.
+func (c *Cache) Attempts() []Attempt {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]Order(nil), c.orders...)
+	return append([]Attempt(nil), c.orders...)
 }
 
 // Close is the death of the process: it listens no more and its connections break.
@@ -151,7 +151,7 @@
 		if len(w) < 3 {
 			return
 		}
-		o := Order{ID: string(w[1]), At: time.Now()}
+		o := Attempt{ID: string(w[1]), At: time.Now()}
 		for _, pair := range strings.Split(string(w[2]), ",") {
 			switch name, value, _ := strings.Cut(pair, "="); name {
 			case "up":
--- a/internal/standin/rig/link.go
+++ b/internal/standin/rig/link.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// Link is a stand-in of a line to one process: a port of its own whose connections lead there. A cut line takes bytes and
+// Proxy is a stand-in of a line to one process: a port of its own whose connections lead there. A cut line takes bytes and
 // carries none, as a broken one does; connections live on and go on once it is whole again.
-type Link struct {
+type Proxy struct {
 	listener net.Listener
 	mu       sync.Mutex
 	changed  *sync.Cond
@@ -24,23 +24,23 @@
 	closed   bool
 }
 
-// NewLink makes a line that leads nowhere yet.
-func NewLink() (*Link, error) {
+// NewProxy makes a line that leads nowhere yet.
+func NewProxy() (*Proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	k := &Link{listener: l, there: true, back: true, breakAt: -1, conns: map[net.Conn]bool{}}
+	k := &Proxy{listener: l, there: true, back: true, breakAt: -1, conns: map[net.Conn]bool{}}
 	k.changed = sync.NewCond(&k.mu)
 	go k.accept()
 	return k, nil
 }
 
 // Addr is the near end.
-func (k *Link) Addr() string { return k.listener.Addr().String() }
+func (k *Proxy) Addr() string { return k.listener.Addr().String() }
 
 // To sets the far end. Connections to the one before break.
-func (k *Link) To(address string) {
+func (k *Proxy) To(address string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.to != address {
@@ -50,7 +50,7 @@
 }
 
 // Carry sets in which directions bytes go.
-func (k *Link) Carry(there, back bool) {
+func (k *Proxy) Carry(there, back bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.there, k.back = there, back
@@ -58,21 +58,21 @@
 }
 
 // Slow makes each piece of what is carried later by a time.
-func (k *Link) Slow(by time.Duration) {
+func (k *Proxy) Slow(by time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.delay = by
 }
 
 // BreakAfter breaks all connections once so many more bytes have gone there; it happens once.
-func (k *Link) BreakAfter(bytes int64) {
+func (k *Proxy) BreakAfter(bytes int64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.breakAt = bytes
 }
 
 // Close ends the line.
-func (k *Link) Close() {
+func (k *Proxy) Close() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.closed = true
@@ -81,13 +81,13 @@
 	k.changed.Broadcast()
 }
 
-func (k *Link) reset() {
+func (k *Proxy) reset() {
 	for c := range k.conns {
 		c.Close()
 	}
 }
 
-func (k *Link) accept() {
+func (k *Proxy) accept() {
 	for {
 		near, err := k.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -101,7 +101,7 @@
 	}
 }
 
-func (k *Link) join(near net.Conn) {
+func (k *Proxy) join(near net.Conn) {
 	k.mu.Lock()
 	to := k.to
 	k.conns[near] = true
@@ -118,7 +118,7 @@
 	k.carry(far, near, false)
 }
 
-func (k *Link) end(conns ...net.Conn) {
+func (k *Proxy) end(conns ...net.Conn) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, c := range conns {
@@ -128,7 +128,7 @@
 }
 
 // carry takes bytes from one end to the other. While the direction is cut it holds what it has read, and reads no more.
-func (k *Link) carry(from, to net.Conn, there bool) {
+func (k *Proxy) carry(from, to net.Conn, there bool) {
 	defer k.end(from, to)
 	buf := make([]byte, 64<<10)
 	for {
--- a/internal/wire/format.go
+++ b/internal/wire/format.go
@@ -23,24 +23,24 @@
 // writeAction writes one action's line.
 func writeAction(w *bufio.Writer, slot int, action stairvane.Action) {
 	switch a := action.(type) {
-	case stairvane.Obtain:
+	case stairvane.StartAttempt:
 		fmt.Fprintf(w, "obtain %d %s %d %d %s %d %s %d\n", slot, a.Request, a.Host, a.Options,
-			millis(a.MaxAge), a.Rank, millis(a.Timeout), a.Source)
-	case stairvane.Deny:
-		fmt.Fprintf(w, "deny %d %s %s\n", slot, a.Request, millis(a.HoldOff))
-	case stairvane.Drop:
+			millis(a.MaxAge), a.CachePriority, millis(a.Timeout), a.Source)
+	case stairvane.Reject:
+		fmt.Fprintf(w, "deny %d %s %s\n", slot, a.Request, millis(a.RetryAfter))
+	case stairvane.Fail:
 		fmt.Fprintf(w, "drop_request %d %s\n", slot, a.Request)
-	case stairvane.Abort:
+	case stairvane.CancelAttempt:
 		fmt.Fprintf(w, "abort_attempt %d %s %d\n", slot, a.Request, a.Attempt)
-	case stairvane.Probe:
+	case stairvane.HealthCheck:
 		fmt.Fprintf(w, "health_check %d %d\n", slot, a.Host)
-	case stairvane.After:
+	case stairvane.SetTimer:
 		fmt.Fprintf(w, "after %d %s %s\n", slot, millis(a.Delay), a.Token)
-	case stairvane.Subscribe:
-		fmt.Fprintf(w, "stream_changes %d %d\n", slot, bit(a.Want))
-	case stairvane.Pull:
+	case stairvane.WatchEndpoints:
+		fmt.Fprintf(w, "stream_changes %d %d\n", slot, bit(a.Enabled))
+	case stairvane.PollEndpoints:
 		fmt.Fprintf(w, "pull %d\n", slot)
-	case stairvane.NoteDown:
-		fmt.Fprintf(w, "note_down %d %s\n", slot, a.Line)
+	case stairvane.LogLine:
+		fmt.Fprintf(w, "note_down %d %s\n", slot, a.Text)
 	}
 }
--- a/internal/wire/serve.go
+++ b/internal/wire/serve.go
@@ -22,7 +22,7 @@
 	out       *bufio.Writer
 	line      int // number of the line read last
 	now       time.Duration
-	tables    [maxTables][]stairvane.Member
+	tables    [maxTables][]stairvane.Endpoint
 	known     [maxTables]bool
 	instances map[int]*stairvane.Router
 }
@@ -167,7 +167,7 @@
 	if err := f.end(); err != nil {
 		return err
 	}
-	var members []stairvane.Member
+	var members []stairvane.Endpoint
 	for range count {
 		line, err := s.more()
 		if err != nil {
@@ -184,15 +184,15 @@
 }
 
 func (s *server) topology(f *fields) (stairvane.Event, error) {
-	t := stairvane.Topology{Kind: stairvane.ListKind(f.need("Kind")), Version: f.optionalInt("Stamp")}
+	t := stairvane.EndpointUpdate{Kind: stairvane.EndpointUpdateKind(f.need("Kind")), Version: f.optionalInt("Stamp")}
 	table := f.optionalInt("Table")
 	switch t.Kind {
-	case stairvane.ListRefused:
-	case stairvane.ListAll, stairvane.ListChanges, stairvane.ListRemembered:
+	case stairvane.UpdateRejected:
+	case stairvane.UpdateSnapshot, stairvane.UpdateDelta, stairvane.UpdateCached:
 		if table < 0 || table >= maxTables || !s.known[table] {
 			f.fail("Table", "no such list")
 		} else {
-			t.Members = s.tables[table]
+			t.Endpoints = s.tables[table]
 		}
 	default:
 		f.fail("Kind", "unknown")
--- a/router.go
+++ b/router.go
@@ -75,18 +75,18 @@
 // Start begins an instance's life.
 func (r *Router) Start(now time.Duration) []Action {
 	r.now, r.measured, r.acts = now, now, nil
-	r.missShare, r.alike = unseenMiss, max(1, float64(r.s.Dispatchers)) // all may serve the zone, unless told
+	r.missShare, r.alike = unseenMiss, max(1, float64(r.s.Directors)) // all may serve the zone, unless told
 	i := slices.Index(r.s.Zones, r.s.Zone)
-	if i >= 0 && i < len(r.s.DispatchersByZone) && r.s.DispatchersByZone[i] > 0 {
-		r.alike = float64(r.s.DispatchersByZone[i])
+	if i >= 0 && i < len(r.s.DirectorsByZone) && r.s.DirectorsByZone[i] > 0 {
+		r.alike = float64(r.s.DirectorsByZone[i])
 	}
 	r.further = r.furtherMost() / 2
 	for _, c := range r.s.Classes {
 		r.patience, r.longest = min(cmp.Or(r.patience, c.Deadline), c.Deadline), max(r.longest, c.Deadline)
 	}
 	r.after(sweepEvery, "sweep")
-	if r.s.MustSubscribe {
-		r.do(Subscribe{Want: true})
+	if r.s.MustWatch {
+		r.do(WatchEndpoints{Enabled: true})
 	}
 	return r.acts
 }
@@ -95,57 +95,57 @@
 func (r *Router) Handle(now time.Duration, ev Event) []Action {
 	r.now, r.acts = now, nil
 	switch e := ev.(type) {
-	case Query:
+	case Request:
 		r.arrive(e)
-	case Answer:
+	case AttemptResult:
 		r.answer(e)
-	case First:
+	case FirstByte:
 		r.first(e)
-	case Bound:
+	case PriorAttempt:
 		if q := r.open[e.Request]; q != nil {
-			at := &host{Member: Member{Zone: e.Zone, Cell: e.Cell}}
+			at := &host{Endpoint: Endpoint{Zone: e.Zone, Cell: e.Cell}}
 			q.bound = &attempt{req: q, host: at, sentAt: r.now - e.Age, mayRun: true}
 		}
-	case Fellows:
-		r.alike, r.s.Dispatchers = max(1, float64(e.Here)), max(1, e.All)
-	case Part:
+	case PeerCounts:
+		r.alike, r.s.Directors = max(1, float64(e.InZone)), max(1, e.Total)
+	case QuotaShare:
 		if h := r.hosts[e.Host]; h != nil {
 			h.part = e.Share
 		}
-	case Opinion:
+	case AggregatedHealth:
 		if h := r.hosts[e.Host]; h != nil {
-			h.doubt = e.Bad
+			h.doubt = e.FailureShare
 		}
-	case Left:
+	case ClientGone:
 		r.finish(r.open[e.Request])
-	case Alarm:
+	case TimerFired:
 		r.alarm(e.Token)
-	case Invalidated:
+	case Purge:
 		r.purge(e)
-	case Topology:
+	case EndpointUpdate:
 		r.topology(e)
 	}
 	return r.acts
 }
 
 // arrive takes a request in.
-func (r *Router) arrive(e Query) {
+func (r *Router) arrive(e Request) {
 	class, known := r.class[e.Class]
-	if r.open[e.Request] != nil {
+	if r.open[e.ID] != nil {
 		return
 	}
 	if !known {
-		r.do(Drop{Request: e.Request}) // of a class of unknown effect nothing can be promised
+		r.do(Fail{Request: e.ID}) // of a class of unknown effect nothing can be promised
 		return
 	}
-	q := &request{Query: e, class: class, key: objectPart{e.Object, e.Part, class, e.Tenant}, arrived: r.now}
-	r.open[e.Request] = q
+	q := &request{Request: e, class: class, key: objectPart{e.Object, e.Part, class, e.Tenant}, arrived: r.now}
+	r.open[e.ID] = q
 	c := r.settings(q)
 	q.send = r.sendTime(q)
 	// Little room is left whenever it matters: by its whole size a large request would hardly ever find any.
 	q.room = min(q.send, seconds(math.Cbrt(q.send.Seconds()*math.Pow(r.meanSend[q.class], 2))))
 	q.deadline = r.now + e.TimeLeft
-	q.aim = c.Aim + time.Duration(c.AimStretch*float64(q.send))
+	q.aim = c.LatencyObjective + time.Duration(c.ObjectiveStretch*float64(q.send))
 	q.aimAt = min(r.now+q.aim, q.deadline)
 	r.demand.sum += q.send.Seconds()
 	r.further = min(r.further+furtherShare, r.furtherMost())
@@ -175,18 +175,18 @@
 func (r *Router) route(q *request) {
 	e := r.table[q.key]
 	if e == nil || r.settings(q).Uncacheable || !r.usable(e.cache, q) || q.tried(e.cache) ||
-		(r.s.Joins || e.cache.answered < e.owner.sentAt) && !e.cache.link.fits(q.room) {
+		(r.s.JoinsFills || e.cache.answered < e.owner.sentAt) && !e.cache.link.fits(q.room) {
 		r.launch(q, nil)
 		return
 	}
-	if !r.s.Joins {
+	if !r.s.JoinsFills {
 		until := r.dueBy(q)
 		if until <= r.now { // in a jam no attempt of its own would keep the aim, and would add to the jam
 			until = q.aimAt
 		}
 		q.held = e
 		e.waiters = append(e.waiters, q)
-		r.after(until-r.now, "hold:"+string(q.Request))
+		r.after(until-r.now, "hold:"+string(q.ID))
 		return
 	}
 	r.launch(q, e)
@@ -225,7 +225,7 @@
 	}
 	a := r.send(q, cache, source, how, join != nil)
 	if !r.settings(q).Uncacheable && r.table[q.key] == nil {
-		a.entry = &entry{key: q.key, group: q.Group, owner: a, cache: cache, source: source}
+		a.entry = &entry{key: q.key, group: q.PurgeGroup, owner: a, cache: cache, source: source}
 		r.table[q.key] = a.entry
 	}
 }
@@ -297,7 +297,7 @@
 
 // weight compares caches by size where the list tells it in a steady way.
 func (r *Router) weight(h *host) float64 {
-	if (r.s.Weights == WeightsNominal || r.s.Weights == WeightsRough) && h.Weight > 0 {
+	if (r.s.WeightMode == WeightModeNominal || r.s.WeightMode == WeightModeRough) && h.Weight > 0 {
 		return h.Weight
 	}
 	return 1
@@ -380,7 +380,7 @@
 	fills := max(r.missRate(), bool01(q.found(h) > 0))
 	a := &attempt{req: q, number: len(q.attempts), host: h, source: source, reach: how, sentAt: r.now}
 	a.mayRun = true
-	token := string(q.Request) + ":" + strconv.Itoa(a.number)
+	token := string(q.ID) + ":" + strconv.Itoa(a.number)
 	if !joins && how != keptHere {
 		a.windows = r.windowsOf(q, how)
 		for _, w := range a.windows {
@@ -389,29 +389,29 @@
 		r.after(q.aim, "late:"+token)
 	}
 	q.attempts = append(q.attempts, a)
-	r.flying[attemptKey{q.Request, a.number}] = a
+	r.flying[attemptKey{q.ID, a.number}] = a
 	h.out++
 	h.link.out += q.send
 	r.coldSpend(h, q, 1)
 	if source != h && source != r.origin {
 		r.coldSpend(source, q, fills)
 	}
-	opts := Options(0)
+	opts := FetchOptions(0)
 	c := r.settings(q)
 	if how == keptBehind {
-		opts |= SourceHolds
+		opts |= SourceCachedOnly
 	}
-	if r.s.Joins && !c.Uncacheable {
-		opts |= Join
+	if r.s.JoinsFills && !c.Uncacheable {
+		opts |= JoinFill
 		if how == keptHere { // a mere look must not hang on a fill that hangs
 			opts = 0
 		}
-		if c.Fresh > 0 {
-			opts |= Renew
+		if c.FreshFor > 0 {
+			opts |= Revalidate
 		}
 	}
-	r.do(Obtain{Request: q.Request, Host: h.Host, Options: opts, MaxAge: r.maxAge(q),
-		Rank: int(bool01(!c.Uncacheable)), Source: source.Host})
+	r.do(StartAttempt{Request: q.ID, Host: h.Host, Options: opts, MaxAge: r.maxAge(q),
+		CachePriority: int(bool01(!c.Uncacheable)), Source: source.Host})
 	if at := r.overdueAt(q); at < q.deadline {
 		r.after(at-r.now, "watch:"+token)
 	}
@@ -436,7 +436,7 @@
 	case "sweep":
 		r.sweep()
 	case "subscribe":
-		r.do(Subscribe{Want: true})
+		r.do(WatchEndpoints{Enabled: true})
 	case "hold":
 		q := r.open[RequestID(rest)]
 		if q == nil || q.held == nil {
@@ -472,10 +472,10 @@
 	again := !jam && (h.answered >= a.sentAt || slices.ContainsFunc(r.caches, func(o *host) bool {
 		return o != h && r.usable(o, q) && !q.tried(o)
 	}))
-	if again && r.s.Cancel && r.further >= 1 && r.open[q.Request] == q && len(q.attempts) < r.s.MaxAttempts &&
+	if again && r.s.Cancel && r.further >= 1 && r.open[q.ID] == q && len(q.attempts) < r.s.MaxAttempts &&
 		r.now+q.send < q.deadline && r.mayRepeat(q, h) && !r.strained(h) {
 		r.judge(a, false) // once called off it can't be late any more, and its windows would learn nothing
-		defer r.do(Abort{Request: q.Request, Attempt: a.number})
+		defer r.do(CancelAttempt{Request: q.ID, Attempt: a.number})
 	}
 	switch {
 	case h.answered < a.sentAt:
@@ -496,14 +496,14 @@
 	return h.load["cpu_share"] > strainedShare || h.load["x1"] > 1
 }
 
-func (r *Router) first(e First) {
+func (r *Router) first(e FirstByte) {
 	if a := r.flying[attemptKey{e.Request, e.Attempt}]; a != nil {
 		a.host.answered, a.host.silent = r.now, 0
 	}
 }
 
 // answer ends one attempt.
-func (r *Router) answer(e Answer) {
+func (r *Router) answer(e AttemptResult) {
 	key := attemptKey{e.Request, e.Attempt}
 	a := r.flying[key]
 	if a == nil {
@@ -515,26 +515,26 @@
 	delete(r.flying, key)
 	q := a.req
 	a.ended, a.host.out = true, a.host.out-1
-	if e.Report != nil {
-		a.host.load = e.Report
-		if x, told := e.Report["x1"]; told && slices.Contains(r.caches, a.host) {
+	if e.Load != nil {
+		a.host.load = e.Load
+		if x, told := e.Load["x1"]; told && slices.Contains(r.caches, a.host) {
 			r.linkUse += 2 * smoothing * (x - r.linkUse)
 		}
 	}
 	switch e.Status {
-	case Full, ConnectFailed, Moot, Miss:
+	case Full, ConnectFailed, NotSent, Miss:
 		a.mayRun = false
 	}
 	// A failed source does not count against the cache, nor an answer lost by one that answers others.
 	a.spent = e.Status != Miss && e.Status != Reset && (e.Status != Cancelled || a.host.answered < a.sentAt) &&
-		(e.Note < NoteSourceRefused || e.Note == NoteNoPlace)
+		(e.CacheStatus < CacheStatusSourceRejected || e.CacheStatus == CacheStatusNoSpace)
 	if e.Status == Miss && a.reach != anywhere {
 		a.lacks = a.reach
 	}
 	r.learn(a, e)
 	r.learnLimits(a, e)
 	waiters := r.closeEntry(a)
-	if r.open[q.Request] == q {
+	if r.open[q.ID] == q {
 		if e.Terminal {
 			r.finish(q)
 		} else {
@@ -548,7 +548,7 @@
 // else through the table again, where the first of them opens one new fill for all.
 func (r *Router) release(waiters []*request, a *attempt, served bool) {
 	for _, q := range waiters {
-		if r.open[q.Request] != q || q.held == nil {
+		if r.open[q.ID] != q || q.held == nil {
 			continue
 		}
 		q.held = nil
@@ -578,16 +578,16 @@
 		return
 	}
 	r.unhold(q)
-	delete(r.open, q.Request)
+	delete(r.open, q.ID)
 	if n := len(q.attempts); r.s.Cancel && n > 0 && !q.attempts[n-1].ended {
-		r.do(Abort{Request: q.Request, Attempt: n - 1})
+		r.do(CancelAttempt{Request: q.ID, Attempt: n - 1})
 	}
 }
 
 // retry follows an attempt that ended without serving. A look that found nothing is free, and so is a broken
 // connection, behind which the work was done and the copy is there, so that lost answers strand nobody. What
 // failed otherwise draws on the budget for further attempts, so that a jam is not fed.
-func (r *Router) retry(q *request, a *attempt, e Answer) {
+func (r *Router) retry(q *request, a *attempt, e AttemptResult) {
 	over := r.now >= q.deadline || e.Status == TimedOut && r.now+r.s.AnswerGrace >= q.deadline
 	free := a.lacks > 0 || e.Status == Reset || e.Status == ConnectFailed
 	if over || !free && r.further < 1 || len(q.attempts) >= r.s.MaxAttempts || r.now+q.send >= q.deadline {
@@ -603,29 +603,29 @@
 // mayRepeat tells whether another attempt at the host can do no effect twice.
 func (r *Router) mayRepeat(q *request, h *host) bool {
 	c := r.settings(q)
-	if c.Effect == Safe || q.ran() == nil {
+	if c.Idempotency == Idempotent || q.ran() == nil {
 		return true
 	}
 	ran, scope := q.ran(), c.DedupScope
-	return c.Effect == Keyed && r.now-ran.sentAt < c.DedupWindow && (scope == ScopeAll ||
+	return c.Idempotency == IdempotentWithKey && r.now-ran.sentAt < c.DedupWindow && (scope == ScopeAll ||
 		scope == ScopeZone && h.Zone == ran.host.Zone || scope == ScopeCell && h.Cell == ran.host.Cell)
 }
 
 // giveUp gives a request its final answer at once: a refusal where that is true, else a failure.
 func (r *Router) giveUp(q *request) {
 	c := r.settings(q)
-	if c.Effect == Safe || q.ran() == nil || c.Effect == Keyed && c.DedupScope == ScopeAll {
+	if c.Idempotency == Idempotent || q.ran() == nil || c.Idempotency == IdempotentWithKey && c.DedupScope == ScopeAll {
 		soon := max((q.aimAt-q.send-r.now)/2, time.Millisecond)
-		r.do(Deny{Request: q.Request, HoldOff: min(soon, r.s.MaxRetryAfter)})
+		r.do(Reject{Request: q.ID, RetryAfter: min(soon, r.s.MaxRetryAfter)})
 	} else {
-		r.do(Drop{Request: q.Request})
+		r.do(Fail{Request: q.ID})
 	}
 	r.finish(q)
 }
 
 // learn takes from an answer what it says of the cache, the source and the usual times.
-func (r *Router) learn(a *attempt, e Answer) {
-	if e.Status == Cancelled || e.Status == Moot {
+func (r *Router) learn(a *attempt, e AttemptResult) {
+	if e.Status == Cancelled || e.Status == NotSent {
 		return
 	}
 	if e.Status != TimedOut && e.Status != ConnectFailed {
@@ -641,29 +641,29 @@
 		r.lagDev += smoothing * (math.Abs(over-r.lag) - r.lagDev)
 		r.lag += smoothing * (over - r.lag)
 		a.host.lag += 2 * smoothing * (over - a.host.lag)
-		if e.Note == NoteHit || a.source == a.host {
+		if e.CacheStatus == CacheStatusHit || a.source == a.host {
 			r.hitOver += smoothing * (over - r.hitOver)
 		}
-		if r.s.Tells != TellsNone {
-			r.missShare += slowly * (bool01(e.Note != NoteHit && e.Note != NoteStale) - r.missShare)
+		if r.s.CacheStatusMode != CacheStatusModeNone {
+			r.missShare += slowly * (bool01(e.CacheStatus != CacheStatusHit && e.CacheStatus != CacheStatusStale) - r.missShare)
 		}
-		if e.Note == NoteFilled || e.Note == NoteFilledByOrigin {
-			r.fetchShare += smoothing / 2 * (bool01(e.Note == NoteFilledByOrigin) - r.fetchShare)
+		if e.CacheStatus == CacheStatusFilled || e.CacheStatus == CacheStatusFilledByOrigin {
+			r.fetchShare += smoothing / 2 * (bool01(e.CacheStatus == CacheStatusFilledByOrigin) - r.fetchShare)
 		}
-		if e.Note == NoteFilled || e.Note == NoteFilledByOrigin || r.s.Tells == TellsNone {
+		if e.CacheStatus == CacheStatusFilled || e.CacheStatus == CacheStatusFilledByOrigin || r.s.CacheStatusMode == CacheStatusModeNone {
 			r.outcome(a.source, 0)
 			r.hear(a.source, a, e)
 		}
-	case e.Note == NoteSourceRefused || e.Note == NoteSourceLost:
+	case e.CacheStatus == CacheStatusSourceRejected || e.CacheStatus == CacheStatusSourceLost:
 		r.outcome(a.source, 1)
-	case e.Note == NoteOriginFailed:
+	case e.CacheStatus == CacheStatusOriginFailed:
 		r.outcome(cmp.Or(r.origin, a.source), 1)
-	case e.Status == Full && e.Note == NoteNone && a.source != a.host && e.Elapsed > atOnce:
+	case e.Status == Full && e.CacheStatus == CacheStatusNone && a.source != a.host && e.Elapsed > atOnce:
 		r.outcome(a.source, 1)
-	case e.Status == TimedOut || e.Status == Miss || e.Status == Reset || e.Note == NoteNoPlace:
+	case e.Status == TimedOut || e.Status == Miss || e.Status == Reset || e.CacheStatus == CacheStatusNoSpace:
 	default:
 		r.outcome(a.host, 1)
-		if r.s.Tells != TellsAll && a.source != a.host {
+		if r.s.CacheStatusMode != CacheStatusModeAll && a.source != a.host {
 			r.outcome(a.source, 1)
 		}
 	}
@@ -684,7 +684,7 @@
 
 // learnLimits takes from an answer whether what it needed bears as much as is out: a hit its cache's link, a
 // fill the location's link, the parents or the origin. Whichever is short, it shows as late or refused.
-func (r *Router) learnLimits(a *attempt, e Answer) {
+func (r *Router) learnLimits(a *attempt, e AttemptResult) {
 	q, link, windows := a.req, &a.host.link, a.windows
 	link.out -= q.send
 	for _, w := range windows {
@@ -695,17 +695,17 @@
 	}
 	inTime := e.Status == OK && e.Elapsed <= q.aim
 	switch {
-	case e.Note == NoteHit, e.Note == NoteStale, a.reach == keptHere && (e.Status == OK || e.Status == TimedOut):
+	case e.CacheStatus == CacheStatusHit, e.CacheStatus == CacheStatusStale, a.reach == keptHere && (e.Status == OK || e.Status == TimedOut):
 		r.move(link, q, inTime)
 		return
-	case e.Note == NoteFilled && r.s.Tells == TellsAll:
+	case e.CacheStatus == CacheStatusFilled && r.s.CacheStatusMode == CacheStatusModeAll:
 		// The origin had no part in it. Where only hits are told, the note stands for fetched fills too; then
 		// this case would leave the window of fetches to learn from failures alone and never open again.
 		a.windows = slices.DeleteFunc(windows, func(w *window) bool { return w == &r.fetches })
-	case e.Note == NoteFilledByOrigin && !inTime && len(windows) > 0: // the origin is to blame, not the link
+	case e.CacheStatus == CacheStatusFilledByOrigin && !inTime && len(windows) > 0: // the origin is to blame, not the link
 		a.windows = windows[len(windows)-1:]
 	}
-	refused := e.Status == Full || e.Note == NoteSourceRefused || e.Note == NoteOriginFailed
+	refused := e.Status == Full || e.CacheStatus == CacheStatusSourceRejected || e.CacheStatus == CacheStatusOriginFailed
 	if refused || e.Status == OK || e.Status == TimedOut {
 		r.judge(a, inTime)
 	}
@@ -767,7 +767,7 @@
 }
 
 // hear feeds a source's smoothed time to first byte, or the attempt's latency where that is not told.
-func (r *Router) hear(p *host, a *attempt, e Answer) {
+func (r *Router) hear(p *host, a *attempt, e AttemptResult) {
 	p.answered = r.now
 	sample := e.FirstByte.Seconds()
 	if sample <= 0 {
@@ -846,36 +846,36 @@
 	return r.now >= h.until && (h.ejected == 0 || h.out == 0)
 }
 
-// Carried is what this instance carries, and the most of it lately, in seconds of sending per second.
-func (r *Router) Carried() (now, best float64) { return r.carried.rate, r.carriedBest }
+// ServedRate is what this instance carries, and the most of it lately, in seconds of sending per second.
+func (r *Router) ServedRate() (now, best float64) { return r.carried.rate, r.carriedBest }
 
-// ShareCold has a function tell what part of its budget for cold hosts this instance may spend.
-func (r *Router) ShareCold(part func() float64) { r.coldPart = part }
+// SetSlowStartShare has a function tell what part of its budget for cold hosts this instance may spend.
+func (r *Router) SetSlowStartShare(part func() float64) { r.coldPart = part }
 
 // coldRate is the part of a cold host's budget that falls to this instance, in seconds of sending per second.
 // A listed size is the host's link in transfers, and all dispatchers that send there divide its budget. Where
 // none is told, the load carried stands for capacity, shared by as many peers as there ever were at once.
-func (r *Router) coldRate(h *host, q *request) (rate, work float64, rule ColdRule, cold bool) {
+func (r *Router) coldRate(h *host, q *request) (rate, work float64, rule SlowStart, cold bool) {
 	carried := max(r.carriedBest, r.demand.rate*unseenDemand)
 	if r.coldPart != nil {
 		carried *= r.coldPart()
 	}
 	sharing, peers := r.alike, float64(r.cachesMost)
-	rule, work = r.s.CacheCold, r.meanSend[q.class]
+	rule, work = r.s.CacheSlowStart, r.meanSend[q.class]
 	if slices.Contains(r.parents, h) {
-		rule, work = r.s.ParentCold, q.send.Seconds()
-		sharing, peers, carried = max(1, float64(r.s.Dispatchers)), float64(r.parentsMost), carried*r.missRate()
+		rule, work = r.s.ParentSlowStart, q.send.Seconds()
+		sharing, peers, carried = max(1, float64(r.s.Directors)), float64(r.parentsMost), carried*r.missRate()
 	}
 	capacity := carried / peers
-	if r.s.Weights == WeightsNominal && h.Weight > 0 {
+	if r.s.WeightMode == WeightModeNominal && h.Weight > 0 {
 		capacity = h.Weight * cmp.Or(h.part, 1/sharing)
 	}
 	age := max(0, r.now-h.StartedAt)
-	if h == r.origin || h.StartedAt <= 0 || rule.WarmsIn <= 0 || age >= rule.WarmsIn+rule.Window {
+	if h == r.origin || h.StartedAt <= 0 || rule.WarmUp <= 0 || age >= rule.WarmUp+rule.Window {
 		return 0, work, rule, false
 	}
-	share := min(1, rule.From+(1-rule.From)*float64(age)/float64(rule.WarmsIn))
-	return coldSafety * rule.Multiple * share * capacity, work, rule, true
+	share := min(1, rule.InitialShare+(1-rule.InitialShare)*float64(age)/float64(rule.WarmUp))
+	return coldSafety * rule.OverloadFactor * share * capacity, work, rule, true
 }
 
 // isCold tells whether a host has a budget that all that reaches it counts against.
@@ -912,14 +912,14 @@
 }
 
 // purge remembers a purge and closes the entries opened before it to later requests.
-func (r *Router) purge(e Invalidated) {
-	if at := r.now - e.Age; e.Whole {
+func (r *Router) purge(e Purge) {
+	if at := r.now - e.Age; e.ByGroup {
 		r.flushed[e.Group] = latest(r.flushed, e.Group, at)
 	} else {
 		r.purged[e.Object] = latest(r.purged, e.Object, at)
 	}
 	for k, en := range r.table {
-		if e.Whole && en.group == e.Group || !e.Whole && k.object == e.Object {
+		if e.ByGroup && en.group == e.Group || !e.ByGroup && k.object == e.Object {
 			delete(r.table, k)
 		}
 	}
@@ -927,7 +927,7 @@
 
 // maxAge is the oldest copy that will do: none from before a purge, nor past its fresh time.
 func (r *Router) maxAge(q *request) time.Duration {
-	age := r.settings(q).Fresh
+	age := r.settings(q).FreshFor
 	if at, ok := r.lastPurge(q); ok {
 		since := max(r.now-at-time.Millisecond, time.Millisecond) // 0 would mean any age
 		if age == 0 || since < age {
@@ -940,7 +940,7 @@
 // lastPurge is when the request's object or group was last purged, as far as that is remembered.
 func (r *Router) lastPurge(q *request) (time.Duration, bool) {
 	object, byObject := r.purged[q.Object]
-	group, byGroup := r.flushed[q.Group]
+	group, byGroup := r.flushed[q.PurgeGroup]
 	if !byObject || byGroup && group > object {
 		return group, byGroup
 	}
@@ -948,19 +948,19 @@
 }
 
 // topology follows the list.
-func (r *Router) topology(e Topology) {
-	if e.Kind == ListRefused {
-		if r.s.MustSubscribe {
-			r.after(r.s.AskWithin/8+seconds(r.rng.Float64()*r.s.AskWithin.Seconds()/8), "subscribe")
+func (r *Router) topology(e EndpointUpdate) {
+	if e.Kind == UpdateRejected {
+		if r.s.MustWatch {
+			r.after(r.s.NotifiedAfter/8+seconds(r.rng.Float64()*r.s.NotifiedAfter.Seconds()/8), "subscribe")
 		}
 		return
 	}
-	if e.Kind != ListChanges {
+	if e.Kind != UpdateDelta {
 		for _, h := range r.hosts {
 			h.listed, h.Readiness = false, Gone
 		}
 	}
-	for _, m := range e.Members {
+	for _, m := range e.Endpoints {
 		h := r.hosts[m.Host]
 		if h == nil {
 			h = &host{}
@@ -969,7 +969,7 @@
 			// A new process: what was learnt of the old one is void.
 			*h = host{out: h.out, link: window{out: h.link.out}, refilled: r.now}
 		}
-		h.Member, h.listed = m, m.Readiness == Ready
+		h.Endpoint, h.listed = m, m.Readiness == Ready
 	}
 	r.index()
 }
--- a/state.go
+++ b/state.go
@@ -10,7 +10,7 @@
 // This file holds what an instance remembers and small helpers. It decides nothing; router.go does.
 
 type host struct {
-	Member
+	Endpoint
 	listed   bool // Ready in the list
 	out      int  // attempts of ours that are out
 	bad      float64
@@ -53,7 +53,7 @@
 }
 
 type request struct {
-	Query
+	Request
 	class    int
 	key      objectPart
 	send     time.Duration // own sending time
@@ -187,7 +187,7 @@
 
 func (r *Router) do(a Action) { r.acts = append(r.acts, a) }
 
-func (r *Router) after(d time.Duration, token string) { r.do(After{Delay: max(d, 0), Token: token}) }
+func (r *Router) after(d time.Duration, token string) { r.do(SetTimer{Delay: max(d, 0), Token: token}) }
 
 func (r *Router) settings(q *request) *Class { return &r.s.Classes[q.class] }
 
@@ -224,8 +224,8 @@
 	m.sum = 0
 }
 
-// ColdWants tells of each listed cold host what this instance would send there, as a part of what all may.
-func (r *Router) ColdWants(f func(h HostID, demand float64)) {
+// SlowStartDemand tells of each listed cold host what this instance would send there, as a part of what all may.
+func (r *Router) SlowStartDemand(f func(h HostID, demand float64)) {
 	usual := &request{send: seconds(r.meanSend[0])}
 	for _, peers := range [][]*host{r.caches, r.parents} {
 		for _, h := range peers {
@@ -235,16 +235,16 @@
 			}
 			sharing, demand := r.alike, r.demand.rate/float64(len(peers))
 			if slices.Contains(r.parents, h) {
-				sharing, demand = max(1, float64(r.s.Dispatchers)), demand*r.missRate()
+				sharing, demand = max(1, float64(r.s.Directors)), demand*r.missRate()
 			}
 			f(h.Host, demand/(rate/cmp.Or(h.part, 1/sharing)))
 		}
 	}
 }
 
-// Evidence tells what was seen of each host since it was asked last: outcomes, how many of them were bad, and its smoothed
+// HostOutcomes tells what was seen of each host since it was asked last: outcomes, how many of them were bad, and its smoothed
 // overhead in seconds.
-func (r *Router) Evidence(f func(h HostID, tried, failed, lag float64)) {
+func (r *Router) HostOutcomes(f func(h HostID, tried, failed, lag float64)) {
 	for id, h := range r.hosts {
 		if h.tried > 0 {
 			f(id, h.tried, h.failed, max(0, cmp.Or(h.ttfb, h.lag)))
