--- a/cmd/stairvane-fleet/apply.go
+++ b/cmd/stairvane-fleet/apply.go
@@ -14,7 +14,7 @@
 	"stairvane.org/stairvane/internal/fleet"
 	"stairvane.org/stairvane/internal/fleet/apply"
 	"stairvane.org/stairvane/internal/fleet/plan"
-	"stairvane.org/stairvane/internal/opfile"
+	"stairvane.org/stairvane/internal/operatorconfig"
 )
 
 const followEvery = 100 * time.Millisecond
@@ -73,7 +73,7 @@
 	if _, err := os.Stat(p.DesiredFile); err != nil {
 		return nil
 	}
-	wish, faults := opfile.ReadFleet(p.DesiredFile, os.ReadFile)
+	wish, faults := operatorconfig.ReadFleet(p.DesiredFile, os.ReadFile)
 	if len(faults) > 0 {
 		return &exit{exitStale, fmt.Sprintf("the plan is stale: %s has been edited since it was made, and has faults: %s", p.DesiredFile, faults[0].Error())}
 	}
--- a/cmd/stairvane-fleet/board.go
+++ b/cmd/stairvane-fleet/board.go
@@ -7,7 +7,7 @@
 	"syscall"
 
 	"stairvane.org/stairvane/internal/controlplane"
-	"stairvane.org/stairvane/internal/opfile"
+	"stairvane.org/stairvane/internal/operatorconfig"
 )
 
 type boardCmd struct {
@@ -21,7 +21,7 @@
 func (c boardCmd) Run() error {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
-	set, faults := opfile.ReadProgram(c.Config, os.ReadFile)
+	set, faults := operatorconfig.ReadProgram(c.Config, os.ReadFile)
 	if len(faults) > 0 {
 		return faults
 	}
--- a/cmd/stairvane-fleet/capacity.go
+++ b/cmd/stairvane-fleet/capacity.go
@@ -11,7 +11,7 @@
 
 	"github.com/olekukonko/tablewriter"
 
-	"stairvane.org/stairvane/internal/capacity"
+	"stairvane.org/stairvane/internal/tools/capacity"
 )
 
 // capacityCmd works out what each role costs at a size, from the laws that were measured.
--- a/cmd/stairvane-fleet/capacity_test.go
+++ b/cmd/stairvane-fleet/capacity_test.go
@@ -10,7 +10,7 @@
 	"strings"
 	"testing"
 
-	"stairvane.org/stairvane/internal/capacity"
+	"stairvane.org/stairvane/internal/tools/capacity"
 )
 
 const slopes = "--slopes=../../docs/design/capacity-slopes.json"
--- a/cmd/stairvane-fleet/cli_test.go
+++ b/cmd/stairvane-fleet/cli_test.go
@@ -9,7 +9,7 @@
 	"testing"
 
 	"stairvane.org/stairvane/internal/controlplane"
-	"stairvane.org/stairvane/internal/opfile"
+	"stairvane.org/stairvane/internal/operatorconfig"
 )
 
 func TestMain(m *testing.M) {
@@ -51,7 +51,7 @@
 		}
 	}
 	program := put("stairvane.scm", "(board (listen 127.0.0.1:0) (store board.db) (write (unix s)))")
-	set, faults := opfile.ReadProgram(program, os.ReadFile)
+	set, faults := operatorconfig.ReadProgram(program, os.ReadFile)
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
--- a/cmd/stairvane-fleet/copies.go
+++ b/cmd/stairvane-fleet/copies.go
@@ -10,7 +10,7 @@
 
 	"stairvane.org/stairvane/internal/controlplane/api"
 	"stairvane.org/stairvane/internal/controlplane/replicas"
-	"stairvane.org/stairvane/internal/opfile"
+	"stairvane.org/stairvane/internal/operatorconfig"
 )
 
 type copiesCmd struct {
@@ -219,7 +219,7 @@
 }
 
 func (c copiesRecoverCmd) Run(s streams) error {
-	set, faults := opfile.ReadProgram(c.Config, os.ReadFile)
+	set, faults := operatorconfig.ReadProgram(c.Config, os.ReadFile)
 	if len(faults) > 0 {
 		return faults
 	}
--- a/cmd/stairvane-fleet/director.go
+++ b/cmd/stairvane-fleet/director.go
@@ -9,9 +9,9 @@
 
 	"github.com/gaissmai/bart"
 
-	"stairvane.org/stairvane/internal/config"
-	"stairvane.org/stairvane/internal/opfile"
-	"stairvane.org/stairvane/internal/program"
+	"stairvane.org/stairvane/internal/director"
+	"stairvane.org/stairvane/internal/director/config"
+	"stairvane.org/stairvane/internal/operatorconfig"
 )
 
 type directorCmd struct {
@@ -20,7 +20,7 @@
 
 // Run serves as stairvane does without arguments, with what the file says beyond LB_CONFIG.
 func (c directorCmd) Run() error {
-	set, faults := opfile.ReadProgram(c.Config, os.ReadFile)
+	set, faults := operatorconfig.ReadProgram(c.Config, os.ReadFile)
 	if len(faults) > 0 {
 		return faults
 	}
@@ -35,7 +35,7 @@
 	if k := d.Claims; k.Listen.IsValid() {
 		beyond.Claims = &config.Claims{Listen: k.Listen, Allows: allows(k.Peers), MaxClaims: k.MaxClaims, UnreachablePolicy: k.UnreachablePolicy, PolicyByClass: k.PolicyByClass}
 	}
-	return program.Serve(beyond)
+	return director.Serve(beyond)
 }
 
 func allows(peers *bart.Lite) func(netip.Addr) bool {
--- a/cmd/stairvane-fleet/files.go
+++ b/cmd/stairvane-fleet/files.go
@@ -8,7 +8,7 @@
 
 	"github.com/google/renameio/v2"
 
-	"stairvane.org/stairvane/internal/opfile"
+	"stairvane.org/stairvane/internal/operatorconfig"
 	"stairvane.org/stairvane/internal/sexpr"
 )
 
@@ -24,9 +24,9 @@
 	for _, name := range c.Files {
 		var found sexpr.Faults
 		if c.Program {
-			_, found = opfile.ReadProgram(name, os.ReadFile)
+			_, found = operatorconfig.ReadProgram(name, os.ReadFile)
 		} else {
-			_, found = opfile.ReadFleet(name, os.ReadFile)
+			_, found = operatorconfig.ReadFleet(name, os.ReadFile)
 		}
 		faults = append(faults, found...)
 	}
--- a/cmd/stairvane-fleet/model.go
+++ b/cmd/stairvane-fleet/model.go
@@ -12,7 +12,7 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
-	"stairvane.org/stairvane/internal/fleetsim"
+	"stairvane.org/stairvane/internal/tools/fleetsim"
 )
 
 type modelCmd struct {
--- a/cmd/stairvane-fleet/plan.go
+++ b/cmd/stairvane-fleet/plan.go
@@ -13,7 +13,7 @@
 
 	"stairvane.org/stairvane/internal/fleet"
 	"stairvane.org/stairvane/internal/fleet/plan"
-	"stairvane.org/stairvane/internal/opfile"
+	"stairvane.org/stairvane/internal/operatorconfig"
 )
 
 type planCmd struct {
@@ -26,7 +26,7 @@
 
 // Run plans here, against the world that the board tells; the board judges the plan again when it is applied.
 func (c planCmd) Run(s streams) error {
-	wish, faults := opfile.ReadFleet(c.File, os.ReadFile)
+	wish, faults := operatorconfig.ReadFleet(c.File, os.ReadFile)
 	if len(faults) > 0 {
 		return faults
 	}
--- a/cmd/stairvane-fleet/relay.go
+++ b/cmd/stairvane-fleet/relay.go
@@ -6,8 +6,8 @@
 	"os/signal"
 	"syscall"
 
-	"stairvane.org/stairvane/internal/controlplane/relay"
-	"stairvane.org/stairvane/internal/opfile"
+	"stairvane.org/stairvane/internal/controlplane/relayserver"
+	"stairvane.org/stairvane/internal/operatorconfig"
 )
 
 type relayCmd struct {
@@ -18,14 +18,14 @@
 func (c relayCmd) Run() error {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
-	set, faults := opfile.ReadProgram(c.Config, os.ReadFile)
+	set, faults := operatorconfig.ReadProgram(c.Config, os.ReadFile)
 	if len(faults) > 0 {
 		return faults
 	}
 	if set.Relay.Name == "" {
 		return fmt.Errorf("%s: (relay ...) is missing", c.Config)
 	}
-	r, err := relay.New(set.Relay)
+	r, err := relayserver.New(set.Relay)
 	if err != nil {
 		return err
 	}
--- a/cmd/stairvane-fleet/roll.go
+++ b/cmd/stairvane-fleet/roll.go
@@ -8,7 +8,7 @@
 	"github.com/olekukonko/tablewriter"
 
 	"stairvane.org/stairvane/internal/controlplane/api"
-	"stairvane.org/stairvane/internal/signals"
+	"stairvane.org/stairvane/internal/health"
 )
 
 type rollCmd struct {
@@ -121,7 +121,7 @@
 		return err
 	}
 	if c.Box != "" {
-		all = slices.DeleteFunc(all, func(b signals.CacheStatus) bool {
+		all = slices.DeleteFunc(all, func(b health.CacheStatus) bool {
 			name, _, _ := strings.Cut(b.Cache, "@")
 			return c.Box != b.Cache && c.Box != name
 		})
--- a/cmd/stairvane-fleet/scale.go
+++ b/cmd/stairvane-fleet/scale.go
@@ -10,8 +10,8 @@
 	"syscall"
 	"time"
 
-	"stairvane.org/stairvane/internal/scale"
-	"stairvane.org/stairvane/internal/scale/hollow"
+	"stairvane.org/stairvane/internal/tools/scale"
+	"stairvane.org/stairvane/internal/tools/scale/simulated"
 )
 
 type scaleCmd struct {
@@ -132,11 +132,11 @@
 
 // Run serves until the run ends it.
 func (c scaleHollowCmd) Run() error {
-	set, err := hollow.ReadSettings(c.Settings)
+	set, err := simulated.ReadSettings(c.Settings)
 	if err != nil {
 		return err
 	}
-	p, err := hollow.New(set)
+	p, err := simulated.New(set)
 	if err != nil {
 		return err
 	}
--- a/cmd/stairvane-fleet/standin.go
+++ b/cmd/stairvane-fleet/standin.go
@@ -7,7 +7,7 @@
 	"syscall"
 	"time"
 
-	"stairvane.org/stairvane/internal/standin"
+	"stairvane.org/stairvane/internal/tools/fakes"
 )
 
 type standinCmd struct {
@@ -23,7 +23,7 @@
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	for _, a := range c.Addresses {
-		if _, err := standin.NewCache(a); err != nil {
+		if _, err := fakes.NewCache(a); err != nil {
 			return err
 		}
 	}
@@ -43,7 +43,7 @@
 	if c.PerSecond < 1 {
 		return fmt.Errorf("--per-second: at least 1")
 	}
-	t, err := standin.Load(c.Director, c.PerSecond, c.Length)
+	t, err := fakes.Load(c.Director, c.PerSecond, c.Length)
 	if err != nil {
 		return err
 	}
--- a/cmd/stairvane/director.go
+++ b/cmd/stairvane/director.go
@@ -1,9 +1,9 @@
 package main
 
 import (
-	"stairvane.org/stairvane/internal/config"
-	"stairvane.org/stairvane/internal/program"
+	"stairvane.org/stairvane/internal/director"
+	"stairvane.org/stairvane/internal/director/config"
 )
 
 // runDirector is one director on one core.
-func runDirector() error { return program.Serve(config.OperatorSettings{Cores: 1}) }
+func runDirector() error { return director.Serve(config.OperatorSettings{Cores: 1}) }
--- a/cmd/stairvane/platform_linux_amd64_test.go
+++ b/cmd/stairvane/platform_linux_amd64_test.go
@@ -19,7 +19,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"stairvane.org/stairvane/internal/standin"
+	"stairvane.org/stairvane/internal/tools/fakes"
 )
 
 // call is one system call of the traced process, as it was entered.
@@ -183,7 +183,7 @@
 		t.Fatalf("it is not linked against the C library: %v %v", libs, err)
 	}
 
-	cache, err := standin.NewCache("127.0.0.1:0")
+	cache, err := fakes.NewCache("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -232,11 +232,11 @@
 	}()
 	stop := time.AfterFunc(time.Minute, func() { _ = run.Process.Kill() })
 	defer stop.Stop()
-	var tally standin.Tally
+	var tally fakes.Tally
 	reloaded, serves := false, regexp.MustCompile(`"director.serves".*"addr":"([^"]+)"`)
 	for lines := bufio.NewScanner(log); lines.Scan(); {
 		if m := serves.FindStringSubmatch(lines.Text()); m != nil {
-			if tally, err = standin.Load(m[1], 100, 300*time.Millisecond); err != nil {
+			if tally, err = fakes.Load(m[1], 100, 300*time.Millisecond); err != nil {
 				t.Error(err)
 			}
 			_ = run.Process.Signal(syscall.SIGHUP)
--- a/cmd/stairvane/process_linux_test.go
+++ b/cmd/stairvane/process_linux_test.go
@@ -21,7 +21,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"stairvane.org/stairvane/internal/standin"
+	"stairvane.org/stairvane/internal/tools/fakes"
 )
 
 // These stories play with directors as processes, as the platform starts them.
@@ -40,8 +40,8 @@
 	os.Exit(code)
 }
 
-// director builds the program once and gives its path.
-func director(t *testing.T) string {
+// directorBinary builds the program once and gives its path.
+func directorBinary(t *testing.T) string {
 	t.Helper()
 	built.Do(func() {
 		if built.dir, built.err = os.MkdirTemp("", "stairvane-test"); built.err != nil {
@@ -82,9 +82,9 @@
 		t.Fatal(err)
 	}
 	p := &process{t: t, serves: make(chan string, 1), ended: make(chan error, 1)}
-	p.cmd = exec.Command(director(t))
+	p.cmd = exec.Command(directorBinary(t))
 	if descriptors > 0 {
-		p.cmd = exec.Command("bash", "-c", fmt.Sprintf("ulimit -n %d && exec %s", descriptors, director(t)))
+		p.cmd = exec.Command("bash", "-c", fmt.Sprintf("ulimit -n %d && exec %s", descriptors, directorBinary(t)))
 	}
 	p.cmd.Env = append(os.Environ(), "LB_CONFIG="+path)
 	out, err := p.cmd.StderrPipe()
@@ -255,14 +255,14 @@
 // Thirty directors start at once, with no list, while discovery holds its answers: nine in ten are ready within 10 s of their start,
 // and soon after the list has come.
 func TestThirtyDirectorsAreReadyInTime(t *testing.T) {
-	cache, err := standin.NewCache("127.0.0.1:0")
+	cache, err := fakes.NewCache("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer cache.Close()
 	d := newDiscovery()
 	addr := serveDiscovery(t, "127.0.0.1:0", d)
-	director(t) // built before the clock runs
+	directorBinary(t) // built before the clock runs
 	const many = 30
 	started := time.Now()
 	nodes := make([]*process, many)
@@ -306,7 +306,7 @@
 // anew: clients that ask are served, and discovery is heard when it is back.
 func TestIdleClientsLeaveDescriptorsForWhatMatters(t *testing.T) {
 	const descriptors = 128
-	cache, err := standin.NewCache("127.0.0.1:0")
+	cache, err := fakes.NewCache("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -328,7 +328,7 @@
 		}
 		defer conn.Close()
 		if i%2 == 0 {
-			client, err := standin.Connect(addr)
+			client, err := fakes.Connect(addr)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -340,14 +340,14 @@
 	}
 	// Whoever comes now may be turned away while all that are there are so new that their first requests may be under way.
 	for until := time.Now().Add(2 * time.Second); ; time.Sleep(20 * time.Millisecond) {
-		if client, err := standin.Connect(addr); err == nil && client.Send(100, time.Second) == nil && client.Finish(time.Second).Served == 1 {
+		if client, err := fakes.Connect(addr); err == nil && client.Send(100, time.Second) == nil && client.Finish(time.Second).Served == 1 {
 			break
 		}
 		if time.Now().After(until) {
 			t.Fatalf("nobody gets in:\n%s", p.logged())
 		}
 	}
-	if tally, err := standin.Load(addr, 50, time.Second); err != nil || tally.Served != tally.Sent {
+	if tally, err := fakes.Load(addr, 50, time.Second); err != nil || tally.Served != tally.Sent {
 		t.Errorf("while the descriptors are full: %+v, %v", tally, err)
 	}
 	d := newDiscovery(roster(1, true, hostLine("s-1", cache.Addr(), "in_service", 8, 0)), roster(2, false, hostLine("s-1", cache.Addr(), "terminated", 8, 0)))
@@ -420,9 +420,9 @@
 		work     = 0.02 // s of sending: 10 KB at 500 KB/s
 		link     = 1.0
 	)
-	var caches []*standin.Cache
+	var caches []*fakes.Cache
 	for range 2 {
-		c, err := standin.NewCache("127.0.0.1:0")
+		c, err := fakes.NewCache("127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -449,7 +449,7 @@
 		procs[i], at[i] = p, addr
 	}
 	var launched sync.WaitGroup
-	director(t)
+	directorBinary(t)
 	for i := range nodes {
 		launched.Add(1)
 		go func() { defer launched.Done(); start(i) }()
@@ -473,7 +473,7 @@
 				mu.Lock()
 				addr := at[i]
 				mu.Unlock()
-				_, _ = standin.Load(addr, perSecond, min(time.Until(until), 500*time.Millisecond))
+				_, _ = fakes.Load(addr, perSecond, min(time.Until(until), 500*time.Millisecond))
 			}
 		}()
 	}
@@ -584,12 +584,12 @@
 // Directors are told to end one after another under load and come back on their addresses, while a cache is slow: no request is
 // lost, and what crosses a close is all that is sent again.
 func TestRestartsUnderLoadLoseNothing(t *testing.T) {
-	cache, err := standin.NewCache("127.0.0.1:0")
+	cache, err := fakes.NewCache("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer cache.Close()
-	slow, err := standin.NewCache("127.0.0.1:0")
+	slow, err := fakes.NewCache("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/claims/compatibility_test.go
+++ b/internal/claims/compatibility_test.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"testing"
 
-	"stairvane.org/stairvane/internal/golden"
+	"stairvane.org/stairvane/internal/tools/golden"
 )
 
 // TestLandedForms guards the messages between directors: an older version must read them.
--- a/internal/controlplane/admin.go
+++ b/internal/controlplane/admin.go
@@ -22,12 +22,12 @@
 	"golang.org/x/sys/unix"
 
 	"stairvane.org/stairvane/internal/controlplane/api"
+	"stairvane.org/stairvane/internal/controlplane/relaysession"
+	"stairvane.org/stairvane/internal/controlplane/replica"
 	"stairvane.org/stairvane/internal/controlplane/store"
 	"stairvane.org/stairvane/internal/fleet"
 	"stairvane.org/stairvane/internal/fleet/apply"
 	"stairvane.org/stairvane/internal/fleet/plan"
-	"stairvane.org/stairvane/internal/relay"
-	"stairvane.org/stairvane/internal/replica"
 )
 
 // The write side: few callers, who are people and their tools, so that net/http serves them.
@@ -76,7 +76,7 @@
 	mux.HandleFunc("POST /v1/applies", b.postApply)
 	mux.HandleFunc("POST /v1/applies/{id}/{order}", b.postOrder)
 	mux.HandleFunc("POST /v1/purges", b.postPurge)
-	mux.HandleFunc("POST "+relay.Path, b.withRelays(b.postRelayLease))
+	mux.HandleFunc("POST "+relaysession.Path, b.withRelays(b.postRelayLease))
 	if b.group != nil {
 		b.group.Mount(mux)
 		mux.HandleFunc("GET /v1/copies", b.getCopies)
--- a/internal/controlplane/api/api.go
+++ b/internal/controlplane/api/api.go
@@ -17,13 +17,13 @@
 	"strings"
 	"time"
 
-	"stairvane.org/stairvane/internal/audit/adoption"
+	"stairvane.org/stairvane/internal/controlplane/adoption"
+	"stairvane.org/stairvane/internal/controlplane/membership"
 	"stairvane.org/stairvane/internal/fleet"
 	"stairvane.org/stairvane/internal/fleet/apply"
 	"stairvane.org/stairvane/internal/fleet/plan"
-	"stairvane.org/stairvane/internal/membership"
+	"stairvane.org/stairvane/internal/health"
 	"stairvane.org/stairvane/internal/quota"
-	"stairvane.org/stairvane/internal/signals"
 )
 
 // WhoHeader carries who the caller says to be; the board keeps it beside what it knows.
@@ -122,14 +122,14 @@
 
 // HealthReport is what a director has seen of boxes, and where it is.
 type HealthReport struct {
-	signals.Report
-	signals.Place
+	health.Report
+	health.Place
 }
 
 // LeaseAnswer are what a copy is told for the directors that follow it.
 type LeaseAnswer struct {
-	QuotaGrants      map[string]quota.Grant    `json:"turns,omitempty"`
-	AggregatedHealth *signals.AggregatedHealth `json:"opinions,omitempty"`
+	QuotaGrants      map[string]quota.Grant   `json:"turns,omitempty"`
+	AggregatedHealth *health.AggregatedHealth `json:"opinions,omitempty"`
 }
 
 // Heartbeat is that a director was there. Director is what it says of itself, where it is told again.
@@ -368,7 +368,7 @@
 }
 
 // Health asks what is known of all boxes.
-func (c *Client) Health() (all []signals.CacheStatus, err error) {
+func (c *Client) Health() (all []health.CacheStatus, err error) {
 	return all, c.call("GET", "/v1/signals", nil, &all)
 }
 
--- a/internal/controlplane/api/compatibility_test.go
+++ b/internal/controlplane/api/compatibility_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"stairvane.org/stairvane/internal/audit/adoption"
-	"stairvane.org/stairvane/internal/golden"
+	"stairvane.org/stairvane/internal/controlplane/adoption"
+	"stairvane.org/stairvane/internal/tools/golden"
 )
 
 // TestLandedForms guards the write side's answers and what replicas tell the leader: an older version must read it.
--- a/internal/controlplane/board_test.go
+++ b/internal/controlplane/board_test.go
@@ -15,14 +15,14 @@
 	"testing"
 	"time"
 
-	"stairvane.org/stairvane/internal/config"
 	"stairvane.org/stairvane/internal/controlplane/api"
+	"stairvane.org/stairvane/internal/director"
+	"stairvane.org/stairvane/internal/director/config"
 	"stairvane.org/stairvane/internal/fleet"
 	"stairvane.org/stairvane/internal/fleet/apply"
 	"stairvane.org/stairvane/internal/fleet/plan"
-	"stairvane.org/stairvane/internal/opfile"
-	"stairvane.org/stairvane/internal/program"
-	"stairvane.org/stairvane/internal/standin"
+	"stairvane.org/stairvane/internal/operatorconfig"
+	"stairvane.org/stairvane/internal/tools/fakes"
 )
 
 const patience = 20 * time.Second
@@ -52,12 +52,12 @@
 	}
 }
 
-func settingsIn(folder string) opfile.ControlPlane {
-	return opfile.ControlPlane{Listen: loopback(), Store: filepath.Join(folder, "board.db"), Write: opfile.Write{Unix: filepath.Join(folder, "s")}, SnapshotEvery: 1000, KeepEvents: 1000, Batch: 64, Relays: true}
+func settingsIn(folder string) operatorconfig.ControlPlane {
+	return operatorconfig.ControlPlane{Listen: loopback(), Store: filepath.Join(folder, "board.db"), Write: operatorconfig.Write{Unix: filepath.Join(folder, "s")}, SnapshotEvery: 1000, KeepEvents: 1000, Batch: 64, Relays: true}
 }
 
 // start runs a board until the test ends.
-func start(t testing.TB, set opfile.ControlPlane) (*Server, *api.Client) {
+func start(t testing.TB, set operatorconfig.ControlPlane) (*Server, *api.Client) {
 	t.Helper()
 	b, err := New(set, Options{})
 	check(t, err)
@@ -71,7 +71,7 @@
 	return b, client(t, set, "")
 }
 
-func client(t testing.TB, set opfile.ControlPlane, who string) *api.Client {
+func client(t testing.TB, set operatorconfig.ControlPlane, who string) *api.Client {
 	t.Helper()
 	c, err := api.NewClient("unix:"+set.Write.Unix, who, api.Credentials{})
 	check(t, err)
@@ -131,9 +131,9 @@
 // Two directors follow the board under a steady load while a plan adds two boxes and drains one. Each request gets one
 // final answer; nothing is sent to the drained box, and nothing names it, later than 500 ms after a director was told.
 func TestChangeUnderLoad(t *testing.T) {
-	var boxes []*standin.Cache
+	var boxes []*fakes.Cache
 	for range 5 {
-		c, err := standin.NewCache("127.0.0.1:0")
+		c, err := fakes.NewCache("127.0.0.1:0")
 		check(t, err)
 		t.Cleanup(c.Close)
 		boxes = append(boxes, c)
@@ -152,13 +152,13 @@
 	check(t, err)
 	var directors []string
 	for range 2 {
-		directors = append(directors, director(t, addr.String()))
+		directors = append(directors, startDirector(t, addr.String()))
 	}
 	until(t, "the directors follow", func() bool { return b.watches.Count() == 2 })
-	load := make(chan standin.Tally, 2)
+	load := make(chan fakes.Tally, 2)
 	for _, d := range directors {
 		go func() {
-			tally, err := standin.Load(d, 200, 3*time.Second)
+			tally, err := fakes.Load(d, 200, 3*time.Second)
 			if err != nil {
 				t.Error(err)
 			}
@@ -214,12 +214,12 @@
 "Limits":{"Cancel":true,"ConnIdle":15000,"DialTimeout":400,"MaxAttempts":8,"MaxRetryAfter":2000,"MostHeld":20000,"Multiplex":32,"RetryAfter":true},
 "Rules":{"DrainGrace":500,"GraceToAnswer":8,"Cold":500,"ColdFrom":0.5,"Fall":3000,"TipMultiple":4}}`
 
-// director runs a real director that follows a board, and gives its address.
-func director(t *testing.T, bulletin string) string {
+// startDirector runs a real director that follows a board, and gives its address.
+func startDirector(t *testing.T, bulletin string) string {
 	c, err := config.Parse(fmt.Appendf(nil, `{"name":"n","listen":"127.0.0.1:0","seed":"1","bulletin":%q,"known":{"no":0,"items":[]},"settings":%s}`,
 		bulletin, directorSettings), "", "")
 	check(t, err)
-	p, err := program.New(c)
+	p, err := director.New(c)
 	check(t, err)
 	addr, err := p.Addr()
 	check(t, err)
@@ -308,12 +308,12 @@
 	for _, trouble := range []string{fleet.Pause, fleet.Revert} {
 		t.Run(trouble, func(t *testing.T) {
 			set := settingsIn(t.TempDir())
-			set.Observer = opfile.Observer{Every: 50 * time.Millisecond, Timeout: 100 * time.Millisecond, Misses: 2}
+			set.Observer = operatorconfig.Observer{Every: 50 * time.Millisecond, Timeout: 100 * time.Millisecond, Misses: 2}
 			b, c := start(t, set)
-			var boxes []*standin.Cache
+			var boxes []*fakes.Cache
 			var declared []fleet.HostSpec
 			for n := range 4 {
-				s, err := standin.NewCache("127.0.0.1:0")
+				s, err := fakes.NewCache("127.0.0.1:0")
 				check(t, err)
 				t.Cleanup(s.Close)
 				boxes = append(boxes, s)
@@ -377,7 +377,7 @@
 		t.Error(res.Status)
 	}
 	set = settingsIn(t.TempDir())
-	set.Write = opfile.Write{TCP: loopback(), Writers: prefixes("10.0.0.0/8")}
+	set.Write = operatorconfig.Write{TCP: loopback(), Writers: prefixes("10.0.0.0/8")}
 	b, _ = start(t, set)
 	res, err = http.Get("http://" + b.WriteAddr().String() + "/v1/world")
 	check(t, err)
@@ -385,7 +385,7 @@
 		t.Error(res.Status)
 	}
 	set = settingsIn(t.TempDir())
-	set.Write = opfile.Write{TCP: anywhere()}
+	set.Write = operatorconfig.Write{TCP: anywhere()}
 	if _, err := New(set, Options{}); err == nil || !strings.Contains(err.Error(), "not loopback") {
 		t.Error(err)
 	}
--- a/internal/controlplane/history/history.go
+++ b/internal/controlplane/eventlog/history.go
@@ -1,12 +1,12 @@
 // Package history turns the event log into what watchers are sent: what they have missed, or the whole list where
 // that is no longer kept. It is pure, and encodes each event once: answers are slices of what all followers share.
-package history
+package eventlog
 
 import (
 	"fmt"
 
 	"stairvane.org/stairvane/internal/fleet"
-	"stairvane.org/stairvane/internal/protocol/bulletin"
+	"stairvane.org/stairvane/internal/protocol/discovery"
 )
 
 // MaxAnswer bounds an answer in bytes; what is left over is in the next. A director takes 4 MB at most. The whole list
@@ -55,7 +55,7 @@
 		if e.No != l.first+int64(len(l.items)) {
 			return fmt.Errorf("history: event %d comes where %d is wanted", e.No, l.first+int64(len(l.items)))
 		}
-		item, err := bulletin.EncodeEvent(DiscoveryEvent(e))
+		item, err := discovery.EncodeEvent(DiscoveryEvent(e))
 		if err != nil {
 			return fmt.Errorf("history: event %d: %w", e.No, err)
 		}
@@ -63,7 +63,7 @@
 		if e.Membership != nil {
 			told := DiscoveryEvent(e)
 			told.Membership = rollChange(e)
-			if l.rolls[e.No], err = bulletin.EncodeEvent(told); err != nil {
+			if l.rolls[e.No], err = discovery.EncodeEvent(told); err != nil {
 				return fmt.Errorf("history: event %d: %w", e.No, err)
 			}
 		}
@@ -81,13 +81,13 @@
 }
 
 // rollChange is a change of the roll as directors are told it.
-func rollChange(e fleet.Event) *bulletin.Membership {
-	r := &bulletin.Membership{Left: e.Membership.Left}
+func rollChange(e fleet.Event) *discovery.Membership {
+	r := &discovery.Membership{Left: e.Membership.Left}
 	for _, d := range e.Membership.Joined {
-		r.Joined = append(r.Joined, bulletin.Director(d))
+		r.Joined = append(r.Joined, discovery.Director(d))
 	}
 	for _, s := range e.Membership.Shards {
-		t := bulletin.Shard{Number: s.Shard, Replicas: s.Replicas, PreviousReplicas: s.PreviousReplicas, ReadyEpoch: s.ReadyEpoch}
+		t := discovery.Shard{Number: s.Shard, Replicas: s.Replicas, PreviousReplicas: s.PreviousReplicas, ReadyEpoch: s.ReadyEpoch}
 		if s.ReadyEpoch == 0 {
 			t.Epoch = e.No
 		}
@@ -97,17 +97,17 @@
 }
 
 // wholeRoll is the roll as it is now; nil if nobody was ever on it.
-func (l *Log) wholeRoll() *bulletin.Membership {
+func (l *Log) wholeRoll() *discovery.Membership {
 	d := l.fleet.Membership()
 	if d == nil {
 		return nil
 	}
-	r := &bulletin.Membership{Snapshot: true}
+	r := &discovery.Membership{Snapshot: true}
 	for _, x := range d.Directors {
-		r.Joined = append(r.Joined, bulletin.Director(*x))
+		r.Joined = append(r.Joined, discovery.Director(*x))
 	}
 	for i, s := range d.Shards {
-		r.Shards = append(r.Shards, bulletin.Shard{Number: i, Epoch: s.Epoch, Replicas: s.Replicas, PreviousReplicas: s.PreviousReplicas})
+		r.Shards = append(r.Shards, discovery.Shard{Number: i, Epoch: s.Epoch, Replicas: s.Replicas, PreviousReplicas: s.PreviousReplicas})
 	}
 	return r
 }
@@ -116,22 +116,22 @@
 func (l *Log) HasMembership() bool { return l.fleet.Membership() != nil }
 
 // DiscoveryEvent is an event as directors are told it. What concerns the board alone is a change of no host.
-func DiscoveryEvent(e fleet.Event) bulletin.Event {
+func DiscoveryEvent(e fleet.Event) discovery.Event {
 	switch {
 	case e.Purge != nil:
 		return purge(e.No, *e.Purge)
 	case e.Host != nil:
-		return bulletin.Event{Revision: e.No, Endpoints: &bulletin.EndpointList{Sequence: e.No, Endpoints: []bulletin.Endpoint{host(e.Host)}}}
+		return discovery.Event{Revision: e.No, Endpoints: &discovery.EndpointList{Sequence: e.No, Endpoints: []discovery.Endpoint{host(e.Host)}}}
 	}
-	return bulletin.Event{Revision: e.No, Endpoints: &bulletin.EndpointList{Sequence: e.No}}
+	return discovery.Event{Revision: e.No, Endpoints: &discovery.EndpointList{Sequence: e.No}}
 }
 
-func purge(no int64, p fleet.Purge) bulletin.Event {
-	return bulletin.Event{Revision: no, Purge: &bulletin.Purge{Object: p.Object, Group: p.Group, IssuedMS: float64(p.IssuedMS)}}
+func purge(no int64, p fleet.Purge) discovery.Event {
+	return discovery.Event{Revision: no, Purge: &discovery.Purge{Object: p.Object, Group: p.Group, IssuedMS: float64(p.IssuedMS)}}
 }
 
-func host(m *fleet.Host) bulletin.Endpoint {
-	return bulletin.Endpoint{Name: m.Name, Address: m.Address, Site: m.Site, Class: m.Class, Block: m.Block, Health: string(m.State),
+func host(m *fleet.Host) discovery.Endpoint {
+	return discovery.Endpoint{Name: m.Name, Address: m.Address, Site: m.Site, Class: m.Class, Block: m.Block, Health: string(m.State),
 		Share: m.Serving, BornMS: float64(m.BornMS)}
 }
 
@@ -171,14 +171,14 @@
 		return nil, 0, err
 	}
 	a := answer{parts: make([][]byte, 0, 2*len(items)+2)}
-	a.parts = append(a.parts, bulletin.Opening(last))
+	a.parts = append(a.parts, discovery.Opening(last))
 	for i, item := range items {
 		if i > 0 {
 			a.parts = append(a.parts, []byte{','})
 		}
 		a.parts = append(a.parts, item)
 	}
-	a.parts = append(a.parts, []byte(bulletin.Closing))
+	a.parts = append(a.parts, []byte(discovery.Closing))
 	for _, p := range a.parts {
 		a.size += len(p)
 	}
@@ -200,15 +200,15 @@
 		if l.fleet.EndpointRevision <= after {
 			return nil
 		}
-		r := &bulletin.EndpointList{Sequence: l.fleet.EndpointRevision, Snapshot: true}
+		r := &discovery.EndpointList{Sequence: l.fleet.EndpointRevision, Snapshot: true}
 		for m := range l.fleet.Hosts() {
 			r.Endpoints = append(r.Endpoints, host(m))
 		}
-		item := bulletin.Event{Revision: l.fleet.EndpointRevision, Endpoints: r}
+		item := discovery.Event{Revision: l.fleet.EndpointRevision, Endpoints: r}
 		if announced {
 			item.Membership = l.wholeRoll()
 		}
-		b, err := bulletin.EncodeEvent(item)
+		b, err := discovery.EncodeEvent(item)
 		items = append(items, b)
 		return err
 	}
@@ -220,7 +220,7 @@
 			}
 			listed = true
 		}
-		b, err := bulletin.EncodeEvent(purge(p.No, p.Purge))
+		b, err := discovery.EncodeEvent(purge(p.No, p.Purge))
 		if err != nil {
 			return nil, err
 		}
--- a/internal/controlplane/history/history_test.go
+++ b/internal/controlplane/eventlog/history_test.go
@@ -1,4 +1,4 @@
-package history
+package eventlog
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 
 	"stairvane.org/stairvane/internal/fleet"
 	"stairvane.org/stairvane/internal/fleet/fleettest"
-	"stairvane.org/stairvane/internal/protocol/bulletin"
+	"stairvane.org/stairvane/internal/protocol/discovery"
 )
 
 func TestMain(m *testing.M) { fleettest.Main(m) }
@@ -17,7 +17,7 @@
 // follower takes answers in as a director does: by rising numbers, changes of a list, whole lists.
 type follower struct {
 	last  int64
-	hosts map[string]bulletin.Endpoint
+	hosts map[string]discovery.Endpoint
 	drops []string
 }
 
@@ -26,7 +26,7 @@
 	for _, p := range parts {
 		body = append(body, p...)
 	}
-	feed, err := bulletin.Decode(body)
+	feed, err := discovery.Decode(body)
 	if err != nil {
 		t.Fatalf("%v: %s", err, body)
 	}
@@ -37,7 +37,7 @@
 		f.last = i.Revision
 		if i.Endpoints != nil {
 			if i.Endpoints.Snapshot {
-				f.hosts = map[string]bulletin.Endpoint{}
+				f.hosts = map[string]discovery.Endpoint{}
 			}
 			for _, h := range i.Endpoints.Endpoints {
 				if f.hosts[h.Name] = h; h.Health == "terminated" {
@@ -60,7 +60,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		followers := []*follower{{hosts: map[string]bulletin.Endpoint{}}, {hosts: map[string]bulletin.Endpoint{}}}
+		followers := []*follower{{hosts: map[string]discovery.Endpoint{}}, {hosts: map[string]discovery.Endpoint{}}}
 		purges := 0
 		for n := range rapid.IntRange(1, 40).Draw(t, "events") {
 			e := fleet.Event{No: f.Revision + 1, AtMS: 1000}
--- a/internal/controlplane/health.go
+++ b/internal/controlplane/health.go
@@ -6,8 +6,8 @@
 
 	"stairvane.org/stairvane/internal/controlplane/api"
 	"stairvane.org/stairvane/internal/controlplane/replicas"
-	"stairvane.org/stairvane/internal/protocol/bulletin"
-	"stairvane.org/stairvane/internal/signals"
+	"stairvane.org/stairvane/internal/health"
+	"stairvane.org/stairvane/internal/protocol/discovery"
 )
 
 const mostReports = 1024 // kept for the leader: what is lost is only evidence
@@ -16,24 +16,24 @@
 // was told that. It is the keeper's, under its lock.
 type healthReports struct {
 	reports []api.HealthReport
-	merger  *signals.Aggregator // while it leads
-	teller  *signals.Notifier
+	merger  *health.Aggregator // while it leads
+	teller  *health.Notifier
 }
 
 // spread answers the directors at once that wait here and share in what is seen of boxes, if that has changed.
-func (k *membershipService) spread(o signals.AggregatedHealth, now time.Duration) {
+func (k *membershipService) spread(o health.AggregatedHealth, now time.Duration) {
 	if k.health.teller.Take(o, now) {
 		k.board.loop.Post(k.board.watches.PublishHealth)
 	}
 }
 
 // evidence takes in what a director has seen.
-func (k *membershipService) evidence(a bulletin.Announcement, now time.Duration) {
-	var r signals.Report
+func (k *membershipService) evidence(a discovery.Announcement, now time.Duration) {
+	var r health.Report
 	if len(a.HealthReport) == 0 || json.Unmarshal(a.HealthReport, &r) != nil || r.Holder != a.ID() {
 		return
 	}
-	at := signals.Place{Machine: a.Machine, Location: a.Location}
+	at := health.Place{Machine: a.Machine, Location: a.Location}
 	switch {
 	case k.health.merger != nil:
 		k.health.merger.Take(r, at, now)
@@ -44,7 +44,7 @@
 }
 
 // aggregatedHealth are what a director that gives evidence is to be told now; nil if nothing is new.
-func (k *membershipService) aggregatedHealth(id string) *signals.AggregatedHealth {
+func (k *membershipService) aggregatedHealth(id string) *health.AggregatedHealth {
 	now := replicas.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -59,7 +59,7 @@
 }
 
 // Signals lists what is known of all boxes, where this board leads.
-func (k *membershipService) Signals() []signals.CacheStatus {
+func (k *membershipService) Signals() []health.CacheStatus {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.health.merger == nil {
--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -8,22 +8,22 @@
 	"sync"
 	"time"
 
-	"stairvane.org/stairvane/internal/audit/adoption"
 	"stairvane.org/stairvane/internal/claims"
+	"stairvane.org/stairvane/internal/controlplane/adoption"
 	"stairvane.org/stairvane/internal/controlplane/api"
+	"stairvane.org/stairvane/internal/controlplane/membership"
+	"stairvane.org/stairvane/internal/controlplane/relaysession"
 	"stairvane.org/stairvane/internal/controlplane/replicas"
 	"stairvane.org/stairvane/internal/controlplane/store"
 	"stairvane.org/stairvane/internal/fleet"
-	"stairvane.org/stairvane/internal/membership"
-	"stairvane.org/stairvane/internal/protocol/bulletin"
+	"stairvane.org/stairvane/internal/health"
+	"stairvane.org/stairvane/internal/protocol/discovery"
 	"stairvane.org/stairvane/internal/quota"
-	"stairvane.org/stairvane/internal/relay"
-	"stairvane.org/stairvane/internal/signals"
 )
 
-// quotaSettings are those of the directors, see internal/program; without relays there are no nodes to wait for.
+// quotaSettings are those of the directors, see internal/director; without relays there are no nodes to wait for.
 func quotaSettings(relays bool) quota.Settings {
-	set := relay.QuotaSettings
+	set := relaysession.QuotaSettings
 	if !relays {
 		set.NodeLease = 0
 	}
@@ -31,7 +31,7 @@
 }
 
 const (
-	rollLease  = 400 * time.Millisecond // as the directors count, see internal/program
+	rollLease  = 400 * time.Millisecond // as the directors count, see internal/director
 	rollDrift  = 0.02
 	rollGather = 150 * time.Millisecond
 	rollEvery  = 25 * time.Millisecond
@@ -71,14 +71,14 @@
 }
 
 func newMembershipService(b *Server) *membershipService {
-	return &membershipService{board: b, stop: make(chan struct{}), ended: make(chan struct{}), here: map[string]*present{}, complete: map[int]int64{}, beats: map[string]quota.Renewal{}, grants: map[string]quota.Grant{}, health: healthReports{teller: signals.NewNotifier()},
+	return &membershipService{board: b, stop: make(chan struct{}), ended: make(chan struct{}), here: map[string]*present{}, complete: map[int]int64{}, beats: map[string]quota.Renewal{}, grants: map[string]quota.Grant{}, health: healthReports{teller: health.NewNotifier()},
 		// A copy that is cut off goes on answering directors until its own lease ends, and their leases count from then.
 		roll: membership.New(membership.Settings{Lease: rollLease + b.set.Replicas.Lease, Drift: rollDrift, Gather: rollGather,
 			Director: rollLease, Session: b.relayLease()})}
 }
 
 // observe takes in what a director says with its call for news.
-func (k *membershipService) observe(a bulletin.Announcement, acts int64) {
+func (k *membershipService) observe(a discovery.Announcement, acts int64) {
 	now := replicas.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -306,7 +306,7 @@
 		k.roll.Begin(f, now)
 		// What the one before it has granted, within its own lease and for one more, is over by then.
 		k.granter = quota.NewAllocator(quotaSettings(k.board.set.Relays), k.board.term(), now+k.board.set.Replicas.Lease, f.Membership() == nil)
-		k.health.merger = signals.NewAggregator(signals.DefaultSettings, k.board.term())
+		k.health.merger = health.NewAggregator(health.DefaultSettings, k.board.term())
 		k.record = adoption.New(adoptionKept, f.Revision)
 	} else if !leads {
 		k.granter, k.health.merger, k.record = nil, nil, nil
--- a/internal/controlplane/relays.go
+++ b/internal/controlplane/relays.go
@@ -10,14 +10,14 @@
 	"sync"
 	"time"
 
-	"stairvane.org/stairvane/internal/audit/adoption"
+	"stairvane.org/stairvane/internal/controlplane/adoption"
 	"stairvane.org/stairvane/internal/controlplane/api"
+	"stairvane.org/stairvane/internal/controlplane/membership"
+	"stairvane.org/stairvane/internal/controlplane/relaysession"
+	"stairvane.org/stairvane/internal/controlplane/replica"
 	"stairvane.org/stairvane/internal/controlplane/replicas"
 	"stairvane.org/stairvane/internal/controlplane/store"
 	"stairvane.org/stairvane/internal/fleet"
-	"stairvane.org/stairvane/internal/membership"
-	"stairvane.org/stairvane/internal/relay"
-	"stairvane.org/stairvane/internal/replica"
 )
 
 const (
@@ -29,9 +29,9 @@
 // relayLease is for how long a relay may serve after a request that was answered.
 func (b *Server) relayLease() time.Duration {
 	if group := b.set.Replicas.Lease; b.set.Replicas.Self != "" {
-		return min(relay.Lease, group) // the group counts no lease for longer
+		return min(relaysession.Lease, group) // the group counts no lease for longer
 	}
-	return relay.Lease
+	return relaysession.Lease
 }
 
 // relayLeases are the leases of relays' sessions. In a group they are kept beside those of the replicas.
@@ -84,7 +84,7 @@
 
 // postRelayLease answers a relay's request, if it is proven that this replica leads.
 func (b *Server) postRelayLease(w http.ResponseWriter, r *http.Request) {
-	var request relay.Request
+	var request relaysession.Request
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRelayRequest)).Decode(&request); err != nil {
 		fail(w, http.StatusBadRequest, api.Error{Kind: api.BadRequest, Message: "relay: " + err.Error()})
 		return
@@ -115,7 +115,7 @@
 	reply(w, answer)
 }
 
-func (b *Server) refuseRelay(w http.ResponseWriter, request relay.Request, err error) {
+func (b *Server) refuseRelay(w http.ResponseWriter, request relaysession.Request, err error) {
 	e := api.Error{Kind: api.BadRequest, Message: err.Error()}
 	switch {
 	case errors.Is(err, membership.ErrOldUpdate):
@@ -151,7 +151,7 @@
 	if after > 0 && after < f.Revision {
 		var events []fleet.Event
 		err := b.store.View(func(v *store.View) (err error) {
-			events, err = v.Events(after, relay.MaxEvents)
+			events, err = v.Events(after, relaysession.MaxEvents)
 			return err
 		})
 		if err != nil {
@@ -183,18 +183,18 @@
 
 // takeRelay takes a relay's request in, right after it was proven that this replica leads. With complete the relay gets a lease;
 // without, it must first take the events that it lacks.
-func (k *membershipService) takeRelay(q relay.Request, complete bool) (relay.Answer, error) {
+func (k *membershipService) takeRelay(q relaysession.Request, complete bool) (relaysession.Answer, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := replicas.Now()
 	if !k.leads || k.granter == nil {
-		return relay.Answer{}, store.ErrNotLeader
+		return relaysession.Answer{}, store.ErrNotLeader
 	}
 	registered, err := k.roll.Update(q.Update, rand.Uint64(), now)
 	if err != nil {
-		return relay.Answer{}, err
+		return relaysession.Answer{}, err
 	}
-	answer := relay.Answer{Sequence: q.Sequence, NeedFull: registered.NeedFull, Registration: registered.Registration}
+	answer := relaysession.Answer{Sequence: q.Sequence, NeedFull: registered.NeedFull, Registration: registered.Registration}
 	k.recordRelay(q.Update, now)
 	k.completed(q.ReadyShards)
 	k.takeReports(q, &answer, now)
@@ -232,7 +232,7 @@
 }
 
 // takeReports merges a relay's health reports, and answers with what is known of caches' health if that is new to the relay.
-func (k *membershipService) takeReports(q relay.Request, answer *relay.Answer, now time.Duration) {
+func (k *membershipService) takeReports(q relaysession.Request, answer *relaysession.Answer, now time.Duration) {
 	for _, r := range q.Reports {
 		k.health.merger.Take(r.Report, r.Place, now)
 	}
--- a/internal/controlplane/relays_test.go
+++ b/internal/controlplane/relays_test.go
@@ -11,32 +11,32 @@
 	"time"
 
 	"stairvane.org/stairvane/internal/controlplane/api"
+	"stairvane.org/stairvane/internal/controlplane/membership"
+	"stairvane.org/stairvane/internal/controlplane/relaysession"
 	"stairvane.org/stairvane/internal/controlplane/replicas"
 	"stairvane.org/stairvane/internal/fleet"
-	"stairvane.org/stairvane/internal/membership"
-	"stairvane.org/stairvane/internal/protocol/bulletin"
-	"stairvane.org/stairvane/internal/relay"
-	"stairvane.org/stairvane/internal/signals"
+	"stairvane.org/stairvane/internal/health"
+	"stairvane.org/stairvane/internal/protocol/discovery"
 )
 
 // testRelay is a relay whose directors call it whenever it calls the leader, and have all events that it has.
 type testRelay struct {
 	t         testing.TB
 	server    *Server
-	session   *relay.Session
+	session   *relaysession.Session
 	revision  int64
-	directors []bulletin.Announcement
+	directors []discovery.Announcement
 	behind    map[string]int64 // directors that acknowledge no more than this, by name
-	last      relay.Request
+	last      relaysession.Request
 	leased    int
 }
 
 func newTestRelay(t testing.TB, b *Server, name string, number uint64, directors int) *testRelay {
 	r := &testRelay{t: t, server: b, behind: map[string]int64{}}
-	r.session = relay.New(relay.Settings{Relay: membership.Relay{Name: name, Incarnation: fmt.Sprint(number), Region: "north"}, Number: number,
+	r.session = relaysession.New(relaysession.Settings{Relay: membership.Relay{Name: name, Incarnation: fmt.Sprint(number), Region: "north"}, Number: number,
 		DirectorLease: rollLease, Drift: rollDrift}, nil)
 	for i := range directors {
-		r.directors = append(r.directors, bulletin.Announcement{Config: "mark", Director: bulletin.Director{Name: fmt.Sprint("d-", i), Incarnation: "ABCDEFGHIJKLMNOPQRSTUVWXYZ", Location: "west"}})
+		r.directors = append(r.directors, discovery.Announcement{Config: "mark", Director: discovery.Director{Name: fmt.Sprint("d-", i), Incarnation: "ABCDEFGHIJKLMNOPQRSTUVWXYZ", Location: "west"}})
 	}
 	return r
 }
@@ -44,12 +44,12 @@
 func post(t testing.TB, b *Server, body []byte) *httptest.ResponseRecorder {
 	t.Helper()
 	w := httptest.NewRecorder()
-	b.postRelayLease(w, httptest.NewRequest(http.MethodPost, relay.Path, bytes.NewReader(body)))
+	b.postRelayLease(w, httptest.NewRequest(http.MethodPost, relaysession.Path, bytes.NewReader(body)))
 	return w
 }
 
 // call makes one request and takes its answer.
-func (r *testRelay) call() relay.Answer {
+func (r *testRelay) call() relaysession.Answer {
 	r.t.Helper()
 	now := replicas.Now()
 	for _, d := range r.directors {
@@ -66,7 +66,7 @@
 	if w.Code != http.StatusOK {
 		r.t.Fatalf("%d: %s", w.Code, w.Body)
 	}
-	var a relay.Answer
+	var a relaysession.Answer
 	check(r.t, json.Unmarshal(w.Body.Bytes(), &a))
 	r.session.Answered(a, replicas.Now())
 	if a.Snapshot != nil {
@@ -106,7 +106,7 @@
 	if a := r.call(); a.Snapshot == nil || a.LeaseMS != 0 || !a.NeedFull {
 		t.Fatalf("%+v", a)
 	}
-	if a := r.call(); a.Snapshot != nil || a.LeaseMS != relay.Lease.Milliseconds() || a.NeedFull || len(r.last.Joined) != 40 {
+	if a := r.call(); a.Snapshot != nil || a.LeaseMS != relaysession.Lease.Milliseconds() || a.NeedFull || len(r.last.Joined) != 40 {
 		t.Fatalf("%+v after %+v", a, r.last)
 	}
 	members := func() api.Members { return b.membership.Members() }
@@ -179,7 +179,7 @@
 	if k := kind([]byte("{}"), http.StatusBadRequest); k != api.BadRequest {
 		t.Fatal(k)
 	}
-	large := relay.Request{Update: membership.Update{Relay: r.last.Relay, Session: 7, Sequence: 100, Lost: make([]string, membership.MaxUpdateChanges+1)}}
+	large := relaysession.Request{Update: membership.Update{Relay: r.last.Relay, Session: 7, Sequence: 100, Lost: make([]string, membership.MaxUpdateChanges+1)}}
 	body, err = json.Marshal(large)
 	check(t, err)
 	if k := kind(body, http.StatusBadRequest); k != api.BadRequest {
@@ -188,15 +188,15 @@
 	for i := range membership.MaxSessions - 1 {
 		newTestRelay(t, b, fmt.Sprint("x", i), uint64(100+i), 0).call()
 	}
-	full := relay.Request{Update: membership.Update{Relay: membership.Relay{Name: "y", Incarnation: "1"}, Session: 9, Sequence: 1}}
+	full := relaysession.Request{Update: membership.Update{Relay: membership.Relay{Name: "y", Incarnation: "1"}, Session: 9, Sequence: 1}}
 	body, err = json.Marshal(full)
 	check(t, err)
 	if k := kind(body, http.StatusServiceUnavailable); k != api.Busy {
 		t.Fatal(k)
 	}
 	for i := range 3 {
-		report := signals.Report{Holder: fmt.Sprint("d-", i), Seq: 1, Caches: []signals.Outcomes{{Cache: "c-1", Attempts: 4, Failures: 4}}}
-		r.directors = append(r.directors, bulletin.Announcement{Director: bulletin.Director{Name: fmt.Sprint("e-", i), Incarnation: "1", Machine: fmt.Sprint("m-", i)}})
+		report := health.Report{Holder: fmt.Sprint("d-", i), Seq: 1, Caches: []health.Outcomes{{Cache: "c-1", Attempts: 4, Failures: 4}}}
+		r.directors = append(r.directors, discovery.Announcement{Director: discovery.Director{Name: fmt.Sprint("e-", i), Incarnation: "1", Machine: fmt.Sprint("m-", i)}})
 		report.Holder = r.directors[i+1].ID()
 		r.directors[i+1].HealthReport, err = json.Marshal(report)
 		check(t, err)
@@ -229,7 +229,7 @@
 				b.StartTimer()
 				w := post(b, s, body)
 				b.StopTimer()
-				var a relay.Answer
+				var a relaysession.Answer
 				check(b, json.Unmarshal(w.Body.Bytes(), &a))
 				r.session.Answered(a, now)
 				b.StartTimer()
--- a/internal/controlplane/relay/eventlog.go
+++ b/internal/controlplane/relayserver/eventlog.go
@@ -1,22 +1,22 @@
-package relay
+package relayserver
 
 import (
 	"fmt"
 
-	"stairvane.org/stairvane/internal/controlplane/history"
+	"stairvane.org/stairvane/internal/controlplane/eventlog"
 	"stairvane.org/stairvane/internal/fleet"
 )
 
 // eventLog is the fleet as the relay knows it, and the last events that led to it.
 type eventLog struct {
 	fleet fleet.Fleet
-	log   *history.Log
+	log   *eventlog.Log
 	keep  int
 }
 
 // newEventLog makes a log without events that keeps so many of them.
 func newEventLog(keep int) (*eventLog, error) {
-	log, err := history.New(1, nil, fleet.Fleet{}, keep)
+	log, err := eventlog.New(1, nil, fleet.Fleet{}, keep)
 	return &eventLog{log: log, keep: keep}, err
 }
 
@@ -26,7 +26,7 @@
 	if err != nil {
 		return fmt.Errorf("snapshot at event %d: %w", snapshot.Revision, err)
 	}
-	log, err := history.New(after.Revision+1, nil, after, l.keep)
+	log, err := eventlog.New(after.Revision+1, nil, after, l.keep)
 	if err != nil {
 		return err
 	}
--- a/internal/controlplane/relay/owner.go
+++ b/internal/controlplane/relayserver/owner.go
@@ -1,12 +1,12 @@
-package relay
+package relayserver
 
 import (
 	"time"
 
 	"stairvane.org/stairvane/internal/controlplane/replicas"
-	"stairvane.org/stairvane/internal/protocol/bulletin"
+	"stairvane.org/stairvane/internal/health"
+	"stairvane.org/stairvane/internal/protocol/discovery"
 	"stairvane.org/stairvane/internal/quota"
-	"stairvane.org/stairvane/internal/signals"
 )
 
 // owner is the relay as its watch server sees it.
@@ -16,7 +16,7 @@
 func (o owner) HasLease() bool { return o.relay.hasLease() }
 
 // Request implements watch.Owner.
-func (o owner) Request(a bulletin.Announcement, acknowledged int64) bool {
+func (o owner) Request(a discovery.Announcement, acknowledged int64) bool {
 	r := o.relay
 	if !r.session.Observe(a, acknowledged, replicas.Now()) {
 		return false
@@ -31,7 +31,7 @@
 func (o owner) Granted(directorID string) *quota.Grant { return o.relay.session.Granted(directorID) }
 
 // Health implements watch.Owner.
-func (o owner) Health(directorID string) *signals.AggregatedHealth {
+func (o owner) Health(directorID string) *health.AggregatedHealth {
 	return o.relay.session.Health(directorID, replicas.Now())
 }
 
--- a/internal/controlplane/relay/relay.go
+++ b/internal/controlplane/relayserver/relay.go
@@ -1,9 +1,9 @@
 // Package relay is the process of a relay: it serves watches to the directors of a region for the replicas of a control plane,
-// and keeps one session with their leader. What is said in the session is decided in internal/relay; here are the sockets,
+// and keeps one session with their leader. What is said in the session is decided in internal/controlplane/relaysession; here are the sockets,
 // the clock, and the event log in memory. A relay has no disk and no vote: it may be lost at any time.
 //
 // All state belongs to one loop. One further goroutine calls the leader, one call at a time.
-package relay
+package relayserver
 
 import (
 	"crypto/rand"
@@ -15,17 +15,17 @@
 	"sync"
 	"time"
 
+	"stairvane.org/stairvane/internal/controlplane/membership"
+	"stairvane.org/stairvane/internal/controlplane/relaysession"
+	"stairvane.org/stairvane/internal/controlplane/replica"
 	"stairvane.org/stairvane/internal/controlplane/replicas"
 	"stairvane.org/stairvane/internal/controlplane/watch"
-	"stairvane.org/stairvane/internal/membership"
-	"stairvane.org/stairvane/internal/opfile"
-	"stairvane.org/stairvane/internal/relay"
-	"stairvane.org/stairvane/internal/replica"
+	"stairvane.org/stairvane/internal/operatorconfig"
 	"stairvane.org/stairvane/internal/transport"
 )
 
 const (
-	directorLease = 400 * time.Millisecond // as directors count it, see internal/program
+	directorLease = 400 * time.Millisecond // as directors count it, see internal/director
 	clockDrift    = 0.02
 	leaseInterval = 10 * time.Millisecond // between two looks at the lease
 	lingerTime    = 100 * time.Millisecond
@@ -33,10 +33,10 @@
 
 // Server is one relay.
 type Server struct {
-	set      opfile.Relay
+	set      operatorconfig.Relay
 	loop     *transport.Loop
 	watches  *watch.Server
-	session  *relay.Session
+	session  *relaysession.Session
 	upstream *upstream
 	events   *eventLog
 	lease    replica.Holder
@@ -49,7 +49,7 @@
 }
 
 // New reads the keys and listens. Nothing runs yet.
-func New(set opfile.Relay) (*Server, error) {
+func New(set operatorconfig.Relay) (*Server, error) {
 	r := &Server{set: set, ended: make(chan struct{})}
 	var err error
 	if r.upstream, err = newUpstream(set); err != nil {
@@ -76,7 +76,7 @@
 }
 
 // newSession makes the session of a process that has just begun.
-func newSession(set opfile.Relay) *relay.Session {
+func newSession(set operatorconfig.Relay) *relaysession.Session {
 	identity := membership.Relay{
 		Name:        set.Name,
 		Incarnation: rand.Text(),
@@ -84,7 +84,7 @@
 		Site:        set.Site,
 		Region:      set.Region,
 	}
-	return relay.New(relay.Settings{
+	return relaysession.New(relaysession.Settings{
 		Relay:         identity,
 		Number:        randomNumber(),
 		DirectorLease: directorLease,
@@ -154,12 +154,12 @@
 }
 
 // request is what is to be said to the leader now.
-func (r *Server) request() relay.Request {
+func (r *Server) request() relaysession.Request {
 	return r.session.Request(r.events.fleet.Revision, r.watches.Acknowledged(), replicas.Now())
 }
 
 // take takes the answer to a request in that was made at a moment. It tells whether the next request is to be made at once.
-func (r *Server) take(a relay.Answer, asked time.Duration) (again bool) {
+func (r *Server) take(a relaysession.Answer, asked time.Duration) (again bool) {
 	if err := r.takeEvents(a); err != nil {
 		r.startOver(err)
 		return false
@@ -169,14 +169,14 @@
 		defer r.watches.PublishHealth()
 	}
 	if a.LeaseMS > 0 {
-		length := min(relay.Lease, time.Duration(a.LeaseMS)*time.Millisecond)
+		length := min(relaysession.Lease, time.Duration(a.LeaseMS)*time.Millisecond)
 		r.lease.Got(replica.Lease{Length: length, Drift: clockDrift}, asked)
 	}
 	return a.LeaseMS == 0 || a.NeedFull || r.session.Pending()
 }
 
 // takeEvents goes on with the events of an answer, or with its snapshot.
-func (r *Server) takeEvents(a relay.Answer) error {
+func (r *Server) takeEvents(a relaysession.Answer) error {
 	if a.Snapshot != nil {
 		if err := r.events.replace(*a.Snapshot); err != nil {
 			return err
--- a/internal/controlplane/relay/relay_test.go
+++ b/internal/controlplane/relayserver/relay_test.go
@@ -1,4 +1,4 @@
-package relay
+package relayserver
 
 import (
 	"encoding/json"
@@ -13,10 +13,10 @@
 	"time"
 
 	"stairvane.org/stairvane/internal/controlplane/api"
+	"stairvane.org/stairvane/internal/controlplane/relaysession"
 	"stairvane.org/stairvane/internal/controlplane/watch/watchtest"
 	"stairvane.org/stairvane/internal/fleet"
-	"stairvane.org/stairvane/internal/opfile"
-	"stairvane.org/stairvane/internal/relay"
+	"stairvane.org/stairvane/internal/operatorconfig"
 )
 
 const patience = 20 * time.Second
@@ -37,15 +37,15 @@
 type replicaServer struct {
 	*httptest.Server
 	mu     sync.Mutex
-	answer func(relay.Request) (int, any)
-	last   relay.Request
+	answer func(relaysession.Request) (int, any)
+	last   relaysession.Request
 }
 
-func newReplica(t *testing.T, answer func(relay.Request) (int, any)) *replicaServer {
+func newReplica(t *testing.T, answer func(relaysession.Request) (int, any)) *replicaServer {
 	l := &replicaServer{answer: answer}
 	l.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		var r relay.Request
-		if err := json.NewDecoder(req.Body).Decode(&r); err != nil || req.URL.Path != relay.Path || req.Method != http.MethodPost {
+		var r relaysession.Request
+		if err := json.NewDecoder(req.Body).Decode(&r); err != nil || req.URL.Path != relaysession.Path || req.Method != http.MethodPost {
 			t.Errorf("%s %s: %v", req.Method, req.URL.Path, err)
 		}
 		l.mu.Lock()
@@ -59,14 +59,14 @@
 	return l
 }
 
-func (l *replicaServer) set(answer func(relay.Request) (int, any)) {
+func (l *replicaServer) set(answer func(relaysession.Request) (int, any)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.answer = answer
 }
 
 // until waits for a request of which something is true.
-func (l *replicaServer) until(t *testing.T, what string, is func(relay.Request) bool) {
+func (l *replicaServer) until(t *testing.T, what string, is func(relaysession.Request) bool) {
 	t.Helper()
 	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
 		l.mu.Lock()
@@ -82,9 +82,9 @@
 }
 
 // leader answers with the events of a log, few at a time.
-func leader(events []fleet.Event, atOnce int) func(relay.Request) (int, any) {
-	return func(r relay.Request) (int, any) {
-		a := relay.Answer{Sequence: r.Sequence, Revision: int64(len(events)), LeaseMS: 200}
+func leader(events []fleet.Event, atOnce int) func(relaysession.Request) (int, any) {
+	return func(r relaysession.Request) (int, any) {
+		a := relaysession.Answer{Sequence: r.Sequence, Revision: int64(len(events)), LeaseMS: 200}
 		rest := events[min(r.Revision, int64(len(events))):]
 		if len(rest) > atOnce {
 			rest, a.LeaseMS = rest[:atOnce], 0
@@ -94,11 +94,11 @@
 	}
 }
 
-func notLeading(relay.Request) (int, any) {
+func notLeading(relaysession.Request) (int, any) {
 	return http.StatusMisdirectedRequest, api.Error{Kind: api.NotLeader, Message: "another replica leads", Leader: "b"}
 }
 
-func silent(relay.Request) (int, any) { return http.StatusServiceUnavailable, "no" }
+func silent(relaysession.Request) (int, any) { return http.StatusServiceUnavailable, "no" }
 
 // purges are so many events, from number first on.
 func purges(first, count int) (events []fleet.Event) {
@@ -111,7 +111,7 @@
 
 // start runs a relay of some replicas until the test ends.
 func start(t *testing.T, replicas ...*replicaServer) *Server {
-	set := opfile.DefaultRelay()
+	set := operatorconfig.DefaultRelay()
 	set.Name, set.Machine, set.Site, set.Region = "r1", "m-1", "s-1", "north"
 	set.Listen = netip.MustParseAddrPort("127.0.0.1:0")
 	set.DrainTime = 100 * time.Millisecond
@@ -156,7 +156,7 @@
 func TestRelayServesOnlyOnceItHasAllEventsAndALease(t *testing.T) {
 	l := newReplica(t, silent)
 	r := start(t, l)
-	l.until(t, "a request", func(q relay.Request) bool { return q.Sequence > 2 })
+	l.until(t, "a request", func(q relaysession.Request) bool { return q.Sequence > 2 })
 	if _, status := try(t, r); status != http.StatusServiceUnavailable {
 		t.Errorf("a relay without a lease answers %d", status)
 	}
@@ -165,7 +165,7 @@
 	if w.Last != 7 {
 		t.Errorf("the first answer goes up to event %d of 7", w.Last)
 	}
-	l.until(t, "the director's joining", func(q relay.Request) bool { return q.Directors == 1 && q.Revision == 7 })
+	l.until(t, "the director's joining", func(q relaysession.Request) bool { return q.Directors == 1 && q.Revision == 7 })
 	l.set(leader(purges(1, 9), 100))
 	_, feed, err := w.Poll(5 * time.Second)
 	check(t, err)
@@ -183,8 +183,8 @@
 	l := newReplica(t, leader(purges(1, 3), 100))
 	r := start(t, l)
 	w := dial(t, r)
-	l.set(func(q relay.Request) (int, any) {
-		a := relay.Answer{Sequence: q.Sequence, Revision: 41, LeaseMS: 200}
+	l.set(func(q relaysession.Request) (int, any) {
+		a := relaysession.Answer{Sequence: q.Sequence, Revision: 41, LeaseMS: 200}
 		switch {
 		case q.Revision < 40:
 			a.Snapshot = &snapshot
@@ -235,11 +235,11 @@
 	l := newReplica(t, leader(purges(1, 3), 100))
 	r := start(t, l)
 	w := dial(t, r)
-	l.set(func(q relay.Request) (int, any) {
+	l.set(func(q relaysession.Request) (int, any) {
 		if q.Revision == 0 {
 			return leader(purges(1, 6), 100)(q)
 		}
-		return http.StatusOK, relay.Answer{Sequence: q.Sequence, Revision: 6, LeaseMS: 200, Events: purges(5, 2)}
+		return http.StatusOK, relaysession.Answer{Sequence: q.Sequence, Revision: 6, LeaseMS: 200, Events: purges(5, 2)}
 	})
 	for w.Last < 6 {
 		_, feed, err := w.Poll(5 * time.Second)
--- a/internal/controlplane/relay/upstream.go
+++ b/internal/controlplane/relayserver/upstream.go
@@ -1,4 +1,4 @@
-package relay
+package relayserver
 
 import (
 	"bytes"
@@ -13,9 +13,9 @@
 	"time"
 
 	"stairvane.org/stairvane/internal/controlplane/api"
+	"stairvane.org/stairvane/internal/controlplane/relaysession"
 	"stairvane.org/stairvane/internal/controlplane/replicas"
-	"stairvane.org/stairvane/internal/opfile"
-	"stairvane.org/stairvane/internal/relay"
+	"stairvane.org/stairvane/internal/operatorconfig"
 )
 
 const (
@@ -23,7 +23,7 @@
 	hurryInterval = 20 * time.Millisecond // between two requests, at least
 	retryInterval = 25 * time.Millisecond // after all replicas have been tried
 	dialTimeout   = 200 * time.Millisecond
-	headTimeout   = relay.Lease            // for an answer to begin: a later one carries no lease
+	headTimeout   = relaysession.Lease     // for an answer to begin: a later one carries no lease
 	stallTimeout  = 500 * time.Millisecond // for each further piece of an answer, which may be a large snapshot
 	maxAnswer     = 256 << 20              // bytes
 )
@@ -38,7 +38,7 @@
 	urgent chan struct{}
 }
 
-func newUpstream(set opfile.Relay) (*upstream, error) {
+func newUpstream(set operatorconfig.Relay) (*upstream, error) {
 	t := &http.Transport{
 		MaxIdleConnsPerHost:   1,
 		IdleConnTimeout:       time.Minute,
@@ -68,7 +68,7 @@
 }
 
 // call makes a request of the replica that answered last. After an error the next one is called next.
-func (u *upstream) call(ctx context.Context, r relay.Request) (a relay.Answer, err error) {
+func (u *upstream) call(ctx context.Context, r relaysession.Request) (a relaysession.Answer, err error) {
 	body, err := json.Marshal(r)
 	if err != nil {
 		return a, err
@@ -87,10 +87,10 @@
 	return a, err
 }
 
-func (u *upstream) post(ctx context.Context, body []byte) (a relay.Answer, err error) {
+func (u *upstream) post(ctx context.Context, body []byte) (a relaysession.Answer, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, u.scheme+"://"+u.names[u.at]+relay.Path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, u.scheme+"://"+u.names[u.at]+relaysession.Path, bytes.NewReader(body))
 	if err != nil {
 		return a, err
 	}
--- a/internal/relay/compatibility_test.go
+++ b/internal/controlplane/relaysession/compatibility_test.go
@@ -1,9 +1,9 @@
-package relay
+package relaysession
 
 import (
 	"testing"
 
-	"stairvane.org/stairvane/internal/golden"
+	"stairvane.org/stairvane/internal/tools/golden"
 )
 
 // TestLandedForms guards what relays and the leader send each other: an older version must read it.
--- a/internal/relay/directors.go
+++ b/internal/controlplane/relaysession/directors.go
@@ -1,13 +1,13 @@
-package relay
+package relaysession
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
+	"stairvane.org/stairvane/internal/controlplane/membership"
 	"stairvane.org/stairvane/internal/fleet"
-	"stairvane.org/stairvane/internal/membership"
-	"stairvane.org/stairvane/internal/protocol/bulletin"
+	"stairvane.org/stairvane/internal/protocol/discovery"
 	"stairvane.org/stairvane/internal/quota"
 )
 
@@ -37,7 +37,7 @@
 }
 
 // take takes a call in; it tells whether the leader must be sent the director's description.
-func (d *director) take(a bulletin.Announcement, acknowledged int64, now time.Duration) (changed bool) {
+func (d *director) take(a discovery.Announcement, acknowledged int64, now time.Duration) (changed bool) {
 	described := fleet.Director(a.Director)
 	changed = d.Director != described || d.config != a.Config
 	d.Director, d.config, d.called = described, a.Config, now
--- a/internal/relay/model_test.go
+++ b/internal/controlplane/relaysession/model_test.go
@@ -1,4 +1,4 @@
-package relay_test
+package relaysession_test
 
 import (
 	"flag"
@@ -7,11 +7,11 @@
 	"testing"
 	"time"
 
+	"stairvane.org/stairvane/internal/controlplane/membership"
+	"stairvane.org/stairvane/internal/controlplane/relaysession"
+	"stairvane.org/stairvane/internal/controlplane/replica"
 	"stairvane.org/stairvane/internal/fleet"
-	"stairvane.org/stairvane/internal/membership"
-	"stairvane.org/stairvane/internal/protocol/bulletin"
-	"stairvane.org/stairvane/internal/relay"
-	"stairvane.org/stairvane/internal/replica"
+	"stairvane.org/stairvane/internal/protocol/discovery"
 )
 
 const (
@@ -38,7 +38,7 @@
 
 type modelDirector struct {
 	clock
-	bulletin.Director
+	discovery.Director
 	alive, leaving bool
 	ended          time.Duration
 	relay          int
@@ -56,7 +56,7 @@
 	clock
 	alive         bool
 	cut, back     time.Duration // from the leader until then; when a dead one is started again
-	session       *relay.Session
+	session       *relaysession.Session
 	holder        replica.Holder
 	revision      int64
 	number        uint64
@@ -132,14 +132,14 @@
 func (m *model) startDirector(name string) {
 	m.numbers++
 	d := &modelDirector{clock: m.clock(), alive: true, relay: m.rng.IntN(len(m.relays)),
-		Director: bulletin.Director{Name: name, Incarnation: fmt.Sprint(m.numbers)}}
+		Director: discovery.Director{Name: name, Incarnation: fmt.Sprint(m.numbers)}}
 	m.directors = append(m.directors, d)
 }
 
 func (m *model) startRelay(r *modelRelay, name string) {
 	m.numbers++
 	*r = modelRelay{clock: m.clock(), alive: true, number: m.numbers}
-	r.session = relay.New(relay.Settings{Relay: membership.Relay{Name: name, Incarnation: fmt.Sprint(m.numbers)}, Number: m.numbers,
+	r.session = relaysession.New(relaysession.Settings{Relay: membership.Relay{Name: name, Incarnation: fmt.Sprint(m.numbers)}, Number: m.numbers,
 		DirectorLease: directorLease, Drift: drift}, nil)
 }
 
@@ -147,16 +147,16 @@
 func (m *model) lead() {
 	direct := directorLease // in a control plane without a group, which odd seeds have
 	if m.seed%2 == 0 {
-		direct += relay.Lease
+		direct += relaysession.Lease
 	}
-	m.tracker = membership.New(membership.Settings{Lease: direct, Director: directorLease, Session: relay.Lease, Drift: drift, Gather: 150 * ms})
+	m.tracker = membership.New(membership.Settings{Lease: direct, Director: directorLease, Session: relaysession.Lease, Drift: drift, Gather: 150 * ms})
 	m.tracker.Begin(m.fleet, m.now)
-	m.leases = replica.NewLessor(replica.Lease{Length: relay.Lease, Drift: drift})
+	m.leases = replica.NewLessor(replica.Lease{Length: relaysession.Lease, Drift: drift})
 	m.leases.Lead(true, m.now)
 }
 
 // serves is the leader's side of a request.
-func (m *model) serves(r *modelRelay, q relay.Request, made time.Duration) {
+func (m *model) serves(r *modelRelay, q relaysession.Request, made time.Duration) {
 	if m.now < m.noLeader || m.now < r.cut {
 		return
 	}
@@ -170,7 +170,7 @@
 		}
 	}
 	m.leases.Give(q.Session, q.Acknowledged, m.now)
-	answer := relay.Answer{Sequence: q.Sequence, NeedFull: registered.NeedFull, Registration: registered.Registration, LeaseMS: relay.Lease.Milliseconds(), Revision: m.fleet.Revision}
+	answer := relaysession.Answer{Sequence: q.Sequence, NeedFull: registered.NeedFull, Registration: registered.Registration, LeaseMS: relaysession.Lease.Milliseconds(), Revision: m.fleet.Revision}
 	number := r.number
 	m.send(30*ms, func() {
 		if !r.alive || r.number != number || m.now < r.cut {
@@ -181,7 +181,7 @@
 		if r.waits == answer.Sequence {
 			r.waits = 0
 			r.revision = max(r.revision, answer.Revision)
-			r.holder.Got(replica.Lease{Length: relay.Lease}, r.asked)
+			r.holder.Got(replica.Lease{Length: relaysession.Lease}, r.asked)
 		}
 	})
 }
@@ -213,7 +213,7 @@
 	d.calls++
 	d.calling, d.giveUp = d.calls, now+100*ms
 	r, number, called, acknowledged := m.relays[d.relay], d.calls, now, d.acknowledged
-	a := bulletin.Announcement{Director: d.Director, Leaving: d.leaving}
+	a := discovery.Announcement{Director: d.Director, Leaving: d.leaving}
 	m.send(20*ms, func() { m.called(d, r, a, number, called, acknowledged) })
 	if d.leaving {
 		d.alive, d.ended = false, m.now
@@ -222,7 +222,7 @@
 }
 
 // called is a relay's side of a director's call. A connection carries one call at a time: one that was given up is not read.
-func (m *model) called(d *modelDirector, r *modelRelay, a bulletin.Announcement, number int, called time.Duration, acknowledged int64) {
+func (m *model) called(d *modelDirector, r *modelRelay, a discovery.Announcement, number int, called time.Duration, acknowledged int64) {
 	now := r.at(m.now)
 	if !r.alive || !r.holder.Holds(now) || d.calling != number {
 		return
--- a/internal/relay/quota.go
+++ b/internal/controlplane/relaysession/quota.go
@@ -1,4 +1,4 @@
-package relay
+package relaysession
 
 import (
 	"time"
@@ -7,7 +7,7 @@
 )
 
 // QuotaSettings is how quotas are divided in a tree: by the leader among relays and the directors that watch replicas, and by
-// each relay among its own. Directors hold their parts by the same lease and drift, see internal/program. A relay may go without
+// each relay among its own. Directors hold their parts by the same lease and drift, see internal/director. A relay may go without
 // an answer of the leader for somewhat more than half a second before it grants nothing more.
 var QuotaSettings = quota.Settings{
 	Lease:     400 * time.Millisecond,
--- a/internal/relay/session.go
+++ b/internal/controlplane/relaysession/session.go
@@ -1,4 +1,4 @@
-package relay
+package relaysession
 
 import (
 	"cmp"
@@ -7,11 +7,11 @@
 	"slices"
 	"time"
 
+	"stairvane.org/stairvane/internal/controlplane/membership"
 	"stairvane.org/stairvane/internal/fleet"
-	"stairvane.org/stairvane/internal/membership"
-	"stairvane.org/stairvane/internal/protocol/bulletin"
+	"stairvane.org/stairvane/internal/health"
+	"stairvane.org/stairvane/internal/protocol/discovery"
 	"stairvane.org/stairvane/internal/quota"
-	"stairvane.org/stairvane/internal/signals"
 )
 
 // Settings of a session.
@@ -51,7 +51,7 @@
 	full         bool              // the next request begins a whole list
 	reports      []Report
 	complete     map[int]int64 // epoch by slot
-	opinions     *signals.Notifier
+	opinions     *health.Notifier
 	epoch        int64 // of the opinions
 	seq          uint64
 }
@@ -65,13 +65,13 @@
 		changes:   map[string]change{},
 		full:      true,
 		complete:  map[int]int64{},
-		opinions:  signals.NewNotifier(),
+		opinions:  health.NewNotifier(),
 	}
 }
 
 // Observe takes a director's watch request in; acknowledged is the revision after which it asks. It must be called before the
 // request is answered. False means that the relay has as many directors as it may: this one must not be answered.
-func (s *Session) Observe(a bulletin.Announcement, acknowledged int64, now time.Duration) bool {
+func (s *Session) Observe(a discovery.Announcement, acknowledged int64, now time.Duration) bool {
 	id := a.ID()
 	known := s.directors[id]
 	if known == nil && !a.Leaving && len(s.directors) >= MaxDirectors {
@@ -108,19 +108,19 @@
 	}
 }
 
-func (s *Session) takeReport(a bulletin.Announcement) {
+func (s *Session) takeReport(a discovery.Announcement) {
 	if len(a.HealthReport) == 0 || len(s.reports) >= MaxQueuedReports {
 		return
 	}
-	var r signals.Report
+	var r health.Report
 	if json.Unmarshal(a.HealthReport, &r) != nil || r.Holder != a.ID() || len(r.Caches) == 0 {
 		return
 	}
-	s.reports = append(s.reports, Report{r, signals.Place{Machine: a.Machine, Location: a.Location}})
+	s.reports = append(s.reports, Report{r, health.Place{Machine: a.Machine, Location: a.Location}})
 }
 
 // renew answers the quota renewal of an announcement; nil if it has none.
-func (s *Session) renew(a bulletin.Announcement, now time.Duration) *quota.Grant {
+func (s *Session) renew(a discovery.Announcement, now time.Duration) *quota.Grant {
 	var renewal quota.Renewal
 	if s.quota == nil || len(a.QuotaRenewal) == 0 || json.Unmarshal(a.QuotaRenewal, &renewal) != nil || renewal.Holder != a.ID() {
 		return nil
@@ -141,7 +141,7 @@
 }
 
 // Health are what a director is to be sent of caches' health; nil if nothing is new to it.
-func (s *Session) Health(directorID string, now time.Duration) *signals.AggregatedHealth {
+func (s *Session) Health(directorID string, now time.Duration) *health.AggregatedHealth {
 	if o, is := s.opinions.For(directorID, now); is {
 		return &o
 	}
--- a/internal/relay/session_test.go
+++ b/internal/controlplane/relaysession/session_test.go
@@ -1,4 +1,4 @@
-package relay
+package relaysession
 
 import (
 	"encoding/json"
@@ -6,10 +6,10 @@
 	"testing"
 	"time"
 
-	"stairvane.org/stairvane/internal/membership"
-	"stairvane.org/stairvane/internal/protocol/bulletin"
+	"stairvane.org/stairvane/internal/controlplane/membership"
+	"stairvane.org/stairvane/internal/health"
+	"stairvane.org/stairvane/internal/protocol/discovery"
 	"stairvane.org/stairvane/internal/quota"
-	"stairvane.org/stairvane/internal/signals"
 )
 
 const ms = time.Millisecond
@@ -21,8 +21,8 @@
 	Drift:         0.02,
 }
 
-func announcement(n int) bulletin.Announcement {
-	return bulletin.Announcement{Config: "mark", Director: bulletin.Director{Name: fmt.Sprint("director-", n), Incarnation: "ABCDEFGHIJKLMNOPQRSTUVWXYZ", Location: "west", Machine: fmt.Sprint("m-", n)}}
+func announcement(n int) discovery.Announcement {
+	return discovery.Announcement{Config: "mark", Director: discovery.Director{Name: fmt.Sprint("director-", n), Incarnation: "ABCDEFGHIJKLMNOPQRSTUVWXYZ", Location: "west", Machine: fmt.Sprint("m-", n)}}
 }
 
 // fakeQuota wants a fixed number of limits and grants what is asked for.
@@ -113,7 +113,7 @@
 	s, now := New(testSettings, nil), time.Hour
 	for i := range MaxDirectors + 1 {
 		a := announcement(i)
-		a.HealthReport, _ = json.Marshal(signals.Report{Holder: a.ID(), Seq: 1, Caches: []signals.Outcomes{{Cache: "b", Attempts: 1}}})
+		a.HealthReport, _ = json.Marshal(health.Report{Holder: a.ID(), Seq: 1, Caches: []health.Outcomes{{Cache: "b", Attempts: 1}}})
 		a.ReadyShards = []int64{int64(i), 7}
 		if taken := s.Observe(a, 1, now); taken != (i < MaxDirectors) {
 			t.Fatalf("director %d: taken %v", i, taken)
@@ -163,7 +163,7 @@
 		t.Fatalf("%+v", g)
 	}
 	r := s.Request(1, 1, now)
-	o := &signals.AggregatedHealth{Epoch: 3, Seq: 2, Caches: []signals.CacheHealth{{Cache: "b", FailureShare: 1, Machines: 3}}}
+	o := &health.AggregatedHealth{Epoch: 3, Seq: 2, Caches: []health.CacheHealth{{Cache: "b", FailureShare: 1, Machines: 3}}}
 	if !s.Answered(Answer{Sequence: r.Sequence, Grant: &quota.Grant{Seq: 4}, AggregatedHealth: o}, now) || len(q.taken) != 1 || q.taken[0].Seq != 4 {
 		t.Fatalf("%+v", q.taken)
 	}
--- a/internal/relay/wire.go
+++ b/internal/controlplane/relaysession/wire.go
@@ -2,15 +2,15 @@
 // hundred directors and speaks for all of them with one request about every 50 ms: who has joined, left or is lost, the
 // lowest revision that all have acknowledged, the sum of their quota demands, and their health reports. The package does no
 // I/O; times come in as arguments.
-package relay
+package relaysession
 
 import (
 	"time"
 
+	"stairvane.org/stairvane/internal/controlplane/membership"
 	"stairvane.org/stairvane/internal/fleet"
-	"stairvane.org/stairvane/internal/membership"
+	"stairvane.org/stairvane/internal/health"
 	"stairvane.org/stairvane/internal/quota"
-	"stairvane.org/stairvane/internal/signals"
 )
 
 // Path is where the leader takes requests, on its write side.
@@ -47,8 +47,8 @@
 
 // Report is a health report of a director, and where the director is.
 type Report struct {
-	signals.Report
-	signals.Place
+	health.Report
+	health.Place
 }
 
 // Answer is the leader's answer. Events follow on the request's revision; a Snapshot stands in for all of them.
@@ -59,10 +59,10 @@
 	Registration uint64 `json:"registration"`
 	// LeaseMS is the lease in milliseconds, counted from before the request. It is 0 while the relay lacks more events than
 	// one answer holds: it then takes these and asks again at once.
-	LeaseMS          int64                     `json:"lease_ms"`
-	Revision         int64                     `json:"revision"` // the leader's last event
-	Grant            *quota.Grant              `json:"grant,omitempty"`
-	AggregatedHealth *signals.AggregatedHealth `json:"opinions,omitempty"`
-	Events           []fleet.Event             `json:"events,omitempty"`
-	Snapshot         *fleet.Dump               `json:"snapshot,omitempty"`
+	LeaseMS          int64                    `json:"lease_ms"`
+	Revision         int64                    `json:"revision"` // the leader's last event
+	Grant            *quota.Grant             `json:"grant,omitempty"`
+	AggregatedHealth *health.AggregatedHealth `json:"opinions,omitempty"`
+	Events           []fleet.Event            `json:"events,omitempty"`
+	Snapshot         *fleet.Dump              `json:"snapshot,omitempty"`
 }
--- a/internal/replica/compatibility_test.go
+++ b/internal/controlplane/replica/compatibility_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"stairvane.org/stairvane/internal/golden"
+	"stairvane.org/stairvane/internal/tools/golden"
 )
 
 // TestLandedForms guards the members in stored changes and in snapshots: they must be readable by every later version.
--- a/internal/controlplane/replicas/claims_test.go
+++ b/internal/controlplane/replicas/claims_test.go
@@ -10,23 +10,23 @@
 	"time"
 
 	"stairvane.org/stairvane/internal/fleet"
-	"stairvane.org/stairvane/internal/standin"
-	"stairvane.org/stairvane/internal/standin/rig"
+	"stairvane.org/stairvane/internal/tools/fakes"
+	"stairvane.org/stairvane/internal/tools/testharness"
 )
 
 // depots are two locations with two caches each, and what they are filled from.
 type depots struct {
-	boxes map[string][]*standin.Cache // by location
+	boxes map[string][]*fakes.Cache // by location
 }
 
-func startDepots(t *testing.T, s *rig.Cluster) *depots {
+func startDepots(t *testing.T, s *testharness.Cluster) *depots {
 	t.Helper()
-	d := &depots{boxes: map[string][]*standin.Cache{}}
+	d := &depots{boxes: map[string][]*fakes.Cache{}}
 	rules := fleet.DefaultRules()
 	rules.Cache.WarmUpMS, rules.Parent.WarmUpMS = 0, 0
 	w := fleet.DesiredState{Rules: rules}
 	box := func(role fleet.Role, name, site, class string, share float64) {
-		c, err := standin.NewCache("127.0.0.1:0")
+		c, err := fakes.NewCache("127.0.0.1:0")
 		check(t, err)
 		t.Cleanup(c.Close)
 		d.boxes[site] = append(d.boxes[site], c)
@@ -74,18 +74,18 @@
 
 // lose has clients ask a director for orders, kills it in the middle, and has the clients come again with the same tokens at a
 // director of the other location, so often.
-func lose(t *testing.T, s *rig.Cluster, d *depots, claims string, losses int, rng *rand.Rand) (tokens, both int, which []string, answers standin.Tally) {
+func lose(t *testing.T, s *testharness.Cluster, d *depots, claims string, losses int, rng *rand.Rand) (tokens, both int, which []string, answers fakes.Tally) {
 	t.Helper()
-	directors := map[string][]*rig.Director{}
-	begin := func(site string, n int) *rig.Director {
+	directors := map[string][]*testharness.Director{}
+	begin := func(site string, n int) *testharness.Director {
 		dir, err := s.StartDirector(fmt.Sprintf("%s%d", site, n), site, rng.IntN(len(s.Replicas)), claims)
 		check(t, err)
 		t.Cleanup(dir.Kill)
 		return dir
 	}
-	served := func(dir *rig.Director) {
+	served := func(dir *testharness.Director) {
 		for end := time.Now().Add(patience); ; {
-			c, err := standin.Connect(dir.Addr)
+			c, err := fakes.Connect(dir.Addr)
 			check(t, err)
 			check(t, c.Ask("orders", 1, time.Second, "token", fmt.Sprintf("warm%x", rng.Uint64())))
 			if c.Finish(2*time.Second).Served == 1 {
@@ -117,7 +117,7 @@
 		}
 		i := rng.IntN(3)
 		lost := directors[site][i]
-		c, err := standin.Connect(lost.Addr)
+		c, err := fakes.Connect(lost.Addr)
 		check(t, err)
 		asked := map[string]uint64{} // object by token
 		for k := range 8 {
@@ -131,13 +131,13 @@
 		lost.Kill()
 		c.Finish(time.Second)
 		// They come to a director of the other location first, then to another one of the same.
-		again, err := standin.Connect(directors[other][rng.IntN(3)].Addr)
+		again, err := fakes.Connect(directors[other][rng.IntN(3)].Addr)
 		check(t, err)
 		for token, object := range asked {
 			check(t, again.Ask("orders", object, 1500*time.Millisecond, "token", token))
 		}
 		one := again.Finish(patience)
-		again, err = standin.Connect(directors[site][(i+1)%3].Addr)
+		again, err = fakes.Connect(directors[site][(i+1)%3].Addr)
 		check(t, err)
 		for token, object := range asked {
 			check(t, again.Ask("orders", object, 1500*time.Millisecond, "token", token))
@@ -153,7 +153,7 @@
 		served(directors[site][i])
 	}
 	if claims != "" { // a token that comes with another object is no repeat
-		c, err := standin.Connect(directors["west"][0].Addr)
+		c, err := fakes.Connect(directors["west"][0].Addr)
 		check(t, err)
 		for object := range uint64(2) {
 			check(t, c.Ask("orders", object+1, 1500*time.Millisecond, "token", "twofold"))
@@ -194,7 +194,7 @@
 }
 
 // carried counts what came to a box in each window since a moment, in requests.
-func carried(b *standin.Cache, since time.Time, window time.Duration, windows int) []int {
+func carried(b *fakes.Cache, since time.Time, window time.Duration, windows int) []int {
 	all := make([]int, windows)
 	for _, o := range b.Attempts() {
 		if n := int(o.At.Sub(since) / window); !o.At.Before(since) && n < windows {
@@ -207,7 +207,7 @@
 // coldest looks at each window of 3 s of a cold box by the rule itself: it bears 4 times what a box of its share can do, of which it
 // has 0.17 at its first request and all 16 s later, with 3 roots of that and 3 more by chance. It gives the window that came
 // nearest to that.
-func coldest(b *standin.Cache, share float64, work time.Duration) (got int, may float64) {
+func coldest(b *fakes.Cache, share float64, work time.Duration) (got int, may float64) {
 	orders := b.Attempts()
 	near := -1.0
 	for i, o := range orders {
@@ -239,15 +239,15 @@
 	rng := rand.New(rand.NewPCG(seed, 11))
 	stop := make(chan struct{})
 	var load sync.WaitGroup
-	var directors []*rig.Director
-	var clients []*standin.Client
+	var directors []*testharness.Director
+	var clients []*fakes.Client
 	for i := range 6 {
 		d, err := s.StartDirector(fmt.Sprintf("d-%d", i), "west", i%3, "")
 		check(t, err)
 		t.Cleanup(d.Kill)
 		directors = append(directors, d)
 		served(t, d)
-		c, err := standin.Connect(d.Addr)
+		c, err := fakes.Connect(d.Addr)
 		check(t, err)
 		clients = append(clients, c)
 		every := 200 * time.Millisecond
--- a/internal/controlplane/replicas/compatibility_test.go
+++ b/internal/controlplane/replicas/compatibility_test.go
@@ -4,7 +4,7 @@
 	"testing"
 
 	"stairvane.org/stairvane/internal/controlplane/replicas"
-	"stairvane.org/stairvane/internal/golden"
+	"stairvane.org/stairvane/internal/tools/golden"
 )
 
 // TestLandedForms guards what replicas send each other: an older version must read it.
--- a/internal/controlplane/replicas/faults_test.go
+++ b/internal/controlplane/replicas/faults_test.go
@@ -19,8 +19,8 @@
 	"stairvane.org/stairvane/internal/fleet"
 	"stairvane.org/stairvane/internal/fleet/apply"
 	"stairvane.org/stairvane/internal/fleet/plan"
-	"stairvane.org/stairvane/internal/standin"
-	"stairvane.org/stairvane/internal/standin/rig"
+	"stairvane.org/stairvane/internal/tools/fakes"
+	"stairvane.org/stairvane/internal/tools/testharness"
 )
 
 // The environment that makes the test of faults long: how many faults, how many copies, and the seed.
@@ -73,12 +73,12 @@
 // nemesis carries a schedule out, one fault after the other, and heals each.
 type nemesis struct {
 	t     *testing.T
-	group *rig.Cluster
+	group *testharness.Cluster
 	rng   *rand.Rand
-	old   map[*rig.Replica]string // images of disks
+	old   map[*testharness.Replica]string // images of disks
 }
 
-func (n *nemesis) victim(f fault) *rig.Replica {
+func (n *nemesis) victim(f fault) *testharness.Replica {
 	if f.leader {
 		if l := n.group.Leader(patience); l != nil {
 			return l
@@ -96,7 +96,7 @@
 		time.Sleep(f.length)
 		check(n.t, b.Start())
 	case "all but a majority":
-		var dead []*rig.Replica
+		var dead []*testharness.Replica
 		for i := range (len(n.group.Replicas) - 1) / 2 {
 			dead = append(dead, n.group.Replicas[(f.copy+i)%len(n.group.Replicas)])
 		}
@@ -199,14 +199,14 @@
 	case "old in place": // the very file, with what was in it before
 		b.Kill()
 		image := n.t.TempDir()
-		check(n.t, rig.CopyFolder(b.Folder, image))
+		check(n.t, testharness.CopyFolder(b.Folder, image))
 		check(n.t, b.Start())
 		if err := n.group.Whole(2 * patience); err != nil {
 			n.t.Fatal(err)
 		}
 		time.Sleep(f.length)
 		b.Kill()
-		check(n.t, rig.CopyFolder(image, b.Folder))
+		check(n.t, testharness.CopyFolder(image, b.Folder))
 		check(n.t, b.Start())
 		if _, _, err := b.Event("copies.out", 0, patience); err != nil {
 			n.t.Errorf("an old disk was not told: %v", err)
@@ -216,14 +216,14 @@
 		n.replace(b)
 	case "old disk":
 		image := n.t.TempDir()
-		check(n.t, rig.CopyFolder(b.Folder, image)) // of a file that is being written to, as a machine's image is
+		check(n.t, testharness.CopyFolder(b.Folder, image)) // of a file that is being written to, as a machine's image is
 		b.Kill()
-		check(n.t, rig.CopyFolder(b.Folder, image))
+		check(n.t, testharness.CopyFolder(b.Folder, image))
 		check(n.t, b.Start())
 		time.Sleep(f.length)
 		b.Kill()
 		check(n.t, os.RemoveAll(b.Folder))
-		check(n.t, rig.CopyFolder(image, b.Folder))
+		check(n.t, testharness.CopyFolder(image, b.Folder))
 		check(n.t, b.Start())
 		if _, _, err := b.Event("copies.out", 0, patience); err != nil {
 			n.t.Errorf("an old disk was not told: %v", err)
@@ -238,7 +238,7 @@
 }
 
 // replace has a new disk let in under the name of the one that is gone, as an operator does.
-func (n *nemesis) replace(b *rig.Replica) {
+func (n *nemesis) replace(b *testharness.Replica) {
 	c, err := n.group.Client()
 	check(n.t, err)
 	for end := time.Now().Add(patience); ; time.Sleep(50 * time.Millisecond) {
@@ -270,7 +270,7 @@
 	wg      sync.WaitGroup
 }
 
-func startCalls(t *testing.T, s *rig.Cluster, clients int, seed uint64) *calls {
+func startCalls(t *testing.T, s *testharness.Cluster, clients int, seed uint64) *calls {
 	k := &calls{objects: map[string]int64{}, unknown: map[string]bool{}, begin: time.Now(), stop: make(chan struct{})}
 	for id := range clients {
 		c, err := s.Client()
@@ -354,7 +354,7 @@
 }
 
 // historyOf reads what a copy has, byte for byte as it tells it.
-func historyOf(t *testing.T, b *rig.Replica) (events []json.RawMessage) {
+func historyOf(t *testing.T, b *testharness.Replica) (events []json.RawMessage) {
 	t.Helper()
 	for {
 		res, err := http.Get(fmt.Sprintf("http://%s/v1/history?local=1&after=%d", b.Write.Addr(), len(events)))
@@ -373,7 +373,7 @@
 
 // histories compares what the copies have and what was promised: equal byte for byte, every answered purge there once and
 // under its number, every unanswered one once at most.
-func (k *calls) histories(t *testing.T, s *rig.Cluster) {
+func (k *calls) histories(t *testing.T, s *testharness.Cluster) {
 	t.Helper()
 	var longest []json.RawMessage
 	all := map[string][]json.RawMessage{}
@@ -424,7 +424,7 @@
 }
 
 // depot is a fleet of three caches, and the one that it becomes: the second is drained, and a fourth comes.
-func depot(boxes []*standin.Cache) (now, next fleet.DesiredState) {
+func depot(boxes []*fakes.Cache) (now, next fleet.DesiredState) {
 	rules := fleet.DefaultRules()
 	rules.Cache.WarmUpMS, rules.Parent.WarmUpMS = 0, 0
 	w := func(running bool, which ...int) fleet.DesiredState {
@@ -440,7 +440,7 @@
 }
 
 // carryOut plans the way to a wish and has it applied.
-func carryOut(t *testing.T, s *rig.Cluster, wish fleet.DesiredState) int64 {
+func carryOut(t *testing.T, s *testharness.Cluster, wish fleet.DesiredState) int64 {
 	t.Helper()
 	c, err := s.Client()
 	check(t, err)
@@ -466,7 +466,7 @@
 }
 
 // applied waits for the end of an apply and tells when that was seen.
-func applied(t *testing.T, s *rig.Cluster, id int64) {
+func applied(t *testing.T, s *testharness.Cluster, id int64) {
 	t.Helper()
 	c, err := s.Client()
 	check(t, err)
--- a/internal/controlplane/replicas/greeting.go
+++ b/internal/controlplane/replicas/greeting.go
@@ -10,7 +10,7 @@
 	"strconv"
 	"time"
 
-	"stairvane.org/stairvane/internal/replica"
+	"stairvane.org/stairvane/internal/controlplane/replica"
 )
 
 // This file is how a disk presents itself to the other replicas, how they answer, and how it learns that it was taken out.
--- a/internal/controlplane/replicas/group.go
+++ b/internal/controlplane/replicas/group.go
@@ -1,5 +1,5 @@
-// Package replicas is the shell of one replica: the loop that drives internal/replica, the store that keeps its durable state,
-// and the connections to the other replicas, over the HTTP of the write side. Decisions are made in internal/replica.
+// Package replicas is the shell of one replica: the loop that drives internal/controlplane/replica, the store that keeps its durable state,
+// and the connections to the other replicas, over the HTTP of the write side. Decisions are made in internal/controlplane/replica.
 package replicas
 
 import (
@@ -20,10 +20,10 @@
 	"google.golang.org/protobuf/proto"
 
 	"stairvane.org/stairvane/internal/controlplane/api"
+	"stairvane.org/stairvane/internal/controlplane/replica"
 	"stairvane.org/stairvane/internal/controlplane/store"
-	"stairvane.org/stairvane/internal/opfile"
+	"stairvane.org/stairvane/internal/operatorconfig"
 	"stairvane.org/stairvane/internal/quota"
-	"stairvane.org/stairvane/internal/replica"
 )
 
 const (
@@ -54,7 +54,7 @@
 
 // Settings of a copy.
 type Settings struct {
-	opfile.ReplicaGroup
+	operatorconfig.ReplicaGroup
 	Batch             int
 	FoundGroup        bool                                  // begin a group with this store
 	Client            *http.Client                          // for calls to other copies; nil: without TLS
@@ -153,13 +153,13 @@
 	return g, nil
 }
 
-func (g *Group) self() opfile.Replica {
+func (g *Group) self() operatorconfig.Replica {
 	for _, c := range g.set.Replicas {
 		if c.Name == g.set.Self {
 			return c
 		}
 	}
-	return opfile.Replica{}
+	return operatorconfig.Replica{}
 }
 
 // identify looks what the disk is, and makes it a copy if it was none.
--- a/internal/controlplane/replicas/links.go
+++ b/internal/controlplane/replicas/links.go
@@ -17,9 +17,9 @@
 	"google.golang.org/protobuf/proto"
 
 	"stairvane.org/stairvane/internal/controlplane/api"
+	"stairvane.org/stairvane/internal/controlplane/replica"
 	"stairvane.org/stairvane/internal/controlplane/store"
-	"stairvane.org/stairvane/internal/opfile"
-	"stairvane.org/stairvane/internal/replica"
+	"stairvane.org/stairvane/internal/operatorconfig"
 )
 
 const (
@@ -44,11 +44,11 @@
 // peer carries messages to one other copy, in order, one call at a time.
 type peer struct {
 	group *Group
-	to    opfile.Replica
+	to    operatorconfig.Replica
 	queue chan *pb.Message
 }
 
-func newPeer(g *Group, to opfile.Replica) *peer {
+func newPeer(g *Group, to operatorconfig.Replica) *peer {
 	return &peer{group: g, to: to, queue: make(chan *pb.Message, linkQueue)}
 }
 
--- a/internal/controlplane/replicas/measure_test.go
+++ b/internal/controlplane/replicas/measure_test.go
@@ -14,9 +14,9 @@
 
 	"stairvane.org/stairvane/internal/controlplane/api"
 	"stairvane.org/stairvane/internal/fleet"
-	"stairvane.org/stairvane/internal/protocol/bulletin"
-	"stairvane.org/stairvane/internal/standin"
-	"stairvane.org/stairvane/internal/standin/rig"
+	"stairvane.org/stairvane/internal/protocol/discovery"
+	"stairvane.org/stairvane/internal/tools/fakes"
+	"stairvane.org/stairvane/internal/tools/testharness"
 )
 
 // Measurements run by command alone: STAIRVANE_MEASURE=1 go test -run TestMeasure -v ./internal/controlplane/replicas. Every process is the
@@ -70,7 +70,7 @@
 	folder := t.TempDir()
 	path := filepath.Join(folder, "alone.scm")
 	check(t, os.WriteFile(path, []byte("(board (listen 127.0.0.1:0) (store "+filepath.Join(folder, "board.db")+") (write (tcp 127.0.0.1:0)))\n"), 0o600))
-	p, err := rig.Start("alone", program, []string{"board", path}, nil)
+	p, err := testharness.Start("alone", program, []string{"board", path}, nil)
 	check(t, err)
 	t.Cleanup(p.Kill)
 	serves, _, err := p.Event("board.serves", 0, patience)
@@ -86,7 +86,7 @@
 		for _, copies := range []int{0, 1, 3, 5} {
 			for _, writers := range []int{1, 64} {
 				address := ""
-				var s *rig.Cluster
+				var s *testharness.Cluster
 				if copies == 0 {
 					address = alone(t)
 				} else {
@@ -184,11 +184,11 @@
 		var in []byte
 		buf, last := make([]byte, 64<<10), int64(0)
 		for {
-			if _, err := conn.Write(bulletin.AppendRequest(nil, address, last, 1000, nil)); err != nil {
+			if _, err := conn.Write(discovery.AppendRequest(nil, address, last, 1000, nil)); err != nil {
 				return
 			}
 			for {
-				r, used, _, err := bulletin.ParseResponse(in)
+				r, used, _, err := discovery.ParseResponse(in)
 				if err != nil {
 					t.Error(err)
 					return
@@ -201,7 +201,7 @@
 					in = append(in, buf[:n]...)
 					continue
 				}
-				news, err := bulletin.Decode(r.Body)
+				news, err := discovery.Decode(r.Body)
 				if err != nil {
 					t.Error(err)
 					return
@@ -274,7 +274,7 @@
 	check(t, s.Whole(patience))
 	_, p50, p99 := writeFor(t, at, 8, 5*time.Second)
 	t.Logf("before: p50 %v, p99 %v", p50, p99)
-	var lost *rig.Replica
+	var lost *testharness.Replica
 	for _, b := range s.Replicas {
 		if b.Write.Addr() != at {
 			lost = b
@@ -306,7 +306,7 @@
 		for _, claims := range []string{"", "(claims (listen 127.0.0.1:0) (unreached wait))"} {
 			s := group(t, 3, 0)
 			startDepots(t, s)
-			var directors []*rig.Director
+			var directors []*testharness.Director
 			for i := range 6 {
 				d, err := s.StartDirector(fmt.Sprintf("d-%d", i), []string{"west", "east"}[i%2], i%3, claims)
 				check(t, err)
@@ -314,14 +314,14 @@
 			}
 			served := false
 			for end := time.Now().Add(patience); !served && time.Now().Before(end); {
-				c, err := standin.Connect(directors[0].Addr)
+				c, err := fakes.Connect(directors[0].Addr)
 				check(t, err)
 				check(t, c.Ask("orders", 1, time.Second, "token", fmt.Sprint("w", time.Now().UnixNano())))
 				served = c.Finish(2*time.Second).Served == 1
 			}
 			time.Sleep(time.Second)
 			before := residentKB(directors[0].Pid())
-			c, err := standin.Connect(directors[0].Addr)
+			c, err := fakes.Connect(directors[0].Addr)
 			check(t, err)
 			const n = 4000
 			for k := range n {
--- a/internal/controlplane/replicas/processes_test.go
+++ b/internal/controlplane/replicas/processes_test.go
@@ -15,8 +15,8 @@
 
 	"stairvane.org/stairvane/internal/controlplane/api"
 	"stairvane.org/stairvane/internal/fleet"
-	"stairvane.org/stairvane/internal/standin"
-	"stairvane.org/stairvane/internal/standin/rig"
+	"stairvane.org/stairvane/internal/tools/fakes"
+	"stairvane.org/stairvane/internal/tools/testharness"
 )
 
 const patience = 30 * time.Second
@@ -50,9 +50,9 @@
 }
 
 // group starts a group of copies, and prints what they logged if the test fails.
-func group(t testing.TB, copies, spares int, options ...func(*rig.Cluster)) *rig.Cluster {
+func group(t testing.TB, copies, spares int, options ...func(*testharness.Cluster)) *testharness.Cluster {
 	t.Helper()
-	s, err := rig.NewCluster(program, t.TempDir(), copies, spares)
+	s, err := testharness.NewCluster(program, t.TempDir(), copies, spares)
 	check(t, err)
 	for _, option := range options {
 		option(s)
@@ -83,10 +83,10 @@
 	return d
 }
 
-func startBoxes(t *testing.T, n int) (boxes []*standin.Cache) {
+func startBoxes(t *testing.T, n int) (boxes []*fakes.Cache) {
 	t.Helper()
 	for range n {
-		b, err := standin.NewCache("127.0.0.1:0")
+		b, err := fakes.NewCache("127.0.0.1:0")
 		check(t, err)
 		t.Cleanup(b.Close)
 		boxes = append(boxes, b)
@@ -95,10 +95,10 @@
 }
 
 // served waits until a director serves.
-func served(t *testing.T, d *rig.Director) {
+func served(t *testing.T, d *testharness.Director) {
 	t.Helper()
 	for end := time.Now().Add(patience); ; {
-		if tally, err := standin.Load(d.Addr, 100, 30*time.Millisecond); err == nil && tally.Served > 0 {
+		if tally, err := fakes.Load(d.Addr, 100, 30*time.Millisecond); err == nil && tally.Served > 0 {
 			return
 		}
 		if time.Now().After(end) {
@@ -109,15 +109,15 @@
 
 // fleetUnderLoad are directors with a client at each that asks without end.
 type fleetUnderLoad struct {
-	directors []*rig.Director
-	clients   []*standin.Client
+	directors []*testharness.Director
+	clients   []*fakes.Client
 	stop      chan struct{}
 	load      sync.WaitGroup
 }
 
 // startFleet starts directors that follow the copies, spread over them, waits until each serves, and has a client ask each for
 // random objects of so many, with random pauses of a mean.
-func startFleet(t *testing.T, s *rig.Cluster, n int, forms string, objects int, pause time.Duration) *fleetUnderLoad {
+func startFleet(t *testing.T, s *testharness.Cluster, n int, forms string, objects int, pause time.Duration) *fleetUnderLoad {
 	t.Helper()
 	f := &fleetUnderLoad{stop: make(chan struct{})}
 	for i := range n {
@@ -128,7 +128,7 @@
 		served(t, d)
 	}
 	for i, d := range f.directors {
-		c, err := standin.Connect(d.Addr)
+		c, err := fakes.Connect(d.Addr)
 		check(t, err)
 		f.clients = append(f.clients, c)
 		rng := rand.New(rand.NewPCG(uint64(i), 21))
@@ -149,7 +149,7 @@
 }
 
 // end stops the load and adds up what the clients got.
-func (f *fleetUnderLoad) end() (sum standin.Tally) {
+func (f *fleetUnderLoad) end() (sum fakes.Tally) {
 	close(f.stop)
 	f.load.Wait()
 	for _, c := range f.clients {
@@ -171,9 +171,9 @@
 		check(t, err)
 	}
 	check(t, s.Whole(patience))
-	left, lost := s.Replicas[1], []*rig.Replica{s.Replicas[0], s.Replicas[2]}
+	left, lost := s.Replicas[1], []*testharness.Replica{s.Replicas[0], s.Replicas[2]}
 	image := t.TempDir()
-	check(t, rig.CopyFolder(lost[0].Folder, image))
+	check(t, testharness.CopyFolder(lost[0].Folder, image))
 	for _, b := range lost {
 		b.Kill()
 		check(t, os.RemoveAll(b.Folder))
@@ -201,7 +201,7 @@
 		t.Fatal(err, out)
 	}
 	check(t, left.Start())
-	check(t, rig.CopyFolder(image, lost[0].Folder)) // a disk of the old group is found again
+	check(t, testharness.CopyFolder(image, lost[0].Folder)) // a disk of the old group is found again
 	check(t, lost[0].Start())
 	check(t, lost[1].Start())
 	p, err := c.Purge(fleet.Purge{Object: "00000000000000bb"})
@@ -221,7 +221,7 @@
 
 // A spare takes the place of a copy that is gone, by itself; a copy that would leave the group bearing less is not taken out.
 func TestSpareTakesThePlaceOfALostCopy(t *testing.T) {
-	s, err := rig.NewCluster(program, t.TempDir(), 3, 1)
+	s, err := testharness.NewCluster(program, t.TempDir(), 3, 1)
 	check(t, err)
 	s.Extra = "(replace-after 1s)"
 	t.Cleanup(func() {
@@ -347,7 +347,7 @@
 	t.Logf("%s=%d", seedVar, seed)
 	for _, lease := range []string{"", "(lease 3s)"} {
 		rng := rand.New(rand.NewPCG(seed, 5))
-		s, err := rig.NewCluster(program, t.TempDir(), 3, 0)
+		s, err := testharness.NewCluster(program, t.TempDir(), 3, 0)
 		check(t, err)
 		s.Extra = lease
 		t.Cleanup(s.Close)
--- a/internal/controlplane/replicas/recover.go
+++ b/internal/controlplane/replicas/recover.go
@@ -6,9 +6,9 @@
 
 	pb "go.etcd.io/raft/v3/raftpb"
 
+	"stairvane.org/stairvane/internal/controlplane/replica"
 	"stairvane.org/stairvane/internal/controlplane/store"
-	"stairvane.org/stairvane/internal/opfile"
-	"stairvane.org/stairvane/internal/replica"
+	"stairvane.org/stairvane/internal/operatorconfig"
 )
 
 // Recovery is what one copy has on its own.
@@ -23,7 +23,7 @@
 
 // Recover looks at a copy whose process is stopped, and makes it the first of a new group if it is told to. The old group's
 // copies can't take part in the new one: its number is another.
-func Recover(set opfile.ControlPlane, do bool) (r Recovery, err error) {
+func Recover(set operatorconfig.ControlPlane, do bool) (r Recovery, err error) {
 	s, err := store.Open(set.Store, store.Options{Group: true, SnapshotEvery: set.SnapshotEvery, KeepEvents: set.KeepEvents})
 	if err != nil {
 		return r, err
--- a/internal/controlplane/replicas/region_test.go
+++ b/internal/controlplane/replicas/region_test.go
@@ -12,22 +12,22 @@
 	"stairvane.org/stairvane/internal/controlplane/api"
 	"stairvane.org/stairvane/internal/fleet"
 	"stairvane.org/stairvane/internal/quota"
-	"stairvane.org/stairvane/internal/standin"
-	"stairvane.org/stairvane/internal/standin/rig"
+	"stairvane.org/stairvane/internal/tools/fakes"
+	"stairvane.org/stairvane/internal/tools/testharness"
 )
 
 // region is a group of replicas with relays, and directors that know the relays alone.
 type region struct {
 	t         *testing.T
-	replicas  *rig.Cluster
-	relays    []*rig.Relay
-	directors []*rig.Director
+	replicas  *testharness.Cluster
+	relays    []*testharness.Relay
+	directors []*testharness.Director
 	client    *api.Client
 	ids       []string // of the directors
 }
 
 // withRelays has a group let relays in.
-func withRelays(s *rig.Cluster) { s.Relays = true }
+func withRelays(s *testharness.Cluster) { s.Relays = true }
 
 // startRegion starts replicas, relays and directors, which are spread over the relays, and waits until all directors are members.
 func startRegion(t *testing.T, relays, directors int, forms string) *region {
@@ -140,7 +140,7 @@
 
 // during makes a fault and purges all the while until every director is served by one of some relays again. All purges must
 // arrive, and all directors stay members.
-func (r *region) during(what string, fault func(), by ...*rig.Relay) {
+func (r *region) during(what string, fault func(), by ...*testharness.Relay) {
 	r.t.Helper()
 	from := r.lines()
 	fault()
@@ -163,13 +163,13 @@
 }
 
 // servedBy tells whether the leader counts all directors as those of some relays.
-func (r *region) servedBy(by []*rig.Relay) bool {
+func (r *region) servedBy(by []*testharness.Relay) bool {
 	r.t.Helper()
 	roll, err := r.client.Members()
 	check(r.t, err)
 	served := 0
 	for _, relay := range roll.Relays {
-		if slices.ContainsFunc(by, func(b *rig.Relay) bool { return b.Name == relay.Name }) {
+		if slices.ContainsFunc(by, func(b *testharness.Relay) bool { return b.Name == relay.Name }) {
 			served += relay.Directors
 		}
 	}
@@ -254,7 +254,7 @@
 	var load sync.WaitGroup
 	for i, d := range r.directors {
 		served(t, d)
-		c, err := standin.Connect(d.Addr)
+		c, err := fakes.Connect(d.Addr)
 		check(t, err)
 		pause := 200 * time.Millisecond
 		if i == 0 {
@@ -283,7 +283,7 @@
 }
 
 // ask asks for random objects with a pause between two until it is stopped.
-func ask(c *standin.Client, pause time.Duration, stop <-chan struct{}) {
+func ask(c *fakes.Client, pause time.Duration, stop <-chan struct{}) {
 	for {
 		select {
 		case <-stop:
--- a/internal/controlplane/replicas/removed_test.go
+++ b/internal/controlplane/replicas/removed_test.go
@@ -14,11 +14,11 @@
 	"google.golang.org/protobuf/proto"
 
 	"stairvane.org/stairvane/internal/controlplane/api"
+	"stairvane.org/stairvane/internal/controlplane/replica"
 	"stairvane.org/stairvane/internal/controlplane/replicas"
 	"stairvane.org/stairvane/internal/controlplane/store"
-	"stairvane.org/stairvane/internal/opfile"
+	"stairvane.org/stairvane/internal/operatorconfig"
 	"stairvane.org/stairvane/internal/quota"
-	"stairvane.org/stairvane/internal/replica"
 )
 
 const (
@@ -29,9 +29,9 @@
 )
 
 // settings are those of a replica in this process.
-func settings(self string, list ...opfile.Replica) replicas.Settings {
+func settings(self string, list ...operatorconfig.Replica) replicas.Settings {
 	return replicas.Settings{
-		ReplicaGroup:      opfile.ReplicaGroup{Self: self, Replicas: list, Lease: 200 * time.Millisecond, Drift: 0.02, Tick: 25 * time.Millisecond},
+		ReplicaGroup:      operatorconfig.ReplicaGroup{Self: self, Replicas: list, Lease: 200 * time.Millisecond, Drift: 0.02, Tick: 25 * time.Millisecond},
 		LeadershipChanged: func(bool) {},
 		SnapshotInstalled: func() {},
 		Acknowledged:      func() int64 { return 0 },
@@ -115,8 +115,8 @@
 				}
 			}))
 			t.Cleanup(server.Close)
-			a := opfile.Replica{Place: replica.Place{Name: "a"}, Address: netip.MustParseAddrPort(server.Listener.Addr().String())}
-			b := opfile.Replica{Place: replica.Place{Name: "b"}}
+			a := operatorconfig.Replica{Place: replica.Place{Name: "a"}, Address: netip.MustParseAddrPort(server.Listener.Addr().String())}
+			b := operatorconfig.Replica{Place: replica.Place{Name: "b"}}
 			members := map[uint64]replica.Member{1: {Name: "a"}, 2: {Name: "b"}, 3: {Name: "c"}}
 			after := map[uint64]replica.Member{1: {Name: "a"}, 2: {Name: "b", Left: true}, 3: {Name: "c"}}
 			from := startReplica(t, settings("a", a), nil, 1, 2, c.other, after)
--- a/internal/controlplane/replicas/serve.go
+++ b/internal/controlplane/replicas/serve.go
@@ -17,8 +17,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"stairvane.org/stairvane/internal/controlplane/api"
+	"stairvane.org/stairvane/internal/controlplane/replica"
 	"stairvane.org/stairvane/internal/controlplane/store"
-	"stairvane.org/stairvane/internal/replica"
 )
 
 const (
--- a/internal/controlplane/replicas/signals_test.go
+++ b/internal/controlplane/replicas/signals_test.go
@@ -11,12 +11,12 @@
 	"time"
 
 	"stairvane.org/stairvane/internal/fleet"
-	"stairvane.org/stairvane/internal/standin"
-	"stairvane.org/stairvane/internal/standin/rig"
+	"stairvane.org/stairvane/internal/tools/fakes"
+	"stairvane.org/stairvane/internal/tools/testharness"
 )
 
 // hubFleet starts copies, two caches that are filled from four hub caches, and directors of one location that all send little.
-func hubFleet(t *testing.T, directors int, every time.Duration, forms string) (s *rig.Cluster, caches []*standin.Cache, f *fleetUnderLoad) {
+func hubFleet(t *testing.T, directors int, every time.Duration, forms string) (s *testharness.Cluster, caches []*fakes.Cache, f *fleetUnderLoad) {
 	t.Helper()
 	s = group(t, 3, 0)
 	s.Parents = true
@@ -44,7 +44,7 @@
 }
 
 // spoilt counts the fills that were turned away from a moment on, second by second.
-func spoilt(caches []*standin.Cache, since time.Time, seconds int) (sum int, each []int) {
+func spoilt(caches []*fakes.Cache, since time.Time, seconds int) (sum int, each []int) {
 	each = make([]int, seconds)
 	for _, c := range caches {
 		for _, at := range c.Corrupted() {
--- a/internal/controlplane/replicas/silence_test.go
+++ b/internal/controlplane/replicas/silence_test.go
@@ -12,10 +12,10 @@
 
 	pb "go.etcd.io/raft/v3/raftpb"
 
+	"stairvane.org/stairvane/internal/controlplane/replica"
 	"stairvane.org/stairvane/internal/controlplane/replicas"
 	"stairvane.org/stairvane/internal/controlplane/store"
-	"stairvane.org/stairvane/internal/opfile"
-	"stairvane.org/stairvane/internal/replica"
+	"stairvane.org/stairvane/internal/operatorconfig"
 )
 
 // callAs makes a call as a disk of a group does; 0 stands for none yet.
@@ -57,7 +57,7 @@
 }
 
 // serve is a place whose calls the replica at to answers.
-func (s *silenceTest) serve(t *testing.T, to **localReplica) opfile.Replica {
+func (s *silenceTest) serve(t *testing.T, to **localReplica) operatorconfig.Replica {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.shut.Load() {
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -66,13 +66,13 @@
 		(*to).calls.ServeHTTP(w, r)
 	}))
 	t.Cleanup(server.Close)
-	return opfile.Replica{Address: netip.MustParseAddrPort(server.Listener.Addr().String())}
+	return operatorconfig.Replica{Address: netip.MustParseAddrPort(server.Listener.Addr().String())}
 }
 
 func newSilenceTest(t *testing.T) *silenceTest {
 	s := &silenceTest{held: make(chan struct{}), resume: make(chan struct{})}
 	s.shut.Store(true)
-	list := []opfile.Replica{s.serve(t, &s.a), s.serve(t, &s.b), {}, {}}
+	list := []operatorconfig.Replica{s.serve(t, &s.a), s.serve(t, &s.b), {}, {}}
 	members := map[uint64]replica.Member{}
 	for i, name := range []string{"a", "b", "c", "d"} {
 		list[i].Place = replica.Place{Name: name, Machine: name, Site: name, Spare: name == "d"}
--- a/internal/controlplane/replicas/straggler_test.go
+++ b/internal/controlplane/replicas/straggler_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"stairvane.org/stairvane/internal/audit/adoption"
+	"stairvane.org/stairvane/internal/controlplane/adoption"
 	"stairvane.org/stairvane/internal/fleet"
-	"stairvane.org/stairvane/internal/standin"
+	"stairvane.org/stairvane/internal/tools/fakes"
 )
 
 // A director is paused for longer than its news may be old, and wakes with requests in its sockets. Meanwhile a box was
@@ -28,7 +28,7 @@
 		check(t, err)
 		t.Cleanup(d.Kill)
 		served(t, d)
-		c, err := standin.Connect(d.Addr)
+		c, err := fakes.Connect(d.Addr)
 		check(t, err)
 		d.Signal(syscall.SIGSTOP)
 		carryOut(t, s, next)
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -17,12 +17,12 @@
 	"time"
 
 	"stairvane.org/stairvane/internal/controlplane/api"
-	"stairvane.org/stairvane/internal/controlplane/history"
+	"stairvane.org/stairvane/internal/controlplane/eventlog"
 	"stairvane.org/stairvane/internal/controlplane/replicas"
 	"stairvane.org/stairvane/internal/controlplane/store"
 	"stairvane.org/stairvane/internal/controlplane/watch"
 	"stairvane.org/stairvane/internal/fleet"
-	"stairvane.org/stairvane/internal/opfile"
+	"stairvane.org/stairvane/internal/operatorconfig"
 	"stairvane.org/stairvane/internal/transport"
 )
 
@@ -37,7 +37,7 @@
 
 // Server is one board process.
 type Server struct {
-	set        opfile.ControlPlane
+	set        operatorconfig.ControlPlane
 	store      *store.Store
 	loop       *transport.Loop
 	watches    *watch.Server
@@ -56,7 +56,7 @@
 }
 
 // New opens the store and listens. Errors of the store wrap those of its package.
-func New(set opfile.ControlPlane, opt Options) (b *Server, err error) {
+func New(set operatorconfig.ControlPlane, opt Options) (b *Server, err error) {
 	b = &Server{set: set, clock: opt.Clock, failed: make(chan error, 2)}
 	if b.clock == nil {
 		b.clock = func() int64 { return time.Now().UnixMilli() }
@@ -84,7 +84,7 @@
 	b.membership = newMembershipService(b)
 	b.relays = newRelayLeases(b)
 	first, tail := b.store.Tail()
-	log, err := history.New(first, tail, b.store.Fleet(), max(set.KeepEvents, 1000))
+	log, err := eventlog.New(first, tail, b.store.Fleet(), max(set.KeepEvents, 1000))
 	if err != nil {
 		return b, err
 	}
@@ -145,7 +145,7 @@
 	first, tail := b.store.Tail()
 	f := b.store.Fleet()
 	b.post(func() {
-		log, err := history.New(first, tail, f, max(b.set.KeepEvents, 1000))
+		log, err := eventlog.New(first, tail, f, max(b.set.KeepEvents, 1000))
 		if err != nil {
 			slog.Error("board.history_broken", "err", err)
 			b.Stop()
--- a/internal/controlplane/store/compatibility_test.go
+++ b/internal/controlplane/store/compatibility_test.go
@@ -15,7 +15,7 @@
 	"stairvane.org/stairvane/internal/fleet"
 	"stairvane.org/stairvane/internal/fleet/apply"
 	"stairvane.org/stairvane/internal/fleet/plan"
-	"stairvane.org/stairvane/internal/golden"
+	"stairvane.org/stairvane/internal/tools/golden"
 )
 
 // TestLandedForms guards the stored values: a later version reads what an older one wrote.
--- a/internal/controlplane/tls_test.go
+++ b/internal/controlplane/tls_test.go
@@ -19,11 +19,11 @@
 	"time"
 
 	"stairvane.org/stairvane/internal/controlplane/api"
-	"stairvane.org/stairvane/internal/controlplane/relay"
+	"stairvane.org/stairvane/internal/controlplane/relayserver"
 	"stairvane.org/stairvane/internal/controlplane/store"
 	"stairvane.org/stairvane/internal/controlplane/watch/watchtest"
 	"stairvane.org/stairvane/internal/fleet"
-	"stairvane.org/stairvane/internal/opfile"
+	"stairvane.org/stairvane/internal/operatorconfig"
 )
 
 // authority signs certificates into a folder.
@@ -71,7 +71,7 @@
 	}
 	other.issue("mallory", other.cert, other.key)
 	set := settingsIn(t.TempDir())
-	set.Write = opfile.Write{TCP: loopback(), TLS: &opfile.TLS{Certificate: own.file("board.crt"), Key: own.file("board.key"), Clients: own.file("ca.crt")}}
+	set.Write = operatorconfig.Write{TCP: loopback(), TLS: &operatorconfig.TLS{Certificate: own.file("board.crt"), Key: own.file("board.key"), Clients: own.file("ca.crt")}}
 	b, err := New(set, Options{})
 	check(t, err)
 	ended := make(chan error, 1)
@@ -125,16 +125,16 @@
 	own.issue("relay", own.cert, own.key)
 	other.issue("relay", other.cert, other.key)
 	set := settingsIn(t.TempDir())
-	set.Write = opfile.Write{TCP: loopback(), TLS: &opfile.TLS{Certificate: own.file("board.crt"), Key: own.file("board.key"), Clients: own.file("ca.crt")}}
+	set.Write = operatorconfig.Write{TCP: loopback(), TLS: &operatorconfig.TLS{Certificate: own.file("board.crt"), Key: own.file("board.key"), Clients: own.file("ca.crt")}}
 	b, err := New(set, Options{})
 	check(t, err)
 	run(t, b)
 	check(t, appendPurge(b.store, 1))
 	begin := func(a *authority, name string) netip.AddrPort {
-		set := opfile.DefaultRelay()
+		set := operatorconfig.DefaultRelay()
 		set.Name, set.Listen, set.Upstream = name, loopback(), []netip.AddrPort{netip.MustParseAddrPort(b.WriteAddr().String())}
-		set.TLS = &opfile.ClientTLS{Certificate: a.file("relay.crt"), Key: a.file("relay.key"), Authority: own.file("ca.crt")}
-		r, err := relay.New(set)
+		set.TLS = &operatorconfig.ClientTLS{Certificate: a.file("relay.crt"), Key: a.file("relay.key"), Authority: own.file("ca.crt")}
+		r, err := relayserver.New(set)
 		check(t, err)
 		run(t, r)
 		addr, err := r.Addr()
--- a/internal/controlplane/watch/server.go
+++ b/internal/controlplane/watch/server.go
@@ -12,11 +12,11 @@
 	"github.com/gaissmai/bart"
 
 	"stairvane.org/stairvane/internal/controlplane/acknowledged"
-	"stairvane.org/stairvane/internal/controlplane/history"
+	"stairvane.org/stairvane/internal/controlplane/eventlog"
 	"stairvane.org/stairvane/internal/fleet"
-	"stairvane.org/stairvane/internal/protocol/bulletin"
+	"stairvane.org/stairvane/internal/health"
+	"stairvane.org/stairvane/internal/protocol/discovery"
 	"stairvane.org/stairvane/internal/quota"
-	"stairvane.org/stairvane/internal/signals"
 	"stairvane.org/stairvane/internal/transport"
 )
 
@@ -33,11 +33,11 @@
 	HasLease() bool
 	// Request takes in what a director says of itself with a call, and the revision up to which it has all events. False means
 	// that the process has no room for the director, which is then refused.
-	Request(announcement bulletin.Announcement, acknowledged int64) bool
+	Request(announcement discovery.Announcement, acknowledged int64) bool
 	// Granted is the grant for a director, once; nil if there is none.
 	Granted(directorID string) *quota.Grant
 	// Health are those on caches that a director is to be sent now; nil if nothing is new to it.
-	Health(directorID string) *signals.AggregatedHealth
+	Health(directorID string) *health.AggregatedHealth
 	// AcknowledgedChanged tells that Acknowledged may have risen. It must not block.
 	AcknowledgedChanged()
 	// ClockMS is the time in milliseconds since the Unix epoch; called from any goroutine.
@@ -61,7 +61,7 @@
 	set      Settings
 	loop     *transport.Loop
 	owner    Owner
-	log      *history.Log
+	log      *eventlog.Log
 	listener *transport.Listener
 	watchers map[*watcher]struct{}
 	ids      int64
@@ -75,7 +75,7 @@
 
 // New listens on a loop that does not run yet. within is in milliseconds: what a watcher that left then lacks counts as
 // acknowledged after it.
-func New(loop *transport.Loop, set Settings, owner Owner, log *history.Log, within int64) (s *Server, err error) {
+func New(loop *transport.Loop, set Settings, owner Owner, log *eventlog.Log, within int64) (s *Server, err error) {
 	s = &Server{set: set, loop: loop, owner: owner, log: log, watchers: map[*watcher]struct{}{}, last: log.Last(), tracker: acknowledged.New(within)}
 	s.listener, err = loop.Listen(set.Listen, func() transport.Handler { return &watcher{server: s} },
 		func(c *transport.Conn, h transport.Handler) { s.admit(c, h.(*watcher)) })
@@ -160,7 +160,7 @@
 }
 
 // Replace goes on with another log, which has all of this one or what took its place.
-func (s *Server) Replace(log *history.Log, after fleet.Fleet) {
+func (s *Server) Replace(log *eventlog.Log, after fleet.Fleet) {
 	s.log = log
 	s.Publish(nil, after)
 }
--- a/internal/controlplane/watch/watch_test.go
+++ b/internal/controlplane/watch/watch_test.go
@@ -11,12 +11,12 @@
 	"testing"
 	"time"
 
-	"stairvane.org/stairvane/internal/controlplane/history"
+	"stairvane.org/stairvane/internal/controlplane/eventlog"
 	"stairvane.org/stairvane/internal/controlplane/watch/watchtest"
 	"stairvane.org/stairvane/internal/fleet"
-	"stairvane.org/stairvane/internal/protocol/bulletin"
+	"stairvane.org/stairvane/internal/health"
+	"stairvane.org/stairvane/internal/protocol/discovery"
 	"stairvane.org/stairvane/internal/quota"
-	"stairvane.org/stairvane/internal/signals"
 	"stairvane.org/stairvane/internal/transport"
 )
 
@@ -46,15 +46,15 @@
 }
 
 func (p *process) HasLease() bool { return !p.lost.Load() }
-func (p *process) Request(_ bulletin.Announcement, acknowledged int64) bool {
+func (p *process) Request(_ discovery.Announcement, acknowledged int64) bool {
 	p.requests <- acknowledged
 	return !p.full.Load()
 }
-func (p *process) Granted(string) *quota.Grant             { return nil }
-func (p *process) Health(string) *signals.AggregatedHealth { return nil }
-func (p *process) AcknowledgedChanged()                    {}
-func (p *process) ClockMS() int64                          { return time.Now().UnixMilli() }
-func (p *process) Failed(err error)                        { p.t.Error(err) }
+func (p *process) Granted(string) *quota.Grant            { return nil }
+func (p *process) Health(string) *health.AggregatedHealth { return nil }
+func (p *process) AcknowledgedChanged()                   {}
+func (p *process) ClockMS() int64                         { return time.Now().UnixMilli() }
+func (p *process) Failed(err error)                       { p.t.Error(err) }
 
 // serve starts a server on a loop of its own.
 func serve(t *testing.T, set Settings) *process {
@@ -62,7 +62,7 @@
 	var err error
 	p.loop, err = transport.NewLoop()
 	check(t, err)
-	log, err := history.New(1, nil, p.fleet, 100)
+	log, err := eventlog.New(1, nil, p.fleet, 100)
 	check(t, err)
 	set.Listen = netip.MustParseAddrPort("127.0.0.1:0")
 	set.MaxWatchers = 100
--- a/internal/controlplane/watch/watcher.go
+++ b/internal/controlplane/watch/watcher.go
@@ -8,7 +8,7 @@
 	"net/netip"
 	"time"
 
-	"stairvane.org/stairvane/internal/protocol/bulletin"
+	"stairvane.org/stairvane/internal/protocol/discovery"
 	"stairvane.org/stairvane/internal/transport"
 )
 
@@ -18,7 +18,7 @@
 	conn    *transport.Conn
 	peer    netip.Addr
 	id      int64
-	call    bulletin.WatchRequest
+	call    discovery.WatchRequest
 	waiting bool
 	ended   bool
 	refusal int             // status that answers the first call; 0: the caller is admitted
@@ -79,11 +79,11 @@
 	if c.ended {
 		return len(b), 0, nil
 	}
-	call, used, need, err := bulletin.ParseWatchRequest(b)
+	call, used, need, err := discovery.ParseWatchRequest(b)
 	if err == nil && (c.waiting || used > 0 && used < len(b)) {
-		err = &bulletin.RequestError{Status: 400, Message: "a second call before the answer to the first"}
+		err = &discovery.RequestError{Status: 400, Message: "a second call before the answer to the first"}
 	}
-	var refused *bulletin.RequestError
+	var refused *discovery.RequestError
 	if errors.As(err, &refused) {
 		slog.Info("follower.malformed", "addr", c.peer.String(), "err", refused.Message)
 		c.leave()
@@ -141,7 +141,7 @@
 
 // readRefused reads the call of a caller that is not admitted, and answers it.
 func (c *watcher) readRefused(b []byte) (used, need int, err error) {
-	_, used, need, err = bulletin.ParseWatchRequest(b)
+	_, used, need, err = discovery.ParseWatchRequest(b)
 	if err == nil && used == 0 {
 		return 0, need, nil
 	}
@@ -155,7 +155,7 @@
 func (c *watcher) refuse(status int) {
 	c.ended = true
 	body := []byte(`{"no":0,"items":[]}`)
-	c.conn.Write(bulletin.AppendHead(nil, status, len(body), true), body)
+	c.conn.Write(discovery.AppendHead(nil, status, len(body), true), body)
 	c.conn.CloseAfterFlush(0)
 	c.timer.Fire = c.conn.Close // if it does not close itself
 	c.server.loop.Set(&c.timer, c.server.loop.Now()+refusalTimeout)
@@ -212,7 +212,7 @@
 		c.ready = s.loop.Now() + s.set.Gather
 	}
 	if parts == nil {
-		empty := append(bulletin.Opening(max(s.log.Last(), 0)), bulletin.Closing...)
+		empty := append(discovery.Opening(max(s.log.Last(), 0)), discovery.Closing...)
 		parts, size = [][]byte{empty}, len(empty)
 	}
 	if personal == nil {
@@ -242,7 +242,7 @@
 	}
 	parts, size = c.complete(parts, size)
 	c.waiting = false
-	s.head = bulletin.AppendHead(s.head[:0], 200, size, c.call.Close)
+	s.head = discovery.AppendHead(s.head[:0], 200, size, c.call.Close)
 	c.conn.Write(append([][]byte{s.head}, parts...)...)
 	switch {
 	case c.call.Close:
--- a/internal/controlplane/watch/watchtest/watchtest.go
+++ b/internal/controlplane/watch/watchtest/watchtest.go
@@ -10,7 +10,7 @@
 	"net/netip"
 	"time"
 
-	"stairvane.org/stairvane/internal/protocol/bulletin"
+	"stairvane.org/stairvane/internal/protocol/discovery"
 )
 
 // Client is a director's connection. It is not safe for concurrent use.
@@ -36,12 +36,12 @@
 // Ask asks for what comes after the last event; the server may wait for it for a time.
 func (c *Client) Ask(wait time.Duration) error {
 	_, err := fmt.Fprintf(c.conn, "GET /bulletins?after=%d&patience=%d HTTP/1.1\r\n%s: {\"name\":%q,\"inc\":\"1\",\"roll\":%d}\r\n\r\n",
-		c.Last, wait.Milliseconds(), bulletin.AnnounceHeader, c.Name, c.Last)
+		c.Last, wait.Milliseconds(), discovery.AnnounceHeader, c.Name, c.Last)
 	return err
 }
 
 // Answer reads the answer to what was asked.
-func (c *Client) Answer() (status int, feed bulletin.WatchResponse, err error) {
+func (c *Client) Answer() (status int, feed discovery.WatchResponse, err error) {
 	res, err := http.ReadResponse(c.in, nil)
 	if err != nil {
 		return 0, feed, err
@@ -50,13 +50,13 @@
 	if err != nil {
 		return 0, feed, err
 	}
-	feed, err = bulletin.Decode(body)
+	feed, err = discovery.Decode(body)
 	c.Last = max(c.Last, feed.LastRevision)
 	return res.StatusCode, feed, err
 }
 
 // Poll asks and reads the answer.
-func (c *Client) Poll(wait time.Duration) (status int, feed bulletin.WatchResponse, err error) {
+func (c *Client) Poll(wait time.Duration) (status int, feed discovery.WatchResponse, err error) {
 	if err := c.Ask(wait); err != nil {
 		return 0, feed, err
 	}
--- a/internal/controlplane/watchowner.go
+++ b/internal/controlplane/watchowner.go
@@ -3,11 +3,11 @@
 import (
 	"log/slog"
 
-	"stairvane.org/stairvane/internal/controlplane/history"
+	"stairvane.org/stairvane/internal/controlplane/eventlog"
 	"stairvane.org/stairvane/internal/controlplane/watch"
-	"stairvane.org/stairvane/internal/protocol/bulletin"
+	"stairvane.org/stairvane/internal/health"
+	"stairvane.org/stairvane/internal/protocol/discovery"
 	"stairvane.org/stairvane/internal/quota"
-	"stairvane.org/stairvane/internal/signals"
 )
 
 const maxWatchers = 8192
@@ -15,7 +15,7 @@
 // watchOwner is the control plane as its watch server sees it.
 type watchOwner struct{ server *Server }
 
-func newWatchServer(b *Server, log *history.Log) (*watch.Server, error) {
+func newWatchServer(b *Server, log *eventlog.Log) (*watch.Server, error) {
 	set := watch.Settings{Listen: b.set.Listen, Allowed: b.set.Watchers, MaxWatchers: maxWatchers}
 	return watch.New(b.loop, set, watchOwner{b}, log, b.store.Fleet().Rules().NotifiedWithinMS)
 }
@@ -36,7 +36,7 @@
 func (o watchOwner) HasLease() bool { return o.server.hasLease() }
 
 // Request implements watch.Owner.
-func (o watchOwner) Request(a bulletin.Announcement, acknowledged int64) bool {
+func (o watchOwner) Request(a discovery.Announcement, acknowledged int64) bool {
 	o.server.membership.observe(a, acknowledged)
 	return true
 }
@@ -47,7 +47,7 @@
 }
 
 // Health implements watch.Owner.
-func (o watchOwner) Health(directorID string) *signals.AggregatedHealth {
+func (o watchOwner) Health(directorID string) *health.AggregatedHealth {
 	return o.server.membership.aggregatedHealth(directorID)
 }
 
--- a/example_test.go
+++ b/internal/decision/example_test.go
@@ -1,45 +1,45 @@
-package stairvane_test
+package decision_test
 
 import (
 	"fmt"
 	"time"
 
-	"stairvane.org/stairvane"
+	"stairvane.org/stairvane/internal/decision"
 )
 
 // A dispatcher makes one Router, hands it events as they happen, and carries out the actions in order.
 func Example() {
-	router := stairvane.NewRouter(stairvane.Settings{
+	router := decision.NewRouter(decision.Settings{
 		Zone: "west", Kinds: []string{"cache", "parent", "origin"}, ParentKind: 1, OriginKind: 2,
-		FlowKBPerS: 5000, JoinsFills: true, CacheStatusMode: stairvane.CacheStatusModeAll, MaxAttempts: 4,
-		Classes: []stairvane.Class{{
+		FlowKBPerS: 5000, JoinsFills: true, CacheStatusMode: decision.CacheStatusModeAll, MaxAttempts: 4,
+		Classes: []decision.Class{{
 			Name: "clips", LatencyObjective: 400 * time.Millisecond, ObjectiveStretch: 2, Deadline: 5 * time.Second, PriorityWeight: 1,
-			Idempotency: stairvane.Idempotent,
+			Idempotency: decision.Idempotent,
 		}},
 	}, 42)
 	began := time.Now()
-	carryOut := func(actions []stairvane.Action) {
+	carryOut := func(actions []decision.Action) {
 		for _, action := range actions {
 			switch a := action.(type) {
-			case stairvane.StartAttempt:
+			case decision.StartAttempt:
 				fmt.Printf("ask %d for %s, fill from %d\n", a.Host, a.Request, a.Source)
-			case stairvane.Reject:
+			case decision.Reject:
 				fmt.Printf("refuse %s\n", a.Request)
-			case stairvane.SetTimer:
+			case decision.SetTimer:
 				// start a timer that hands the router an Alarm with a.Token
 			}
 		}
 	}
 	carryOut(router.Start(time.Since(began)))
-	carryOut(router.Handle(time.Since(began), stairvane.EndpointUpdate{
-		Kind: stairvane.UpdateSnapshot,
-		Endpoints: []stairvane.Endpoint{
-			{Host: 11, Zone: "west", Kind: "cache", Readiness: stairvane.Ready},
-			{Host: 21, Zone: "hub", Kind: "parent", Readiness: stairvane.Ready},
-			{Host: 31, Zone: "hub", Kind: "origin", Readiness: stairvane.Ready},
+	carryOut(router.Handle(time.Since(began), decision.EndpointUpdate{
+		Kind: decision.UpdateSnapshot,
+		Endpoints: []decision.Endpoint{
+			{Host: 11, Zone: "west", Kind: "cache", Readiness: decision.Ready},
+			{Host: 21, Zone: "hub", Kind: "parent", Readiness: decision.Ready},
+			{Host: 31, Zone: "hub", Kind: "origin", Readiness: decision.Ready},
 		},
 	}))
-	carryOut(router.Handle(time.Since(began), stairvane.Request{
+	carryOut(router.Handle(time.Since(began), decision.Request{
 		ID: "r1", Object: 7, Class: "clips", SizeKB: 900, TimeLeft: 5 * time.Second,
 	}))
 	// Output: ask 11 for r1, fill from 21
--- a/router.go
+++ b/internal/decision/router.go
@@ -2,7 +2,7 @@
 //
 // The file follows a request's life: it arrives, meets the table of open attempts, gets a cache and a source,
 // is sent, watched, answered, tried again or refused. Then windows, health, cold hosts, purges, list, sweep.
-package stairvane
+package decision
 
 import (
 	"cmp"
--- a/state.go
+++ b/internal/decision/state.go
@@ -1,4 +1,4 @@
-package stairvane
+package decision
 
 import (
 	"cmp"
--- a/types.go
+++ b/internal/decision/types.go
@@ -3,7 +3,7 @@
 // a request is held, tried again or refused.
 //
 // This file is the interface: settings, events and actions. All decisions are in router.go.
-package stairvane
+package decision
 
 import "time"
 
--- a/internal/program/caches.go
+++ b/internal/director/caches.go
@@ -1,4 +1,4 @@
-package program
+package director
 
 import (
 	"fmt"
@@ -7,9 +7,9 @@
 	"strconv"
 	"time"
 
-	"stairvane.org/stairvane"
+	"stairvane.org/stairvane/internal/decision"
+	"stairvane.org/stairvane/internal/director/routing"
 	"stairvane.org/stairvane/internal/protocol/resp"
-	"stairvane.org/stairvane/internal/routing"
 	"stairvane.org/stairvane/internal/transport"
 )
 
@@ -74,11 +74,11 @@
 
 // optionWords are the words of the field do, by the module's bits.
 var optionWords = []struct {
-	bit  stairvane.FetchOptions
+	bit  decision.FetchOptions
 	word string
 }{
-	{stairvane.JoinFill, "merge"}, {stairvane.SourceCachedOnly, "local"},
-	{stairvane.ParentNoStore, "skip"}, {stairvane.Revalidate, "revalidate"},
+	{decision.JoinFill, "merge"}, {decision.SourceCachedOnly, "local"},
+	{decision.ParentNoStore, "skip"}, {decision.Revalidate, "revalidate"},
 }
 
 // Send implements routing.Link.
@@ -157,19 +157,19 @@
 	}
 }
 
-var replyWords = map[string]stairvane.Status{
-	"OK": stairvane.OK, "SAME": stairvane.OK, "MISS": stairvane.Miss, "BUSY": stairvane.Full,
-	"ERR": stairvane.Failed, "VOID": stairvane.NotSent,
+var replyWords = map[string]decision.Status{
+	"OK": decision.OK, "SAME": decision.OK, "MISS": decision.Miss, "BUSY": decision.Full,
+	"ERR": decision.Failed, "VOID": decision.NotSent,
 }
 
 // notes are the words of the field n; their places are the module's numbers, from 1.
 var notes = [...]string{"local", "pulled", "pulled_far", "rode", "expired", "turned_away", "cut_off", "not_there",
 	"no_place", "far_fault"}
 
-var noteNumbers = func() map[string]stairvane.CacheStatus {
-	m := map[string]stairvane.CacheStatus{}
+var noteNumbers = func() map[string]decision.CacheStatus {
+	m := map[string]decision.CacheStatus{}
 	for i, word := range notes {
-		m[word] = stairvane.CacheStatus(i + 1)
+		m[word] = decision.CacheStatus(i + 1)
 	}
 	return m
 }()
--- a/internal/program/claims.go
+++ b/internal/director/claims.go
@@ -1,4 +1,4 @@
-package program
+package director
 
 import (
 	"fmt"
@@ -6,12 +6,12 @@
 	"net/netip"
 	"time"
 
-	"stairvane.org/stairvane"
 	"stairvane.org/stairvane/internal/claims"
-	"stairvane.org/stairvane/internal/config"
-	"stairvane.org/stairvane/internal/protocol/bulletin"
+	"stairvane.org/stairvane/internal/decision"
+	"stairvane.org/stairvane/internal/director/config"
+	"stairvane.org/stairvane/internal/director/routing"
+	"stairvane.org/stairvane/internal/protocol/discovery"
 	"stairvane.org/stairvane/internal/protocol/resp"
-	"stairvane.org/stairvane/internal/routing"
 	"stairvane.org/stairvane/internal/transport"
 )
 
@@ -30,7 +30,7 @@
 type claimer struct {
 	prog     *Program
 	set      config.Claims
-	own      bulletin.Director
+	own      discovery.Director
 	node     *claims.Node
 	listener *transport.Listener
 	lines    map[string]*claimLine // to others, by ID
@@ -41,10 +41,10 @@
 	working  bool
 }
 
-func newClaimer(p *Program, c config.Config, own bulletin.Director) (*claimer, error) {
+func newClaimer(p *Program, c config.Config, own discovery.Director) (*claimer, error) {
 	longest := time.Duration(0)
 	for _, k := range c.Settings.Classes {
-		if k.Idempotency == stairvane.IdempotentWithKey {
+		if k.Idempotency == decision.IdempotentWithKey {
 			longest = max(longest, k.DedupWindow)
 		}
 	}
@@ -73,7 +73,7 @@
 }
 
 // news takes a change of the roll in.
-func (x *claimer) news(r *bulletin.Membership) {
+func (x *claimer) news(r *discovery.Membership) {
 	if r.Snapshot {
 		clear(x.addrs)
 	}
--- a/internal/program/client.go
+++ b/internal/director/client.go
@@ -1,4 +1,4 @@
-package program
+package director
 
 import (
 	"errors"
@@ -10,8 +10,8 @@
 	"strconv"
 	"time"
 
+	"stairvane.org/stairvane/internal/director/routing"
 	"stairvane.org/stairvane/internal/protocol/thrift"
-	"stairvane.org/stairvane/internal/routing"
 	"stairvane.org/stairvane/internal/transport"
 )
 
--- a/internal/config/config.go
+++ b/internal/director/config/config.go
@@ -12,9 +12,9 @@
 	"reflect"
 	"strconv"
 
-	"stairvane.org/stairvane"
-	"stairvane.org/stairvane/internal/protocol/bulletin"
-	"stairvane.org/stairvane/internal/wire"
+	"stairvane.org/stairvane/internal/decision"
+	"stairvane.org/stairvane/internal/protocol/discovery"
+	"stairvane.org/stairvane/internal/protocol/simulator"
 )
 
 // Defaults and bounds.
@@ -33,14 +33,14 @@
 	Seed      uint64
 	MemoryMB  int
 	Sockets   int
-	Known     bulletin.WatchResponse
-	Settings  stairvane.Settings
+	Known     discovery.WatchResponse
+	Settings  decision.Settings
 	// ControlPlanes are further addresses of the bulletin; this file does not name them.
 	ControlPlanes []netip.AddrPort
 	Fingerprint   string      // of what the file says but for what is new with each start: equal where that is equal
 	Membership    *Membership // nil: off; this file does not name it
 	Claims        *Claims     // likewise
-	Pools         wire.SocketSettings
+	Pools         simulator.SocketSettings
 }
 
 type file struct {
@@ -51,9 +51,9 @@
 		MemoryMB *float64 `json:"memory_mb"`
 		Sockets  *float64 `json:"sockets"`
 	} `json:"limits"`
-	Bulletin string                 `json:"bulletin"`
-	Known    bulletin.WatchResponse `json:"known"`
-	Settings json.RawMessage        `json:"settings"`
+	Bulletin string                  `json:"bulletin"`
+	Known    discovery.WatchResponse `json:"known"`
+	Settings json.RawMessage         `json:"settings"`
 }
 
 // Load reads the file that LB_CONFIG names. LB_NAME and LB_LISTEN, where set, go before what the file says.
@@ -105,7 +105,7 @@
 	if err != nil {
 		return Config{}, err
 	}
-	if c.Settings, c.Pools, err = wire.ParseSettings(words); err != nil {
+	if c.Settings, c.Pools, err = simulator.ParseSettings(words); err != nil {
 		return Config{}, err
 	}
 	if len(c.Settings.Classes) == 0 {
--- a/internal/program/cores.go
+++ b/internal/director/cores.go
@@ -1,4 +1,4 @@
-package program
+package director
 
 import (
 	"errors"
@@ -13,13 +13,13 @@
 	"sync/atomic"
 	"time"
 
-	"stairvane.org/stairvane/internal/config"
-	"stairvane.org/stairvane/internal/cores/budget"
-	"stairvane.org/stairvane/internal/cores/news"
-	"stairvane.org/stairvane/internal/cores/owners"
-	"stairvane.org/stairvane/internal/cores/watch"
-	"stairvane.org/stairvane/internal/protocol/bulletin"
-	"stairvane.org/stairvane/internal/routing"
+	"stairvane.org/stairvane/internal/director/config"
+	"stairvane.org/stairvane/internal/director/cores/budget"
+	"stairvane.org/stairvane/internal/director/cores/events"
+	"stairvane.org/stairvane/internal/director/cores/owners"
+	"stairvane.org/stairvane/internal/director/cores/stalls"
+	"stairvane.org/stairvane/internal/director/routing"
+	"stairvane.org/stairvane/internal/protocol/discovery"
 	"stairvane.org/stairvane/internal/transport"
 )
 
@@ -35,7 +35,7 @@
 // each other's health. Limits are divided.
 type Group struct {
 	cores   []*core
-	news    *news.Log[told]
+	news    *events.Log[told]
 	owners  *owners.Table
 	cold    *budget.Ledger
 	healthy atomic.Bool
@@ -43,7 +43,7 @@
 
 // told is what the first core was told, and when: the graces of the rules run on every core from there.
 type told struct {
-	bulletin.WatchResponse
+	discovery.WatchResponse
 	at time.Duration
 }
 
@@ -52,7 +52,7 @@
 	group  *Group
 	index  int
 	prog   *Program
-	cursor *news.Cursor[told]
+	cursor *events.Cursor[told]
 	beats  atomic.Int64
 	beat   transport.Timer
 }
@@ -66,7 +66,7 @@
 	for _, class := range c.Settings.Classes {
 		longest = max(longest, class.Deadline)
 	}
-	g := &Group{news: news.New[told](), owners: owners.New(), cold: budget.New(cores, bestFades*longest)}
+	g := &Group{news: events.New[told](), owners: owners.New(), cold: budget.New(cores, bestFades*longest)}
 	g.healthy.Store(true)
 	if cores == 1 {
 		p, err := New(c)
@@ -137,7 +137,7 @@
 
 // publish hands what the first core was told to the others, and wakes them. It waits for none: one that is stalled looks
 // at the news itself before it writes an attempt.
-func (c *core) publish(f bulletin.WatchResponse) {
+func (c *core) publish(f discovery.WatchResponse) {
 	c.group.news.Publish(told{f, c.prog.loop.Now()})
 	for _, o := range c.group.cores {
 		if o != c && o.prog != nil {
@@ -148,12 +148,12 @@
 
 // catchUp takes in the news that are there. It costs one load if there are none.
 func (c *core) catchUp(p *Program) {
-	if !c.cursor.Behind() || p.discovery == nil {
+	if !c.cursor.Behind() || p.watch == nil {
 		return
 	}
 	for f, ok := c.cursor.Next(); ok; f, ok = c.cursor.Next() {
 		p.director.Told(f.at)
-		p.discovery.apply(f.WatchResponse)
+		p.watch.apply(f.WatchResponse)
 		p.director.Told(0)
 	}
 }
@@ -190,7 +190,7 @@
 
 // watch looks at the beats. A stalled core turns the heartbeats bad until it is back.
 func (g *Group) watch(stop <-chan struct{}) {
-	w, begin := watch.New(len(g.cores), stalledAfter), time.Now()
+	w, begin := stalls.New(len(g.cores), stalledAfter), time.Now()
 	beats := make([]int64, len(g.cores))
 	tick := time.NewTicker(lookEvery)
 	defer tick.Stop()
--- a/internal/cores/news/news.go
+++ b/internal/director/cores/events/news.go
@@ -1,7 +1,7 @@
 // Package news carries events from the one core that follows the bulletin to all cores, without a lock: an append-only list
 // whose nodes never change, and a number that tells each core at the cost of one load whether it lags. A core that was
 // stalled finds everything it missed, in order; what all have read the collector frees. It knows no event's meaning.
-package news
+package events
 
 import "sync/atomic"
 
--- a/internal/cores/news/news_test.go
+++ b/internal/director/cores/events/news_test.go
@@ -1,4 +1,4 @@
-package news
+package events
 
 import (
 	"sync"
--- a/internal/cores/watch/watch.go
+++ b/internal/director/cores/stalls/watch.go
@@ -1,6 +1,6 @@
 // Package watch decides from the beats of cores which of them are stalled. It is pure: beats are counters that the cores
 // raise, time comes in as an argument.
-package watch
+package stalls
 
 import "time"
 
--- a/internal/cores/watch/watch_test.go
+++ b/internal/director/cores/stalls/watch_test.go
@@ -1,4 +1,4 @@
-package watch
+package stalls
 
 import (
 	"testing"
--- a/internal/program/cores_test.go
+++ b/internal/director/cores_test.go
@@ -1,4 +1,4 @@
-package program
+package director
 
 import (
 	"fmt"
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"stairvane.org/stairvane/internal/config"
-	"stairvane.org/stairvane/internal/standin"
+	"stairvane.org/stairvane/internal/director/config"
+	"stairvane.org/stairvane/internal/tools/fakes"
 )
 
 // cluster is a director on some cores between stand-in caches and a bulletin that tells what the test says.
@@ -20,7 +20,7 @@
 	t     *testing.T
 	g     *Group
 	addr  string
-	boxes []*standin.Cache
+	boxes []*fakes.Cache
 	news  chan string
 	ended chan error
 }
@@ -42,7 +42,7 @@
 	t.Cleanup(func() { close(stop); bulletin.Close() })
 	var hosts []string
 	for i := range boxes {
-		b, err := standin.NewCache("127.0.0.1:0")
+		b, err := fakes.NewCache("127.0.0.1:0")
 		check(t, err)
 		t.Cleanup(b.Close)
 		c.boxes = append(c.boxes, b)
@@ -73,12 +73,12 @@
 }
 
 // load has some clients send requests, and adds up what they got.
-func (c *cluster) load(clients, each int, pause time.Duration) (sum standin.Tally) {
+func (c *cluster) load(clients, each int, pause time.Duration) (sum fakes.Tally) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for range clients {
 		wg.Go(func() {
-			client, err := standin.Connect(c.addr)
+			client, err := fakes.Connect(c.addr)
 			if err != nil {
 				c.t.Error(err)
 				return
@@ -102,7 +102,7 @@
 	return sum
 }
 
-func addTally(sum *standin.Tally, t standin.Tally) {
+func addTally(sum *fakes.Tally, t fakes.Tally) {
 	sum.Sent, sum.Served, sum.Refused, sum.Failed = sum.Sent+t.Sent, sum.Served+t.Served, sum.Refused+t.Refused, sum.Failed+t.Failed
 	sum.Doubled, sum.Lost = sum.Doubled+t.Doubled, sum.Lost+t.Lost
 }
@@ -113,7 +113,7 @@
 	for _, cores := range []int{1, 2, 4} {
 		t.Run(fmt.Sprint(cores), func(t *testing.T) {
 			c := newCluster(t, cores, 4)
-			got := make(chan standin.Tally, 1)
+			got := make(chan fakes.Tally, 1)
 			go func() { got <- c.load(24, 300, 80*time.Millisecond) }()
 			for end := time.Now().Add(patience); len(c.boxes[0].Attempts()) < 100; time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
@@ -165,7 +165,7 @@
 	c.news <- fmt.Sprintf(`{"no":2,"items":[{"no":2,"roster":{"seq":2,"whole":true,"hosts":[%s]}}]}`, silent.host("s-9", "in_service"))
 	seen := make(chan bool, 4)
 	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
-		c.g.post(func(p *Program) { seen <- p.discovery.applied >= 2 })
+		c.g.post(func(p *Program) { seen <- p.watch.applied >= 2 })
 		all := true
 		for range 4 {
 			all = <-seen && all
@@ -213,7 +213,7 @@
 	const window, send = time.Second, 2 * time.Millisecond // the size of a request over the pace of a transfer
 	nominal := strings.NewReplacer(`"Zone":"west"`, `"Zone":"west","Weights":"nominal"`, `"Fall":3000`, `"Fall":1000`).Replace(settings)
 	c := newClusterWith(t, 4, 2, nominal)
-	got := make(chan standin.Tally, 1)
+	got := make(chan fakes.Tally, 1)
 	go func() { got <- c.load(24, 112, 480*time.Millisecond) }()
 	for end := time.Now().Add(patience); len(c.boxes[0].Attempts())+len(c.boxes[1].Attempts()) < 200; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
--- a/internal/program/discovery_test.go
+++ b/internal/director/discovery_test.go
@@ -1,4 +1,4 @@
-package program
+package director
 
 import (
 	"net/netip"
@@ -20,7 +20,7 @@
 	perSlot := map[time.Duration]int{}
 	var pauses []time.Duration
 	for i := range crowd {
-		f := newDiscovery(loop, nil, make([]netip.AddrPort, 1), crowd, uint64(i))
+		f := newWatchClient(loop, nil, make([]netip.AddrPort, 1), crowd, uint64(i))
 		p := f.retryPause()
 		perSlot[p/slot]++
 		pauses = append(pauses, p)
@@ -33,7 +33,7 @@
 	if last := slices.Max(pauses); last > 500*time.Millisecond {
 		t.Errorf("the last one waits %v; news count as told 2 s after a break", last)
 	}
-	if alone := newDiscovery(loop, nil, make([]netip.AddrPort, 1), 0, 1).retryPause(); alone > 2*oneAddressTiming.RetryMin {
+	if alone := newWatchClient(loop, nil, make([]netip.AddrPort, 1), 0, 1).retryPause(); alone > 2*oneAddressTiming.RetryMin {
 		t.Errorf("a single one waits %v", alone)
 	}
 }
@@ -60,7 +60,7 @@
 	} {
 		longest := time.Duration(0)
 		for seed := range directors {
-			f := newDiscovery(loop, nil, make([]netip.AddrPort, c.addresses), directors, uint64(seed))
+			f := newWatchClient(loop, nil, make([]netip.AddrPort, c.addresses), directors, uint64(seed))
 			longest = max(longest, f.retryPause())
 		}
 		if c.noticed+longest >= c.within {
--- a/internal/program/events.go
+++ b/internal/director/events.go
@@ -1,4 +1,4 @@
-package program
+package director
 
 import (
 	"errors"
@@ -9,14 +9,14 @@
 	"strconv"
 	"time"
 
-	"stairvane.org/stairvane"
-	"stairvane.org/stairvane/internal/protocol/bulletin"
-	"stairvane.org/stairvane/internal/routing"
+	"stairvane.org/stairvane/internal/decision"
+	"stairvane.org/stairvane/internal/director/routing"
+	"stairvane.org/stairvane/internal/protocol/discovery"
 	"stairvane.org/stairvane/internal/transport"
 )
 
-// discovery watches the event stream by long polls, one at a time.
-type discovery struct {
+// watchClient watches the event stream by long polls, one at a time.
+type watchClient struct {
 	loop              *transport.Loop
 	director          *routing.Director
 	address           netip.AddrPort
@@ -29,18 +29,18 @@
 	failing           bool
 	request           []byte
 	rng               *rand.Rand
-	directors         int                          // that watch the event stream, this one included
-	publish           func(bulletin.WatchResponse) // to the other cores; nil: there are none
-	membership        *membershipClient            // nil: the director does not announce itself
-	requestedAt       time.Duration                // when the call that is open was made, since the machine started
-	leaveSent         bool                         // the open call says that the director leaves
-	leaveAcknowledged bool                         // a call that said so was answered
+	directors         int                           // that watch the event stream, this one included
+	publish           func(discovery.WatchResponse) // to the other cores; nil: there are none
+	membership        *membershipClient             // nil: the director does not announce itself
+	requestedAt       time.Duration                 // when the call that is open was made, since the machine started
+	leaveSent         bool                          // the open call says that the director leaves
+	leaveAcknowledged bool                          // a call that said so was answered
 
 	unreadable int // events that were skipped
 }
 
-func newDiscovery(loop *transport.Loop, d *routing.Director, addrs []netip.AddrPort, crowd int, seed uint64) *discovery {
-	f := &discovery{loop: loop, director: d, address: addrs[0], addresses: addrs, directors: max(1, crowd),
+func newWatchClient(loop *transport.Loop, d *routing.Director, addrs []netip.AddrPort, crowd int, seed uint64) *watchClient {
+	f := &watchClient{loop: loop, director: d, address: addrs[0], addresses: addrs, directors: max(1, crowd),
 		rng: rand.New(rand.NewPCG(seed, 1))}
 	f.retry = f.timing().RetryMin
 	f.timer.Fire = f.overdue
@@ -49,7 +49,7 @@
 
 // overdue runs when the timer fires: it ends a call without an answer, or the pause between two connections. A connection
 // that is being established has a time-out of its own.
-func (f *discovery) overdue() {
+func (f *watchClient) overdue() {
 	if f.conn != nil {
 		f.connectionLost(errors.New("no answer in time"))
 		return
@@ -57,7 +57,7 @@
 	f.connect()
 }
 
-func (f *discovery) connect() {
+func (f *watchClient) connect() {
 	f.timer.Stop()
 	conn, err := f.loop.Dial(f.address, f.timing().Dial, f)
 	if err != nil {
@@ -69,7 +69,7 @@
 
 // moveTo watches at another address, from the last applied event on. The old address serves nothing more, though it may
 // keep its connection open for a while.
-func (f *discovery) moveTo(addr netip.AddrPort) {
+func (f *watchClient) moveTo(addr netip.AddrPort) {
 	if addr == f.addresses[0] {
 		return
 	}
@@ -83,7 +83,7 @@
 	f.connect()
 }
 
-func (f *discovery) connectionLost(err error) {
+func (f *watchClient) connectionLost(err error) {
 	if f.conn != nil {
 		f.conn.Close()
 		f.conn = nil
@@ -101,26 +101,28 @@
 }
 
 // timing is that of a director with these addresses.
-func (f *discovery) timing() WatchTiming { return TimingOfWatch(len(f.addresses), f.membership != nil) }
+func (f *watchClient) timing() WatchTiming {
+	return TimingOfWatch(len(f.addresses), f.membership != nil)
+}
 
 // retryPause is the time to wait before the next connection.
-func (f *discovery) retryPause() time.Duration {
+func (f *watchClient) retryPause() time.Duration {
 	return f.timing().Pause(f.retry, f.directors, f.rng.Float64())
 }
 
 // Opened implements transport.Handler.
-func (f *discovery) Opened() { f.poll() }
+func (f *watchClient) Opened() { f.poll() }
 
 // Flushed implements transport.Handler.
-func (f *discovery) Flushed() {}
+func (f *watchClient) Flushed() {}
 
 // Closed implements transport.Handler.
-func (f *discovery) Closed(err error) {
+func (f *watchClient) Closed(err error) {
 	f.conn = nil
 	f.connectionLost(err)
 }
 
-func (f *discovery) poll() {
+func (f *watchClient) poll() {
 	timing := f.timing()
 	patience := timing.Patience
 	var announce []byte
@@ -131,21 +133,21 @@
 			patience = 0
 		}
 	}
-	f.request = bulletin.AppendRequest(f.request[:0], f.address.String(), f.applied, patience.Milliseconds(), announce)
+	f.request = discovery.AppendRequest(f.request[:0], f.address.String(), f.applied, patience.Milliseconds(), announce)
 	f.conn.Write(f.request)
 	f.loop.Set(&f.timer, f.loop.Now()+timing.Silence)
 }
 
 // Data implements transport.Handler.
-func (f *discovery) Data(b []byte) (used, need int, err error) {
-	r, used, need, err := bulletin.ParseResponse(b)
+func (f *watchClient) Data(b []byte) (used, need int, err error) {
+	r, used, need, err := discovery.ParseResponse(b)
 	if err != nil || used == 0 {
 		return 0, need, err
 	}
 	if r.Status != 200 {
 		return used, 0, fmt.Errorf("bulletin answered %d", r.Status)
 	}
-	news, err := bulletin.Decode(r.Body)
+	news, err := discovery.Decode(r.Body)
 	if err != nil {
 		return used, 0, err
 	}
@@ -183,7 +185,7 @@
 }
 
 // announceNow reconnects, so that a changed announcement is sent at once.
-func (f *discovery) announceNow() {
+func (f *watchClient) announceNow() {
 	if f.conn != nil {
 		f.conn.Close()
 		f.conn = nil
@@ -192,7 +194,7 @@
 }
 
 // apply passes events on to the director, each once and in order.
-func (f *discovery) apply(news bulletin.WatchResponse) {
+func (f *watchClient) apply(news discovery.WatchResponse) {
 	for _, item := range news.Events {
 		if item.Membership != nil && f.membership != nil && (item.Membership.Snapshot || item.Revision > f.applied) {
 			f.membership.applyChange(item.Revision, item.Membership)
@@ -212,21 +214,21 @@
 	f.applied = max(f.applied, news.LastRevision)
 }
 
-var states = map[string]stairvane.Readiness{
-	"in_service": stairvane.Ready, "terminating": stairvane.Draining, "terminated": stairvane.Gone,
+var states = map[string]decision.Readiness{
+	"in_service": decision.Ready, "terminating": decision.Draining, "terminated": decision.Gone,
 }
 
-func (f *discovery) applyHosts(r *bulletin.EndpointList) {
+func (f *watchClient) applyHosts(r *discovery.EndpointList) {
 	members := make([]routing.Member, 0, len(r.Endpoints))
 	for _, h := range r.Endpoints {
 		state, known := states[h.Health]
 		if !known {
 			slog.Warn("bulletin.unknown_state", "host", h.Name, "state", h.Health)
-			state = stairvane.Draining
+			state = decision.Draining
 		}
 		members = append(members, routing.Member{
 			Name: h.Name, Address: h.Address,
-			Endpoint: stairvane.Endpoint{
+			Endpoint: decision.Endpoint{
 				Zone: h.Site, Kind: h.Class, Cell: h.Block, Readiness: state, Weight: h.Share,
 				StartedAt: fromUnixMS(h.BornMS),
 			},
@@ -235,7 +237,7 @@
 	f.director.UpdateHosts(r.Sequence, r.Snapshot, members)
 }
 
-func (f *discovery) applyPurge(r *bulletin.Purge) {
+func (f *watchClient) applyPurge(r *discovery.Purge) {
 	issued := fromUnixMS(r.IssuedMS)
 	if r.Object != "" {
 		object, err := strconv.ParseUint(r.Object, 16, 64)
@@ -243,7 +245,7 @@
 			slog.Error("bulletin.purge_unreadable", "object", r.Object)
 			return
 		}
-		f.director.PurgeObject(stairvane.ObjectID(object), issued)
+		f.director.PurgeObject(decision.ObjectID(object), issued)
 	}
 	if r.Group != nil {
 		f.director.PurgeGroup(*r.Group, issued)
--- a/internal/program/front.go
+++ b/internal/director/front.go
@@ -1,6 +1,6 @@
 // Package program joins the layers into one process: the clients' protocol and the caches' protocol on the loop's
 // connections, the bulletin, the configuration, and the course of a life from start to SIGTERM.
-package program
+package director
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"net/netip"
 	"time"
 
+	"stairvane.org/stairvane/internal/director/routing"
 	"stairvane.org/stairvane/internal/protocol/thrift"
-	"stairvane.org/stairvane/internal/routing"
 	"stairvane.org/stairvane/internal/transport"
 )
 
--- a/internal/program/health.go
+++ b/internal/director/health.go
@@ -1,4 +1,4 @@
-package program
+package director
 
 import (
 	"encoding/json"
@@ -6,7 +6,7 @@
 	"math"
 	"time"
 
-	"stairvane.org/stairvane/internal/signals"
+	"stairvane.org/stairvane/internal/health"
 	"stairvane.org/stairvane/internal/transport"
 )
 
@@ -16,13 +16,13 @@
 // the control plane, and gives the aggregated health of caches to the decision module.
 type healthReporter struct {
 	prog         *Program
-	witness      *signals.Reporter
-	believer     *signals.Tracker
+	witness      *health.Reporter
+	believer     *health.Tracker
 	publishTimer transport.Timer
 }
 
 func newHealthReporter(p *Program, id string) *healthReporter {
-	s := &healthReporter{prog: p, witness: signals.NewReporter(signals.DefaultSettings, id), believer: signals.NewTracker(signals.DefaultSettings, id)}
+	s := &healthReporter{prog: p, witness: health.NewReporter(health.DefaultSettings, id), believer: health.NewTracker(health.DefaultSettings, id)}
 	s.publishTimer.Fire = s.publish
 	p.loop.Set(&s.publishTimer, p.loop.Now()+healthInterval)
 	return s
@@ -40,7 +40,7 @@
 
 // takeAggregate applies the aggregated health from the answer to a request made at a moment.
 func (s *healthReporter) takeAggregate(raw json.RawMessage, called time.Duration) {
-	var o signals.AggregatedHealth
+	var o health.AggregatedHealth
 	if err := json.Unmarshal(raw, &o); err != nil {
 		slog.Warn("signals.malformed", "err", err)
 		return
--- a/internal/program/membership.go
+++ b/internal/director/membership.go
@@ -1,4 +1,4 @@
-package program
+package director
 
 import (
 	"encoding/json"
@@ -8,9 +8,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"stairvane.org/stairvane"
-	"stairvane.org/stairvane/internal/config"
-	"stairvane.org/stairvane/internal/protocol/bulletin"
+	"stairvane.org/stairvane/internal/decision"
+	"stairvane.org/stairvane/internal/director/config"
+	"stairvane.org/stairvane/internal/protocol/discovery"
 	"stairvane.org/stairvane/internal/quota"
 	"stairvane.org/stairvane/internal/transport"
 )
@@ -41,12 +41,12 @@
 // the changes of the membership.
 type membershipClient struct {
 	prog         *Program
-	self         bulletin.Director
+	self         discovery.Director
 	claims       *claimer // nil: idempotency claims are off
 	applied      int64    // number of the last membership event that was applied
 	leaving      bool
-	locations    map[string]string    // by director ID, of all members
-	counted      stairvane.PeerCounts // as the decision module was given it
+	locations    map[string]string   // by director ID, of all members
+	counted      decision.PeerCounts // as the decision module was given it
 	shrinkTimer  transport.Timer
 	quota        *quota.Holder
 	shares       map[string]float64 // of cold caches' budgets, as the decision module was given them
@@ -58,7 +58,7 @@
 }
 
 func newMembershipClient(p *Program, c config.Config) (*membershipClient, error) {
-	r := &membershipClient{prog: p, locations: map[string]string{}, self: bulletin.Director{Name: c.Name, Incarnation: c.Membership.Incarnation, Location: c.Settings.Zone,
+	r := &membershipClient{prog: p, locations: map[string]string{}, self: discovery.Director{Name: c.Name, Incarnation: c.Membership.Incarnation, Location: c.Settings.Zone,
 		Machine: c.Membership.Machine, Site: c.Membership.Site, Version: c.Membership.Version}}
 	r.counted.Total = max(1, c.Settings.Directors)
 	r.counted.InZone = r.counted.Total
@@ -84,7 +84,7 @@
 
 // announcement is the announcement that goes with a watch request, as JSON.
 func (r *membershipClient) announcement() []byte {
-	a := bulletin.Announcement{Director: r.self, MembershipRevision: r.applied, Leaving: r.leaving, Config: r.prog.config.Fingerprint}
+	a := discovery.Announcement{Director: r.self, MembershipRevision: r.applied, Leaving: r.leaving, Config: r.prog.config.Fingerprint}
 	if r.claims != nil {
 		a.ReadyShards = r.claims.node.Incomplete()
 	}
@@ -115,7 +115,7 @@
 }
 
 // applyChange applies a change of the membership.
-func (r *membershipClient) applyChange(no int64, c *bulletin.Membership) {
+func (r *membershipClient) applyChange(no int64, c *discovery.Membership) {
 	r.applied = max(r.applied, no)
 	if c.Snapshot {
 		clear(r.locations)
@@ -193,9 +193,9 @@
 	if shut := old > r.maxStaleness; shut != r.fenced {
 		r.fenced = shut
 		if shut {
-			slog.Error("straggler.shut", "news_ms", old.Milliseconds(), "most_ms", r.maxStaleness.Milliseconds(), "after", r.prog.discovery.applied)
+			slog.Error("straggler.shut", "news_ms", old.Milliseconds(), "most_ms", r.maxStaleness.Milliseconds(), "after", r.prog.watch.applied)
 		} else {
-			slog.Info("straggler.back", "after", r.prog.discovery.applied)
+			slog.Info("straggler.back", "after", r.prog.watch.applied)
 		}
 	}
 	return r.fenced
@@ -204,13 +204,13 @@
 // countDirectors gives the decision module the number of directors to divide by. More count at once, fewer only after a
 // while: one that has left may only have lost its connection, and at a start of the fleet members join one by one.
 func (r *membershipClient) countDirectors() {
-	f := stairvane.PeerCounts{Total: len(r.locations)}
+	f := decision.PeerCounts{Total: len(r.locations)}
 	for _, location := range r.locations {
 		if location == r.self.Location {
 			f.InZone++
 		}
 	}
-	told := stairvane.PeerCounts{InZone: max(f.InZone, r.counted.InZone), Total: max(f.Total, r.counted.Total)}
+	told := decision.PeerCounts{InZone: max(f.InZone, r.counted.InZone), Total: max(f.Total, r.counted.Total)}
 	if told != r.counted {
 		r.counted = told
 		r.prog.director.Fellows(told)
--- a/internal/program/peers_test.go
+++ b/internal/director/peers_test.go
@@ -1,4 +1,4 @@
-package program
+package director
 
 import (
 	"bufio"
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"stairvane.org/stairvane/internal/config"
+	"stairvane.org/stairvane/internal/director/config"
 )
 
 // patience is how long a scripted peer waits for what must come; a story that keeps its word never spends it.
--- a/internal/program/report.go
+++ b/internal/director/report.go
@@ -1,10 +1,10 @@
-package program
+package director
 
 import (
 	"strconv"
 	"strings"
 
-	"stairvane.org/stairvane"
+	"stairvane.org/stairvane/internal/decision"
 )
 
 // reportNames are the other names that load values may have on the sockets; the caches use the settings' own.
@@ -29,11 +29,11 @@
 }
 
 // load reads name:value pairs set apart by semicolons. A report is only a hint: what can't be read is left out.
-func (c *caches) load(s string) stairvane.LoadReport {
+func (c *caches) load(s string) decision.LoadReport {
 	if len(c.report) == 0 {
 		return nil
 	}
-	report := stairvane.LoadReport{}
+	report := decision.LoadReport{}
 	for pair := range strings.SplitSeq(s, ";") {
 		name, value, _ := strings.Cut(pair, ":")
 		if setting, wanted := c.report[name]; wanted {
--- a/internal/program/request.go
+++ b/internal/director/request.go
@@ -1,13 +1,13 @@
-package program
+package director
 
 import (
 	"fmt"
 	"strconv"
 	"time"
 
-	"stairvane.org/stairvane"
+	"stairvane.org/stairvane/internal/decision"
+	"stairvane.org/stairvane/internal/director/routing"
 	"stairvane.org/stairvane/internal/protocol/thrift"
-	"stairvane.org/stairvane/internal/routing"
 )
 
 const mostGroup = 255
@@ -62,7 +62,7 @@
 	if err != nil {
 		return nil, bad("obj")
 	}
-	r.Object = stairvane.ObjectID(number)
+	r.Object = decision.ObjectID(number)
 	if r.Part, err = small(call.Field("part")); err != nil {
 		return nil, bad("part")
 	}
--- a/internal/routing/claims.go
+++ b/internal/director/routing/claims.go
@@ -5,7 +5,7 @@
 	"strconv"
 	"time"
 
-	"stairvane.org/stairvane"
+	"stairvane.org/stairvane/internal/decision"
 )
 
 // Claims keeps what directors have promised for the tokens of keyed requests. What done is told may come at once or later;
@@ -20,7 +20,7 @@
 	Token  string
 	ID     string
 	Class  string
-	Object stairvane.ObjectID
+	Object decision.ObjectID
 	Group  string // of the caches that would drop its repeats; see groupOf
 	Window time.Duration
 	Moves  bool          // nothing of it has run, so that an earlier claim of its own may go to another group
@@ -58,11 +58,11 @@
 )
 
 // groupOf names the caches that drop repeats of a request that ran at a host.
-func groupOf(scope stairvane.DedupScope, h *host) string {
+func groupOf(scope decision.DedupScope, h *host) string {
 	switch scope {
-	case stairvane.ScopeZone:
+	case decision.ScopeZone:
 		return zoneMark + h.Zone
-	case stairvane.ScopeCell:
+	case decision.ScopeCell:
 		return cellMark + strconv.Itoa(h.Cell)
 	}
 	return everywhere
@@ -119,12 +119,12 @@
 			q.ranAt = at
 		}
 		zone, cell := placeOf(c.Group)
-		d.feed(stairvane.PriorAttempt{Request: q.key, Zone: zone, Cell: cell, Age: c.Age})
+		d.feed(decision.PriorAttempt{Request: q.key, Zone: zone, Cell: cell, Age: c.Age})
 		if a.ended {
 			return
 		}
 		if c.Group != group {
-			d.end(a, &Reply{Status: stairvane.NotSent}) // the module decides anew, with what it knows now
+			d.end(a, &Reply{Status: decision.NotSent}) // the module decides anew, with what it knows now
 			return
 		}
 	case ClaimReused:
@@ -145,10 +145,10 @@
 func (d *Director) endUnclaimed(q *request, answer func()) {
 	d.conclude(q)
 	answer()
-	d.feed(stairvane.ClientGone{Request: q.key})
+	d.feed(decision.ClientGone{Request: q.key})
 	for _, a := range q.attempts {
 		if !a.ended {
-			d.end(a, &Reply{Status: stairvane.NotSent})
+			d.end(a, &Reply{Status: decision.NotSent})
 		}
 	}
 }
--- a/internal/routing/director.go
+++ b/internal/director/routing/director.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"stairvane.org/stairvane"
+	"stairvane.org/stairvane/internal/decision"
 	"stairvane.org/stairvane/internal/transport"
 )
 
@@ -15,17 +15,17 @@
 	Counts Counts
 
 	loop    *transport.Loop
-	module  *stairvane.Router
+	module  *decision.Router
 	dialer  Dialer
 	limits  Limits
 	classes map[string]class
 	serves  func(Member) bool // whether clients can be served from a host
-	hosts   map[stairvane.HostID]*host
+	hosts   map[decision.HostID]*host
 	byName  map[string]*host
-	known   map[stairvane.RequestID]*request
+	known   map[decision.RequestID]*request
 	open    int
 	purges  purges
-	events  []stairvane.Event
+	events  []decision.Event
 	feeding bool
 	outbox  []*attempt // to be sent when the round is over
 	woken   []*host    // with attempts that wait and may have a link now
@@ -33,7 +33,7 @@
 	flush   func()     // sendOut
 	links   int        // to all hosts
 
-	former      map[stairvane.RequestID]*former
+	former      map[decision.RequestID]*former
 	formerOrder []*former // the oldest first
 	spare       []*alarm
 	pings       int64 // made so far
@@ -47,21 +47,21 @@
 
 // class is what the guards need to know of a class.
 type class struct {
-	effect       stairvane.Idempotency
-	keeps        bool                 // its answers are copies
-	oldest       time.Duration        // that a copy may be; 0: any age
-	resendWithin time.Duration        // of the first attempt that may have run; 0: the module's decision alone
-	scope        stairvane.DedupScope // of the caches that drop repeats within that
+	effect       decision.Idempotency
+	keeps        bool                // its answers are copies
+	oldest       time.Duration       // that a copy may be; 0: any age
+	resendWithin time.Duration       // of the first attempt that may have run; 0: the module's decision alone
+	scope        decision.DedupScope // of the caches that drop repeats within that
 }
 
 // New makes a director. Start begins its life.
-func New(loop *transport.Loop, s stairvane.Settings, seed uint64, limits Limits, dialer Dialer) *Director {
+func New(loop *transport.Loop, s decision.Settings, seed uint64, limits Limits, dialer Dialer) *Director {
 	d := &Director{
-		loop: loop, module: stairvane.NewRouter(s, seed), dialer: dialer, limits: limits,
+		loop: loop, module: decision.NewRouter(s, seed), dialer: dialer, limits: limits,
 		classes: map[string]class{},
-		hosts:   map[stairvane.HostID]*host{}, byName: map[string]*host{},
-		known:  map[stairvane.RequestID]*request{},
-		former: map[stairvane.RequestID]*former{},
+		hosts:   map[decision.HostID]*host{}, byName: map[string]*host{},
+		known:  map[decision.RequestID]*request{},
+		former: map[decision.RequestID]*former{},
 		purges: newPurges(),
 	}
 	for _, c := range s.Classes {
@@ -69,14 +69,14 @@
 		if c.FreshFor > 0 {
 			k.oldest = c.FreshFor + c.StaleFor
 		}
-		if c.Idempotency == stairvane.IdempotentWithKey {
+		if c.Idempotency == decision.IdempotentWithKey {
 			k.resendWithin, k.scope = c.DedupWindow, c.DedupScope
 		}
 		d.classes[c.Name] = k
 	}
 	d.serves = func(m Member) bool {
 		parent := s.ParentKind >= 0 && s.ParentKind < len(s.Kinds) && m.Kind == s.Kinds[s.ParentKind]
-		return m.Readiness == stairvane.Ready && m.Zone == s.Zone && !parent
+		return m.Readiness == decision.Ready && m.Zone == s.Zone && !parent
 	}
 	if limits.Cold != nil {
 		d.module.SetSlowStartShare(limits.Cold)
@@ -109,7 +109,7 @@
 
 // ColdWants tells of each cold host what of its budget this director would use.
 func (d *Director) ColdWants(f func(host string, demand float64)) {
-	d.module.SlowStartDemand(func(id stairvane.HostID, demand float64) {
+	d.module.SlowStartDemand(func(id decision.HostID, demand float64) {
 		if h := d.hosts[id]; h != nil {
 			f(h.Name, demand)
 		}
@@ -130,13 +130,13 @@
 	} else {
 		share = max(share, leastPart)
 	}
-	d.feed(stairvane.QuotaShare{Host: h.Host, Share: share})
+	d.feed(decision.QuotaShare{Host: h.Host, Share: share})
 }
 
 // Evidence tells what was seen of each host since it was asked last, by the host's name and birth: a process that was started
 // anew under the name is another.
 func (d *Director) Evidence(f func(box string, tried, failed, lag float64)) {
-	d.module.HostOutcomes(func(id stairvane.HostID, tried, failed, lag float64) {
+	d.module.HostOutcomes(func(id decision.HostID, tried, failed, lag float64) {
 		if h := d.hosts[id]; h != nil {
 			f(h.born(), tried, failed, lag)
 		}
@@ -151,12 +151,12 @@
 		name = box[:i]
 	}
 	if h := cmp.Or(d.byName[name], d.byName[box]); h != nil && h.born() == box {
-		d.feed(stairvane.AggregatedHealth{Host: h.Host, FailureShare: bad})
+		d.feed(decision.AggregatedHealth{Host: h.Host, FailureShare: bad})
 	}
 }
 
 // Fellows tells how many directors there are now, where that is known.
-func (d *Director) Fellows(f stairvane.PeerCounts) { d.feed(f) }
+func (d *Director) Fellows(f decision.PeerCounts) { d.feed(f) }
 
 // Open is how many requests are owed an answer.
 func (d *Director) Open() int { return d.open }
@@ -173,7 +173,7 @@
 
 // feed hands an event to the module and carries out what it calls for. What those actions bring about at once
 // waits its turn, so that the module never sees an event while its last actions are being carried out.
-func (d *Director) feed(ev stairvane.Event) {
+func (d *Director) feed(ev decision.Event) {
 	d.events = append(d.events, ev)
 	if d.feeding {
 		return
@@ -190,31 +190,31 @@
 }
 
 // act carries out one action.
-func (d *Director) act(action stairvane.Action) {
+func (d *Director) act(action decision.Action) {
 	switch a := action.(type) {
-	case stairvane.StartAttempt:
+	case decision.StartAttempt:
 		d.obtain(a)
-	case stairvane.CancelAttempt:
+	case decision.CancelAttempt:
 		d.abort(a)
-	case stairvane.Reject:
+	case decision.Reject:
 		if q := d.unanswered(a.Request); q != nil {
 			d.Counts.Refused++
 			d.conclude(q)
 			q.Caller.Refuse(q.Request, a.RetryAfter)
 		}
-	case stairvane.Fail:
+	case decision.Fail:
 		if q := d.unanswered(a.Request); q != nil {
 			d.Counts.Failed++
 			d.conclude(q)
 			q.Caller.Fail(q.Request)
 		}
-	case stairvane.SetTimer:
+	case decision.SetTimer:
 		d.after(a.Delay, a.Token)
-	case stairvane.LogLine:
+	case decision.LogLine:
 		slog.Info("module.remark", "line", a.Text)
-	case stairvane.WatchEndpoints, stairvane.PollEndpoints:
+	case decision.WatchEndpoints, decision.PollEndpoints:
 		// The bulletin is followed from the start to the end.
-	case stairvane.HealthCheck:
+	case decision.HealthCheck:
 		slog.Error("module.probe_asked", "host_number", a.Host)
 	}
 }
@@ -234,7 +234,7 @@
 		a.Fire = func() {
 			token := a.token
 			d.spare = append(d.spare, a)
-			d.feed(stairvane.TimerFired{Token: token})
+			d.feed(decision.TimerFired{Token: token})
 		}
 	}
 	a.token = token
@@ -247,7 +247,7 @@
 	d.loop.Set(&d.upkeep, now+upkeepEvery)
 	for id, h := range d.hosts {
 		h.closeIdle(now)
-		if h.Readiness == stairvane.Gone && len(h.links) == 0 && len(h.waiting) == 0 && now > h.told+d.limits.LongestAnswer {
+		if h.Readiness == decision.Gone && len(h.links) == 0 && len(h.waiting) == 0 && now > h.told+d.limits.LongestAnswer {
 			delete(d.hosts, id)
 			delete(d.byName, h.Name)
 		}
--- a/internal/routing/guards_test.go
+++ b/internal/director/routing/guards_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"stairvane.org/stairvane"
+	"stairvane.org/stairvane/internal/decision"
 	"stairvane.org/stairvane/internal/transport"
 )
 
@@ -53,8 +53,8 @@
 	}
 }
 
-func line(name string, state stairvane.Readiness) Member {
-	return Member{Name: name, Address: name, Endpoint: stairvane.Endpoint{Zone: "west", Kind: "cache", Readiness: state, Weight: 1}}
+func line(name string, state decision.Readiness) Member {
+	return Member{Name: name, Address: name, Endpoint: decision.Endpoint{Zone: "west", Kind: "cache", Readiness: state, Weight: 1}}
 }
 
 func scripted(t *testing.T, change func(*Limits), hosts ...string) (*Director, *script, *caller) {
@@ -66,15 +66,15 @@
 		MaxAttempts: 8, LongestAnswer: 6 * time.Second, PurgeDone: 6 * time.Second}
 	change(&limits)
 	s := &script{}
-	d := New(loop, stairvane.Settings{
+	d := New(loop, decision.Settings{
 		Zone: "west", Zones: []string{"west"}, Kinds: []string{"cache", "origin"}, ParentKind: -1, OriginKind: 1,
-		FlowKBPerS: 5000, JoinsFills: true, Cancel: true, CacheStatusMode: stairvane.CacheStatusModeHits, MaxAttempts: 8,
-		Classes: []stairvane.Class{{Name: "clips", LatencyObjective: time.Second, Deadline: 6 * time.Second, PriorityWeight: 1, Idempotency: stairvane.Idempotent}},
+		FlowKBPerS: 5000, JoinsFills: true, Cancel: true, CacheStatusMode: decision.CacheStatusModeHits, MaxAttempts: 8,
+		Classes: []decision.Class{{Name: "clips", LatencyObjective: time.Second, Deadline: 6 * time.Second, PriorityWeight: 1, Idempotency: decision.Idempotent}},
 	}, 1, limits, s)
 	d.Start()
 	var list []Member
 	for _, name := range hosts {
-		list = append(list, line(name, stairvane.Ready))
+		list = append(list, line(name, decision.Ready))
 	}
 	d.UpdateHosts(1, true, list)
 	return d, s, &caller{}
@@ -90,7 +90,7 @@
 func TestWaitingAttemptIsNotSentToADrainingHost(t *testing.T) {
 	d, s, c := scripted(t, none, "a")
 	d.Submit(ask(c, "r1"))
-	d.UpdateHosts(2, false, []Member{line("a", stairvane.Draining)})
+	d.UpdateHosts(2, false, []Member{line("a", decision.Draining)})
 	s.links[0].ev.Up()
 	if len(s.links[0].orders) != 0 {
 		t.Fatal("sent to a host that drains")
@@ -181,7 +181,7 @@
 	if l := a.host.pick(q); l != nil {
 		t.Error("the link of the undone attempt is picked again")
 	}
-	s.links[0].ev.Reply([]byte("r1"), &Reply{Status: stairvane.OK, Body: []byte("late")})
+	s.links[0].ev.Reply([]byte("r1"), &Reply{Status: decision.OK, Body: []byte("late")})
 	if d.Counts.LateReplies != 1 || d.Counts.Served != 0 {
 		t.Errorf("the late answer was used: %+v", d.Counts)
 	}
@@ -196,8 +196,8 @@
 		old := s.links[0]
 		old.ev.Up()
 		d.Submit(ask(c, "r2"))
-		old.ev.Reply([]byte("r2"), &Reply{Status: stairvane.OK}) // it answers others, so the module asks it again
-		d.abort(stairvane.CancelAttempt{Request: "r1"})
+		old.ev.Reply([]byte("r2"), &Reply{Status: decision.OK}) // it answers others, so the module asks it again
+		d.abort(decision.CancelAttempt{Request: "r1"})
 		if len(old.undone) != 1 || len(old.pinged) != 1 || len(s.links) != 1 {
 			t.Fatalf("undone %q, pinged %q, %d links", old.undone, old.pinged, len(s.links))
 		}
@@ -274,7 +274,7 @@
 	}
 	s.links[1].ev.Down(transport.ErrDialTimeout)
 	c.want(t, "r2 refused") // never ran, and no other host is left
-	s.links[0].ev.Reply([]byte("r1"), &Reply{Status: stairvane.OK, Body: []byte("x")})
+	s.links[0].ev.Reply([]byte("r1"), &Reply{Status: decision.OK, Body: []byte("x")})
 	c.want(t, "r2 refused", "r1 served x")
 }
 
@@ -285,7 +285,7 @@
 	d.Submit(ask(c, "r1"))
 	c.want(t, "r1 failed")
 	s.links[0].ev.Up()
-	s.links[0].ev.Reply([]byte("r1"), &Reply{Status: stairvane.OK, Body: []byte("x")})
+	s.links[0].ev.Reply([]byte("r1"), &Reply{Status: decision.OK, Body: []byte("x")})
 	c.want(t, "r1 failed", "r1 served x")
 	if d.Open() != 0 || len(d.known) != 0 {
 		t.Errorf("%d open, %d known", d.Open(), len(d.known))
@@ -308,8 +308,8 @@
 	d, s, c := scripted(t, none, "a")
 	d.Submit(ask(c, "r1"))
 	s.links[0].ev.Up()
-	s.links[0].ev.Reply([]byte("r1"), &Reply{Status: stairvane.OK})
-	m := line("a", stairvane.Ready)
+	s.links[0].ev.Reply([]byte("r1"), &Reply{Status: decision.OK})
+	m := line("a", decision.Ready)
 	m.StartedAt = d.loop.Now()
 	d.UpdateHosts(2, false, []Member{m})
 	if !s.links[0].closed {
--- a/internal/routing/hosts.go
+++ b/internal/director/routing/hosts.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"stairvane.org/stairvane"
+	"stairvane.org/stairvane/internal/decision"
 	"stairvane.org/stairvane/internal/transport"
 )
 
@@ -38,7 +38,7 @@
 	d.Counts.Lists++
 	inService := map[string]string{} // by name, the addresses
 	for name, h := range d.byName {
-		if h.Readiness == stairvane.Ready {
+		if h.Readiness == decision.Ready {
 			inService[name] = h.Address
 		}
 	}
@@ -49,16 +49,16 @@
 	if whole || version > d.version {
 		d.version = version
 	}
-	t := stairvane.EndpointUpdate{Kind: stairvane.UpdateDelta, Version: version}
+	t := decision.EndpointUpdate{Kind: decision.UpdateDelta, Version: version}
 	if whole {
-		t.Kind = stairvane.UpdateSnapshot
+		t.Kind = decision.UpdateSnapshot
 		listed := map[string]bool{}
 		for _, m := range members {
 			listed[m.Name] = true
 		}
 		for name, h := range d.byName {
 			if !listed[name] {
-				h.moveTo(stairvane.Gone, now)
+				h.moveTo(decision.Gone, now)
 			}
 		}
 	}
@@ -83,10 +83,10 @@
 // number gives a host its number for the module. All directors must place objects on the same caches, so it comes
 // from the name alone: the number in hex that ends it, as in s-00c41f7a, or else a hash. The first keeps the
 // placement what it is on the simulator's wire, which calls the same host by that number.
-func (d *Director) number(name string) stairvane.HostID {
+func (d *Director) number(name string) decision.HostID {
 	if _, digits, found := strings.Cut(name, "-"); found && len(digits) == 8 {
-		if n, err := strconv.ParseUint(digits, 16, 32); err == nil && d.hosts[stairvane.HostID(n)] == nil {
-			return stairvane.HostID(n)
+		if n, err := strconv.ParseUint(digits, 16, 32); err == nil && d.hosts[decision.HostID(n)] == nil {
+			return decision.HostID(n)
 		}
 	}
 	for salt := 0; ; salt++ {
@@ -95,7 +95,7 @@
 		if salt > 0 {
 			sum.Write([]byte(strconv.Itoa(salt)))
 		}
-		id := stairvane.HostID(sum.Sum32())
+		id := decision.HostID(sum.Sum32())
 		other := d.hosts[id]
 		if other == nil {
 			return id
@@ -104,7 +104,7 @@
 	}
 }
 
-func (h *host) moveTo(r stairvane.Readiness, now time.Duration) {
+func (h *host) moveTo(r decision.Readiness, now time.Duration) {
 	if h.Readiness != r {
 		h.Readiness, h.told = r, now
 	}
@@ -112,7 +112,7 @@
 
 // unfit tells whether nothing new may go to the host. The last part of the grace is left for the way to it.
 func (h *host) unfit(now, grace time.Duration) bool {
-	return h.Readiness != stairvane.Ready && now >= h.told+grace/2
+	return h.Readiness != decision.Ready && now >= h.told+grace/2
 }
 
 // retire keeps new attempts off the links to a process that is no more: all of them after a change of address, else
@@ -224,7 +224,7 @@
 	}
 	for _, a := range slices.Clone(h.waiting) {
 		h.director.Counts.NoCon++
-		h.director.end(a, &Reply{Status: stairvane.ConnectFailed})
+		h.director.end(a, &Reply{Status: decision.ConnectFailed})
 	}
 }
 
@@ -258,7 +258,7 @@
 func (h *host) closeIdle(now time.Duration) {
 	for _, l := range slices.Clone(h.links) {
 		if l.up && len(l.open) == 0 && len(l.pings) == 0 &&
-			(l.retired || l.silent() || h.Readiness == stairvane.Gone || now-l.idleSince >= h.director.limits.IdleAfter) {
+			(l.retired || l.silent() || h.Readiness == decision.Gone || now-l.idleSince >= h.director.limits.IdleAfter) {
 			l.drop()
 		}
 	}
@@ -413,9 +413,9 @@
 	clear(l.open)
 	slices.SortFunc(open, func(a, b *attempt) int { return int(a.sentAt - b.sentAt) })
 	for _, a := range open {
-		status := stairvane.Reset
+		status := decision.Reset
 		if !a.whole {
-			status = stairvane.ConnectFailed
+			status = decision.ConnectFailed
 		}
 		d.count(status)
 		d.end(a, &Reply{Status: status})
@@ -431,22 +431,22 @@
 	l.host.wake()
 }
 
-func (d *Director) count(s stairvane.Status) {
+func (d *Director) count(s decision.Status) {
 	c := &d.Counts
 	switch s {
-	case stairvane.OK:
+	case decision.OK:
 		c.OK++
-	case stairvane.Miss:
+	case decision.Miss:
 		c.Miss++
-	case stairvane.Full:
+	case decision.Full:
 		c.Full++
-	case stairvane.Failed:
+	case decision.Failed:
 		c.Errors++
-	case stairvane.NotSent:
+	case decision.NotSent:
 		c.Void++
-	case stairvane.Reset:
+	case decision.Reset:
 		c.Reset++
-	case stairvane.ConnectFailed:
+	case decision.ConnectFailed:
 		c.NoCon++
 	}
 }
--- a/internal/routing/lists.go
+++ b/internal/director/routing/lists.go
@@ -5,7 +5,7 @@
 	"maps"
 	"slices"
 
-	"stairvane.org/stairvane"
+	"stairvane.org/stairvane/internal/decision"
 )
 
 // oddity is what is odd in a list: its event in the log, and what the event tells.
@@ -25,7 +25,7 @@
 	}
 	if !whole && version < last {
 		odd = append(odd, oddity{slog.LevelWarn, "list.out_of_order", []any{"after", last}})
-		members = slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return m.Readiness == stairvane.Ready })
+		members = slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return m.Readiness == decision.Ready })
 	}
 	lines := map[string]int{}
 	for i, m := range members {
@@ -47,7 +47,7 @@
 			continue
 		}
 		take = append(take, m)
-		if m.Readiness != stairvane.Ready {
+		if m.Readiness != decision.Ready {
 			continue
 		}
 		if other, shared := at[m.Address]; shared {
--- a/internal/routing/purges.go
+++ b/internal/director/routing/purges.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"stairvane.org/stairvane"
+	"stairvane.org/stairvane/internal/decision"
 )
 
 // purge is one purge: copies given out before issued are void; told is when the process heard of it, and heard when this
@@ -13,20 +13,20 @@
 
 // purges holds those that may still matter, by object and by group.
 type purges struct {
-	objects map[stairvane.ObjectID][]purge
+	objects map[decision.ObjectID][]purge
 	groups  map[int][]purge
 }
 
 func newPurges() purges {
-	return purges{objects: map[stairvane.ObjectID][]purge{}, groups: map[int][]purge{}}
+	return purges{objects: map[decision.ObjectID][]purge{}, groups: map[int][]purge{}}
 }
 
 // PurgeObject takes in a purge of one object.
-func (d *Director) PurgeObject(object stairvane.ObjectID, issued time.Duration) {
+func (d *Director) PurgeObject(object decision.ObjectID, issued time.Duration) {
 	now := d.loop.Now()
 	d.Counts.Purges++
 	d.purges.objects[object] = append(d.purges.objects[object], purge{issued, d.toldAt(), now})
-	d.feed(stairvane.Purge{Object: object, Age: max(0, now-issued)})
+	d.feed(decision.Purge{Object: object, Age: max(0, now-issued)})
 }
 
 // PurgeGroup takes in a purge of a group of objects.
@@ -34,7 +34,7 @@
 	now := d.loop.Now()
 	d.Counts.Purges++
 	d.purges.groups[group] = append(d.purges.groups[group], purge{issued, d.toldAt(), now})
-	d.feed(stairvane.Purge{Group: group, ByGroup: true, Age: max(0, now-issued)})
+	d.feed(decision.Purge{Group: group, ByGroup: true, Age: max(0, now-issued)})
 }
 
 func (p *purges) any(q *request, f func(purge) bool) bool {
--- a/internal/routing/repeats.go
+++ b/internal/director/routing/repeats.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"stairvane.org/stairvane"
+	"stairvane.org/stairvane/internal/decision"
 	"stairvane.org/stairvane/internal/transport"
 )
 
@@ -29,7 +29,7 @@
 
 // former is what a repeat must know of a request whose client has gone.
 type former struct {
-	id      stairvane.RequestID
+	id      decision.RequestID
 	spoiled []*link
 	unread  []*link
 	ranAt   time.Duration
@@ -117,6 +117,6 @@
 	d.Counts.Repeats++
 	q.spoiled, q.unread, q.ranAt, q.times = slices.Clone(f.spoiled), slices.Clone(f.unread), f.ranAt, f.times
 	k := d.classes[q.Class]
-	return f.times <= mostRepeats && (f.ranAt == 0 || k.effect == stairvane.Idempotent ||
-		k.effect == stairvane.IdempotentWithKey && k.scope == stairvane.ScopeAll && d.loop.Now()-f.ranAt < k.resendWithin)
+	return f.times <= mostRepeats && (f.ranAt == 0 || k.effect == decision.Idempotent ||
+		k.effect == decision.IdempotentWithKey && k.scope == decision.ScopeAll && d.loop.Now()-f.ranAt < k.resendWithin)
 }
--- a/internal/routing/repeats_test.go
+++ b/internal/director/routing/repeats_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"stairvane.org/stairvane"
+	"stairvane.org/stairvane/internal/decision"
 	"stairvane.org/stairvane/internal/transport"
 )
 
@@ -40,13 +40,13 @@
 // Where attempts are never called off, the module leaves what waits for a link alone; its client's end ends it all the same.
 func TestWhatWaitsIsNotSentOnceItsClientHasGone(t *testing.T) {
 	d, s, c := scripted(t, none, "a")
-	d.module = stairvane.NewRouter(stairvane.Settings{
+	d.module = decision.NewRouter(decision.Settings{
 		Zone: "west", Zones: []string{"west"}, Kinds: []string{"cache", "origin"}, ParentKind: -1, OriginKind: 1,
 		FlowKBPerS: 5000, JoinsFills: true, MaxAttempts: 8,
-		Classes: []stairvane.Class{{Name: "clips", LatencyObjective: time.Second, Deadline: 6 * time.Second, PriorityWeight: 1, Idempotency: stairvane.Idempotent}},
+		Classes: []decision.Class{{Name: "clips", LatencyObjective: time.Second, Deadline: 6 * time.Second, PriorityWeight: 1, Idempotency: decision.Idempotent}},
 	}, 1)
 	d.Start()
-	d.UpdateHosts(2, true, []Member{line("a", stairvane.Ready)})
+	d.UpdateHosts(2, true, []Member{line("a", decision.Ready)})
 	r := ask(c, "r1")
 	d.Submit(r)
 	d.Revoke(r)
@@ -67,8 +67,8 @@
 	old := s.links[0]
 	old.ev.Up()
 	d.Submit(ask(c, "r2"))
-	old.ev.Reply([]byte("r2"), &Reply{Status: stairvane.OK})
-	d.abort(stairvane.CancelAttempt{Request: "r1"}) // the module asks again, and the attempt waits for the pong
+	old.ev.Reply([]byte("r2"), &Reply{Status: decision.OK})
+	d.abort(decision.CancelAttempt{Request: "r1"}) // the module asks again, and the attempt waits for the pong
 	if len(old.pinged) != 1 {
 		t.Fatalf("pinged %q", old.pinged)
 	}
@@ -96,7 +96,7 @@
 		t.Fatalf("%d links, %+v", len(s.links), d.Counts)
 	}
 	s.links[1].ev.Up()
-	s.links[1].ev.Reply([]byte("r1"), &Reply{Status: stairvane.OK, Body: []byte("x")})
+	s.links[1].ev.Reply([]byte("r1"), &Reply{Status: decision.OK, Body: []byte("x")})
 	c.want(t, "r1 served x")
 }
 
@@ -123,11 +123,11 @@
 		class
 		sent bool
 	}{
-		"safe":             {class{effect: stairvane.Idempotent, keeps: true}, true},
-		"unsafe":           {class{effect: stairvane.NonIdempotent}, false},
-		"keyed":            {class{effect: stairvane.IdempotentWithKey, scope: stairvane.ScopeAll, resendWithin: time.Minute}, true},
-		"keyed, too late":  {class{effect: stairvane.IdempotentWithKey, scope: stairvane.ScopeAll, resendWithin: time.Nanosecond}, false},
-		"keyed, by a zone": {class{effect: stairvane.IdempotentWithKey, scope: stairvane.ScopeZone, resendWithin: time.Minute}, false},
+		"safe":             {class{effect: decision.Idempotent, keeps: true}, true},
+		"unsafe":           {class{effect: decision.NonIdempotent}, false},
+		"keyed":            {class{effect: decision.IdempotentWithKey, scope: decision.ScopeAll, resendWithin: time.Minute}, true},
+		"keyed, too late":  {class{effect: decision.IdempotentWithKey, scope: decision.ScopeAll, resendWithin: time.Nanosecond}, false},
+		"keyed, by a zone": {class{effect: decision.IdempotentWithKey, scope: decision.ScopeZone, resendWithin: time.Minute}, false},
 	} {
 		d, s, c := scripted(t, none, "a")
 		d.classes["clips"] = k.class
@@ -171,7 +171,7 @@
 func TestAHalfWrittenRepeatEndsWithItsWindow(t *testing.T) {
 	const window = 60 * time.Millisecond
 	d, s, c := scripted(t, none, "a")
-	d.classes["clips"] = class{effect: stairvane.IdempotentWithKey, scope: stairvane.ScopeAll, resendWithin: window}
+	d.classes["clips"] = class{effect: decision.IdempotentWithKey, scope: decision.ScopeAll, resendWithin: window}
 	r := ask(c, "r1")
 	r.SizeKB = 10_000 // so large that the module does not call it off meanwhile
 	d.Submit(r)
@@ -198,7 +198,7 @@
 	d, s, c := scripted(t, func(l *Limits) { l.Links = 2 }, "a", "b", "c")
 	for i, id := range []string{"r1", "r2", "r3", "r4", "r5", "r6"} {
 		r := ask(c, id)
-		r.Object = stairvane.ObjectID(i * 7919)
+		r.Object = decision.ObjectID(i * 7919)
 		d.Submit(r)
 		for _, l := range s.links {
 			if !l.closed {
@@ -208,7 +208,7 @@
 		for _, l := range s.links {
 			for _, o := range l.orders {
 				if !l.closed {
-					l.ev.Reply([]byte(o.ID), &Reply{Status: stairvane.OK})
+					l.ev.Reply([]byte(o.ID), &Reply{Status: decision.OK})
 				}
 			}
 		}
--- a/internal/routing/requests.go
+++ b/internal/director/routing/requests.go
@@ -5,14 +5,14 @@
 	"slices"
 	"time"
 
-	"stairvane.org/stairvane"
+	"stairvane.org/stairvane/internal/decision"
 	"stairvane.org/stairvane/internal/transport"
 )
 
 // request is one that was taken in. It is known until it is answered and no attempt of it is out.
 type request struct {
 	*Request
-	key      stairvane.RequestID
+	key      decision.RequestID
 	deadline time.Duration
 	answered bool
 	left     bool          // its client has gone, or takes it back
@@ -33,7 +33,7 @@
 type attempt struct {
 	req       *request
 	number    int
-	what      stairvane.StartAttempt
+	what      decision.StartAttempt
 	host      *host
 	source    *host // nil: no fill
 	decidedAt time.Duration
@@ -54,7 +54,7 @@
 // Submit takes a request in. Its caller gets one final answer.
 func (d *Director) Submit(r *Request) {
 	d.Counts.Taken++
-	key := stairvane.RequestID(r.ID)
+	key := decision.RequestID(r.ID)
 	if first := d.known[key]; first != nil {
 		slog.Debug("request.id_open_already", "id", r.ID)
 		d.again(first, r)
@@ -65,7 +65,7 @@
 
 // take takes a request in whose id no other has.
 func (d *Director) take(r *Request, deadline time.Duration) {
-	key := stairvane.RequestID(r.ID)
+	key := decision.RequestID(r.ID)
 	if d.limits.MaxOpen > 0 && d.open >= d.limits.MaxOpen {
 		d.Counts.Refused++
 		r.Caller.Refuse(r, 0)
@@ -93,13 +93,13 @@
 	}
 	d.known[key] = q
 	d.open++
-	d.feed(stairvane.Request{ID: key, Object: r.Object, Part: r.Part, PurgeGroup: r.Group, Class: r.Class,
+	d.feed(decision.Request{ID: key, Object: r.Object, Part: r.Part, PurgeGroup: r.Group, Class: r.Class,
 		SizeKB: r.SizeKB, TimeLeft: max(0, deadline-d.loop.Now())})
 }
 
 // Revoke ends a request whose client has gone; no answer follows.
 func (d *Director) Revoke(r *Request) {
-	q := d.known[stairvane.RequestID(r.ID)]
+	q := d.known[decision.RequestID(r.ID)]
 	switch {
 	case q == nil:
 	case q.next != nil && q.next.Request == r:
@@ -109,17 +109,17 @@
 		d.Counts.Revoked++
 		q.left = true
 		d.conclude(q)
-		d.feed(stairvane.ClientGone{Request: q.key})
+		d.feed(decision.ClientGone{Request: q.key})
 		for _, a := range q.attempts { // the module can't call off what waits where attempts are never called off
 			if !a.ended && a.link == nil {
-				d.end(a, &Reply{Status: stairvane.NotSent})
+				d.end(a, &Reply{Status: decision.NotSent})
 			}
 		}
 	}
 }
 
 // unanswered is the request of that id if it is still owed its final answer.
-func (d *Director) unanswered(id stairvane.RequestID) *request {
+func (d *Director) unanswered(id decision.RequestID) *request {
 	if q := d.known[id]; q != nil && !q.answered {
 		return q
 	}
@@ -151,7 +151,7 @@
 }
 
 // obtain makes an attempt.
-func (d *Director) obtain(o stairvane.StartAttempt) {
+func (d *Director) obtain(o decision.StartAttempt) {
 	q, h := d.known[o.Request], d.hosts[o.Host]
 	if q == nil {
 		return
@@ -169,7 +169,7 @@
 		d.Counts.GuardStops++
 		slog.Error("attempt.not_made", "attempt", a.number, "id", q.ID, "answered", q.answered,
 			"host_known", h != nil, "source_known", known, "out", q.out)
-		d.end(a, &Reply{Status: stairvane.NotSent})
+		d.end(a, &Reply{Status: decision.NotSent})
 		return
 	}
 	// Until it is written it may wait for a link, but no longer than a connection may take to come up.
@@ -247,7 +247,7 @@
 	if why := d.stale(a, now); why != "" {
 		d.Counts.GuardStops++
 		slog.Debug("attempt.not_sent", "attempt", a.number, "id", a.req.ID, "host", a.host.Name, "why", why)
-		d.end(a, &Reply{Status: stairvane.NotSent})
+		d.end(a, &Reply{Status: decision.NotSent})
 		return
 	}
 	q := a.req
@@ -324,21 +324,21 @@
 	case a.link != nil:
 		d.cancel(a)
 		d.Counts.TimedOut++
-		status := stairvane.TimedOut
+		status := decision.TimedOut
 		if !a.whole {
-			status = stairvane.ConnectFailed // it never came whole to the cache
+			status = decision.ConnectFailed // it never came whole to the cache
 		}
 		d.end(a, &Reply{Status: status})
 	case d.loop.Now() >= a.req.deadline:
-		d.end(a, &Reply{Status: stairvane.NotSent})
+		d.end(a, &Reply{Status: decision.NotSent})
 	default:
 		d.Counts.NoCon++
-		d.end(a, &Reply{Status: stairvane.ConnectFailed})
+		d.end(a, &Reply{Status: decision.ConnectFailed})
 	}
 }
 
 // abort calls an attempt off for the module.
-func (d *Director) abort(o stairvane.CancelAttempt) {
+func (d *Director) abort(o decision.CancelAttempt) {
 	q := d.known[o.Request]
 	if q == nil || o.Attempt < 0 || o.Attempt >= len(q.attempts) || q.attempts[o.Attempt].ended {
 		return
@@ -347,7 +347,7 @@
 	if a.link != nil {
 		d.cancel(a)
 	}
-	d.end(a, &Reply{Status: stairvane.Cancelled})
+	d.end(a, &Reply{Status: decision.Cancelled})
 }
 
 // cancel tells the cache that an attempt is given up. It must be written before the request's next attempt is sent; a
@@ -391,11 +391,11 @@
 	if a.whole && q.ranAt == 0 && mayHaveRun(status) {
 		q.ranAt = a.sentAt
 	}
-	if status == stairvane.OK && !q.answered {
+	if status == decision.OK && !q.answered {
 		if why := d.unfitCopy(a, r); why != "" {
 			d.Counts.Withheld++
 			slog.Debug("answer.withheld", "host", a.host.Name, "id", q.ID, "why", why)
-			status = stairvane.Miss
+			status = decision.Miss
 		} else {
 			d.serve(q, r)
 		}
@@ -404,7 +404,7 @@
 		q.spoil(a.link) // some caches answer twice, the second time some milliseconds late
 	}
 	d.forget(q)
-	d.feed(stairvane.AttemptResult{Request: q.key, Terminal: q.answered, Host: a.what.Host, Attempt: a.number, CacheStatus: r.Note,
+	d.feed(decision.AttemptResult{Request: q.key, Terminal: q.answered, Host: a.what.Host, Attempt: a.number, CacheStatus: r.Note,
 		Status: status, Elapsed: d.loop.Now() - a.decidedAt, Load: r.Report})
 }
 
@@ -416,9 +416,9 @@
 }
 
 // mayHaveRun tells whether an end leaves open that the attempt has run.
-func mayHaveRun(s stairvane.Status) bool {
+func mayHaveRun(s decision.Status) bool {
 	switch s {
-	case stairvane.Full, stairvane.ConnectFailed, stairvane.NotSent, stairvane.Miss:
+	case decision.Full, decision.ConnectFailed, decision.NotSent, decision.Miss:
 		return false
 	}
 	return true
--- a/internal/routing/types.go
+++ b/internal/director/routing/types.go
@@ -6,14 +6,14 @@
 import (
 	"time"
 
-	"stairvane.org/stairvane"
+	"stairvane.org/stairvane/internal/decision"
 )
 
 // Request is one try of a client's request.
 type Request struct {
 	ID     string
 	Class  string
-	Object stairvane.ObjectID
+	Object decision.ObjectID
 	Part   int
 	Group  int
 	SizeKB float64
@@ -37,27 +37,27 @@
 type Order struct {
 	ID       string
 	Class    string
-	Object   stairvane.ObjectID
+	Object   decision.ObjectID
 	Part     int
 	Patience time.Duration
 	Token    string
 	Source   string // name of the host a miss is filled from; empty: no fill
 	Rank     int
 	MaxAge   time.Duration
-	Options  stairvane.FetchOptions
+	Options  decision.FetchOptions
 	Have     string
 	Body     []byte
 }
 
 // Reply is how a cache answered an order.
 type Reply struct {
-	Status stairvane.Status
+	Status decision.Status
 	Same   bool   // the client's copy is the one; there is no body
 	Tag    string // of the copy; empty: not told
 	Body   []byte
-	Note   stairvane.CacheStatus
+	Note   decision.CacheStatus
 	Since  time.Duration // when the origin gave out this copy; 0: not told
-	Report stairvane.LoadReport
+	Report decision.LoadReport
 }
 
 // Link is a connection to a cache.
@@ -85,7 +85,7 @@
 
 // Member is one line of the list of hosts. Its Host number is routing's to give.
 type Member struct {
-	stairvane.Endpoint
+	decision.Endpoint
 	Name    string
 	Address string
 }
--- a/internal/program/run.go
+++ b/internal/director/run.go
@@ -1,4 +1,4 @@
-package program
+package director
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"net/netip"
 	"time"
 
-	"stairvane.org/stairvane/internal/config"
-	"stairvane.org/stairvane/internal/routing"
+	"stairvane.org/stairvane/internal/director/config"
+	"stairvane.org/stairvane/internal/director/routing"
 	"stairvane.org/stairvane/internal/transport"
 )
 
@@ -38,7 +38,7 @@
 	loop       *transport.Loop
 	director   *routing.Director
 	front      *front
-	discovery  *discovery
+	watch      *watchClient
 	config     config.Config // of the start
 	leave      transport.Timer
 	emptyAt    time.Duration
@@ -98,12 +98,12 @@
 	if own != nil { // the bulletin is followed once for all cores
 		crowd /= len(own.group.cores)
 	}
-	p.discovery = newDiscovery(loop, d, append([]netip.AddrPort{c.Discovery}, c.ControlPlanes...), crowd, c.Seed)
+	p.watch = newWatchClient(loop, d, append([]netip.AddrPort{c.Discovery}, c.ControlPlanes...), crowd, c.Seed)
 	if own != nil {
-		p.discovery.publish = own.publish
+		p.watch.publish = own.publish
 	}
-	p.discovery.membership = p.membership
-	p.discovery.apply(c.Known)
+	p.watch.membership = p.membership
+	p.watch.apply(c.Known)
 	if p.front, err = newFront(loop, d, c.Listen, clients, idle, c.MemoryMB<<20); err != nil {
 		return nil, err
 	}
@@ -112,7 +112,7 @@
 		p.front.well = func() bool { return !p.membership.stale() }
 	}
 	if own == nil || own.index == 0 {
-		p.discovery.connect()
+		p.watch.connect()
 	}
 	if own != nil {
 		own.start(p)
@@ -154,7 +154,7 @@
 	for _, key := range p.config.Differs(c) {
 		slog.Warn("reload.key_waits", "key", key)
 	}
-	p.discovery.moveTo(c.Discovery)
+	p.watch.moveTo(c.Discovery)
 	slog.Info("reload.done")
 }
 
@@ -197,10 +197,10 @@
 	}
 	if !p.membership.leaving {
 		p.membership.leave()
-		p.discovery.announceNow()
+		p.watch.announceNow()
 		p.leftBy = now + sayWithin
 	}
-	return p.discovery.leaveAcknowledged || now >= p.leftBy
+	return p.watch.leaveAcknowledged || now >= p.leftBy
 }
 
 func (f *front) flushed() bool {
@@ -214,5 +214,5 @@
 
 // PrintCounts logs what was taken in, sent and answered.
 func (p *Program) PrintCounts() {
-	slog.Info("counts", "front", p.front.Counts, "director", p.director.Counts, "bulletin_unreadable", p.discovery.unreadable)
+	slog.Info("counts", "front", p.front.Counts, "director", p.director.Counts, "bulletin_unreadable", p.watch.unreadable)
 }
--- a/internal/program/serve.go
+++ b/internal/director/serve.go
@@ -1,4 +1,4 @@
-package program
+package director
 
 import (
 	"log/slog"
@@ -8,7 +8,7 @@
 	"runtime/debug"
 	"syscall"
 
-	"stairvane.org/stairvane/internal/config"
+	"stairvane.org/stairvane/internal/director/config"
 )
 
 // The live heap is small, so the collector may run seldom; the limit keeps that within the machine's memory, of which
--- a/internal/program/stories_test.go
+++ b/internal/director/stories_test.go
@@ -1,4 +1,4 @@
-package program
+package director
 
 import (
 	"bytes"
--- a/internal/program/watch_test.go
+++ b/internal/director/watch_test.go
@@ -1,4 +1,4 @@
-package program
+package director
 
 import (
 	"fmt"
@@ -173,8 +173,8 @@
 	p.called(5)
 	w.serves(other)
 	w.on(func() {
-		if w.p.discovery.unreadable != 2 {
-			t.Errorf("%d events were passed over", w.p.discovery.unreadable)
+		if w.p.watch.unreadable != 2 {
+			t.Errorf("%d events were passed over", w.p.watch.unreadable)
 		}
 	})
 }
@@ -189,7 +189,7 @@
 	whole := response(2, change(2, c.host("s-1", "terminated")))
 	p.write(whole)
 	arrived(t, p.conn)
-	release(func() { w.p.discovery.moveTo(netip.MustParseAddrPort(b.addr())) })
+	release(func() { w.p.watch.moveTo(netip.MustParseAddrPort(b.addr())) })
 	b.watch(1)
 	w.serves(c)
 }
@@ -218,7 +218,7 @@
 	check(t, err)
 	defer loop.Release()
 	b := newBoard(t)
-	f := newDiscovery(loop, nil, []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1")}, 1, 1)
+	f := newWatchClient(loop, nil, []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1")}, 1, 1)
 	f.retry = time.Second
 	f.connectionLost(net.ErrClosed)
 	if !f.timer.Active() {
--- a/internal/fleet/apply/compatibility_test.go
+++ b/internal/fleet/apply/compatibility_test.go
@@ -6,7 +6,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"stairvane.org/stairvane/internal/fleet"
-	"stairvane.org/stairvane/internal/golden"
+	"stairvane.org/stairvane/internal/tools/golden"
 )
 
 // TestLandedForms guards the stored records of an apply under way: a later version goes on from them.
--- a/internal/fleet/compatibility_test.go
+++ b/internal/fleet/compatibility_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"stairvane.org/stairvane/internal/golden"
+	"stairvane.org/stairvane/internal/tools/golden"
 )
 
 // TestLandedForms guards stored events and snapshots, and the sums that plans compare: they must not change with a field's name.
--- a/internal/fleet/plan/compatibility_test.go
+++ b/internal/fleet/plan/compatibility_test.go
@@ -7,7 +7,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"stairvane.org/stairvane/internal/fleet"
-	"stairvane.org/stairvane/internal/golden"
+	"stairvane.org/stairvane/internal/tools/golden"
 )
 
 // TestLandedForms guards the plan file: one that an older version wrote is read to the same steps and written to the same bytes.
--- a/internal/signals/compatibility_test.go
+++ b/internal/health/compatibility_test.go
@@ -1,9 +1,9 @@
-package signals
+package health
 
 import (
 	"testing"
 
-	"stairvane.org/stairvane/internal/golden"
+	"stairvane.org/stairvane/internal/tools/golden"
 )
 
 // TestLandedForms guards what directors and the control plane send each other: an older version must read it.
--- a/internal/signals/measure_test.go
+++ b/internal/health/measure_test.go
@@ -1,4 +1,4 @@
-package signals
+package health
 
 import (
 	"encoding/json"
--- a/internal/signals/signals.go
+++ b/internal/health/signals.go
@@ -3,7 +3,7 @@
 // Who merges it is the board's leader; what comes of it are opinions, which a director takes as a prior for its own learning
 // and never as a verdict. The package is pure: reports and the time come in. It knows no requests, no lines, and not what a
 // director makes of an opinion.
-package signals
+package health
 
 import (
 	"cmp"
--- a/internal/opfile/compatibility_test.go
+++ b/internal/operatorconfig/compatibility_test.go
@@ -1,4 +1,4 @@
-package opfile
+package operatorconfig
 
 import (
 	"os"
@@ -6,8 +6,8 @@
 	"strings"
 	"testing"
 
-	"stairvane.org/stairvane/internal/golden"
 	"stairvane.org/stairvane/internal/sexpr"
+	"stairvane.org/stairvane/internal/tools/golden"
 )
 
 // TestLandedForms guards the operator's files: every key keeps its spelling and its meaning.
--- a/internal/opfile/decode.go
+++ b/internal/operatorconfig/decode.go
@@ -1,7 +1,7 @@
 // Package opfile reads the operator's files: the wished fleet, and what the program is to be. It turns forms into checked
 // values, tells all faults of all files at once with file, line, column and key, and proposes the nearest known word. It
 // reads files only through a function that it is given.
-package opfile
+package operatorconfig
 
 import (
 	"fmt"
--- a/internal/opfile/program.go
+++ b/internal/operatorconfig/program.go
@@ -1,4 +1,4 @@
-package opfile
+package operatorconfig
 
 import (
 	"net/netip"
@@ -7,7 +7,7 @@
 
 	"github.com/gaissmai/bart"
 
-	"stairvane.org/stairvane/internal/replica"
+	"stairvane.org/stairvane/internal/controlplane/replica"
 	"stairvane.org/stairvane/internal/sexpr"
 )
 
--- a/internal/opfile/relay.go
+++ b/internal/operatorconfig/relay.go
@@ -1,4 +1,4 @@
-package opfile
+package operatorconfig
 
 import (
 	"net/netip"
--- a/internal/protocol/bulletin/bulletin.go
+++ b/internal/protocol/discovery/bulletin.go
@@ -1,6 +1,6 @@
 // Package bulletin reads the bulletin: numbered changes to the list of hosts, and purges, as JSON, and the HTTP/1.1
 // answers that carry them. It does no I/O.
-package bulletin
+package discovery
 
 import (
 	"bytes"
--- a/internal/protocol/bulletin/compatibility_test.go
+++ b/internal/protocol/discovery/compatibility_test.go
@@ -1,9 +1,9 @@
-package bulletin
+package discovery
 
 import (
 	"testing"
 
-	"stairvane.org/stairvane/internal/golden"
+	"stairvane.org/stairvane/internal/tools/golden"
 )
 
 // TestLandedForms guards the event stream and what directors say of themselves: an older version must read it.
--- a/internal/protocol/bulletin/serve_test.go
+++ b/internal/protocol/discovery/serve_test.go
@@ -1,4 +1,4 @@
-package bulletin
+package discovery
 
 import (
 	"errors"
