--- a/internal/wire/digest_test.go
+++ b/internal/protocol/simulator/digest_test.go
@@ -1,4 +1,4 @@
-package wire
+package simulator
 
 import (
 	"bufio"
@@ -17,7 +17,7 @@
 	"testing"
 	"time"
 
-	"stairvane.org/stairvane"
+	"stairvane.org/stairvane/internal/decision"
 )
 
 var updateDigest = flag.Bool("update-digest", false, "write the decision digests anew, after a change that is meant to alter decisions")
@@ -119,7 +119,7 @@
 
 func newDigestDay(t *testing.T, seed uint64, sum hash.Hash, seen map[string]int) *digestDay {
 	d := &digestDay{t: t, rng: rand.New(rand.NewPCG(seed, 29)), sum: sum, seen: seen, ended: map[string]bool{}, attempts: map[string]int{}, open: map[string]string{}}
-	d.server = &server{out: bufio.NewWriter(&d.out), instances: map[int]*stairvane.Router{}}
+	d.server = &server{out: bufio.NewWriter(&d.out), instances: map[int]*decision.Router{}}
 	d.faulty = []float64{0, 0.05, 0.2, 0.5, 0.9}[d.rng.IntN(5)]
 	d.slow = time.Duration(20+d.rng.IntN(800)) * time.Millisecond
 	return d
@@ -263,7 +263,7 @@
 func (d *digestDay) do(line string) {
 	name, rest, _ := strings.Cut(line, " ")
 	instance := d.server.instances[1]
-	handle := func(e stairvane.Event) {
+	handle := func(e decision.Event) {
 		for _, a := range instance.Handle(d.server.now, e) {
 			writeAction(d.server.out, 1, a)
 		}
@@ -278,16 +278,16 @@
 	case "bound":
 		_, _ = fmt.Sscan(rest, new(string), &text, &number, &other)
 		id, _, _ := strings.Cut(rest, " ")
-		handle(stairvane.PriorAttempt{Request: stairvane.RequestID(id), Zone: text, Cell: number, Age: time.Duration(other) * time.Millisecond})
+		handle(decision.PriorAttempt{Request: decision.RequestID(id), Zone: text, Cell: number, Age: time.Duration(other) * time.Millisecond})
 	case "peers":
 		_, _ = fmt.Sscan(rest, &number, &other)
-		handle(stairvane.PeerCounts{InZone: number, Total: other})
+		handle(decision.PeerCounts{InZone: number, Total: other})
 	case "quota":
 		_, _ = fmt.Sscan(rest, &number, &share)
-		handle(stairvane.QuotaShare{Host: stairvane.HostID(number), Share: share})
+		handle(decision.QuotaShare{Host: decision.HostID(number), Share: share})
 	case "health":
 		_, _ = fmt.Sscan(rest, &number, &share)
-		handle(stairvane.AggregatedHealth{Host: stairvane.HostID(number), FailureShare: share})
+		handle(decision.AggregatedHealth{Host: decision.HostID(number), FailureShare: share})
 	case "evidence":
 		d.evidence(instance)
 	case "cold":
@@ -438,17 +438,17 @@
 	d.at(d.server.now+time.Millisecond, "answer 1 %s 0 - %s %s 0 cancelled 10 -", words[2], host, words[3])
 }
 
-func (d *digestDay) evidence(instance *stairvane.Router) {
+func (d *digestDay) evidence(instance *decision.Router) {
 	var lines []string
-	instance.HostOutcomes(func(h stairvane.HostID, tried, failed, lag float64) {
+	instance.HostOutcomes(func(h decision.HostID, tried, failed, lag float64) {
 		lines = append(lines, fmt.Sprintf("%d %v %v %v\n", h, tried, failed, lag))
 	})
 	slices.Sort(lines) // they come in the order of a map
 	fmt.Fprint(d.sum, lines)
 }
 
-func (d *digestDay) coldDemand(instance *stairvane.Router) {
-	instance.SlowStartDemand(func(h stairvane.HostID, demand float64) { fmt.Fprintf(d.sum, "%d %v\n", h, demand) })
+func (d *digestDay) coldDemand(instance *decision.Router) {
+	instance.SlowStartDemand(func(h decision.HostID, demand float64) { fmt.Fprintf(d.sum, "%d %v\n", h, demand) })
 	now, best := instance.ServedRate()
 	fmt.Fprintf(d.sum, "%v %v\n", now, best)
 }
--- a/internal/wire/format.go
+++ b/internal/protocol/simulator/format.go
@@ -1,4 +1,4 @@
-package wire
+package simulator
 
 import (
 	"bufio"
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"stairvane.org/stairvane"
+	"stairvane.org/stairvane/internal/decision"
 )
 
 func millis(d time.Duration) string {
@@ -21,26 +21,26 @@
 }
 
 // writeAction writes one action's line.
-func writeAction(w *bufio.Writer, slot int, action stairvane.Action) {
+func writeAction(w *bufio.Writer, slot int, action decision.Action) {
 	switch a := action.(type) {
-	case stairvane.StartAttempt:
+	case decision.StartAttempt:
 		fmt.Fprintf(w, "obtain %d %s %d %d %s %d %s %d\n", slot, a.Request, a.Host, a.Options,
 			millis(a.MaxAge), a.CachePriority, millis(a.Timeout), a.Source)
-	case stairvane.Reject:
+	case decision.Reject:
 		fmt.Fprintf(w, "deny %d %s %s\n", slot, a.Request, millis(a.RetryAfter))
-	case stairvane.Fail:
+	case decision.Fail:
 		fmt.Fprintf(w, "drop_request %d %s\n", slot, a.Request)
-	case stairvane.CancelAttempt:
+	case decision.CancelAttempt:
 		fmt.Fprintf(w, "abort_attempt %d %s %d\n", slot, a.Request, a.Attempt)
-	case stairvane.HealthCheck:
+	case decision.HealthCheck:
 		fmt.Fprintf(w, "health_check %d %d\n", slot, a.Host)
-	case stairvane.SetTimer:
+	case decision.SetTimer:
 		fmt.Fprintf(w, "after %d %s %s\n", slot, millis(a.Delay), a.Token)
-	case stairvane.WatchEndpoints:
+	case decision.WatchEndpoints:
 		fmt.Fprintf(w, "stream_changes %d %d\n", slot, bit(a.Enabled))
-	case stairvane.PollEndpoints:
+	case decision.PollEndpoints:
 		fmt.Fprintf(w, "pull %d\n", slot)
-	case stairvane.LogLine:
+	case decision.LogLine:
 		fmt.Fprintf(w, "note_down %d %s\n", slot, a.Text)
 	}
 }
--- a/internal/wire/parse.go
+++ b/internal/protocol/simulator/parse.go
@@ -1,4 +1,4 @@
-package wire
+package simulator
 
 import (
 	"encoding/hex"
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"stairvane.org/stairvane"
+	"stairvane.org/stairvane/internal/decision"
 )
 
 const absent = "-"
@@ -86,12 +86,12 @@
 	return int(n)
 }
 
-func (f *fields) host(field string) stairvane.HostID {
+func (f *fields) host(field string) decision.HostID {
 	n, err := strconv.ParseUint(f.need(field), 10, 32)
 	if err != nil {
 		f.fail(field, "not a host number")
 	}
-	return stairvane.HostID(n)
+	return decision.HostID(n)
 }
 
 func (f *fields) number(field, v string) float64 {
@@ -138,12 +138,12 @@
 	return false
 }
 
-func (f *fields) object(field, v string) stairvane.ObjectID {
+func (f *fields) object(field, v string) decision.ObjectID {
 	n, err := strconv.ParseUint(v, 16, 64)
 	if err != nil || len(v) != 16 {
 		f.fail(field, "not 16 hex digits")
 	}
-	return stairvane.ObjectID(n)
+	return decision.ObjectID(n)
 }
 
 func (f *fields) bytes(field string) []byte {
@@ -158,12 +158,12 @@
 	return b
 }
 
-func (f *fields) report(field string) stairvane.LoadReport {
+func (f *fields) report(field string) decision.LoadReport {
 	v, ok := f.optional(field)
 	if !ok {
 		return nil
 	}
-	report := stairvane.LoadReport{}
+	report := decision.LoadReport{}
 	for _, pair := range strings.Split(v, ",") {
 		name, value, found := strings.Cut(pair, ":")
 		if !found {
@@ -188,30 +188,30 @@
 	return time.Duration(math.Round(ms*1000)) * time.Microsecond
 }
 
-func parseMember(line string) (stairvane.Endpoint, error) {
+func parseMember(line string) (decision.Endpoint, error) {
 	f := newFields(line)
 	if f.name != "item" {
-		return stairvane.Endpoint{}, fmt.Errorf("item line expected, got %q", f.name)
+		return decision.Endpoint{}, fmt.Errorf("item line expected, got %q", f.name)
 	}
-	m := stairvane.Endpoint{
+	m := decision.Endpoint{
 		Host:      f.host("Host"),
 		Zone:      f.need("Zone"),
 		Kind:      f.need("Shape"),
 		Cell:      int(f.optionalInt("Cluster")),
-		Readiness: stairvane.Readiness(f.need("Readiness")),
+		Readiness: decision.Readiness(f.need("Readiness")),
 		Weight:    f.optionalNumber("Share"),
 		StartedAt: f.optionalTime("StartedAt"),
 	}
 	switch m.Readiness {
-	case stairvane.Ready, stairvane.Draining, stairvane.Gone:
+	case decision.Ready, decision.Draining, decision.Gone:
 	default:
 		f.fail("Readiness", "unknown")
 	}
 	return m, f.end()
 }
 
-func parseQuery(f *fields) stairvane.Event {
-	q := stairvane.Request{ID: stairvane.RequestID(f.need("Xid"))}
+func parseQuery(f *fields) decision.Event {
+	q := decision.Request{ID: decision.RequestID(f.need("Xid"))}
 	q.Object = f.object("Key", f.need("Key"))
 	flags := f.optionalInt("Flags")
 	q.IsRetry, q.Write = flags&2 != 0, flags&4 != 0
@@ -224,14 +224,14 @@
 	return q
 }
 
-func parseAnswer(f *fields) stairvane.Event {
-	a := stairvane.AttemptResult{
-		Request:     stairvane.RequestID(f.need("Xid")),
+func parseAnswer(f *fields) decision.Event {
+	a := decision.AttemptResult{
+		Request:     decision.RequestID(f.need("Xid")),
 		Terminal:    f.flag("Terminal"),
 		FirstByte:   f.optionalTime("FirstByte"),
 		Host:        f.host("Host"),
 		Attempt:     f.small("Hop"),
-		CacheStatus: stairvane.CacheStatus(f.optionalInt("Detail")),
+		CacheStatus: decision.CacheStatus(f.optionalInt("Detail")),
 		Status:      parseStatus(f, attemptEnds),
 		Elapsed:     f.time("Elapsed"),
 		Load:        f.report("HealthInfo"),
@@ -239,23 +239,23 @@
 	return a
 }
 
-var attemptEnds = map[stairvane.Status]bool{
-	stairvane.OK: true, stairvane.Failed: true, stairvane.Full: true, stairvane.TimedOut: true,
-	stairvane.ConnectFailed: true, stairvane.Reset: true, stairvane.Cancelled: true,
-	stairvane.NotSent: true, stairvane.Miss: true,
+var attemptEnds = map[decision.Status]bool{
+	decision.OK: true, decision.Failed: true, decision.Full: true, decision.TimedOut: true,
+	decision.ConnectFailed: true, decision.Reset: true, decision.Cancelled: true,
+	decision.NotSent: true, decision.Miss: true,
 }
 
 // parseStatus reads an outcome; a nil set takes any word, as for probes.
-func parseStatus(f *fields, known map[stairvane.Status]bool) stairvane.Status {
-	s := stairvane.Status(f.need("Status"))
+func parseStatus(f *fields, known map[decision.Status]bool) decision.Status {
+	s := decision.Status(f.need("Status"))
 	if known != nil && !known[s] {
 		f.fail("Status", "unknown")
 	}
 	return s
 }
 
-func parsePurge(f *fields) stairvane.Event {
-	p := stairvane.Purge{}
+func parsePurge(f *fields) decision.Event {
+	p := decision.Purge{}
 	if v, ok := f.optional("Key"); ok {
 		p.Object = f.object("Key", v)
 	} else {
@@ -267,8 +267,8 @@
 }
 
 // parseEvent reads any event that needs no list and starts or ends no instance.
-func parseEvent(f *fields) (stairvane.Event, error) {
-	var ev stairvane.Event
+func parseEvent(f *fields) (decision.Event, error) {
+	var ev decision.Event
 	switch f.name {
 	case "query":
 		ev = parseQuery(f)
@@ -277,17 +277,17 @@
 	case "invalidated":
 		ev = parsePurge(f)
 	case "left":
-		ev = stairvane.ClientGone{Request: stairvane.RequestID(f.need("Xid"))}
+		ev = decision.ClientGone{Request: decision.RequestID(f.need("Xid"))}
 	case "alarm":
-		ev = stairvane.TimerFired{Token: f.need("Ctx")}
+		ev = decision.TimerFired{Token: f.need("Ctx")}
 	case "first":
-		ev = stairvane.FirstByte{Request: stairvane.RequestID(f.need("Xid")), Attempt: f.small("Hop"),
+		ev = decision.FirstByte{Request: decision.RequestID(f.need("Xid")), Attempt: f.small("Hop"),
 			Host: f.host("Host"), Elapsed: f.time("Elapsed")}
 	case "status_back":
-		ev = stairvane.HealthCheckResult{Host: f.host("Host"), Status: parseStatus(f, nil),
+		ev = decision.HealthCheckResult{Host: f.host("Host"), Status: parseStatus(f, nil),
 			Elapsed: f.time("Elapsed"), Load: f.report("HealthInfo")}
 	case "peer":
-		ev = stairvane.PeerMessage{From: f.small("Who"), Payload: f.bytes("Payload")}
+		ev = decision.PeerMessage{From: f.small("Who"), Payload: f.bytes("Payload")}
 	default:
 		return nil, fmt.Errorf("unknown message %q", f.name)
 	}
--- a/internal/wire/serve.go
+++ b/internal/protocol/simulator/serve.go
@@ -1,6 +1,6 @@
 // Package wire speaks the simulator's wire: it parses batches of events, hands them to the instances and
 // formats their actions. It decides nothing.
-package wire
+package simulator
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"stairvane.org/stairvane"
+	"stairvane.org/stairvane/internal/decision"
 )
 
 // maxTables is how many numbered lists the wire has.
@@ -22,9 +22,9 @@
 	out       *bufio.Writer
 	line      int // number of the line read last
 	now       time.Duration
-	tables    [maxTables][]stairvane.Endpoint
+	tables    [maxTables][]decision.Endpoint
 	known     [maxTables]bool
-	instances map[int]*stairvane.Router
+	instances map[int]*decision.Router
 }
 
 // Serve answers batches until the input ends between two of them.
@@ -32,7 +32,7 @@
 	s := &server{
 		in:        bufio.NewReaderSize(r, 1<<20),
 		out:       bufio.NewWriterSize(w, 1<<20),
-		instances: map[int]*stairvane.Router{},
+		instances: map[int]*decision.Router{},
 	}
 	for {
 		line, err := s.read()
@@ -115,7 +115,7 @@
 		delete(s.instances, slot)
 		return f.end()
 	}
-	var ev stairvane.Event
+	var ev decision.Event
 	var err error
 	if f.name == "topology" {
 		ev, err = s.topology(f)
@@ -151,7 +151,7 @@
 	if err != nil {
 		return fmt.Errorf("up: %w", err)
 	}
-	r := stairvane.NewRouter(settings, seed)
+	r := decision.NewRouter(settings, seed)
 	s.instances[slot] = r
 	for _, a := range r.Start(s.now) {
 		writeAction(s.out, slot, a)
@@ -167,7 +167,7 @@
 	if err := f.end(); err != nil {
 		return err
 	}
-	var members []stairvane.Endpoint
+	var members []decision.Endpoint
 	for range count {
 		line, err := s.more()
 		if err != nil {
@@ -183,12 +183,12 @@
 	return nil
 }
 
-func (s *server) topology(f *fields) (stairvane.Event, error) {
-	t := stairvane.EndpointUpdate{Kind: stairvane.EndpointUpdateKind(f.need("Kind")), Version: f.optionalInt("Stamp")}
+func (s *server) topology(f *fields) (decision.Event, error) {
+	t := decision.EndpointUpdate{Kind: decision.EndpointUpdateKind(f.need("Kind")), Version: f.optionalInt("Stamp")}
 	table := f.optionalInt("Table")
 	switch t.Kind {
-	case stairvane.UpdateRejected:
-	case stairvane.UpdateSnapshot, stairvane.UpdateDelta, stairvane.UpdateCached:
+	case decision.UpdateRejected:
+	case decision.UpdateSnapshot, decision.UpdateDelta, decision.UpdateCached:
 		if table < 0 || table >= maxTables || !s.known[table] {
 			f.fail("Table", "no such list")
 		} else {
--- a/internal/wire/settings.go
+++ b/internal/protocol/simulator/settings.go
@@ -1,4 +1,4 @@
-package wire
+package simulator
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"stairvane.org/stairvane"
+	"stairvane.org/stairvane/internal/decision"
 )
 
 // pairs reads the path=value settings of an up line. Keys that nobody asks for are skipped.
@@ -113,12 +113,12 @@
 }
 
 // ParseSettings reads path=value words.
-func ParseSettings(words []string) (stairvane.Settings, SocketSettings, error) {
+func ParseSettings(words []string) (decision.Settings, SocketSettings, error) {
 	p, err := newPairs(words)
 	if err != nil {
-		return stairvane.Settings{}, SocketSettings{}, err
+		return decision.Settings{}, SocketSettings{}, err
 	}
-	s := stairvane.Settings{
+	s := decision.Settings{
 		Zone:            p.text("Zone"),
 		Zones:           p.list("Areas"),
 		Instance:        p.integer("SlotNo"),
@@ -130,9 +130,9 @@
 		ParentsByZone:   p.integers("FamilyInfo.HubByZone"),
 		LinkKBPerS:      p.numbers("FamilyInfo.PipeKbPerS"),
 		FlowKBPerS:      p.number("FamilyInfo.OneFlowKbPerS"),
-		WeightMode:      stairvane.WeightMode(p.text("Weights")),
-		CacheStatusMode: stairvane.CacheStatusMode(p.text("FamilyInfo.Tells")),
-		SiblingMode:     stairvane.SiblingMode(p.text("FamilyInfo.Siblings")),
+		WeightMode:      decision.WeightMode(p.text("Weights")),
+		CacheStatusMode: decision.CacheStatusMode(p.text("FamilyInfo.Tells")),
+		SiblingMode:     decision.SiblingMode(p.text("FamilyInfo.Siblings")),
 		JoinsFills:      p.flag("FamilyInfo.Joins"),
 		DirectToSource:  p.flag("FamilyInfo.Direct"),
 		MustWatch:       p.text("MembershipMode") == "subscribe",
@@ -151,11 +151,11 @@
 		DrainGrace:      p.time("Rules.DrainGrace"),
 		PurgeGrace:      p.time("FamilyInfo.NoticeTime"),
 		PurgeDone:       p.time("FamilyInfo.PurgeDone"),
-		CacheSlowStart: stairvane.SlowStart{
+		CacheSlowStart: decision.SlowStart{
 			InitialShare: p.number("Rules.ColdFrom"), WarmUp: p.time("Rules.Cold"),
 			OverloadFactor: p.number("Rules.TipMultiple"), Window: p.time("Rules.Fall"),
 		},
-		ParentSlowStart: stairvane.SlowStart{
+		ParentSlowStart: decision.SlowStart{
 			InitialShare: p.number("FamilyInfo.UpperColdFrom"), WarmUp: p.time("FamilyInfo.ParentWarmsIn"),
 			OverloadFactor: p.number("FamilyInfo.ParentBreaksAt"), Window: p.time("Rules.Fall"),
 		},
@@ -170,7 +170,7 @@
 	return s, sockets, p.err
 }
 
-func parseClasses(p *pairs) []stairvane.Class {
+func parseClasses(p *pairs) []decision.Class {
 	n := p.integer("Grades.count")
 	if n < 0 || n > len(p.values) {
 		p.fail("Grades.count", "out of range")
@@ -179,18 +179,18 @@
 	fresh, extra := p.numbers("FamilyInfo.GoodFor"), p.numbers("FamilyInfo.OlderBy")
 	stale, parts := p.numbers("FamilyInfo.StaleEarns"), p.flags("FamilyInfo.MultiPart")
 	pass := p.flags("FamilyInfo.PassOn")
-	classes := make([]stairvane.Class, n)
+	classes := make([]decision.Class, n)
 	for i := range classes {
 		at1 := func(key string) string { return fmt.Sprintf("Grades.%d.%s", i, key) }
-		classes[i] = stairvane.Class{
+		classes[i] = decision.Class{
 			Name:             p.text(at1("Name")),
 			LatencyObjective: p.time(at1("Aim")),
 			ObjectiveStretch: p.number(at1("AimStretch")),
 			Deadline:         p.time(at1("Deadline")),
 			PriorityWeight:   p.number(at1("Worth")),
 			LateWeight:       p.number(at1("LateWorth")),
-			Idempotency:      stairvane.Idempotency(p.text(at1("Effect"))),
-			DedupScope:       stairvane.DedupScope(p.text(at1("Group"))),
+			Idempotency:      decision.Idempotency(p.text(at1("Effect"))),
+			DedupScope:       decision.DedupScope(p.text(at1("Group"))),
 			DedupWindow:      p.time(at1("DedupWindow")),
 			Stream:           p.flag(at1("Stream")),
 			FreshFor:         fromMillis(at(fresh, i)),
--- a/internal/wire/wire_test.go
+++ b/internal/protocol/simulator/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simulator
 
 import (
 	"os"
@@ -93,8 +93,8 @@
 
 // TestCommand builds and starts the adapter as the deploy file does.
 func TestCommand(t *testing.T) {
-	bin := filepath.Join(t.TempDir(), "benchlink")
-	if out, err := exec.Command("go", "build", "-o", bin, "../../cmd/benchlink").CombinedOutput(); err != nil {
+	bin := filepath.Join(t.TempDir(), "stairvane-sim")
+	if out, err := exec.Command("go", "build", "-o", bin, "../../../cmd/stairvane-sim").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
 	for in, code := range map[string]int{"clock 1\ngo\n": 0, "clock 1\nhello 3\n": 1} {
@@ -110,7 +110,7 @@
 			t.Errorf("%q: %d lines on standard error, want %d", in, lines, code)
 		}
 	}
-	if _, err := os.Stat("../../deploy/balancer.toml"); err != nil {
+	if _, err := os.Stat("../../../deploy/balancer.toml"); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/quota/compatibility_test.go
+++ b/internal/quota/compatibility_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"stairvane.org/stairvane/internal/golden"
+	"stairvane.org/stairvane/internal/tools/golden"
 )
 
 // TestLandedForms guards what directors, relays and the leader send each other: an older version must read it.
--- a/internal/capacity/capacity_test.go
+++ b/internal/tools/capacity/capacity_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-const root = "../../"
+const root = "../../../"
 
 func TestFit(t *testing.T) {
 	source := Source{Command: "c", At: time.Unix(1, 0)}
@@ -133,21 +133,21 @@
 	d := Current()
 	milliseconds := func(t time.Duration) string { return strconv.FormatInt(t.Milliseconds(), 10) }
 	for _, x := range []struct{ file, pattern, value string }{
-		{"internal/opfile/relay.go", `Gather: (\d+) \* time.Millisecond`, milliseconds(d.RelayGather)},
-		{"internal/program/timing.go", `announcedPatience = (\d+) \* time.Millisecond`, milliseconds(d.WatchPatience)},
-		{"internal/program/timing.go", `RetryMax: +(\d+) \* time.Millisecond, // while`, milliseconds(d.ReconnectRetry)},
-		{"internal/program/timing.go", `watchRetrySpread = (\d+) \* time.Microsecond`, strconv.FormatInt(d.ReconnectSpread.Microseconds(), 10)},
-		{"internal/program/timing.go", `SpreadMax: (\d+) \* time.Millisecond`, milliseconds(d.ReconnectSpreadMax)},
-		{"internal/opfile/program.go", ` Keep: (\d+)_000`, strconv.Itoa(d.HistoryKept / 1000)},
-		{"internal/opfile/program.go", `c.Lease, .* = (\d+)\*time.Millisecond`, milliseconds(d.ReplicaLease)},
+		{"internal/operatorconfig/relay.go", `Gather: (\d+) \* time.Millisecond`, milliseconds(d.RelayGather)},
+		{"internal/director/timing.go", `announcedPatience = (\d+) \* time.Millisecond`, milliseconds(d.WatchPatience)},
+		{"internal/director/timing.go", `RetryMax: +(\d+) \* time.Millisecond, // while`, milliseconds(d.ReconnectRetry)},
+		{"internal/director/timing.go", `watchRetrySpread = (\d+) \* time.Microsecond`, strconv.FormatInt(d.ReconnectSpread.Microseconds(), 10)},
+		{"internal/director/timing.go", `SpreadMax: (\d+) \* time.Millisecond`, milliseconds(d.ReconnectSpreadMax)},
+		{"internal/operatorconfig/program.go", ` Keep: (\d+)_000`, strconv.Itoa(d.HistoryKept / 1000)},
+		{"internal/operatorconfig/program.go", `c.Lease, .* = (\d+)\*time.Millisecond`, milliseconds(d.ReplicaLease)},
 		{"internal/controlplane/membership.go", `adoptionKept = (\d+)`, strconv.Itoa(d.AdoptionKept)},
 		{"internal/controlplane/membership.go", `rollEvery += (\d+) \* time.Millisecond`, milliseconds(d.TickEvery)},
 		{"internal/controlplane/membership.go", `rollGather += (\d+) \* time.Millisecond`, milliseconds(d.GatherEvery)},
-		{"internal/signals/tell.go", `evidenceEvery = (\d+) \* time.Millisecond`, milliseconds(d.HealthEvery)},
-		{"internal/signals/signals.go", `foundFor += (\d+) \* time.Millisecond`, milliseconds(d.HealthFoundEvery)},
-		{"internal/signals/signals.go", `foundEach = (\d+) \* time.Microsecond`, strconv.FormatInt(d.HealthFoundEach.Microseconds(), 10)},
+		{"internal/health/tell.go", `evidenceEvery = (\d+) \* time.Millisecond`, milliseconds(d.HealthEvery)},
+		{"internal/health/signals.go", `foundFor += (\d+) \* time.Millisecond`, milliseconds(d.HealthFoundEvery)},
+		{"internal/health/signals.go", `foundEach = (\d+) \* time.Microsecond`, strconv.FormatInt(d.HealthFoundEach.Microseconds(), 10)},
 		{"internal/fleet/fleet.go", `PurgeKeepMS = (\d+) \* 60 \* 1000`, strconv.Itoa(int(d.PurgeKept.Minutes()))},
-		{"internal/protocol/bulletin/bulletin.go", `maxBody = (\d+) << 20`, strconv.Itoa(int(d.LargestAnswer) >> 20)},
+		{"internal/protocol/discovery/bulletin.go", `maxBody = (\d+) << 20`, strconv.Itoa(int(d.LargestAnswer) >> 20)},
 	} {
 		text, err := os.ReadFile(root + x.file)
 		if err != nil {
--- a/internal/capacity/failures.go
+++ b/internal/tools/capacity/failures.go
@@ -1,7 +1,7 @@
 package capacity
 
 // reconnectLongest is the longest pause of a director before it dials again after it has lost its watch, in seconds: see the pause
-// in internal/program/timing.go.
+// in internal/director/timing.go.
 func (c *calculation) reconnectLongest() float64 {
 	spread := min(float64(c.Directors-1)*c.ReconnectSpread.Seconds(), c.ReconnectSpreadMax.Seconds())
 	return 1.5*c.ReconnectRetry.Seconds() + spread
--- a/internal/capacity/measure/director.go
+++ b/internal/tools/capacity/measure/director.go
@@ -9,13 +9,13 @@
 	"sync"
 	"time"
 
-	"stairvane.org/stairvane/internal/capacity"
-	"stairvane.org/stairvane/internal/config"
-	"stairvane.org/stairvane/internal/program"
-	"stairvane.org/stairvane/internal/protocol/bulletin"
+	"stairvane.org/stairvane/internal/director"
+	"stairvane.org/stairvane/internal/director/config"
+	"stairvane.org/stairvane/internal/director/routing"
+	"stairvane.org/stairvane/internal/health"
+	"stairvane.org/stairvane/internal/protocol/discovery"
 	"stairvane.org/stairvane/internal/quota"
-	"stairvane.org/stairvane/internal/routing"
-	"stairvane.org/stairvane/internal/signals"
+	"stairvane.org/stairvane/internal/tools/capacity"
 	"stairvane.org/stairvane/internal/transport"
 )
 
@@ -50,32 +50,32 @@
 
 // hostFeed, purgeFeed and memberFeed are the bodies of answers.
 func hostFeed(caches int) []byte {
-	return encodeFeed(bulletin.Event{Revision: 1, Endpoints: &bulletin.EndpointList{Sequence: 1, Snapshot: true, Endpoints: wireHosts(caches)}})
+	return encodeFeed(discovery.Event{Revision: 1, Endpoints: &discovery.EndpointList{Sequence: 1, Snapshot: true, Endpoints: wireHosts(caches)}})
 }
 
 func purgeFeed(purges int) []byte {
-	var items []bulletin.Event
+	var items []discovery.Event
 	now := float64(time.Now().UnixMilli())
 	for i := range purges {
-		items = append(items, bulletin.Event{Revision: int64(i + 1), Purge: &bulletin.Purge{Object: objectName(i), IssuedMS: now}})
+		items = append(items, discovery.Event{Revision: int64(i + 1), Purge: &discovery.Purge{Object: objectName(i), IssuedMS: now}})
 	}
 	return encodeFeed(items...)
 }
 
 // memberFeed is the membership as a whole, and so many directors that join one by one afterwards.
 func memberFeed(directors, joining int) []byte {
-	items := []bulletin.Event{{Revision: 1, Endpoints: &bulletin.EndpointList{Sequence: 1, Snapshot: true},
-		Membership: &bulletin.Membership{Snapshot: true, Joined: wireDirectors(directors)}}}
+	items := []discovery.Event{{Revision: 1, Endpoints: &discovery.EndpointList{Sequence: 1, Snapshot: true},
+		Membership: &discovery.Membership{Snapshot: true, Joined: wireDirectors(directors)}}}
 	for i := range joining {
 		no := int64(i + 2)
-		joined := []bulletin.Director{bulletin.Director(directorOf(directors + i))}
-		items = append(items, bulletin.Event{Revision: no, Endpoints: &bulletin.EndpointList{Sequence: no}, Membership: &bulletin.Membership{Joined: joined}})
+		joined := []discovery.Director{discovery.Director(directorOf(directors + i))}
+		items = append(items, discovery.Event{Revision: no, Endpoints: &discovery.EndpointList{Sequence: no}, Membership: &discovery.Membership{Joined: joined}})
 	}
 	return encodeFeed(items...)
 }
 
-func encodeFeed(items ...bulletin.Event) []byte {
-	body, err := json.Marshal(bulletin.WatchResponse{LastRevision: items[len(items)-1].Revision, Events: items})
+func encodeFeed(items ...discovery.Event) []byte {
+	body, err := json.Marshal(discovery.WatchResponse{LastRevision: items[len(items)-1].Revision, Events: items})
 	if err != nil {
 		panic(err) // texts and numbers
 	}
@@ -83,10 +83,10 @@
 }
 
 // startProgram makes a director process that has taken in a feed, but serves nobody.
-func startProgram(feed bulletin.WatchResponse) (*program.Program, error) {
+func startProgram(feed discovery.WatchResponse) (*director.Program, error) {
 	loopback := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), 0)
 	nobody := netip.AddrPortFrom(loopback.Addr(), 1)
-	return program.New(config.Config{
+	return director.New(config.Config{
 		Name: "director-0000", Listen: loopback, Discovery: nobody, Seed: 1, MemoryMB: 192, Sockets: 1024,
 		Known: feed, Settings: settings(usualDirectors),
 		Membership: &config.Membership{Machine: "machine-0000", Site: "site-000", Incarnation: "QHTNMB5WJ6RZ3XKDVC2YFA0000", Version: "v1.18.0", Health: true},
@@ -94,18 +94,18 @@
 }
 
 // stopProgram has a director leave, which takes it about a second.
-func stopProgram(p *program.Program) error {
+func stopProgram(p *director.Program) error {
 	p.Post(p.Leave)
 	return p.Run()
 }
 
 // programHeap is the heap of a director process that has taken in a body. What it was read from is not counted.
 func programHeap(body []byte) (float64, error) {
-	var p *program.Program
+	var p *director.Program
 	var err error
 	heap := heapOf(func() any {
-		var feed bulletin.WatchResponse
-		if feed, err = bulletin.Decode(body); err != nil {
+		var feed discovery.WatchResponse
+		if feed, err = discovery.Decode(body); err != nil {
 			return nil
 		}
 		p, err = startProgram(feed)
@@ -162,11 +162,11 @@
 
 // startTime is the time in which a director process takes in a body at its start.
 func startTime(body []byte) (float64, error) {
-	feed, err := bulletin.Decode(body)
+	feed, err := discovery.Decode(body)
 	if err != nil {
 		return 0, err
 	}
-	var started []*program.Program
+	var started []*director.Program
 	took := timeOnce(nil, func() {
 		p, fault := startProgram(feed)
 		if fault != nil {
@@ -184,11 +184,11 @@
 	return took, errors.Join(append(faults, err)...)
 }
 
-// caller is a director's side of watch calls: what internal/program puts into each, and takes out of each answer.
+// caller is a director's side of watch calls: what internal/director puts into each, and takes out of each answer.
 type caller struct {
-	own     bulletin.Director
+	own     discovery.Director
 	holder  *quota.Holder
-	witness *signals.Reporter
+	witness *health.Reporter
 	cold    []string
 	request []byte
 	now     time.Duration
@@ -197,8 +197,8 @@
 }
 
 func newCaller(cold int) *caller {
-	own := bulletin.Director(directorOf(7))
-	return &caller{own: own, holder: quota.NewHolder(own.ID(), quotaSettings), witness: signals.NewReporter(signals.DefaultSettings, own.ID()),
+	own := discovery.Director(directorOf(7))
+	return &caller{own: own, holder: quota.NewHolder(own.ID(), quotaSettings), witness: health.NewReporter(health.DefaultSettings, own.ID()),
 		cold: coldLimits(cold), now: time.Hour}
 }
 
@@ -208,12 +208,12 @@
 	for _, name := range c.cold {
 		c.holder.Want(quota.Want{Limit: name, Kind: quota.Rate, Demand: 0.0123456789})
 	}
-	announcement := bulletin.Announcement{Director: c.own, MembershipRevision: 1234567, Config: "9c1185a5c5e9fc54"}
+	announcement := discovery.Announcement{Director: c.own, MembershipRevision: 1234567, Config: "9c1185a5c5e9fc54"}
 	renewal := c.holder.Renewal(c.now)
 	c.sequence = renewal.Seq
 	announcement.QuotaRenewal = mustJSON(renewal)
 	announcement.HealthReport = mustJSON(c.witness.Report(c.now))
-	c.request = bulletin.AppendRequest(c.request[:0], "10.1.2.3:7000", 12345678, 100, mustJSON(announcement))
+	c.request = discovery.AppendRequest(c.request[:0], "10.1.2.3:7000", 12345678, 100, mustJSON(announcement))
 	return c.request
 }
 
@@ -223,9 +223,9 @@
 	for _, name := range c.cold {
 		grant.Parts = append(grant.Parts, quota.Share{Limit: name, Part: 0.00022857142857142857})
 	}
-	body := append(bulletin.Opening(12345678), "],\"turns\":"...)
+	body := append(discovery.Opening(12345678), "],\"turns\":"...)
 	body = append(append(body, mustJSON(grant)...), '}')
-	return append(bulletin.AppendHead(nil, 200, len(body), false), body...)
+	return append(discovery.AppendHead(nil, 200, len(body), false), body...)
 }
 
 // directorCallTime reads one answer again and again, as if it were that to the last call.
@@ -236,12 +236,12 @@
 	var fault error
 	took := timeOf(func(n int) {
 		c.call()
-		response, used, _, err := bulletin.ParseResponse(answer)
+		response, used, _, err := discovery.ParseResponse(answer)
 		if err != nil || used == 0 {
 			fault = fmt.Errorf("answer: %d bytes used: %w", used, err)
 			return
 		}
-		feed, err := bulletin.Decode(response.Body)
+		feed, err := discovery.Decode(response.Body)
 		var grant quota.Grant
 		if err == nil {
 			err = json.Unmarshal(feed.QuotaGrant, &grant)
@@ -260,7 +260,7 @@
 }
 
 func reportBytes(caches int) (float64, error) {
-	witness := signals.NewReporter(signals.DefaultSettings, directorOf(7).ID())
+	witness := health.NewReporter(health.DefaultSettings, directorOf(7).ID())
 	empty := len(mustJSON(witness.Report(0)))
 	for i := range caches {
 		witness.Record(cacheName(i), 23, 0, 0.0123)
--- a/internal/capacity/measure/fixtures.go
+++ b/internal/tools/capacity/measure/fixtures.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"time"
 
-	"stairvane.org/stairvane"
+	"stairvane.org/stairvane/internal/decision"
 	"stairvane.org/stairvane/internal/fleet"
-	"stairvane.org/stairvane/internal/protocol/bulletin"
+	"stairvane.org/stairvane/internal/protocol/discovery"
 	"stairvane.org/stairvane/internal/quota"
 )
 
@@ -20,21 +20,21 @@
 	groupsOfPurges = 256
 )
 
-// quotaSettings are those of directors and leader, see internal/program.
+// quotaSettings are those of directors and leader, see internal/director.
 var quotaSettings = quota.Settings{
 	Lease: 400 * time.Millisecond, Drift: 0.02, Reserve: 0.2, Fades: 20 * time.Second, Floor: 0.2, Hold: 0.05,
 }
 
 // settings are those of a director of one zone, with the operators' times.
-func settings(directors int) stairvane.Settings {
-	return stairvane.Settings{
+func settings(directors int) decision.Settings {
+	return decision.Settings{
 		Zone: zoneName(0), Zones: []string{zoneName(0)}, Kinds: []string{"cache", "parent", "origin"}, ParentKind: 1, OriginKind: 2,
 		Directors: directors, DirectorsByZone: []int{max(1, directors/usualZones)}, FlowKBPerS: 1000,
-		WeightMode: stairvane.WeightModeOff, CacheStatusMode: stairvane.CacheStatusModeHits, JoinsFills: true, Cancel: true, RetryAfter: true,
+		WeightMode: decision.WeightModeOff, CacheStatusMode: decision.CacheStatusModeHits, JoinsFills: true, Cancel: true, RetryAfter: true,
 		MaxAttempts: 6, MaxRetryAfter: 700 * time.Millisecond, DialTimeout: 400 * time.Millisecond,
 		DrainGrace: 250 * time.Millisecond, PurgeGrace: 300 * time.Millisecond, PurgeDone: 5300 * time.Millisecond,
-		Classes: []stairvane.Class{{Name: "clips", LatencyObjective: 400 * time.Millisecond, ObjectiveStretch: 2, Deadline: 6 * time.Second, PriorityWeight: 1,
-			Idempotency: stairvane.Idempotent}},
+		Classes: []decision.Class{{Name: "clips", LatencyObjective: 400 * time.Millisecond, ObjectiveStretch: 2, Deadline: 6 * time.Second, PriorityWeight: 1,
+			Idempotency: decision.Idempotent}},
 	}
 }
 
@@ -45,10 +45,10 @@
 func cacheAddress(i int) string { return fmt.Sprintf("10.%d.%d.7:9000", i/250, i%250) }
 
 // wireHosts are so many caches as the watch protocol lists them.
-func wireHosts(caches int) []bulletin.Endpoint {
-	hosts := make([]bulletin.Endpoint, 0, caches)
+func wireHosts(caches int) []discovery.Endpoint {
+	hosts := make([]discovery.Endpoint, 0, caches)
 	for i := range caches {
-		hosts = append(hosts, bulletin.Endpoint{Name: cacheName(i), Address: cacheAddress(i), Site: zoneName(i), Class: "cache", Block: i % 8,
+		hosts = append(hosts, discovery.Endpoint{Name: cacheName(i), Address: cacheAddress(i), Site: zoneName(i), Class: "cache", Block: i % 8,
 			Health: "in_service", Share: 1})
 	}
 	return hosts
@@ -70,10 +70,10 @@
 	return all
 }
 
-func wireDirectors(count int) []bulletin.Director {
-	all := make([]bulletin.Director, 0, count)
+func wireDirectors(count int) []discovery.Director {
+	all := make([]discovery.Director, 0, count)
 	for i := range count {
-		all = append(all, bulletin.Director(directorOf(i)))
+		all = append(all, discovery.Director(directorOf(i)))
 	}
 	return all
 }
--- a/internal/capacity/measure/leader.go
+++ b/internal/tools/capacity/measure/leader.go
@@ -6,13 +6,13 @@
 	"runtime"
 	"time"
 
-	"stairvane.org/stairvane/internal/audit/adoption"
-	"stairvane.org/stairvane/internal/capacity"
+	"stairvane.org/stairvane/internal/controlplane/adoption"
 	"stairvane.org/stairvane/internal/controlplane/api"
+	"stairvane.org/stairvane/internal/controlplane/membership"
 	"stairvane.org/stairvane/internal/fleet"
-	"stairvane.org/stairvane/internal/membership"
+	"stairvane.org/stairvane/internal/health"
 	"stairvane.org/stairvane/internal/quota"
-	"stairvane.org/stairvane/internal/signals"
+	"stairvane.org/stairvane/internal/tools/capacity"
 )
 
 // trackerSettings are those of the leader, see internal/controlplane/membership.go.
@@ -138,9 +138,9 @@
 
 // reporters are directors that report on the caches of their zones in turn, each twice a second; one cache in 50 fails at times.
 type reporters struct {
-	merger *signals.Aggregator
+	merger *health.Aggregator
 	ids    []string
-	places []signals.Place
+	places []health.Place
 	caches [][]string // by zone
 	seq    uint64
 	next   int
@@ -149,11 +149,11 @@
 
 // newReporters has each director report once.
 func newReporters(directors int) *reporters {
-	r := &reporters{merger: signals.NewAggregator(signals.DefaultSettings, 1), now: time.Hour, seq: 1}
+	r := &reporters{merger: health.NewAggregator(health.DefaultSettings, 1), now: time.Hour, seq: 1}
 	for i := range directors {
 		d := directorOf(i)
 		r.ids = append(r.ids, d.ID())
-		r.places = append(r.places, signals.Place{Machine: d.Machine, Location: d.Location})
+		r.places = append(r.places, health.Place{Machine: d.Machine, Location: d.Location})
 	}
 	for zone := range usualZones {
 		var names []string
@@ -171,9 +171,9 @@
 func (r *reporters) report() {
 	i := r.next
 	zone := i % usualZones
-	report := signals.Report{Holder: r.ids[i], Seq: r.seq, Caches: make([]signals.Outcomes, 0, cachesOfZone)}
+	report := health.Report{Holder: r.ids[i], Seq: r.seq, Caches: make([]health.Outcomes, 0, cachesOfZone)}
 	for k, name := range r.caches[zone] {
-		evidence := signals.Outcomes{Cache: name, Attempts: 12, LagMS: 12}
+		evidence := health.Outcomes{Cache: name, Attempts: 12, LagMS: 12}
 		if (k*usualZones+zone)%50 == 0 {
 			evidence.Failures = float64((i + int(r.seq)) % 12)
 		}
--- a/internal/capacity/measure/measure.go
+++ b/internal/tools/capacity/measure/measure.go
@@ -12,7 +12,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"stairvane.org/stairvane/internal/capacity"
+	"stairvane.org/stairvane/internal/tools/capacity"
 )
 
 // Measure is one law to be measured: At gives the value at a size.
--- a/internal/capacity/measure/measure_test.go
+++ b/internal/tools/capacity/measure/measure_test.go
@@ -13,12 +13,12 @@
 	"testing"
 	"time"
 
-	"stairvane.org/stairvane/internal/capacity"
+	"stairvane.org/stairvane/internal/tools/capacity"
 )
 
 const (
-	slopesFile = "../../../docs/design/capacity-slopes.json"
-	command    = "STAIRVANE_MEASURE=1 go test -run TestMeasureSlopes -v ./internal/capacity/..."
+	slopesFile = "../../../../docs/design/capacity-slopes.json"
+	command    = "STAIRVANE_MEASURE=1 go test -run TestMeasureSlopes -v ./internal/tools/capacity/..."
 )
 
 // The points of all laws, by command alone: STAIRVANE_MEASURE=1 measures, and writes them to docs/design/capacity-slopes.json, where
--- a/internal/capacity/measure/module.go
+++ b/internal/tools/capacity/measure/module.go
@@ -6,8 +6,8 @@
 	"strconv"
 	"time"
 
-	"stairvane.org/stairvane"
-	"stairvane.org/stairvane/internal/capacity"
+	"stairvane.org/stairvane/internal/decision"
+	"stairvane.org/stairvane/internal/tools/capacity"
 )
 
 func moduleMeasures() []Measure {
@@ -23,38 +23,38 @@
 
 // module is a decision module with the caches of one zone, two parents and an origin.
 type module struct {
-	router *stairvane.Router
+	router *decision.Router
 	now    time.Duration
 	sweep  time.Duration // when it asked to be woken next
 	asked  int           // requests so far
 }
 
 func newModule() *module {
-	m := &module{router: stairvane.NewRouter(settings(usualDirectors), 1), now: time.Hour}
+	m := &module{router: decision.NewRouter(settings(usualDirectors), 1), now: time.Hour}
 	m.take(m.router.Start(m.now))
-	list := []stairvane.Endpoint{{Host: 900, Zone: "hub", Kind: "origin"}}
+	list := []decision.Endpoint{{Host: 900, Zone: "hub", Kind: "origin"}}
 	for i := range 2 {
-		list = append(list, stairvane.Endpoint{Host: stairvane.HostID(500 + i), Zone: "hub", Kind: "parent"})
+		list = append(list, decision.Endpoint{Host: decision.HostID(500 + i), Zone: "hub", Kind: "parent"})
 	}
 	for i := range cachesOfZone {
-		list = append(list, stairvane.Endpoint{Host: stairvane.HostID(100 + i), Zone: zoneName(0), Kind: "cache", Cell: i})
+		list = append(list, decision.Endpoint{Host: decision.HostID(100 + i), Zone: zoneName(0), Kind: "cache", Cell: i})
 	}
 	for i := range list {
-		list[i].Readiness, list[i].Weight = stairvane.Ready, 1
+		list[i].Readiness, list[i].Weight = decision.Ready, 1
 	}
-	m.take(m.router.Handle(m.now, stairvane.EndpointUpdate{Kind: stairvane.UpdateSnapshot, Version: 1, Endpoints: list}))
+	m.take(m.router.Handle(m.now, decision.EndpointUpdate{Kind: decision.UpdateSnapshot, Version: 1, Endpoints: list}))
 	return m
 }
 
 // take notes the module's upkeep among actions, and gives the attempts.
-func (m *module) take(actions []stairvane.Action) (attempts []stairvane.StartAttempt) {
+func (m *module) take(actions []decision.Action) (attempts []decision.StartAttempt) {
 	for _, action := range actions {
 		switch a := action.(type) {
-		case stairvane.SetTimer:
+		case decision.SetTimer:
 			if a.Token == "sweep" {
 				m.sweep = m.now + a.Delay
 			}
-		case stairvane.StartAttempt:
+		case decision.StartAttempt:
 			attempts = append(attempts, a)
 		}
 	}
@@ -62,10 +62,10 @@
 }
 
 // ask takes in a request for an object that nobody has asked for before.
-func (m *module) ask() []stairvane.StartAttempt {
+func (m *module) ask() []decision.StartAttempt {
 	m.asked++
-	return m.take(m.router.Handle(m.now, stairvane.Request{
-		ID: stairvane.RequestID(strconv.Itoa(m.asked)), Object: stairvane.ObjectID(0x9e3779b97f4a7c15 * uint64(m.asked)), PurgeGroup: m.asked % 251,
+	return m.take(m.router.Handle(m.now, decision.Request{
+		ID: decision.RequestID(strconv.Itoa(m.asked)), Object: decision.ObjectID(0x9e3779b97f4a7c15 * uint64(m.asked)), PurgeGroup: m.asked % 251,
 		Class: "clips", SizeKB: 200, TimeLeft: 6 * time.Second,
 	}))
 }
@@ -89,8 +89,8 @@
 		return 0, err
 	}
 	return timeOf(func(n int) {
-		object := stairvane.ObjectID(0xd1b54a32d192ed03 * uint64(n%1000+1))
-		m.router.Handle(m.now, stairvane.Purge{Object: object})
+		object := decision.ObjectID(0xd1b54a32d192ed03 * uint64(n%1000+1))
+		m.router.Handle(m.now, decision.Purge{Object: object})
 	}), nil
 }
 
@@ -117,10 +117,10 @@
 				return m
 			}
 			a := attempts[0]
-			m.take(m.router.Handle(m.now, stairvane.AttemptResult{Request: a.Request, Terminal: true, Host: a.Host, Status: stairvane.OK,
-				CacheStatus: stairvane.CacheStatusHit, Elapsed: time.Millisecond, FirstByte: time.Millisecond}))
+			m.take(m.router.Handle(m.now, decision.AttemptResult{Request: a.Request, Terminal: true, Host: a.Host, Status: decision.OK,
+				CacheStatus: decision.CacheStatusHit, Elapsed: time.Millisecond, FirstByte: time.Millisecond}))
 			if m.now >= m.sweep {
-				m.take(m.router.Handle(m.now, stairvane.TimerFired{Token: "sweep"}))
+				m.take(m.router.Handle(m.now, decision.TimerFired{Token: "sweep"}))
 			}
 		}
 		runtime.GC()
--- a/internal/capacity/measure/operator.go
+++ b/internal/tools/capacity/measure/operator.go
@@ -4,10 +4,10 @@
 	"fmt"
 	"time"
 
-	"stairvane.org/stairvane/internal/audit/adoption"
-	"stairvane.org/stairvane/internal/capacity"
+	"stairvane.org/stairvane/internal/controlplane/adoption"
 	"stairvane.org/stairvane/internal/controlplane/api"
 	"stairvane.org/stairvane/internal/fleet"
+	"stairvane.org/stairvane/internal/tools/capacity"
 )
 
 func operatorMeasures() []Measure {
--- a/internal/capacity/measure/relay.go
+++ b/internal/tools/capacity/measure/relay.go
@@ -4,10 +4,10 @@
 	"fmt"
 	"time"
 
-	"stairvane.org/stairvane/internal/audit/adoption"
-	"stairvane.org/stairvane/internal/capacity"
+	"stairvane.org/stairvane/internal/controlplane/adoption"
+	"stairvane.org/stairvane/internal/controlplane/relaysession"
 	"stairvane.org/stairvane/internal/quota"
-	"stairvane.org/stairvane/internal/relay"
+	"stairvane.org/stairvane/internal/tools/capacity"
 )
 
 // relaySizes are directors of one relay; few are relays.
@@ -48,7 +48,7 @@
 
 // quotaTreeOf is a tree in which all directors have renewed, and have been granted something.
 func quotaTreeOf(directors int) (*quotaTree, error) {
-	t := &quotaTree{root: quota.NewAllocator(relay.QuotaSettings, 1, time.Hour, true), node: quota.NewNode("relay-1/1", relay.QuotaSettings), now: time.Hour}
+	t := &quotaTree{root: quota.NewAllocator(relaysession.QuotaSettings, 1, time.Hour, true), node: quota.NewNode("relay-1/1", relaysession.QuotaSettings), now: time.Hour}
 	limits := coldLimits(relayLimits)
 	for i := range directors {
 		r := renewalOf(directorOf(i).ID(), 1, limits)
@@ -109,7 +109,7 @@
 
 // renewalOfRelaysTime has relays renew in turn, each after 50 ms.
 func renewalOfRelaysTime(relays int) (float64, error) {
-	allocator := quota.NewAllocator(relay.QuotaSettings, 1, time.Hour, true)
+	allocator := quota.NewAllocator(relaysession.QuotaSettings, 1, time.Hour, true)
 	renewals := make([]quota.Renewal, relays)
 	for i := range renewals {
 		renewals[i] = renewalOf(fmt.Sprintf("relay-%d/1", i), 1, coldLimits(relayLimits))
--- a/internal/capacity/measure/replica.go
+++ b/internal/tools/capacity/measure/replica.go
@@ -9,15 +9,15 @@
 	"sync"
 	"time"
 
-	"stairvane.org/stairvane/internal/capacity"
 	"stairvane.org/stairvane/internal/controlplane/acknowledged"
 	"stairvane.org/stairvane/internal/controlplane/api"
-	"stairvane.org/stairvane/internal/controlplane/history"
+	"stairvane.org/stairvane/internal/controlplane/eventlog"
+	"stairvane.org/stairvane/internal/controlplane/membership"
 	"stairvane.org/stairvane/internal/controlplane/store"
 	"stairvane.org/stairvane/internal/fleet"
-	"stairvane.org/stairvane/internal/membership"
-	"stairvane.org/stairvane/internal/protocol/bulletin"
+	"stairvane.org/stairvane/internal/protocol/discovery"
 	"stairvane.org/stairvane/internal/quota"
+	"stairvane.org/stairvane/internal/tools/capacity"
 )
 
 var (
@@ -53,8 +53,8 @@
 func historyHeap(events int) (float64, error) {
 	var err error
 	heap := heapOf(func() any {
-		var log *history.Log
-		log, err = history.New(1, nil, fleet.Fleet{}, keepAll)
+		var log *eventlog.Log
+		log, err = eventlog.New(1, nil, fleet.Fleet{}, keepAll)
 		for no := int64(1); err == nil && no <= int64(events); no++ {
 			err = log.Add([]fleet.Event{purgeEvent(no, 1_790_000_000_000)}, fleet.Fleet{Revision: no})
 		}
@@ -127,7 +127,7 @@
 
 // answerTime is what the watch server does for one event: it adds it and answers all that wait.
 func answerTime(watchers int) (float64, error) {
-	log, err := history.New(1, nil, fleet.Fleet{}, 10_000)
+	log, err := eventlog.New(1, nil, fleet.Fleet{}, 10_000)
 	if err != nil {
 		return 0, err
 	}
@@ -145,7 +145,7 @@
 				fault = fmt.Errorf("answer of %d bytes: %w", size, err)
 				return
 			}
-			out = bulletin.AppendHead(out[:0], 200, size, false)
+			out = discovery.AppendHead(out[:0], 200, size, false)
 			for _, part := range parts {
 				out = append(out, part...)
 			}
@@ -163,7 +163,7 @@
 	if err != nil {
 		return 0, err
 	}
-	log, err := history.New(f.Revision+1, nil, f, keepAll)
+	log, err := eventlog.New(f.Revision+1, nil, f, keepAll)
 	if err != nil {
 		return 0, err
 	}
@@ -186,11 +186,11 @@
 	c := newCaller(cold)
 	call := append([]byte(nil), c.call()...)
 	answer := append([]byte(nil), c.answer()...)
-	response, _, _, err := bulletin.ParseResponse(answer)
+	response, _, _, err := discovery.ParseResponse(answer)
 	if err != nil {
 		return 0, err
 	}
-	feed, err := bulletin.Decode(response.Body)
+	feed, err := discovery.Decode(response.Body)
 	if err != nil {
 		return 0, err
 	}
@@ -202,7 +202,7 @@
 	var fault error
 	var out []byte
 	took := timeOf(func(n int) {
-		parsed, used, _, err := bulletin.ParseWatchRequest(call)
+		parsed, used, _, err := discovery.ParseWatchRequest(call)
 		var renewal quota.Renewal
 		if err == nil {
 			err = json.Unmarshal(parsed.Announcement.QuotaRenewal, &renewal)
@@ -213,9 +213,9 @@
 		}
 		director := fleet.Director(parsed.Announcement.Director)
 		tracker.RecordHeartbeat(membership.Heartbeat{ID: director.ID(), Director: &director, At: time.Duration(n) * time.Millisecond, Applied: parsed.After})
-		body := append(bulletin.Opening(parsed.After), "],\"turns\":"...)
+		body := append(discovery.Opening(parsed.After), "],\"turns\":"...)
 		body = append(append(body, mustJSON(grant)...), '}')
-		out = append(bulletin.AppendHead(out[:0], 200, len(body), false), body...)
+		out = append(discovery.AppendHead(out[:0], 200, len(body), false), body...)
 	})
 	return took, fault
 }
--- a/internal/capacity/measure/wire.go
+++ b/internal/tools/capacity/measure/wire.go
@@ -4,9 +4,9 @@
 	"errors"
 	"fmt"
 
-	"stairvane.org/stairvane/internal/capacity"
-	"stairvane.org/stairvane/internal/controlplane/history"
+	"stairvane.org/stairvane/internal/controlplane/eventlog"
 	"stairvane.org/stairvane/internal/fleet"
+	"stairvane.org/stairvane/internal/tools/capacity"
 )
 
 var eventSizes = []int{1, 10, 100, 1000, 3000}
@@ -34,14 +34,14 @@
 }
 
 // logOf is a history that begins after a base of one event, which a watcher is taken to have.
-func logOf(events []fleet.Event) (*history.Log, error) {
+func logOf(events []fleet.Event) (*eventlog.Log, error) {
 	after := fleet.Fleet{Revision: int64(1 + len(events))}
 	base := fleet.Event{No: 1, Rules: &fleet.Rules{}}
-	return history.New(1, append([]fleet.Event{base}, events...), after, keepAll)
+	return eventlog.New(1, append([]fleet.Event{base}, events...), after, keepAll)
 }
 
 // answerBytes is the size of the answer to a watcher that announces itself and has all events up to a number.
-func answerBytes(log *history.Log, after int64) (float64, error) {
+func answerBytes(log *eventlog.Log, after int64) (float64, error) {
 	_, size, err := log.Answer(after, true)
 	if err == nil && size == 0 {
 		err = errors.New("the answer is empty")
@@ -84,7 +84,7 @@
 		return 0, err
 	}
 	size, err := answerBytes(log, 1)
-	if err == nil && size > history.MaxAnswer+1000 && len(events) > 1 {
+	if err == nil && size > eventlog.MaxAnswer+1000 && len(events) > 1 {
 		err = fmt.Errorf("%d events take more than one answer", len(events))
 	}
 	return size, err
@@ -95,7 +95,7 @@
 	if err != nil {
 		return 0, err
 	}
-	log, err := history.New(f.Revision+1, nil, f, keepAll)
+	log, err := eventlog.New(f.Revision+1, nil, f, keepAll)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/standin/cache.go
+++ b/internal/tools/fakes/cache.go
@@ -1,6 +1,6 @@
 // Package standin is the one place for stand-ins: caches that answer everything at once and note what they were asked,
 // and clients that put a steady load on a director. They serve tests and quick starts; they are no models of real boxes.
-package standin
+package fakes
 
 import (
 	"bufio"
--- a/internal/fleetsim/fleetsim.go
+++ b/internal/tools/fleetsim/fleetsim.go
@@ -10,8 +10,8 @@
 	"math/rand/v2"
 	"time"
 
+	"stairvane.org/stairvane/internal/controlplane/membership"
 	"stairvane.org/stairvane/internal/fleet"
-	"stairvane.org/stairvane/internal/membership"
 	"stairvane.org/stairvane/internal/quota"
 )
 
--- a/internal/scale/cluster.go
+++ b/internal/tools/scale/cluster.go
@@ -14,9 +14,9 @@
 
 	"stairvane.org/stairvane/internal/controlplane/api"
 	"stairvane.org/stairvane/internal/fleet"
-	"stairvane.org/stairvane/internal/scale/hollow"
-	"stairvane.org/stairvane/internal/standin"
-	"stairvane.org/stairvane/internal/standin/rig"
+	"stairvane.org/stairvane/internal/tools/fakes"
+	"stairvane.org/stairvane/internal/tools/scale/simulated"
+	"stairvane.org/stairvane/internal/tools/testharness"
 )
 
 // Roles of processes.
@@ -46,7 +46,7 @@
 
 // member is a process of the run with its role.
 type member struct {
-	*rig.Process
+	*testharness.Process
 	role    string
 	address string // of its watch server, or of a hollow process's control server
 }
@@ -55,11 +55,11 @@
 type cluster struct {
 	set       Settings
 	folder    string
-	group     *rig.Cluster
+	group     *testharness.Cluster
 	relays    []*member
-	directors []*rig.Director
+	directors []*testharness.Director
 	hollows   []*member
-	caches    []*standin.Cache
+	caches    []*fakes.Cache
 	control   *http.Client
 }
 
@@ -74,7 +74,7 @@
 }
 
 func (c *cluster) startAll() (err error) {
-	if c.group, err = rig.NewCluster(c.set.Program, c.folder, c.set.Replicas, 0); err != nil {
+	if c.group, err = testharness.NewCluster(c.set.Program, c.folder, c.set.Replicas, 0); err != nil {
 		return err
 	}
 	c.group.Relays = c.set.Relays > 0
@@ -99,7 +99,7 @@
 }
 
 func (c *cluster) start(spec processSpec, role string) (*member, error) {
-	p, err := rig.Start(spec.name, c.set.Program, spec.args, nil)
+	p, err := testharness.Start(spec.name, c.set.Program, spec.args, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -169,7 +169,7 @@
 }
 
 // replicaWatch is the address of a replica's own watch server.
-func replicaWatch(b *rig.Replica) (netip.AddrPort, error) {
+func replicaWatch(b *testharness.Replica) (netip.AddrPort, error) {
 	serves, _, err := b.Event("board.serves", 0, startWithin)
 	if err != nil {
 		return netip.AddrPort{}, err
@@ -187,7 +187,7 @@
 	first := 0
 	for i := range c.set.Processes {
 		share := count * (i + 1) / c.set.Processes
-		set := hollow.Settings{
+		set := simulated.Settings{
 			Addresses: addresses, First: first, Count: share - first, Total: count, ColdCaches: c.set.ColdCaches, Demand: c.set.Demand,
 			Zipf: c.set.Zipf, Crowd: cmp.Or(c.set.Crowd, count), Seed: c.set.Seed, StartPerSecond: c.set.StartPerSecond,
 		}
@@ -201,7 +201,7 @@
 		if err := os.WriteFile(file, text, 0o600); err != nil {
 			return err
 		}
-		spec := processSpec{name: name, args: []string{"scale", "hollow", file}, event: hollow.ServesEvent, addressKey: hollow.ControlKey}
+		spec := processSpec{name: name, args: []string{"scale", "hollow", file}, event: simulated.ServesEvent, addressKey: simulated.ControlKey}
 		p, err := c.start(spec, RoleHollow)
 		if err != nil {
 			return err
@@ -251,7 +251,7 @@
 		{Name: "west-0", Role: fleet.Cache, Site: "west", Class: "std", Share: 4, Running: true},
 		{Name: "west-1", Role: fleet.Cache, Site: "west", Class: "std", Share: 4, Running: true},
 	} {
-		cache, err := standin.NewCache("127.0.0.1:0")
+		cache, err := fakes.NewCache("127.0.0.1:0")
 		if err != nil {
 			return err
 		}
@@ -294,7 +294,7 @@
 }
 
 // members are all processes with their roles as they are now.
-func (c *cluster) members(leader *rig.Replica) (all []*member) {
+func (c *cluster) members(leader *testharness.Replica) (all []*member) {
 	for _, b := range c.group.Replicas {
 		role := RoleReplica
 		if b == leader {
--- a/internal/scale/load.go
+++ b/internal/tools/scale/load.go
@@ -9,8 +9,8 @@
 	"stairvane.org/stairvane/internal/controlplane/api"
 	"stairvane.org/stairvane/internal/fleet"
 	"stairvane.org/stairvane/internal/fleet/plan"
-	"stairvane.org/stairvane/internal/scale/hollow"
-	"stairvane.org/stairvane/internal/standin/rig"
+	"stairvane.org/stairvane/internal/tools/scale/simulated"
+	"stairvane.org/stairvane/internal/tools/testharness"
 )
 
 const (
@@ -40,7 +40,7 @@
 
 // startLoad begins the load. Purges fall due at even times, whether or not those before are answered; one that no writer is free
 // for in a whole period counts as not accepted.
-func startLoad(group *rig.Cluster, set Settings) (*load, error) {
+func startLoad(group *testharness.Cluster, set Settings) (*load, error) {
 	ctx, stop := context.WithCancel(context.Background())
 	l := &load{stop: stop}
 	due := make(chan int64, purgeWriters)
@@ -63,7 +63,7 @@
 			case due <- n:
 			default:
 				l.mu.Lock()
-				l.failed = append(l.failed, hollow.Now())
+				l.failed = append(l.failed, simulated.Now())
 				l.mu.Unlock()
 			}
 		})
@@ -95,7 +95,7 @@
 }
 
 func (l *load) purge(client *api.Client, n int64) {
-	called := hollow.Now()
+	called := simulated.Now()
 	answer, err := client.Purge(fleet.Purge{Object: fmt.Sprintf("%016x", n)})
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -103,13 +103,13 @@
 		l.failed, l.lastFailure = append(l.failed, called), err
 		return
 	}
-	l.purges = append(l.purges, acceptedPurge{number: answer.Revision, called: called, accepted: hollow.Now()})
+	l.purges = append(l.purges, acceptedPurge{number: answer.Revision, called: called, accepted: simulated.Now()})
 }
 
 // change has the location's load go up and down. The write side takes changes of the configuration as plans alone, so that this
 // is the lightest one: a plan of one step.
 func (l *load) change(client *api.Client, n int64) {
-	called := hollow.Now()
+	called := simulated.Now()
 	err := change(client, func(w fleet.ObservedState) fleet.DesiredState {
 		wanted := w.DesiredState()
 		for i := range wanted.Locations {
--- a/internal/scale/memory_test.go
+++ b/internal/tools/scale/memory_test.go
@@ -6,16 +6,16 @@
 	"testing"
 	"time"
 
-	"stairvane.org/stairvane/internal/standin/rig"
+	"stairvane.org/stairvane/internal/tools/testharness"
 )
 
 func TestGuardMemoryCancelsARunThatUsesTooMuch(t *testing.T) {
-	p, err := rig.Start("idle", "/bin/sleep", []string{"60"}, nil)
+	p, err := testharness.Start("idle", "/bin/sleep", []string{"60"}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer p.Kill()
-	c := &cluster{group: &rig.Cluster{}, hollows: []*member{{Process: p, role: RoleHollow}}}
+	c := &cluster{group: &testharness.Cluster{}, hollows: []*member{{Process: p, role: RoleHollow}}}
 	for _, most := range []int64{1, machineMemory()} {
 		ctx, cancel := context.WithCancelCause(t.Context())
 		within, stop := context.WithTimeout(ctx, 4*memoryEvery)
--- a/internal/scale/parse_test.go
+++ b/internal/tools/scale/parse_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"stairvane.org/stairvane/internal/scale/hollow"
+	"stairvane.org/stairvane/internal/tools/scale/simulated"
 )
 
 func TestParseStat(t *testing.T) {
@@ -51,7 +51,7 @@
 	for name, change := range map[string]func(*Settings){
 		"no size":        func(s *Settings) { s.Directors = nil },
 		"directors":      func(s *Settings) { s.Directors = []int{100, MaxDirectors + 1} },
-		"in one process": func(s *Settings) { s.Directors = []int{2*hollow.MaxDirectors + 1} },
+		"in one process": func(s *Settings) { s.Directors = []int{2*simulated.MaxDirectors + 1} },
 		"processes":      func(s *Settings) { s.Relays = MaxProcesses },
 		"window":         func(s *Settings) { s.Window = MaxWindow + 1 },
 		"purges":         func(s *Settings) { s.PurgesPerSecond = MaxPurges + 1 },
--- a/internal/scale/run_test.go
+++ b/internal/tools/scale/run_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"stairvane.org/stairvane/internal/scale"
+	"stairvane.org/stairvane/internal/tools/scale"
 )
 
 var program string
--- a/internal/scale/settings.go
+++ b/internal/tools/scale/settings.go
@@ -9,7 +9,7 @@
 	"fmt"
 	"time"
 
-	"stairvane.org/stairvane/internal/scale/hollow"
+	"stairvane.org/stairvane/internal/tools/scale/simulated"
 )
 
 // Bounds of a run.
@@ -67,8 +67,8 @@
 		if size < 1 || size+s.RealDirectors > MaxDirectors {
 			return fmt.Errorf("scale: %d directors, at most %d are allowed", size, MaxDirectors)
 		}
-		if s.Processes < 1 || size < s.Processes || size > s.Processes*hollow.MaxDirectors {
-			return fmt.Errorf("scale: %d hollow directors in %d processes, 1 to %d are allowed in each", size, s.Processes, hollow.MaxDirectors)
+		if s.Processes < 1 || size < s.Processes || size > s.Processes*simulated.MaxDirectors {
+			return fmt.Errorf("scale: %d hollow directors in %d processes, 1 to %d are allowed in each", size, s.Processes, simulated.MaxDirectors)
 		}
 	}
 	processes := s.Replicas + s.Relays + s.RealDirectors + s.Processes
--- a/internal/scale/hollow/answers.go
+++ b/internal/tools/scale/simulated/answers.go
@@ -1,4 +1,4 @@
-package hollow
+package simulated
 
 import (
 	"bytes"
@@ -6,7 +6,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"stairvane.org/stairvane/internal/protocol/bulletin"
+	"stairvane.org/stairvane/internal/protocol/discovery"
 )
 
 // maxDecoded bounds the decoded answers that are kept.
@@ -18,13 +18,13 @@
 // answers decodes the answers to the directors of a process. On machines of their own each would decode its own; here the part
 // that many are sent alike is decoded once.
 type answers struct {
-	decoded map[uint64]bulletin.WatchResponse
+	decoded map[uint64]discovery.WatchResponse
 }
 
-func newAnswers() answers { return answers{decoded: map[uint64]bulletin.WatchResponse{}} }
+func newAnswers() answers { return answers{decoded: map[uint64]discovery.WatchResponse{}} }
 
 // decode decodes the body of an answer. The items must not be changed. An event that can't be read is an error.
-func (a *answers) decode(body []byte) (bulletin.WatchResponse, error) {
+func (a *answers) decode(body []byte) (discovery.WatchResponse, error) {
 	shared, grant := body, []byte(nil)
 	if at := bytes.LastIndex(body, personalPart); at >= 0 {
 		shared = body[:at+1]
@@ -38,7 +38,7 @@
 }
 
 // decodeShared decodes the shared part; cut tells that the closing brace is missing.
-func (a *answers) decodeShared(shared []byte, cut bool) (bulletin.WatchResponse, error) {
+func (a *answers) decodeShared(shared []byte, cut bool) (discovery.WatchResponse, error) {
 	key := xxhash.Sum64(shared)
 	if feed, known := a.decoded[key]; known {
 		return feed, nil
@@ -47,7 +47,7 @@
 	if cut {
 		whole = append(bytes.Clone(shared), '}')
 	}
-	feed, err := bulletin.Decode(whole)
+	feed, err := discovery.Decode(whole)
 	if err != nil {
 		return feed, err
 	}
--- a/internal/scale/hollow/director.go
+++ b/internal/tools/scale/simulated/director.go
@@ -1,4 +1,4 @@
-package hollow
+package simulated
 
 import (
 	"crypto/rand"
@@ -8,8 +8,8 @@
 	mathrand "math/rand/v2"
 	"time"
 
-	"stairvane.org/stairvane/internal/program"
-	"stairvane.org/stairvane/internal/protocol/bulletin"
+	"stairvane.org/stairvane/internal/director"
+	"stairvane.org/stairvane/internal/protocol/discovery"
 	"stairvane.org/stairvane/internal/quota"
 	"stairvane.org/stairvane/internal/transport"
 )
@@ -19,11 +19,11 @@
 
 var errSilent = errors.New("no answer in time")
 
-// director is one simulated director: a connection with one long poll at a time. It implements transport.Handler.
-type director struct {
+// simulatedDirector is one simulated director: a connection with one long poll at a time. It implements transport.Handler.
+type simulatedDirector struct {
 	process *Process
 	number  int
-	own     bulletin.Director
+	own     discovery.Director
 	at      int // place of the server among the addresses
 	tried   int // addresses since the last answer
 	conn    *transport.Conn
@@ -41,8 +41,8 @@
 	silence  time.Duration // longest in the window
 }
 
-func newDirector(p *Process, number int, demands []float64) *director {
-	d := &director{
+func newDirector(p *Process, number int, demands []float64) *simulatedDirector {
+	d := &simulatedDirector{
 		process: p,
 		number:  number,
 		at:      number % len(p.set.Addresses),
@@ -55,8 +55,8 @@
 }
 
 // begin makes the director a new process of its name, which knows nothing.
-func (d *director) begin() {
-	d.own = bulletin.Director{
+func (d *simulatedDirector) begin() {
+	d.own = discovery.Director{
 		Name:        fmt.Sprintf("hollow-%05d", d.number),
 		Incarnation: rand.Text(),
 		Location:    fmt.Sprintf("zone-%02d", d.number%zones),
@@ -66,18 +66,18 @@
 	}
 	d.last, d.roll, d.answers = 0, 0, 0
 	d.retry = d.process.timing.RetryMin
-	d.renewer = quota.NewHolder(d.own.ID(), program.QuotaSettings)
+	d.renewer = quota.NewHolder(d.own.ID(), director.QuotaSettings)
 }
 
 // restart stops the director without a word and starts it anew.
-func (d *director) restart() {
+func (d *simulatedDirector) restart() {
 	d.process.stopped = append(d.process.stopped, d.own.ID())
 	d.close()
 	d.begin()
 	d.connect()
 }
 
-func (d *director) close() {
+func (d *simulatedDirector) close() {
 	d.timer.Stop()
 	if d.conn != nil {
 		d.conn.Close()
@@ -86,7 +86,7 @@
 }
 
 // overdue ends a call that is not answered, or a pause before the next connection.
-func (d *director) overdue() {
+func (d *simulatedDirector) overdue() {
 	if d.conn != nil {
 		d.lost(errSilent)
 		return
@@ -94,7 +94,7 @@
 	d.connect()
 }
 
-func (d *director) connect() {
+func (d *simulatedDirector) connect() {
 	d.timer.Stop()
 	conn, err := d.process.loop.Dial(d.process.set.Addresses[d.at], d.process.timing.Dial, d)
 	if err != nil {
@@ -105,7 +105,7 @@
 }
 
 // lost goes on at the next address after a pause, as a director does.
-func (d *director) lost(err error) {
+func (d *simulatedDirector) lost(err error) {
 	d.close()
 	d.process.count.ended++
 	d.process.count.reasons[err.Error()]++
@@ -121,20 +121,20 @@
 }
 
 // Opened implements transport.Handler.
-func (d *director) Opened() { d.poll() }
+func (d *simulatedDirector) Opened() { d.poll() }
 
 // Flushed implements transport.Handler.
-func (d *director) Flushed() {}
+func (d *simulatedDirector) Flushed() {}
 
 // Closed implements transport.Handler.
-func (d *director) Closed(err error) {
+func (d *simulatedDirector) Closed(err error) {
 	d.conn = nil
 	d.lost(err)
 }
 
-func (d *director) poll() {
+func (d *simulatedDirector) poll() {
 	address := d.process.set.Addresses[d.at].String()
-	d.request = bulletin.AppendRequest(d.request[:0], address, d.last, d.process.timing.Patience.Milliseconds(), d.announcement())
+	d.request = discovery.AppendRequest(d.request[:0], address, d.last, d.process.timing.Patience.Milliseconds(), d.announcement())
 	traffic := &d.process.count.traffic[d.at]
 	traffic.Requests++
 	traffic.BytesUp += int64(len(d.request))
@@ -143,12 +143,12 @@
 }
 
 // announcement is the director's header: who it is, and its quota renewal with the demands of this moment.
-func (d *director) announcement() []byte {
+func (d *simulatedDirector) announcement() []byte {
 	for cache, mean := range d.demands {
 		demand := max(LeastDemand, mean*(1+demandVaries*(2*d.random.Float64()-1)))
 		d.renewer.Want(quota.Want{Limit: limitName(cache), Kind: quota.Rate, Demand: demand})
 	}
-	a := bulletin.Announcement{Director: d.own, MembershipRevision: d.roll, Config: "0123456789abcdef"}
+	a := discovery.Announcement{Director: d.own, MembershipRevision: d.roll, Config: "0123456789abcdef"}
 	var err error
 	if a.QuotaRenewal, err = json.Marshal(d.renewer.Renewal(Now())); err != nil {
 		panic(err) // texts and numbers
@@ -161,8 +161,8 @@
 }
 
 // Data implements transport.Handler.
-func (d *director) Data(b []byte) (used, need int, err error) {
-	response, used, need, err := bulletin.ParseResponse(b)
+func (d *simulatedDirector) Data(b []byte) (used, need int, err error) {
+	response, used, need, err := discovery.ParseResponse(b)
 	if err != nil || used == 0 {
 		return 0, need, err
 	}
@@ -190,7 +190,7 @@
 }
 
 // take takes a feed in, each event once.
-func (d *director) take(feed bulletin.WatchResponse, now time.Duration) {
+func (d *simulatedDirector) take(feed discovery.WatchResponse, now time.Duration) {
 	if len(feed.QuotaGrant) > 0 {
 		d.takeGrant(feed.QuotaGrant, now)
 	}
@@ -215,7 +215,7 @@
 	d.answers++
 }
 
-func (d *director) takeGrant(raw json.RawMessage, now time.Duration) {
+func (d *simulatedDirector) takeGrant(raw json.RawMessage, now time.Duration) {
 	var grant quota.Grant
 	if err := json.Unmarshal(raw, &grant); err != nil {
 		d.process.count.reasons["malformed grant: "+err.Error()]++
@@ -226,6 +226,6 @@
 }
 
 // silent is for how long the director has been without an answer within the window.
-func (d *director) silent(now time.Duration) time.Duration {
+func (d *simulatedDirector) silent(now time.Duration) time.Duration {
 	return now - max(d.answered, d.process.count.begin)
 }
--- a/internal/scale/hollow/process.go
+++ b/internal/tools/scale/simulated/process.go
@@ -1,4 +1,4 @@
-package hollow
+package simulated
 
 import (
 	"encoding/json"
@@ -11,7 +11,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"stairvane.org/stairvane/internal/program"
+	"stairvane.org/stairvane/internal/director"
 	"stairvane.org/stairvane/internal/transport"
 )
 
@@ -41,10 +41,10 @@
 // Process is all hollow directors of one process on one loop. All but its control server runs on that loop.
 type Process struct {
 	set       Settings
-	timing    program.WatchTiming
+	timing    director.WatchTiming
 	answers   answers
 	loop      *transport.Loop
-	directors []*director
+	directors []*simulatedDirector
 	count     counters
 	stopped   []string
 	next      int // director to be restarted next
@@ -60,7 +60,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Process{set: set, timing: program.TimingOfWatch(len(set.Addresses), true), answers: newAnswers(), loop: loop, count: newCounters(set, Now())}
+	p := &Process{set: set, timing: director.TimingOfWatch(len(set.Addresses), true), answers: newAnswers(), loop: loop, count: newCounters(set, Now())}
 	if p.control, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		loop.Release()
 		return nil, err
@@ -163,7 +163,7 @@
 	for _, d := range p.directors {
 		silence := max(d.silence, d.silent(now))
 		r.LongestSilence = max(r.LongestSilence, silence)
-		if silence > program.MembershipLease {
+		if silence > director.MembershipLease {
 			r.Lapsed++
 		}
 		for cache := range r.PartSums {
--- a/internal/scale/hollow/report.go
+++ b/internal/tools/scale/simulated/report.go
@@ -1,4 +1,4 @@
-package hollow
+package simulated
 
 import (
 	"maps"
--- a/internal/scale/hollow/settings.go
+++ b/internal/tools/scale/simulated/settings.go
@@ -1,7 +1,7 @@
 // Package hollow runs many simulated directors in one process. A hollow director speaks the director's side of the watch
 // protocol over TCP with the director's own timing, announcements and quota renewals, and leaves out what a director does with
 // what it learns. The package measures what its directors see; the scale run starts it and adds the figures of all processes up.
-package hollow
+package simulated
 
 import (
 	"encoding/json"
--- a/internal/scale/window.go
+++ b/internal/tools/scale/window.go
@@ -11,8 +11,8 @@
 	"syscall"
 	"time"
 
-	"stairvane.org/stairvane/internal/scale/hollow"
-	"stairvane.org/stairvane/internal/standin/rig"
+	"stairvane.org/stairvane/internal/tools/scale/simulated"
+	"stairvane.org/stairvane/internal/tools/testharness"
 )
 
 const (
@@ -52,7 +52,7 @@
 	if _, err := w.cluster.sum("POST", "/begin"); err != nil {
 		return err
 	}
-	w.began = hollow.Now()
+	w.began = simulated.Now()
 	busy, own, err := w.readBefore()
 	if err != nil {
 		return err
@@ -63,7 +63,7 @@
 	if err := sleep(ctx, w.set.Window); err != nil {
 		return err
 	}
-	w.ended = hollow.Now()
+	w.ended = simulated.Now()
 	w.readAfter(busy, own)
 	stop()
 	w.tasks.Wait()
@@ -130,7 +130,7 @@
 }
 
 // disturb makes the fault and the restarts that are wanted while the window goes on.
-func (w *window) disturb(ctx context.Context, leader *rig.Replica) {
+func (w *window) disturb(ctx context.Context, leader *testharness.Replica) {
 	if w.set.RestartPerSecond > 0 {
 		w.tasks.Go(func() {
 			each(ctx, float64(w.set.RestartPerSecond), func(n int64) {
@@ -147,7 +147,7 @@
 		if sleep(ctx, w.set.Window/faultAfter) != nil {
 			return
 		}
-		w.faultAt = hollow.Now()
+		w.faultAt = simulated.Now()
 		if w.set.Fault == KillRelay {
 			w.cluster.relays[0].Signal(syscall.SIGKILL)
 		} else {
@@ -158,16 +158,16 @@
 }
 
 func (w *window) lookWatching() {
-	at := hollow.Now()
+	at := simulated.Now()
 	watching, err := w.cluster.sum("GET", "/watching")
 	if err != nil || watching < w.row.Hollow {
 		w.notAll.Store(int64(at))
 	}
 }
 
-func (w *window) reports() (all []hollow.Report, err error) {
+func (w *window) reports() (all []simulated.Report, err error) {
 	for _, p := range w.cluster.hollows {
-		var r hollow.Report
+		var r simulated.Report
 		if err := w.cluster.ask(p, "GET", "/report", &r); err != nil {
 			return nil, err
 		}
@@ -177,7 +177,7 @@
 }
 
 // watchFigures adds up what the hollow processes counted of the watch protocol and of quotas.
-func (w *window) watchFigures(reports []hollow.Report) {
+func (w *window) watchFigures(reports []simulated.Report) {
 	row := w.row
 	row.Reasons = map[string]int64{}
 	sums := make([]float64, w.set.ColdCaches)
@@ -195,7 +195,7 @@
 		for reason, count := range r.Reasons {
 			row.Reasons[reason] += count
 		}
-		row.EndedByServer += r.Reasons[io.EOF.Error()] + r.Reasons[hollow.TurnedAway]
+		row.EndedByServer += r.Reasons[io.EOF.Error()] + r.Reasons[simulated.TurnedAway]
 		for cache, sum := range r.PartSums {
 			sums[cache] += sum
 		}
@@ -206,7 +206,7 @@
 	row.Roles = means(row.Processes)
 }
 
-func (w *window) addTraffic(t hollow.Traffic, seconds float64) {
+func (w *window) addTraffic(t simulated.Traffic, seconds float64) {
 	for i, m := range w.members {
 		if m.address != t.Address || m.role == RoleHollow {
 			continue
@@ -252,7 +252,7 @@
 }
 
 // purgeFigures compares what was accepted with what came.
-func (w *window) purgeFigures(reports []hollow.Report) {
+func (w *window) purgeFigures(reports []simulated.Report) {
 	l := w.load
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -296,7 +296,7 @@
 }
 
 // membershipFigures counts who was taken off the membership, and who let watchers go, by the logs.
-func (w *window) membershipFigures(reports []hollow.Report) {
+func (w *window) membershipFigures(reports []simulated.Report) {
 	stopped := map[string]bool{}
 	for _, r := range reports {
 		for _, id := range r.Stopped {
--- a/internal/standin/rig/link.go
+++ b/internal/tools/testharness/link.go
@@ -1,6 +1,6 @@
 // Package rig starts several processes of the program on one machine, each with a folder that stands for its machine's
 // disk, runs the lines between them through stand-ins of links, and puts faults in both. It serves tests and measurements.
-package rig
+package testharness
 
 import (
 	"errors"
