--- a/internal/decision/cold_sum_test.go
+++ b/internal/decision/cold_sum_test.go
@@ -97,7 +97,7 @@
 	for _, action := range acts {
 		switch a := action.(type) {
 		case SetTimer:
-			f.after(a.Delay, func() { f.on(i, r, TimerFired{Token: a.Token}) })
+			f.after(a.Delay, func() { f.on(i, r, TimerFired{a.Timer}) })
 		case StartAttempt:
 			f.obtain(i, r, a)
 		}
--- a/internal/decision/example_test.go
+++ b/internal/decision/example_test.go
@@ -26,7 +26,7 @@
 			case decision.Reject:
 				fmt.Printf("refuse %s\n", a.Request)
 			case decision.SetTimer:
-				// start a timer that hands the router an Alarm with a.Token
+				// start a timer that hands the router a TimerFired with a.Timer
 			}
 		}
 	}
--- a/internal/decision/large_test.go
+++ b/internal/decision/large_test.go
@@ -34,7 +34,7 @@
 	for _, action := range acts {
 		switch a := action.(type) {
 		case SetTimer:
-			w.after(a.Delay, func() { w.act(w.r.Handle(w.now, TimerFired{Token: a.Token})) })
+			w.after(a.Delay, func() { w.act(w.r.Handle(w.now, TimerFired{a.Timer})) })
 		case StartAttempt:
 			w.obtain(a)
 		}
--- a/internal/decision/router.go
+++ b/internal/decision/router.go
@@ -9,8 +9,6 @@
 	"maps"
 	"math"
 	"slices"
-	"strconv"
-	"strings"
 	"time"
 )
 
@@ -84,7 +82,7 @@
 	for _, c := range r.s.Classes {
 		r.patience, r.longest = min(cmp.Or(r.patience, c.Deadline), c.Deadline), max(r.longest, c.Deadline)
 	}
-	r.after(sweepEvery, "sweep")
+	r.after(sweepEvery, Timer{Kind: TimerUpkeep})
 	if r.s.MustWatch {
 		r.do(WatchEndpoints{Enabled: true})
 	}
@@ -119,7 +117,7 @@
 	case ClientGone:
 		r.finish(r.open[e.Request])
 	case TimerFired:
-		r.alarm(e.Token)
+		r.timerFired(e.Timer)
 	case Purge:
 		r.purge(e)
 	case EndpointUpdate:
@@ -186,7 +184,7 @@
 		}
 		q.held = e
 		e.waiters = append(e.waiters, q)
-		r.after(until-r.now, "hold:"+string(q.ID))
+		r.after(until-r.now, Timer{Kind: TimerCoalescingLimit, Request: q.ID})
 		return
 	}
 	r.launch(q, e)
@@ -380,13 +378,12 @@
 	fills := max(r.missRate(), bool01(q.found(h) > 0))
 	a := &attempt{req: q, number: len(q.attempts), host: h, source: source, reach: how, sentAt: r.now}
 	a.mayRun = true
-	token := string(q.ID) + ":" + strconv.Itoa(a.number)
 	if !joins && how != keptHere {
 		a.windows = r.windowsOf(q, how)
 		for _, w := range a.windows {
 			w.out += q.send
 		}
-		r.after(q.aim, "late:"+token)
+		r.after(q.aim, Timer{TimerObjectiveMissed, q.ID, a.number})
 	}
 	q.attempts = append(q.attempts, a)
 	r.flying[attemptKey{q.ID, a.number}] = a
@@ -413,7 +410,7 @@
 	r.do(StartAttempt{Request: q.ID, Host: h.Host, Options: opts, MaxAge: r.maxAge(q),
 		CachePriority: int(bool01(!c.Uncacheable)), Source: source.Host})
 	if at := r.overdueAt(q); at < q.deadline {
-		r.after(at-r.now, "watch:"+token)
+		r.after(at-r.now, Timer{TimerAttemptOverdue, q.ID, a.number})
 	}
 	return a
 }
@@ -429,16 +426,15 @@
 	return max(late, r.dueBy(q))
 }
 
-// alarm is a timer come due; one whose cause is over does nothing.
-func (r *Router) alarm(token string) {
-	kind, rest, _ := strings.Cut(token, ":")
-	switch kind {
-	case "sweep":
+// timerFired acts on a timer; one whose cause is over does nothing.
+func (r *Router) timerFired(t Timer) {
+	switch t.Kind {
+	case TimerUpkeep:
 		r.sweep()
-	case "subscribe":
+	case TimerWatchEndpoints:
 		r.do(WatchEndpoints{Enabled: true})
-	case "hold":
-		q := r.open[RequestID(rest)]
+	case TimerCoalescingLimit:
+		q := r.open[t.Request]
 		if q == nil || q.held == nil {
 			return
 		}
@@ -449,12 +445,10 @@
 		} else {
 			r.giveUp(q)
 		}
-	case "watch", "late":
-		id, number, _ := strings.Cut(rest, ":")
-		n, _ := strconv.Atoi(number)
-		switch a := r.flying[attemptKey{RequestID(id), n}]; {
+	case TimerAttemptOverdue, TimerObjectiveMissed:
+		switch a := r.flying[attemptKey{t.Request, t.Attempt}]; {
 		case a == nil:
-		case kind == "watch":
+		case t.Kind == TimerAttemptOverdue:
 			r.overdue(a)
 		default:
 			r.judge(a, false)
@@ -493,7 +487,7 @@
 
 // strained tells whether a cache says that it, or the location's link, has as much to do as it can.
 func (r *Router) strained(h *host) bool {
-	return h.load["cpu_share"] > strainedShare || h.load["x1"] > 1
+	return h.load.CPUShare > strainedShare || h.load.LinkUse > 1
 }
 
 func (r *Router) first(e FirstByte) {
@@ -516,9 +510,9 @@
 	q := a.req
 	a.ended, a.host.out = true, a.host.out-1
 	if e.Load != nil {
-		a.host.load = e.Load
-		if x, told := e.Load["x1"]; told && slices.Contains(r.caches, a.host) {
-			r.linkUse += 2 * smoothing * (x - r.linkUse)
+		a.host.load = *e.Load
+		if e.Load.HasLinkUse && slices.Contains(r.caches, a.host) {
+			r.linkUse += 2 * smoothing * (e.Load.LinkUse - r.linkUse)
 		}
 	}
 	switch e.Status {
@@ -951,7 +945,7 @@
 func (r *Router) topology(e EndpointUpdate) {
 	if e.Kind == UpdateRejected {
 		if r.s.MustWatch {
-			r.after(r.s.NotifiedAfter/8+seconds(r.rng.Float64()*r.s.NotifiedAfter.Seconds()/8), "subscribe")
+			r.after(r.s.NotifiedAfter/8+seconds(r.rng.Float64()*r.s.NotifiedAfter.Seconds()/8), Timer{Kind: TimerWatchEndpoints})
 		}
 		return
 	}
@@ -1004,7 +998,7 @@
 
 // sweep measures the demand and drops what is no longer needed.
 func (r *Router) sweep() {
-	r.after(sweepEvery, "sweep")
+	r.after(sweepEvery, Timer{Kind: TimerUpkeep})
 	if dt := (r.now - r.measured).Seconds(); dt > 0 {
 		weight := min(1, dt/measureOver)
 		r.demand.measure(dt, weight)
--- a/internal/decision/router_test.go
+++ b/internal/decision/router_test.go
@@ -137,7 +137,7 @@
 		t.Fatalf("timers %v, want one before the aim", timer)
 	}
 	b.now += timer[0].Delay
-	if got := b.sent(b.on(TimerFired{Token: timer[0].Token})); got.Request != "b" {
+	if got := b.sent(b.on(TimerFired{timer[0].Timer})); got.Request != "b" {
 		t.Errorf("released %v", got)
 	}
 }
@@ -248,7 +248,7 @@
 	first := b.sent(b.query("a", 1))
 	b.now += 300 * ms
 	for range silentLimit {
-		if got := of[StartAttempt](b.on(TimerFired{Token: "watch:a:0"})); len(got) != 0 {
+		if got := of[StartAttempt](b.on(TimerFired{Timer{Kind: TimerAttemptOverdue, Request: "a"}})); len(got) != 0 {
 			t.Errorf("second copies %v", got)
 		}
 	}
@@ -325,9 +325,9 @@
 		first := b.sent(b.query("a", 1))
 		b.now += 10 * ms
 		h := b.r.hosts[first.Host]
-		h.answered, h.load, b.r.parents[0].answered = b.now, LoadReport{"cpu_share": strain}, b.now
+		h.answered, h.load, b.r.parents[0].answered = b.now, LoadReport{CPUShare: strain}, b.now
 		b.now += 400 * ms
-		off := of[CancelAttempt](b.on(TimerFired{Token: "watch:a:0"}))
+		off := of[CancelAttempt](b.on(TimerFired{Timer{Kind: TimerAttemptOverdue, Request: "a"}}))
 		if strain > strainedShare {
 			if len(off) != 0 {
 				t.Errorf("a strained cache is asked again: %v", off)
@@ -357,7 +357,7 @@
 			p.answered = b.now
 		}
 		for range 10 {
-			b.on(TimerFired{Token: "watch:a:0"})
+			b.on(TimerFired{Timer{Kind: TimerAttemptOverdue, Request: "a"}})
 		}
 		if b.r.healthy(h) == slow {
 			t.Errorf("slow %t: healthy %t", slow, !slow)
@@ -503,7 +503,7 @@
 		if alone {
 			b.r.hosts[1001-o.Source].answered = b.now // the other of 500 and 501
 		}
-		b.on(TimerFired{Token: "late:a:0"})
+		b.on(TimerFired{Timer{Kind: TimerObjectiveMissed, Request: "a"}})
 		if got := b.r.fills.late > 0; got == alone {
 			t.Errorf("silent alone %v: counted as late %v", alone, got)
 		}
@@ -519,11 +519,11 @@
 			id := fmt.Sprint("q", i)
 			o := b.sent(b.query(id, ObjectID(i)))
 			b.on(AttemptResult{Request: RequestID(id), Terminal: true, Host: o.Host, Status: OK, CacheStatus: CacheStatusHit,
-				Elapsed: 110 * ms, Load: LoadReport{"x1": use}})
+				Elapsed: 110 * ms, Load: &LoadReport{LinkUse: use, HasLinkUse: true}})
 		}
 		b.sent(b.query("a", 1000))
 		b.now += time.Second
-		b.on(TimerFired{Token: "late:a:0"})
+		b.on(TimerFired{Timer{Kind: TimerObjectiveMissed, Request: "a"}})
 		if got := b.r.fills.late > 0; got != (use >= linkFull) {
 			t.Errorf("link in use %v: counted as late %v", use, got)
 		}
@@ -539,7 +539,7 @@
 	b.sent(b.query("a", 1))
 	b.r.parents[0].answered = b.now
 	b.now += 300 * ms // before the aim
-	if off := of[CancelAttempt](b.on(TimerFired{Token: "watch:a:0"})); len(off) != 1 {
+	if off := of[CancelAttempt](b.on(TimerFired{Timer{Kind: TimerAttemptOverdue, Request: "a"}})); len(off) != 1 {
 		t.Fatalf("called off %v", off)
 	}
 	if b.r.fetches.late == 0 {
@@ -560,7 +560,7 @@
 		b.now += 300 * ms
 		b.r.now = b.now
 		change(b.r)
-		off := of[CancelAttempt](b.on(TimerFired{Token: "watch:a:0"}))
+		off := of[CancelAttempt](b.on(TimerFired{Timer{Kind: TimerAttemptOverdue, Request: "a"}}))
 		if (len(off) == 1) != (name == "a parent sends") {
 			t.Errorf("%s: called off %v", name, off)
 		}
@@ -695,7 +695,7 @@
 			b.on(Purge{ByGroup: true, Group: int(id)})
 		}
 		b.now += 2 * time.Second
-		b.on(TimerFired{Token: "sweep"})
+		b.on(TimerFired{Timer{Kind: TimerUpkeep}})
 	}
 	if n := len(b.r.hosts); n > 20 {
 		t.Errorf("%d hosts are remembered, 14 are listed", n)
@@ -784,7 +784,7 @@
 	before := rate()
 	b.on(EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{{Host: 101, Zone: "west", Kind: "cache", Readiness: Gone},
 		{Host: 102, Zone: "west", Kind: "cache", Readiness: Gone}}})
-	b.on(TimerFired{Token: "sweep"})
+	b.on(TimerFired{Timer{Kind: TimerUpkeep}})
 	b.r.carriedBest = 6
 	if after := rate(); len(b.r.caches) != 1 || after > before {
 		t.Errorf("%d caches left: %.2f s a second for a cold one, %.2f before the others were gone", len(b.r.caches), after, before)
@@ -1028,7 +1028,7 @@
 	b.on(EndpointUpdate{Kind: UpdateSnapshot, Endpoints: all})
 	type timer struct {
 		at    time.Duration
-		token string
+		timer Timer
 	}
 	var timers []timer
 	left, out := map[RequestID]time.Duration{}, map[attemptKey]StartAttempt{}
@@ -1058,7 +1058,7 @@
 				}
 				ended[a.Request] = true
 			case SetTimer:
-				timers = append(timers, timer{b.now + a.Delay, a.Token})
+				timers = append(timers, timer{b.now + a.Delay, a.Timer})
 			}
 		}
 	}
@@ -1093,7 +1093,7 @@
 			}
 			due := timers[i]
 			timers = slices.Delete(timers, i, i+1)
-			take(b.on(TimerFired{Token: due.token}))
+			take(b.on(TimerFired{due.timer}))
 		}
 		for _, k := range pick() { // attempts end at their client's deadline
 			if b.now >= left[k.request] {
@@ -1184,7 +1184,7 @@
 		for try := 0; try < 20 && len(of[StartAttempt](next))+len(of[Fail](next)) == 0; try++ {
 			b.now += 20 * ms
 			for _, a := range of[SetTimer](b.acts) {
-				next = append(next, b.on(TimerFired{Token: a.Token})...)
+				next = append(next, b.on(TimerFired{a.Timer})...)
 			}
 		}
 		sent, dropped := of[StartAttempt](next), of[Fail](next)
@@ -1307,7 +1307,7 @@
 		}
 		b.now += k.after
 		b.answer("b", other, 0, OK, CacheStatusFilled) // so its source sends, too: nothing is jammed
-		if got := len(of[CancelAttempt](b.on(TimerFired{Token: "watch:a:0"}))) == 1; got != k.callOff {
+		if got := len(of[CancelAttempt](b.on(TimerFired{Timer{Kind: TimerAttemptOverdue, Request: "a"}}))) == 1; got != k.callOff {
 			t.Errorf("%s after %v: called off %t", k.effect, k.after, got)
 		}
 	}
--- a/internal/decision/state.go
+++ b/internal/decision/state.go
@@ -187,7 +187,7 @@
 
 func (r *Router) do(a Action) { r.acts = append(r.acts, a) }
 
-func (r *Router) after(d time.Duration, token string) { r.do(SetTimer{Delay: max(d, 0), Token: token}) }
+func (r *Router) after(d time.Duration, t Timer) { r.do(SetTimer{Delay: max(d, 0), Timer: t}) }
 
 func (r *Router) settings(q *request) *Class { return &r.s.Classes[q.class] }
 
--- a/internal/decision/types.go
+++ b/internal/decision/types.go
@@ -1,4 +1,4 @@
-// Package stairvane decides, for the front of a tier of caches that hold large objects behind thin
+// Package decision decides, for the front of a tier of caches that hold large objects behind thin
 // links, which cache answers each request, where a missing object is filled from, what is kept, and when
 // a request is held, tried again or refused.
 //
@@ -268,8 +268,12 @@
 	CacheStatusOriginFailed
 )
 
-// LoadReport holds named load values.
-type LoadReport map[string]float64
+// LoadReport is what a cache reports of its load with an answer. Values that were not reported are 0.
+type LoadReport struct {
+	CPUShare   float64 // share of its cores that is busy, 0 to 1
+	LinkUse    float64 // transfers on its location's link over those that fit; over 1 the link is full
+	HasLinkUse bool    // LinkUse was reported
+}
 
 // AttemptResult is how one attempt ended.
 type AttemptResult struct {
@@ -281,7 +285,7 @@
 	CacheStatus CacheStatus
 	Status      Status
 	Elapsed     time.Duration
-	Load        LoadReport
+	Load        *LoadReport // nil: none came
 }
 
 // FirstByte tells that a streamed answer has started.
@@ -297,7 +301,7 @@
 	Host    HostID
 	Status  Status
 	Elapsed time.Duration
-	Load    LoadReport
+	Load    *LoadReport
 }
 
 // PeerMessage is a message from another instance.
@@ -307,7 +311,26 @@
 }
 
 // TimerFired is a timer that has come due.
-type TimerFired struct{ Token string }
+type TimerFired struct{ Timer Timer }
+
+// TimerKind is what a timer is for.
+type TimerKind int
+
+// The kinds of timers.
+const (
+	TimerUpkeep          TimerKind = iota + 1 // rates are measured and old state is dropped
+	TimerWatchEndpoints                       // discovery rejected the watch; it is asked for again
+	TimerCoalescingLimit                      // a coalesced request has waited for another's fill for as long as it may
+	TimerAttemptOverdue                       // an attempt has taken longer than its size and the usual overhead explain
+	TimerObjectiveMissed                      // an attempt has missed the request's latency objective
+)
+
+// Timer identifies a timer of the module. It is comparable.
+type Timer struct {
+	Kind    TimerKind
+	Request RequestID // of TimerCoalescingLimit, TimerAttemptOverdue and TimerObjectiveMissed
+	Attempt int       // number of the request's attempt, from 0; of TimerAttemptOverdue and TimerObjectiveMissed
+}
 
 func (EndpointUpdate) event()    {}
 func (Request) event()           {}
@@ -369,7 +392,7 @@
 // SetTimer asks for an Alarm.
 type SetTimer struct {
 	Delay time.Duration
-	Token string
+	Timer Timer
 }
 
 // WatchEndpoints asks discovery for changes from now on.
--- a/internal/director/report.go
+++ b/internal/director/report.go
@@ -5,6 +5,7 @@
 	"strings"
 
 	"stairvane.org/stairvane/internal/decision"
+	"stairvane.org/stairvane/internal/protocol/simulator"
 )
 
 // reportNames are the other names that load values may have on the sockets; the caches use the settings' own.
@@ -29,16 +30,16 @@
 }
 
 // load reads name:value pairs set apart by semicolons. A report is only a hint: what can't be read is left out.
-func (c *caches) load(s string) decision.LoadReport {
+func (c *caches) load(s string) *decision.LoadReport {
 	if len(c.report) == 0 {
 		return nil
 	}
-	report := decision.LoadReport{}
+	report := &decision.LoadReport{}
 	for pair := range strings.SplitSeq(s, ";") {
 		name, value, _ := strings.Cut(pair, ":")
 		if setting, wanted := c.report[name]; wanted {
 			if x, err := strconv.ParseFloat(value, 64); err == nil {
-				report[setting] = x
+				simulator.SetLoad(report, setting, x)
 			}
 		}
 	}
--- a/internal/director/routing/director.go
+++ b/internal/director/routing/director.go
@@ -209,7 +209,7 @@
 			q.Caller.Fail(q.Request)
 		}
 	case decision.SetTimer:
-		d.after(a.Delay, a.Token)
+		d.after(a.Delay, a.Timer)
 	case decision.LogLine:
 		slog.Info("module.remark", "line", a.Text)
 	case decision.WatchEndpoints, decision.PollEndpoints:
@@ -222,22 +222,22 @@
 // alarm is a timer of the module's; alarms are used again.
 type alarm struct {
 	transport.Timer
-	token string
+	timer decision.Timer
 }
 
-func (d *Director) after(delay time.Duration, token string) {
+func (d *Director) after(delay time.Duration, timer decision.Timer) {
 	var a *alarm
 	if n := len(d.spare); n > 0 {
 		a, d.spare = d.spare[n-1], d.spare[:n-1]
 	} else {
 		a = &alarm{}
 		a.Fire = func() {
-			token := a.token
+			timer := a.timer
 			d.spare = append(d.spare, a)
-			d.feed(decision.TimerFired{Token: token})
+			d.feed(decision.TimerFired{Timer: timer})
 		}
 	}
-	a.token = token
+	a.timer = timer
 	d.loop.Set(&a.Timer, d.loop.Now()+delay)
 }
 
--- a/internal/director/routing/types.go
+++ b/internal/director/routing/types.go
@@ -56,8 +56,8 @@
 	Tag    string // of the copy; empty: not told
 	Body   []byte
 	Note   decision.CacheStatus
-	Since  time.Duration // when the origin gave out this copy; 0: not told
-	Report decision.LoadReport
+	Since  time.Duration        // when the origin gave out this copy; 0: not told
+	Report *decision.LoadReport // nil: none came
 }
 
 // Link is a connection to a cache.
--- a/internal/protocol/simulator/format.go
+++ b/internal/protocol/simulator/format.go
@@ -35,7 +35,7 @@
 	case decision.HealthCheck:
 		fmt.Fprintf(w, "health_check %d %d\n", slot, a.Host)
 	case decision.SetTimer:
-		fmt.Fprintf(w, "after %d %s %s\n", slot, millis(a.Delay), a.Token)
+		fmt.Fprintf(w, "after %d %s %s\n", slot, millis(a.Delay), formatTimer(a.Timer))
 	case decision.WatchEndpoints:
 		fmt.Fprintf(w, "stream_changes %d %d\n", slot, bit(a.Enabled))
 	case decision.PollEndpoints:
--- a/internal/protocol/simulator/parse.go
+++ b/internal/protocol/simulator/parse.go
@@ -158,19 +158,19 @@
 	return b
 }
 
-func (f *fields) report(field string) decision.LoadReport {
+func (f *fields) report(field string) *decision.LoadReport {
 	v, ok := f.optional(field)
 	if !ok {
 		return nil
 	}
-	report := decision.LoadReport{}
+	report := &decision.LoadReport{}
 	for _, pair := range strings.Split(v, ",") {
 		name, value, found := strings.Cut(pair, ":")
 		if !found {
 			f.fail(field, "not name:value pairs")
 			return nil
 		}
-		report[name] = f.number(field, value)
+		SetLoad(report, name, f.number(field, value))
 	}
 	return report
 }
@@ -279,7 +279,7 @@
 	case "left":
 		ev = decision.ClientGone{Request: decision.RequestID(f.need("Xid"))}
 	case "alarm":
-		ev = decision.TimerFired{Token: f.need("Ctx")}
+		ev = decision.TimerFired{Timer: parseTimer(f.need("Ctx"))}
 	case "first":
 		ev = decision.FirstByte{Request: decision.RequestID(f.need("Xid")), Attempt: f.small("Hop"),
 			Host: f.host("Host"), Elapsed: f.time("Elapsed")}
--- a/internal/tools/capacity/measure/module.go
+++ b/internal/tools/capacity/measure/module.go
@@ -51,7 +51,7 @@
 	for _, action := range actions {
 		switch a := action.(type) {
 		case decision.SetTimer:
-			if a.Token == "sweep" {
+			if a.Timer.Kind == decision.TimerUpkeep {
 				m.sweep = m.now + a.Delay
 			}
 		case decision.StartAttempt:
@@ -120,7 +120,7 @@
 			m.take(m.router.Handle(m.now, decision.AttemptResult{Request: a.Request, Terminal: true, Host: a.Host, Status: decision.OK,
 				CacheStatus: decision.CacheStatusHit, Elapsed: time.Millisecond, FirstByte: time.Millisecond}))
 			if m.now >= m.sweep {
-				m.take(m.router.Handle(m.now, decision.TimerFired{Token: "sweep"}))
+				m.take(m.router.Handle(m.now, decision.TimerFired{Timer: decision.Timer{Kind: decision.TimerUpkeep}}))
 			}
 		}
 		runtime.GC()
