--- a/cmd/stairvane-fleet/model.go
+++ b/cmd/stairvane-fleet/model.go
@@ -53,8 +53,10 @@
 	var rows []modelRow
 	passed := 0
 	for i, n := range c.Directors {
-		cfg := fleetsim.Config{Seed: c.Seed, Directors: n, Caches: c.Boxes, Length: c.Length, Skew: c.Skew, Load: c.Load, Loss: c.Loss, Double: c.Double,
-			Halve: c.Halve, Cut: c.Cut, Regrant: c.Regrant, Even: c.Even}
+		cfg := fleetsim.Config{
+			Seed: c.Seed, Directors: n, Caches: c.Boxes, Length: c.Length, Skew: c.Skew, Load: c.Load, Loss: c.Loss, Double: c.Double,
+			Halve: c.Halve, Cut: c.Cut, Regrant: c.Regrant, Even: c.Even,
+		}
 		begin, said := time.Now(), time.Now()
 		r, err := fleetsim.Run(cfg, func(done float64) {
 			if time.Since(said) > 2*time.Second {
@@ -65,8 +67,10 @@
 		if err != nil {
 			return err
 		}
-		row := modelRow{Directors: n, Worst: r.Worst, UnusedMS: r.Unused.Milliseconds(), MessagesPerS: float64(r.Messages) / c.Length.Seconds(),
-			BytesPerS: float64(r.Bytes) / c.Length.Seconds(), RollEvents: r.RollEvents, ModelTookMS: time.Since(begin).Milliseconds(), LimitWasNotKept: r.Worst > 1+1e-9}
+		row := modelRow{
+			Directors: n, Worst: r.Worst, UnusedMS: r.Unused.Milliseconds(), MessagesPerS: float64(r.Messages) / c.Length.Seconds(),
+			BytesPerS: float64(r.Bytes) / c.Length.Seconds(), RollEvents: r.RollEvents, ModelTookMS: time.Since(begin).Milliseconds(), LimitWasNotKept: r.Worst > 1+1e-9,
+		}
 		used, could := 0.0, 0.0
 		row.Fairness = 1
 		for _, p := range r.Points {
--- a/cmd/stairvane-fleet/quickstart_test.go
+++ b/cmd/stairvane-fleet/quickstart_test.go
@@ -15,8 +15,10 @@
 // The commands of the README's quick starts run as they stand there, one after the other, and show what it says.
 func TestQuickStart(t *testing.T) {
 	out := quickStart(t, "quick start")
-	for _, want := range []string{"apply 1 is done: 7 steps", "drain cache c-2 in west", "apply 2 is done: 5 steps",
-		"this plan was carried out by apply 2; nothing changes", " 0 failed, 0 doubled, 0 lost", "c-5"} {
+	for _, want := range []string{
+		"apply 1 is done: 7 steps", "drain cache c-2 in west", "apply 2 is done: 5 steps",
+		"this plan was carried out by apply 2; nothing changes", " 0 failed, 0 doubled, 0 lost", "c-5",
+	} {
 		if !strings.Contains(out, want) {
 			t.Errorf("it does not show %q\n%s", want, out)
 		}
--- a/cmd/stairvane/platform_linux_amd64_test.go
+++ b/cmd/stairvane/platform_linux_amd64_test.go
@@ -200,8 +200,10 @@
 	host := func(name, site, class, address string) map[string]any {
 		return map[string]any{"host": name, "dial": address, "site": site, "class": class, "health": "in_service", "share": 4}
 	}
-	config["known"] = map[string]any{"no": 1, "items": []any{map[string]any{"no": 1, "roster": map[string]any{"seq": 1, "whole": true,
-		"hosts": []any{host("c-1", "west", "std", cache.Addr()), host("store", "hub", "origin", cache.Addr())}}}}}
+	config["known"] = map[string]any{"no": 1, "items": []any{map[string]any{"no": 1, "roster": map[string]any{
+		"seq": 1, "whole": true,
+		"hosts": []any{host("c-1", "west", "std", cache.Addr()), host("store", "hub", "origin", cache.Addr())},
+	}}}}
 	path := filepath.Join(t.TempDir(), "config.json")
 	if text, err = json.Marshal(config); err != nil {
 		t.Fatal(err)
--- a/internal/controlplane/admin.go
+++ b/internal/controlplane/admin.go
@@ -82,9 +82,11 @@
 		mux.HandleFunc("GET /v1/copies", b.getCopies)
 		mux.HandleFunc("POST /v1/copies", b.postCopies)
 	}
-	b.server = &http.Server{Handler: b.guard(mux), ReadHeaderTimeout: 10 * time.Second, IdleTimeout: time.Minute,
+	b.server = &http.Server{
+		Handler: b.guard(mux), ReadHeaderTimeout: 10 * time.Second, IdleTimeout: time.Minute,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) },
-		ErrorLog:    slog.NewLogLogger(slog.Default().Handler(), slog.LevelInfo)}
+		ErrorLog:    slog.NewLogLogger(slog.Default().Handler(), slog.LevelInfo),
+	}
 	return nil
 }
 
--- a/internal/controlplane/adoption/adoption.go
+++ b/internal/controlplane/adoption/adoption.go
@@ -26,8 +26,10 @@
 
 // New makes a record of so many last events, that begins after an event.
 func New(keep, after int64) *Record {
-	return &Record{keep: keep, first: after + 1, last: after, told: map[int64]time.Duration{}, took: map[int64]map[string]time.Duration{},
-		acts: map[string]int64{}, joined: map[string]int64{}, gone: map[string]time.Duration{}, stale: map[string][]Stale{}}
+	return &Record{
+		keep: keep, first: after + 1, last: after, told: map[int64]time.Duration{}, took: map[int64]map[string]time.Duration{},
+		acts: map[string]int64{}, joined: map[string]int64{}, gone: map[string]time.Duration{}, stale: map[string][]Stale{},
+	}
 }
 
 // Told tells that all events up to a number are accepted.
--- a/internal/controlplane/bench_test.go
+++ b/internal/controlplane/bench_test.go
@@ -163,8 +163,10 @@
 		wg.Go(func() {
 			for i := n.Add(1); i <= recoveryEvents; i = n.Add(1) {
 				if s.Do(func(t *store.Tx) error {
-					e := fleet.Event{Who: "bench", Host: &fleet.Host{State: fleet.InService, Serving: float64(i),
-						HostSpec: fleet.HostSpec{Name: fmt.Sprintf("c-%d", i%10_000), Address: fmt.Sprintf("10.0.0.0:%d", i%10_000), Role: fleet.Cache, Share: 4}}}
+					e := fleet.Event{Who: "bench", Host: &fleet.Host{
+						State: fleet.InService, Serving: float64(i),
+						HostSpec: fleet.HostSpec{Name: fmt.Sprintf("c-%d", i%10_000), Address: fmt.Sprintf("10.0.0.0:%d", i%10_000), Role: fleet.Cache, Share: 4},
+					}}
 					_, err := t.Append(e)
 					return err
 				}) != nil {
--- a/internal/controlplane/eventlog/history.go
+++ b/internal/controlplane/eventlog/history.go
@@ -131,8 +131,10 @@
 }
 
 func host(m *fleet.Host) discovery.Endpoint {
-	return discovery.Endpoint{Name: m.Name, Address: m.Address, Site: m.Site, Class: m.Class, Block: m.Block, Health: string(m.State),
-		Share: m.Serving, BornMS: float64(m.BornMS)}
+	return discovery.Endpoint{
+		Name: m.Name, Address: m.Address, Site: m.Site, Class: m.Class, Block: m.Block, Health: string(m.State),
+		Share: m.Serving, BornMS: float64(m.BornMS),
+	}
 }
 
 // Answer is the body for a follower that has the events up to after, in parts that must not be changed; nil if there is
--- a/internal/controlplane/exec.go
+++ b/internal/controlplane/exec.go
@@ -308,8 +308,10 @@
 	if err != nil {
 		return apply.Record{}, err
 	}
-	return t.Create(apply.Record{PlanSum: sum, Who: who, StartedMS: t.NowMS, Status: apply.Running, RevertOf: p.RevertOf,
-		Steps: len(p.Steps)}, file, w.DesiredState())
+	return t.Create(apply.Record{
+		PlanSum: sum, Who: who, StartedMS: t.NowMS, Status: apply.Running, RevertOf: p.RevertOf,
+		Steps: len(p.Steps),
+	}, file, w.DesiredState())
 }
 
 // submit begins an apply of a plan file, or tells why not. already is an apply that has carried the same plan out.
--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -71,10 +71,14 @@
 }
 
 func newMembershipService(b *Server) *membershipService {
-	return &membershipService{board: b, stop: make(chan struct{}), ended: make(chan struct{}), here: map[string]*present{}, complete: map[int]int64{}, beats: map[string]quota.Renewal{}, grants: map[string]quota.Grant{}, health: healthReports{teller: health.NewNotifier()},
+	return &membershipService{
+		board: b, stop: make(chan struct{}), ended: make(chan struct{}), here: map[string]*present{}, complete: map[int]int64{}, beats: map[string]quota.Renewal{}, grants: map[string]quota.Grant{}, health: healthReports{teller: health.NewNotifier()},
 		// A copy that is cut off goes on answering directors until its own lease ends, and their leases count from then.
-		roll: membership.New(membership.Settings{Lease: rollLease + b.set.Replicas.Lease, Drift: rollDrift, Gather: rollGather,
-			Director: rollLease, Session: b.relayLease()})}
+		roll: membership.New(membership.Settings{
+			Lease: rollLease + b.set.Replicas.Lease, Drift: rollDrift, Gather: rollGather,
+			Director: rollLease, Session: b.relayLease(),
+		}),
+	}
 }
 
 // observe takes in what a director says with its call for news.
@@ -208,8 +212,10 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, d := range s.Directors {
-		k.roll.RecordHeartbeat(membership.Heartbeat{ID: d.ID, Director: d.Director, Leaving: d.Leaving, At: now - time.Duration(d.AgeMS)*time.Millisecond,
-			Applied: d.AppliedRevision, Config: d.Config})
+		k.roll.RecordHeartbeat(membership.Heartbeat{
+			ID: d.ID, Director: d.Director, Leaving: d.Leaving, At: now - time.Duration(d.AgeMS)*time.Millisecond,
+			Applied: d.AppliedRevision, Config: d.Config,
+		})
 		if k.record != nil {
 			k.record.Heard(d.ID, d.AppliedRevision, now-time.Duration(d.AgeMS)*time.Millisecond)
 		}
--- a/internal/controlplane/relays_test.go
+++ b/internal/controlplane/relays_test.go
@@ -33,8 +33,10 @@
 
 func newTestRelay(t testing.TB, b *Server, name string, number uint64, directors int) *testRelay {
 	r := &testRelay{t: t, server: b, behind: map[string]int64{}}
-	r.session = relaysession.New(relaysession.Settings{Relay: membership.Relay{Name: name, Incarnation: fmt.Sprint(number), Region: "north"}, Number: number,
-		DirectorLease: rollLease, Drift: rollDrift}, nil)
+	r.session = relaysession.New(relaysession.Settings{
+		Relay: membership.Relay{Name: name, Incarnation: fmt.Sprint(number), Region: "north"}, Number: number,
+		DirectorLease: rollLease, Drift: rollDrift,
+	}, nil)
 	for i := range directors {
 		r.directors = append(r.directors, discovery.Announcement{Config: "mark", Director: discovery.Director{Name: fmt.Sprint("d-", i), Incarnation: "ABCDEFGHIJKLMNOPQRSTUVWXYZ", Location: "west"}})
 	}
--- a/internal/controlplane/relaysession/model_test.go
+++ b/internal/controlplane/relaysession/model_test.go
@@ -131,16 +131,20 @@
 
 func (m *model) startDirector(name string) {
 	m.numbers++
-	d := &modelDirector{clock: m.clock(), alive: true, relay: m.rng.IntN(len(m.relays)),
-		Director: discovery.Director{Name: name, Incarnation: fmt.Sprint(m.numbers)}}
+	d := &modelDirector{
+		clock: m.clock(), alive: true, relay: m.rng.IntN(len(m.relays)),
+		Director: discovery.Director{Name: name, Incarnation: fmt.Sprint(m.numbers)},
+	}
 	m.directors = append(m.directors, d)
 }
 
 func (m *model) startRelay(r *modelRelay, name string) {
 	m.numbers++
 	*r = modelRelay{clock: m.clock(), alive: true, number: m.numbers}
-	r.session = relaysession.New(relaysession.Settings{Relay: membership.Relay{Name: name, Incarnation: fmt.Sprint(m.numbers)}, Number: m.numbers,
-		DirectorLease: directorLease, Drift: drift}, nil)
+	r.session = relaysession.New(relaysession.Settings{
+		Relay: membership.Relay{Name: name, Incarnation: fmt.Sprint(m.numbers)}, Number: m.numbers,
+		DirectorLease: directorLease, Drift: drift,
+	}, nil)
 }
 
 // lead begins another leader's time. It was in the group before and has all events.
--- a/internal/controlplane/replica/driver.go
+++ b/internal/controlplane/replica/driver.go
@@ -386,8 +386,10 @@
 // State looks at the group.
 func (r *Driver) State() State {
 	s := r.node.Status()
-	out := State{Disk: r.cfg.Disk, Leader: s.Lead, Leads: s.RaftState == raft.StateLeader, HardState: r.hard, Applied: r.log.applied.Index,
-		Voters: slices.Clone(r.log.conf.GetVoters()), Learners: slices.Clone(r.log.conf.GetLearners()), Joint: len(r.log.conf.GetVotersOutgoing()) > 0}
+	out := State{
+		Disk: r.cfg.Disk, Leader: s.Lead, Leads: s.RaftState == raft.StateLeader, HardState: r.hard, Applied: r.log.applied.Index,
+		Voters: slices.Clone(r.log.conf.GetVoters()), Learners: slices.Clone(r.log.conf.GetLearners()), Joint: len(r.log.conf.GetVotersOutgoing()) > 0,
+	}
 	if out.Leads {
 		out.Progress = map[uint64]Progress{}
 		for disk, p := range s.Progress {
--- a/internal/controlplane/replica/members_test.go
+++ b/internal/controlplane/replica/members_test.go
@@ -16,8 +16,10 @@
 		n := rapid.IntRange(1, 9).Draw(t, "copies")
 		var places []Place
 		for i := range n {
-			places = append(places, Place{Name: fmt.Sprintf("c%d", i), Machine: fmt.Sprint("m", rapid.IntRange(0, 11).Draw(t, "machine")),
-				Site: fmt.Sprint("s", rapid.IntRange(0, 3).Draw(t, "site")), Spare: rapid.IntRange(0, 9).Draw(t, "spare") == 0})
+			places = append(places, Place{
+				Name: fmt.Sprintf("c%d", i), Machine: fmt.Sprint("m", rapid.IntRange(0, 11).Draw(t, "machine")),
+				Site: fmt.Sprint("s", rapid.IntRange(0, 3).Draw(t, "site")), Spare: rapid.IntRange(0, 9).Draw(t, "spare") == 0,
+			})
 		}
 		if len(ValidatePlaces(places)) > 0 {
 			return
--- a/internal/controlplane/replicas/group.go
+++ b/internal/controlplane/replicas/group.go
@@ -134,10 +134,12 @@
 // New makes the copy of a store that was opened for a group.
 func New(s *store.Store, set Settings) (*Group, error) {
 	lease := replica.Lease{Length: set.Lease, Drift: set.Drift}
-	g := &Group{set: set, store: s, run: random64(), inbox: make(chan func(), 1024), stop: make(chan struct{}), ended: make(chan struct{}),
+	g := &Group{
+		set: set, store: s, run: random64(), inbox: make(chan func(), 1024), stop: make(chan struct{}), ended: make(chan struct{}),
 		links: map[string]*peer{}, witness: replica.NewWitness(), granter: replica.NewLessor(lease), phase: Meeting, seeds: random64(),
 		barriers: map[uint64][]func(error){}, contacts: replica.NewContacts(set.Tick), names: map[uint64]string{}, asks: map[string]uint64{}, met: map[string]bool{},
-		sending: map[uint64]bool{}, sentWhole: map[uint64]time.Duration{}, flush: time.NewTimer(time.Hour)}
+		sending: map[uint64]bool{}, sentWhole: map[uint64]time.Duration{}, flush: time.NewTimer(time.Hour),
+	}
 	if g.set.Scheme == "" {
 		g.set.Scheme = "http"
 	}
--- a/internal/controlplane/replicas/links.go
+++ b/internal/controlplane/replicas/links.go
@@ -267,7 +267,8 @@
 		go func() { w.CloseWithError(write(w)) }()
 		defer r.Close()
 		status, answer, err := g.call(ctx, l.url("/v1/copies/whole"), "application/octet-stream", moving{r, wholeStuck, checkWithin(size), stuck}, map[string]string{
-			takenHeader: fmt.Sprintf("%d %d", m.GetTerm(), m.GetTo()), "Stairvane-Length": strconv.FormatInt(size, 10)})
+			takenHeader: fmt.Sprintf("%d %d", m.GetTerm(), m.GetTo()), "Stairvane-Length": strconv.FormatInt(size, 10),
+		})
 		if err != nil {
 			return err
 		}
--- a/internal/controlplane/replicas/serve.go
+++ b/internal/controlplane/replicas/serve.go
@@ -234,7 +234,8 @@
 		return
 	}
 	m := &pb.Message{Type: pb.MsgSnap.Enum(), From: proto.Uint64(disk), To: proto.Uint64(to), Term: proto.Uint64(term), Snapshot: &pb.Snapshot{Metadata: &pb.SnapshotMetadata{
-		Index: proto.Uint64(c.Taken.At.Index), Term: proto.Uint64(c.Taken.At.Term), ConfState: pb.EnsureConfState(conf)}}}
+		Index: proto.Uint64(c.Taken.At.Index), Term: proto.Uint64(c.Taken.At.Term), ConfState: pb.EnsureConfState(conf),
+	}}}
 	done := make(chan bool, 1)
 	if !g.post(func() {
 		if g.driver == nil || g.candidate != nil {
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -74,8 +74,10 @@
 	if err = b.checkMode(opt); err != nil {
 		return b, err
 	}
-	if b.store, err = store.Open(set.Store, store.Options{SnapshotEvery: set.SnapshotEvery, KeepEvents: set.KeepEvents, Batch: set.Batch, Clock: b.clock,
-		Committed: b.committed, KillPoint: opt.At, AcceptOlder: opt.AcceptOlder, Group: set.Replicas.Self != "", RememberWrites: set.Replicas.RememberWrites}); err != nil {
+	if b.store, err = store.Open(set.Store, store.Options{
+		SnapshotEvery: set.SnapshotEvery, KeepEvents: set.KeepEvents, Batch: set.Batch, Clock: b.clock,
+		Committed: b.committed, KillPoint: opt.At, AcceptOlder: opt.AcceptOlder, Group: set.Replicas.Self != "", RememberWrites: set.Replicas.RememberWrites,
+	}); err != nil {
 		return b, err
 	}
 	if i, _ := b.store.Identity(); i.Disk != 0 && set.Replicas.Self == "" {
@@ -125,10 +127,12 @@
 
 // join makes the board a copy of its group.
 func (b *Server) join(opt Options) (*replicas.Group, error) {
-	set := replicas.Settings{ReplicaGroup: b.set.Replicas, Batch: b.set.Batch, FoundGroup: opt.Found, LeadershipChanged: b.executor.lead, SnapshotInstalled: b.replaced, Acknowledged: b.watches.Acknowledged, Heartbeats: b.membership.Heartbeats, TakeHeartbeats: b.membership.TakeHeartbeats, Grant: b.membership.Grant, TakeLeaseAnswer: b.membership.TakeShares,
+	set := replicas.Settings{
+		ReplicaGroup: b.set.Replicas, Batch: b.set.Batch, FoundGroup: opt.Found, LeadershipChanged: b.executor.lead, SnapshotInstalled: b.replaced, Acknowledged: b.watches.Acknowledged, Heartbeats: b.membership.Heartbeats, TakeHeartbeats: b.membership.TakeHeartbeats, Grant: b.membership.Grant, TakeLeaseAnswer: b.membership.TakeShares,
 		NotifiedAfter: func() time.Duration {
 			return time.Duration(b.store.Fleet().Rules().NotifiedWithinMS) * time.Millisecond
-		}}
+		},
+	}
 	set.Client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: time.Minute, DialContext: (&net.Dialer{Timeout: 300 * time.Millisecond}).DialContext}}
 	if keys := b.set.Write.TLS; keys != nil {
 		c, err := api.ClientTLS(api.Credentials{Certificate: keys.Certificate, Key: keys.Key, Authority: keys.Clients})
--- a/internal/controlplane/store/compatibility_test.go
+++ b/internal/controlplane/store/compatibility_test.go
@@ -51,12 +51,16 @@
 	group := 3
 	rules := fleet.DefaultRules()
 	for i, e := range []fleet.Event{
-		{Rules: &rules}, {Location: &fleet.Location{Name: "west", Floor: 1, Load: 2, Sources: []string{"store"}}},
+		{Rules: &rules},
+		{Location: &fleet.Location{Name: "west", Floor: 1, Load: 2, Sources: []string{"store"}}},
 		{Host: &fleet.Host{HostSpec: fleet.HostSpec{Name: "store", Role: fleet.Origin, Address: "10.0.0.1:1", Site: "mid", Class: "o", Share: 40}, State: fleet.InService, Serving: 40}},
 		{Host: &fleet.Host{HostSpec: fleet.HostSpec{Name: "c-1", Role: fleet.Cache, Address: "10.0.0.2:1", Site: "west", Class: "c", Block: 2, Share: 4}, State: fleet.InService, Serving: 2, BornMS: 7}},
-		{Purge: &fleet.Purge{Object: "00000000000000ab", IssuedMS: 1_699_999_999_000}}, {Purge: &fleet.Purge{Group: &group, IssuedMS: 1_699_999_999_500}},
-		{Membership: &fleet.MembershipChange{Joined: []fleet.Director{{Name: "d1", Incarnation: "i1", Location: "west", Machine: "m", Site: "s", Version: "v", Claims: "a:1"}},
-			Shards: []fleet.ShardChange{{Shard: 5, Replicas: []string{"d1/i1"}, PreviousReplicas: []string{"d0/i0"}}}}},
+		{Purge: &fleet.Purge{Object: "00000000000000ab", IssuedMS: 1_699_999_999_000}},
+		{Purge: &fleet.Purge{Group: &group, IssuedMS: 1_699_999_999_500}},
+		{Membership: &fleet.MembershipChange{
+			Joined: []fleet.Director{{Name: "d1", Incarnation: "i1", Location: "west", Machine: "m", Site: "s", Version: "v", Claims: "a:1"}},
+			Shards: []fleet.ShardChange{{Shard: 5, Replicas: []string{"d1/i1"}, PreviousReplicas: []string{"d0/i0"}}},
+		}},
 	} {
 		e.Who = fmt.Sprint("writer ", i)
 		check(t, do(func(t *Tx) error {
--- a/internal/controlplane/store/store_test.go
+++ b/internal/controlplane/store/store_test.go
@@ -76,7 +76,8 @@
 	Chain   [32]byte
 	Events  []fleet.Event
 	Records []apply.Record
-}, err error) {
+}, err error,
+) {
 	c.Dump, c.Chain = s.Fleet().Dump(), s.Chain()
 	err = s.View(func(v *View) (err error) {
 		if c.Events, err = v.Events(0, 1<<20); err == nil {
--- a/internal/controlplane/tls_test.go
+++ b/internal/controlplane/tls_test.go
@@ -43,9 +43,11 @@
 func (a *authority) issue(name string, parent *x509.Certificate, signer *ecdsa.PrivateKey) (*x509.Certificate, *ecdsa.PrivateKey) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	check(a.t, err)
-	template := &x509.Certificate{SerialNumber: big.NewInt(time.Now().UnixNano()), Subject: pkix.Name{CommonName: name}, NotBefore: time.Now().Add(-time.Hour),
+	template := &x509.Certificate{
+		SerialNumber: big.NewInt(time.Now().UnixNano()), Subject: pkix.Name{CommonName: name}, NotBefore: time.Now().Add(-time.Hour),
 		NotAfter: time.Now().Add(time.Hour), IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, IsCA: parent == nil, BasicConstraintsValid: true,
-		KeyUsage: x509.KeyUsageDigitalSignature | x509.KeyUsageCertSign, ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}}
+		KeyUsage: x509.KeyUsageDigitalSignature | x509.KeyUsageCertSign, ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
+	}
 	if parent == nil {
 		parent, signer = template, key
 	}
@@ -159,7 +161,8 @@
 func run(t *testing.T, process interface {
 	Run() error
 	Stop()
-}) {
+},
+) {
 	ended := make(chan error, 1)
 	go func() { ended <- process.Run() }()
 	t.Cleanup(func() {
--- a/internal/decision/cold_sum_test.go
+++ b/internal/decision/cold_sum_test.go
@@ -132,8 +132,10 @@
 		kb := meanSend.Seconds() * f.s.FlowKBPerS * math.Exp(sigma*f.rng.NormFloat64()-sigma*sigma/2)
 		f.next++
 		f.wanted++
-		f.on(i, f.nodes[i], Request{ID: RequestID(fmt.Sprint("r", f.next)), Object: ObjectID(f.rng.Uint64()), Class: "clip",
-			SizeKB: min(kb, 1200), TimeLeft: 4 * time.Second})
+		f.on(i, f.nodes[i], Request{
+			ID: RequestID(fmt.Sprint("r", f.next)), Object: ObjectID(f.rng.Uint64()), Class: "clip",
+			SizeKB: min(kb, 1200), TimeLeft: 4 * time.Second,
+		})
 		f.after(time.Duration(f.rng.ExpFloat64()/rate*float64(time.Second)), one)
 	}
 	f.after(time.Duration(f.rng.ExpFloat64()/rate*float64(time.Second)), one)
--- a/internal/decision/large_test.go
+++ b/internal/decision/large_test.go
@@ -57,8 +57,10 @@
 		if _, open := w.r.open[a.Request]; open && status == OK {
 			w.asked[w.at[a.Request]].answered = true
 		}
-		w.act(w.r.Handle(w.now, AttemptResult{Request: a.Request, Terminal: status == OK, Host: a.Host, Attempt: n, Status: status, CacheStatus: CacheStatusHit,
-			Elapsed: w.now - sent}))
+		w.act(w.r.Handle(w.now, AttemptResult{
+			Request: a.Request, Terminal: status == OK, Host: a.Host, Attempt: n, Status: status, CacheStatus: CacheStatusHit,
+			Elapsed: w.now - sent,
+		}))
 	})
 }
 
--- a/internal/decision/router.go
+++ b/internal/decision/router.go
@@ -407,8 +407,10 @@
 			opts |= Revalidate
 		}
 	}
-	r.do(StartAttempt{Request: q.ID, Host: h.Host, Options: opts, MaxAge: r.maxAge(q),
-		CachePriority: int(bool01(!c.Uncacheable)), Source: source.Host})
+	r.do(StartAttempt{
+		Request: q.ID, Host: h.Host, Options: opts, MaxAge: r.maxAge(q),
+		CachePriority: int(bool01(!c.Uncacheable)), Source: source.Host,
+	})
 	if at := r.overdueAt(q); at < q.deadline {
 		r.after(at-r.now, Timer{TimerAttemptOverdue, q.ID, a.number})
 	}
--- a/internal/decision/router_test.go
+++ b/internal/decision/router_test.go
@@ -18,8 +18,10 @@
 	return Settings{
 		Zone: "west", Zones: []string{"hub", "west"}, Directors: 2, DirectorsByZone: []int{0, 2},
 		Kinds: []string{"cache", "parent", "origin"}, ParentKind: 1, OriginKind: 2, FlowKBPerS: 1000,
-		Classes: []Class{{Name: "clip", LatencyObjective: 400 * ms, ObjectiveStretch: 2, Deadline: 4 * time.Second, PriorityWeight: 1,
-			Idempotency: Idempotent, DedupWindow: time.Second}},
+		Classes: []Class{{
+			Name: "clip", LatencyObjective: 400 * ms, ObjectiveStretch: 2, Deadline: 4 * time.Second, PriorityWeight: 1,
+			Idempotency: Idempotent, DedupWindow: time.Second,
+		}},
 		WeightMode: WeightModeOff, CacheStatusMode: CacheStatusModeAll, SiblingMode: SiblingModeOff, JoinsFills: true, Cancel: true, HedgedRequests: true,
 		RetryAfter: true, MaxAttempts: 6, MaxRetryAfter: 700 * ms, AnswerGrace: 8 * ms,
 		DrainGrace: 250 * ms, PurgeGrace: 300 * ms, PurgeDone: 5 * time.Second,
@@ -68,8 +70,10 @@
 }
 
 func (b *bench) answer(id string, o StartAttempt, n int, s Status, note CacheStatus) []Action {
-	return b.on(AttemptResult{Request: RequestID(id), Terminal: s == OK, Host: o.Host, Attempt: n, Status: s, CacheStatus: note,
-		Elapsed: 120 * ms, FirstByte: 20 * ms})
+	return b.on(AttemptResult{
+		Request: RequestID(id), Terminal: s == OK, Host: o.Host, Attempt: n, Status: s, CacheStatus: note,
+		Elapsed: 120 * ms, FirstByte: 20 * ms,
+	})
 }
 
 // of gives the actions of one type.
@@ -456,8 +460,10 @@
 		b.on(AttemptResult{Request: "a", Terminal: true, Host: o.Host, Status: OK, CacheStatus: note, Elapsed: 2 * time.Second})
 		return b.r.fills.late, b.r.fetches.late, b.r.hosts[o.Host].link.late
 	}
-	for note, want := range map[CacheStatus][3]bool{CacheStatusHit: {false, false, true}, CacheStatusFilled: {true, false, false},
-		CacheStatusFilledByOrigin: {false, true, false}} {
+	for note, want := range map[CacheStatus][3]bool{
+		CacheStatusHit: {false, false, true}, CacheStatusFilled: {true, false, false},
+		CacheStatusFilledByOrigin: {false, true, false},
+	} {
 		fills, fetches, link := late(start(t, site()), note)
 		if got := [3]bool{fills > 0, fetches > 0, link > 0}; got != want {
 			t.Errorf("note %d: late fills, fetches, link %v, want %v", note, got, want)
@@ -488,8 +494,10 @@
 	b := start(t, site())
 	first := b.sent(b.query("a", 1))
 	b.query("b", 1) // joins: it is out in no window
-	b.on(AttemptResult{Request: "b", Terminal: true, Host: first.Host, Status: OK, CacheStatus: CacheStatusFilledByOrigin,
-		Elapsed: 3 * time.Second})
+	b.on(AttemptResult{
+		Request: "b", Terminal: true, Host: first.Host, Status: OK, CacheStatus: CacheStatusFilledByOrigin,
+		Elapsed: 3 * time.Second,
+	})
 	if b.r.fetches.late != 0 {
 		t.Error("a follower's lateness moved the window of fetches")
 	}
@@ -518,8 +526,10 @@
 		for i := range 30 { // reports come with every answer
 			id := fmt.Sprint("q", i)
 			o := b.sent(b.query(id, ObjectID(i)))
-			b.on(AttemptResult{Request: RequestID(id), Terminal: true, Host: o.Host, Status: OK, CacheStatus: CacheStatusHit,
-				Elapsed: 110 * ms, Load: &LoadReport{LinkUse: use, HasLinkUse: true}})
+			b.on(AttemptResult{
+				Request: RequestID(id), Terminal: true, Host: o.Host, Status: OK, CacheStatus: CacheStatusHit,
+				Elapsed: 110 * ms, Load: &LoadReport{LinkUse: use, HasLinkUse: true},
+			})
 		}
 		b.sent(b.query("a", 1000))
 		b.now += time.Second
@@ -690,7 +700,8 @@
 			id := HostID(2000 + wave*8 + i)
 			b.on(EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{
 				{Host: id, Zone: "west", Kind: "cache", Readiness: Ready, StartedAt: b.now},
-				{Host: id - 8, Zone: "west", Kind: "cache", Readiness: Gone}}})
+				{Host: id - 8, Zone: "west", Kind: "cache", Readiness: Gone},
+			}})
 			b.on(Purge{Object: ObjectID(id), Group: wave})
 			b.on(Purge{ByGroup: true, Group: int(id)})
 		}
@@ -743,7 +754,8 @@
 		b := start(t, site())
 		for _, h := range []HostID{500, 501} {
 			b.on(EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{
-				{Host: h, Zone: "hub", Kind: "parent", Readiness: Ready, StartedAt: b.now - 19*time.Second}}})
+				{Host: h, Zone: "hub", Kind: "parent", Readiness: Ready, StartedAt: b.now - 19*time.Second},
+			}})
 		}
 		b.r.missShare, b.r.carriedBest = 0.1, 100
 		b.now += 500 * ms
@@ -782,8 +794,10 @@
 		return got
 	}
 	before := rate()
-	b.on(EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{{Host: 101, Zone: "west", Kind: "cache", Readiness: Gone},
-		{Host: 102, Zone: "west", Kind: "cache", Readiness: Gone}}})
+	b.on(EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{
+		{Host: 101, Zone: "west", Kind: "cache", Readiness: Gone},
+		{Host: 102, Zone: "west", Kind: "cache", Readiness: Gone},
+	}})
 	b.on(TimerFired{Timer{Kind: TimerUpkeep}})
 	b.r.carriedBest = 6
 	if after := rate(); len(b.r.caches) != 1 || after > before {
@@ -1068,8 +1082,10 @@
 		if st == OK && !ended[k.request] {
 			ended[k.request] = true
 		}
-		take(b.on(AttemptResult{Request: k.request, Attempt: k.number, Host: o.Host, Status: st, Terminal: ended[k.request],
-			CacheStatus: CacheStatus(rng.IntN(11)), Elapsed: time.Duration(rng.IntN(900)) * ms, FirstByte: time.Duration(rng.IntN(90)) * ms}))
+		take(b.on(AttemptResult{
+			Request: k.request, Attempt: k.number, Host: o.Host, Status: st, Terminal: ended[k.request],
+			CacheStatus: CacheStatus(rng.IntN(11)), Elapsed: time.Duration(rng.IntN(900)) * ms, FirstByte: time.Duration(rng.IntN(90)) * ms,
+		}))
 	}
 	pick := func() []attemptKey {
 		var keys []attemptKey
@@ -1106,8 +1122,10 @@
 			id := RequestID(fmt.Sprint("q", step))
 			wait := time.Duration(1+rng.IntN(4000)) * ms
 			left[id] = b.now + wait
-			take(b.on(Request{ID: id, Object: ObjectID(rng.IntN(5)), PurgeGroup: rng.IntN(3), Class: "clip",
-				SizeKB: float64(rng.IntN(900)), TimeLeft: wait}))
+			take(b.on(Request{
+				ID: id, Object: ObjectID(rng.IntN(5)), PurgeGroup: rng.IntN(3), Class: "clip",
+				SizeKB: float64(rng.IntN(900)), TimeLeft: wait,
+			}))
 		case 3, 4, 5:
 			if len(keys) > 0 {
 				answer(keys[rng.IntN(len(keys))], statuses[rng.IntN(len(statuses))])
--- a/internal/director/caches.go
+++ b/internal/director/caches.go
@@ -77,8 +77,10 @@
 	bit  decision.FetchOptions
 	word string
 }{
-	{decision.JoinFill, "merge"}, {decision.SourceCachedOnly, "local"},
-	{decision.ParentNoStore, "skip"}, {decision.Revalidate, "revalidate"},
+	{decision.JoinFill, "merge"},
+	{decision.SourceCachedOnly, "local"},
+	{decision.ParentNoStore, "skip"},
+	{decision.Revalidate, "revalidate"},
 }
 
 // Send implements routing.Link.
@@ -163,8 +165,10 @@
 }
 
 // notes are the words of the field n; their places are the module's numbers, from 1.
-var notes = [...]string{"local", "pulled", "pulled_far", "rode", "expired", "turned_away", "cut_off", "not_there",
-	"no_place", "far_fault"}
+var notes = [...]string{
+	"local", "pulled", "pulled_far", "rode", "expired", "turned_away", "cut_off", "not_there",
+	"no_place", "far_fault",
+}
 
 var noteNumbers = func() map[string]decision.CacheStatus {
 	m := map[string]decision.CacheStatus{}
--- a/internal/director/claims.go
+++ b/internal/director/claims.go
@@ -65,8 +65,10 @@
 	}
 	x.own = own
 	x.own.Claims = addr.String()
-	x.node = claims.New(x.own.ID(), claims.Settings{Shards: claimsSlots, Slack: routing.SendWithin + 200*time.Millisecond, MaxWindow: longest,
-		MaxClaims: c.Claims.MaxClaims, Again: claimsAgain})
+	x.node = claims.New(x.own.ID(), claims.Settings{
+		Shards: claimsSlots, Slack: routing.SendWithin + 200*time.Millisecond, MaxWindow: longest,
+		MaxClaims: c.Claims.MaxClaims, Again: claimsAgain,
+	})
 	x.tick.Fire = x.due
 	p.loop.Set(&x.tick, p.loop.Now()+claimsTick)
 	return x, nil
--- a/internal/director/events.go
+++ b/internal/director/events.go
@@ -40,8 +40,10 @@
 }
 
 func newWatchClient(loop *transport.Loop, d *routing.Director, addrs []netip.AddrPort, crowd int, seed uint64) *watchClient {
-	f := &watchClient{loop: loop, director: d, address: addrs[0], addresses: addrs, directors: max(1, crowd),
-		rng: rand.New(rand.NewPCG(seed, 1))}
+	f := &watchClient{
+		loop: loop, director: d, address: addrs[0], addresses: addrs, directors: max(1, crowd),
+		rng: rand.New(rand.NewPCG(seed, 1)),
+	}
 	f.retry = f.timing().RetryMin
 	f.timer.Fire = f.overdue
 	return f
--- a/internal/director/front.go
+++ b/internal/director/front.go
@@ -71,8 +71,10 @@
 }
 
 func newFront(loop *transport.Loop, d *routing.Director, listen netip.AddrPort, most int, idle time.Duration, memory int) (*front, error) {
-	f := &front{loop: loop, director: d, clients: map[*client]struct{}{}, most: most, idle: idle, helloWithin: helloWithin,
-		stuck: stuckAfter, queueMax: memory / 6, bodyMax: memory / 8}
+	f := &front{
+		loop: loop, director: d, clients: map[*client]struct{}{}, most: most, idle: idle, helloWithin: helloWithin,
+		stuck: stuckAfter, queueMax: memory / 6, bodyMax: memory / 8,
+	}
 	var err error
 	f.listener, err = loop.Listen(listen, func() transport.Handler { return &client{front: f, open: map[int32]*routing.Request{}} },
 		func(c *transport.Conn, h transport.Handler) { f.admit(c, h.(*client)) })
--- a/internal/director/membership.go
+++ b/internal/director/membership.go
@@ -58,8 +58,10 @@
 }
 
 func newMembershipClient(p *Program, c config.Config) (*membershipClient, error) {
-	r := &membershipClient{prog: p, locations: map[string]string{}, self: discovery.Director{Name: c.Name, Incarnation: c.Membership.Incarnation, Location: c.Settings.Zone,
-		Machine: c.Membership.Machine, Site: c.Membership.Site, Version: c.Membership.Version}}
+	r := &membershipClient{prog: p, locations: map[string]string{}, self: discovery.Director{
+		Name: c.Name, Incarnation: c.Membership.Incarnation, Location: c.Settings.Zone,
+		Machine: c.Membership.Machine, Site: c.Membership.Site, Version: c.Membership.Version,
+	}}
 	r.counted.Total = max(1, c.Settings.Directors)
 	r.counted.InZone = r.counted.Total
 	if i := slices.Index(c.Settings.Zones, c.Settings.Zone); i >= 0 && i < len(c.Settings.DirectorsByZone) {
--- a/internal/director/routing/claims.go
+++ b/internal/director/routing/claims.go
@@ -90,8 +90,10 @@
 		return false
 	}
 	a.uncleared++
-	d.limits.Claims.Want(Claim{Token: q.Token, ID: q.ID, Class: q.Class, Object: q.Object, Group: group, Window: k.resendWithin,
-		Moves: q.ranAt == 0 && q.out == 1, Until: max(now, q.deadline-claimReserve)}, func(c Claimed) { d.claimed(a, group, c) })
+	d.limits.Claims.Want(Claim{
+		Token: q.Token, ID: q.ID, Class: q.Class, Object: q.Object, Group: group, Window: k.resendWithin,
+		Moves: q.ranAt == 0 && q.out == 1, Until: max(now, q.deadline-claimReserve),
+	}, func(c Claimed) { d.claimed(a, group, c) })
 	d.loop.Set(&a.timer, q.deadline) // its time to connect begins when it has the claim
 	return true
 }
--- a/internal/director/routing/guards_test.go
+++ b/internal/director/routing/guards_test.go
@@ -62,8 +62,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	limits := Limits{Streams: 32, LinksPerHost: 4, IdleAfter: time.Hour, DialTimeout: time.Hour, SilentAfter: time.Hour,
-		MaxAttempts: 8, LongestAnswer: 6 * time.Second, PurgeDone: 6 * time.Second}
+	limits := Limits{
+		Streams: 32, LinksPerHost: 4, IdleAfter: time.Hour, DialTimeout: time.Hour, SilentAfter: time.Hour,
+		MaxAttempts: 8, LongestAnswer: 6 * time.Second, PurgeDone: 6 * time.Second,
+	}
 	change(&limits)
 	s := &script{}
 	d := New(loop, decision.Settings{
--- a/internal/director/routing/requests.go
+++ b/internal/director/routing/requests.go
@@ -93,8 +93,10 @@
 	}
 	d.known[key] = q
 	d.open++
-	d.feed(decision.Request{ID: key, Object: r.Object, Part: r.Part, PurgeGroup: r.Group, Class: r.Class,
-		SizeKB: r.SizeKB, TimeLeft: max(0, deadline-d.loop.Now())})
+	d.feed(decision.Request{
+		ID: key, Object: r.Object, Part: r.Part, PurgeGroup: r.Group, Class: r.Class,
+		SizeKB: r.SizeKB, TimeLeft: max(0, deadline-d.loop.Now()),
+	})
 }
 
 // Revoke ends a request whose client has gone; no answer follows.
@@ -404,8 +406,10 @@
 		q.spoil(a.link) // some caches answer twice, the second time some milliseconds late
 	}
 	d.forget(q)
-	d.feed(decision.AttemptResult{Request: q.key, Terminal: q.answered, Host: a.what.Host, Attempt: a.number, CacheStatus: r.Note,
-		Status: status, Elapsed: d.loop.Now() - a.decidedAt, Load: r.Report})
+	d.feed(decision.AttemptResult{
+		Request: q.key, Terminal: q.answered, Host: a.what.Host, Attempt: a.number, CacheStatus: r.Note,
+		Status: status, Elapsed: d.loop.Now() - a.decidedAt, Load: r.Report,
+	})
 }
 
 // spoil keeps further attempts of a request off a link.
--- a/internal/director/stories_test.go
+++ b/internal/director/stories_test.go
@@ -170,8 +170,13 @@
 	slog.SetDefault(slog.New(slog.NewJSONHandler(&log, &slog.HandlerOptions{Level: slog.LevelWarn})))
 	defer slog.SetDefault(old)
 	less := settings
-	for _, change := range [][2]string{{`"Balancers":1,`, ``}, {`"CountByZone":[0,1],`, ``}, {`"Multiplex":32,`, `"Multiplex":0,`},
-		{`"DialTimeout":400,`, ``}, {`"ConnIdle":15000,`, `"ConnIdle":0,`}} {
+	for _, change := range [][2]string{
+		{`"Balancers":1,`, ``},
+		{`"CountByZone":[0,1],`, ``},
+		{`"Multiplex":32,`, `"Multiplex":0,`},
+		{`"DialTimeout":400,`, ``},
+		{`"ConnIdle":15000,`, `"ConnIdle":0,`},
+	} {
 		if !strings.Contains(less, change[0]) {
 			t.Fatalf("the settings have no %s", change[0])
 		}
--- a/internal/fleet/apply/apply.go
+++ b/internal/fleet/apply/apply.go
@@ -108,8 +108,10 @@
 
 // New builds a machine from what is durable. states may be nil for an apply that begins.
 func New(r Record, p *plan.Plan, states []StepState) (*Machine, error) {
-	m := &Machine{Record: r, Plan: p, steps: make([]StepState, len(p.Steps)), opens: make([]int, len(p.Steps)),
-		next: make([][]int, len(p.Steps)), told: map[int]int64{}}
+	m := &Machine{
+		Record: r, Plan: p, steps: make([]StepState, len(p.Steps)), opens: make([]int, len(p.Steps)),
+		next: make([][]int, len(p.Steps)), told: map[int]int64{},
+	}
 	if states != nil && len(states) != len(p.Steps) {
 		return nil, fmt.Errorf("apply %d: %d states of %d steps", r.ID, len(states), len(p.Steps))
 	}
--- a/internal/fleet/apply/apply_test.go
+++ b/internal/fleet/apply/apply_test.go
@@ -315,8 +315,12 @@
 		want Status
 		err  error
 	}{
-		{Running, OrderPause, Paused, nil}, {Paused, OrderPause, "", ErrNotRunning}, {Paused, OrderResume, Running, nil},
-		{Running, OrderResume, "", ErrNotPaused}, {Paused, OrderCancel, Cancelled, nil}, {Done, OrderCancel, "", ErrEnded},
+		{Running, OrderPause, Paused, nil},
+		{Paused, OrderPause, "", ErrNotRunning},
+		{Paused, OrderResume, Running, nil},
+		{Running, OrderResume, "", ErrNotPaused},
+		{Paused, OrderCancel, Cancelled, nil},
+		{Done, OrderCancel, "", ErrEnded},
 	} {
 		if got, err := Obey(Record{Status: c.is}, c.o); got != c.want || !errors.Is(err, c.err) {
 			t.Errorf("%s %s: %s, %v", c.is, c.o, got, err)
--- a/internal/fleet/fleettest/fleettest.go
+++ b/internal/fleet/fleettest/fleettest.go
@@ -30,8 +30,10 @@
 	sources := []string{"store"}
 	for i := range hubs {
 		name := fmt.Sprintf("h-%d", i)
-		w.Hosts = append(w.Hosts, fleet.HostSpec{Name: name, Role: fleet.Parent, Address: fmt.Sprintf("10.8.0.%d:1", i), Site: "north",
-			Class: "hub", Share: float64(rapid.IntRange(4, 12).Draw(t, "hub share"))})
+		w.Hosts = append(w.Hosts, fleet.HostSpec{
+			Name: name, Role: fleet.Parent, Address: fmt.Sprintf("10.8.0.%d:1", i), Site: "north",
+			Class: "hub", Share: float64(rapid.IntRange(4, 12).Draw(t, "hub share")),
+		})
 		sources = append(sources, name)
 	}
 	sites := []string{"east", "west"}
@@ -40,8 +42,10 @@
 			continue
 		}
 		// Few names and fewer addresses, so that boxes are replaced under their name and at their address.
-		b := fleet.HostSpec{Name: fmt.Sprintf("c-%d", i), Role: fleet.Cache, Class: "std", Share: float64(rapid.IntRange(1, 4).Draw(t, "share")),
-			Site: rapid.SampledFrom(sites).Draw(t, "site"), Address: fmt.Sprintf("10.1.0.%d:1", rapid.IntRange(0, 1).Draw(t, "at")*50+i%4)}
+		b := fleet.HostSpec{
+			Name: fmt.Sprintf("c-%d", i), Role: fleet.Cache, Class: "std", Share: float64(rapid.IntRange(1, 4).Draw(t, "share")),
+			Site: rapid.SampledFrom(sites).Draw(t, "site"), Address: fmt.Sprintf("10.1.0.%d:1", rapid.IntRange(0, 1).Draw(t, "at")*50+i%4),
+		}
 		b.Running = rapid.IntRange(0, 7).Draw(t, "running") == 0
 		if !slices.ContainsFunc(w.Hosts, func(o fleet.HostSpec) bool { return o.Address == b.Address }) {
 			w.Hosts = append(w.Hosts, b)
@@ -59,8 +63,10 @@
 		}
 		floor := float64(rapid.IntRange(0, int(sum-most)).Draw(t, "floor"))
 		n := rapid.IntRange(1, len(sources)).Draw(t, "sources")
-		w.Locations = append(w.Locations, fleet.Location{Name: site, Floor: floor,
-			Load: floor * rapid.SampledFrom([]float64{0.3, 0.6, 1}).Draw(t, "load"), Sources: slices.Clone(sources[:n])})
+		w.Locations = append(w.Locations, fleet.Location{
+			Name: site, Floor: floor,
+			Load: floor * rapid.SampledFrom([]float64{0.3, 0.6, 1}).Draw(t, "load"), Sources: slices.Clone(sources[:n]),
+		})
 	}
 	w.Normalize()
 	return w
--- a/internal/fleet/plan/codec_test.go
+++ b/internal/fleet/plan/codec_test.go
@@ -23,8 +23,10 @@
 			w.Locations = append(w.Locations, fleet.Location{Name: site, Floor: 24, Load: 24, Sources: []string{"store"}})
 		}
 		if !skip(i) {
-			w.Hosts = append(w.Hosts, fleet.HostSpec{Name: fmt.Sprintf("c-%06d", i), Role: fleet.Cache, Site: site, Class: "std", Share: 4,
-				Address: fmt.Sprintf("10.%d.%d.%d:1", i>>16, i>>8&255, i&255)})
+			w.Hosts = append(w.Hosts, fleet.HostSpec{
+				Name: fmt.Sprintf("c-%06d", i), Role: fleet.Cache, Site: site, Class: "std", Share: 4,
+				Address: fmt.Sprintf("10.%d.%d.%d:1", i>>16, i>>8&255, i&255),
+			})
 		}
 	}
 	w.Normalize()
--- a/internal/fleet/plan/schedule.go
+++ b/internal/fleet/plan/schedule.go
@@ -363,8 +363,10 @@
 			if c.done {
 				continue
 			}
-			impossible.Blocked = append(impossible.Blocked, Blocked{Change: c.Step.String(), Why: "it waits for steps that wait for it",
-				Remedy: "make the change in two plans"})
+			impossible.Blocked = append(impossible.Blocked, Blocked{
+				Change: c.Step.String(), Why: "it waits for steps that wait for it",
+				Remedy: "make the change in two plans",
+			})
 		}
 	}
 }
--- a/internal/operatorconfig/fleet.go
+++ b/internal/operatorconfig/fleet.go
@@ -346,8 +346,10 @@
 		if len(pools) > 0 && b.at.IsValid() && !slices.ContainsFunc(pools, func(p string) bool { return r.pools[p] != nil && r.pools[p].Contains(b.at.Addr().Unmap()) }) {
 			r.fault(b.node, b.key+".at", "address %v is not in pool %s", b.at.Addr(), strings.Join(pools, " or "))
 		}
-		r.wish.Hosts = append(r.wish.Hosts, fleet.HostSpec{Name: b.name, Role: b.role, Address: b.at.String(), Site: b.site,
-			Class: b.class, Block: b.block, Share: b.share, Running: b.running})
+		r.wish.Hosts = append(r.wish.Hosts, fleet.HostSpec{
+			Name: b.name, Role: b.role, Address: b.at.String(), Site: b.site,
+			Class: b.class, Block: b.block, Share: b.share, Running: b.running,
+		})
 	}
 	if len(r.faults) > 0 {
 		return // what follows would only tell their consequences
--- a/internal/protocol/discovery/serve.go
+++ b/internal/protocol/discovery/serve.go
@@ -97,8 +97,10 @@
 
 // AppendHead appends the head of an answer with a body of some bytes.
 func AppendHead(b []byte, status, length int, last bool) []byte {
-	text := map[int]string{200: "OK", 400: "Bad Request", 403: "Forbidden", 404: "Not Found", 405: "Method Not Allowed", 431: "Request Header Fields Too Large",
-		503: "Service Unavailable"}[status]
+	text := map[int]string{
+		200: "OK", 400: "Bad Request", 403: "Forbidden", 404: "Not Found", 405: "Method Not Allowed", 431: "Request Header Fields Too Large",
+		503: "Service Unavailable",
+	}[status]
 	b = fmt.Appendf(b, "HTTP/1.1 %d %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n", status, text, length)
 	if last {
 		b = append(b, "Connection: close\r\n"...)
--- a/internal/protocol/resp/resp_test.go
+++ b/internal/protocol/resp/resp_test.go
@@ -25,8 +25,10 @@
 }
 
 func TestMalformedAnswers(t *testing.T) {
-	for _, s := range []string{"+OK\r\n", "*9\r\n", "*-1\r\n", "*x\r\n", "*\r\n", "*1\n", "*1\r\n$240001\r\n",
-		"*1\r\n$1\r\nabc", "*1\r\n:5\r\n", "*" + strings.Repeat("0", 40)} {
+	for _, s := range []string{
+		"+OK\r\n", "*9\r\n", "*-1\r\n", "*x\r\n", "*\r\n", "*1\n", "*1\r\n$240001\r\n",
+		"*1\r\n$1\r\nabc", "*1\r\n:5\r\n", "*" + strings.Repeat("0", 40),
+	} {
 		if _, used, need, err := Parse([]byte(s), nil); err == nil {
 			t.Errorf("%q: used %d, need %d", s, used, need)
 		}
--- a/internal/protocol/simulator/parse.go
+++ b/internal/protocol/simulator/parse.go
@@ -281,11 +281,15 @@
 	case "alarm":
 		ev = decision.TimerFired{Timer: parseTimer(f.need("Ctx"))}
 	case "first":
-		ev = decision.FirstByte{Request: decision.RequestID(f.need("Xid")), Attempt: f.small("Hop"),
-			Host: f.host("Host"), Elapsed: f.time("Elapsed")}
+		ev = decision.FirstByte{
+			Request: decision.RequestID(f.need("Xid")), Attempt: f.small("Hop"),
+			Host: f.host("Host"), Elapsed: f.time("Elapsed"),
+		}
 	case "status_back":
-		ev = decision.HealthCheckResult{Host: f.host("Host"), Status: parseStatus(f, nil),
-			Elapsed: f.time("Elapsed"), Load: f.report("HealthInfo")}
+		ev = decision.HealthCheckResult{
+			Host: f.host("Host"), Status: parseStatus(f, nil),
+			Elapsed: f.time("Elapsed"), Load: f.report("HealthInfo"),
+		}
 	case "peer":
 		ev = decision.PeerMessage{From: f.small("Who"), Payload: f.bytes("Payload")}
 	default:
--- a/internal/quota/node_test.go
+++ b/internal/quota/node_test.go
@@ -210,8 +210,17 @@
 	for i, x := range []struct {
 		grant Grant
 		taken bool
-	}{{Grant{Epoch: 2, Seq: 1}, true}, {Grant{Epoch: 1, Seq: 2}, false}, {Grant{Source: "n", Seq: 3}, true}, {Grant{Source: "n", Seq: 3}, false},
-		{Grant{Epoch: 3, Seq: 2}, false}, {Grant{Epoch: 1, Seq: 4}, false}, {Grant{Epoch: 2, Seq: 5}, true}, {Grant{Source: "m", Seq: 4}, false}, {Grant{Source: "m", Seq: 6}, true}} {
+	}{
+		{Grant{Epoch: 2, Seq: 1}, true},
+		{Grant{Epoch: 1, Seq: 2}, false},
+		{Grant{Source: "n", Seq: 3}, true},
+		{Grant{Source: "n", Seq: 3}, false},
+		{Grant{Epoch: 3, Seq: 2}, false},
+		{Grant{Epoch: 1, Seq: 4}, false},
+		{Grant{Epoch: 2, Seq: 5}, true},
+		{Grant{Source: "m", Seq: 4}, false},
+		{Grant{Source: "m", Seq: 6}, true},
+	} {
 		leaf.Renewal(0)
 		x.grant.Holder = "d"
 		if taken := leaf.Take(x.grant, 0); taken != x.taken {
--- a/internal/tools/capacity/failures.go
+++ b/internal/tools/capacity/failures.go
@@ -15,57 +15,79 @@
 func purgeWithin(s Size, _ Design) float64 { return s.PurgeWithin.Seconds() }
 
 var failureFormulas = []formula{
-	{role: Failures, name: "a day's 750 restarts: first answers", unit: BytesPerSecond,
+	{
+		role: Failures, name: "a day's 750 restarts: first answers", unit: BytesPerSecond,
 		mechanism: "each gets the whole list and membership; the mean over the day, all replicas or relays together",
 		working:   "restarts/day x the first answer",
 		value: func(c *calculation) float64 {
 			return c.RestartsPerDay / secondsPerDay * c.wholeAnswer()
-		}},
-	{role: Failures, name: "a day's 750 restarts: membership", unit: BytesPerSecond,
+		},
+	},
+	{
+		role: Failures, name: "a day's 750 restarts: membership", unit: BytesPerSecond,
 		mechanism: "each leaves and joins, and each of the others is sent both; the mean over the day",
 		working:   "restarts/day x directors x bytes of both",
 		value: func(c *calculation) float64 {
 			return c.RestartsPerDay / secondsPerDay * c.leaveAndJoin(1)
-		}},
-	{role: Failures, name: "a start: its share of a director's bytes", unit: Seconds,
+		},
+	},
+	{
+		role: Failures, name: "a start: its share of a director's bytes", unit: Seconds,
 		mechanism: "the first answer at the bytes a second that a director may spend",
 		working:   "the first answer / bytes a second",
-		value:     func(c *calculation) float64 { return c.wholeAnswer() / c.DirectorBytesPerSecond }},
-	{role: Failures, name: "a rack or a switch (one site at most): membership", unit: Bytes,
+		value:     func(c *calculation) float64 { return c.wholeAnswer() / c.DirectorBytesPerSecond },
+	},
+	{
+		role: Failures, name: "a rack or a switch (one site at most): membership", unit: Bytes,
 		mechanism: "its directors leave in one event and join in one or a few",
 		working:   "directors/sites, sent to all directors",
-		value:     func(c *calculation) float64 { return c.leaveAndJoin(c.directorsPer(c.Sites)) }},
-	{role: Failures, name: "a zone: membership", unit: Bytes,
+		value:     func(c *calculation) float64 { return c.leaveAndJoin(c.directorsPer(c.Sites)) },
+	},
+	{
+		role: Failures, name: "a zone: membership", unit: Bytes,
 		mechanism: "the same for a zone's directors; its caches are the observer's matter",
 		working:   "directors/zones, sent to all directors",
-		value:     func(c *calculation) float64 { return c.leaveAndJoin(c.directorsPer(c.Zones)) }},
-	{role: Failures, name: "a zone comes back: first answers", unit: Bytes,
+		value:     func(c *calculation) float64 { return c.leaveAndJoin(c.directorsPer(c.Zones)) },
+	},
+	{
+		role: Failures, name: "a zone comes back: first answers", unit: Bytes,
 		mechanism: "each of its directors gets the whole list and membership",
 		working:   "directors/zones x the first answer",
-		value:     func(c *calculation) float64 { return c.directorsPer(c.Zones) * c.wholeAnswer() }},
-	{role: Failures, name: "a zone or a region comes back: encoding first answers", unit: Cores, budget: loopCores,
+		value:     func(c *calculation) float64 { return c.directorsPer(c.Zones) * c.wholeAnswer() },
+	},
+	{
+		role: Failures, name: "a zone or a region comes back: encoding first answers", unit: Cores, budget: loopCores,
 		mechanism: "directors that come between two events share one encoding; the next event makes it anew, on the loop that serves all",
 		working:   "events/s x encoding the first answer",
 		value: func(c *calculation) float64 {
 			return c.eventsPerSecond() * c.at(lawWholeTime, float64(c.Directors))
-		}},
-	{role: Failures, name: "a relay or a replica is lost: longest time to another", unit: Seconds, budget: purgeWithin,
+		},
+	},
+	{
+		role: Failures, name: "a relay or a replica is lost: longest time to another", unit: Seconds, budget: purgeWithin,
 		mechanism: "the pause before a lost watch is dialled again widens by 2.5 ms for each director of the configuration, by 200 ms at most; no measurement, the program's constants",
 		working:   "1.5 x 40 ms + (directors - 1) x 2.5 ms, of that 200 ms at most",
-		value:     (*calculation).reconnectLongest},
-	{role: Failures, name: "regions apart for an hour: longest wait for a purge", unit: Seconds, budget: purgeWithin,
+		value:     (*calculation).reconnectLongest,
+	},
+	{
+		role: Failures, name: "regions apart for an hour: longest wait for a purge", unit: Seconds, budget: purgeWithin,
 		mechanism: "the side without a majority has no lease and closes its watches until the other side is back; no measurement",
 		working:   "the time for which regions are apart",
-		value:     func(c *calculation) float64 { return c.RegionsApart.Seconds() }},
-	{role: Failures, name: "regions apart for an hour: events missed over events kept", unit: Share,
+		value:     func(c *calculation) float64 { return c.RegionsApart.Seconds() },
+	},
+	{
+		role: Failures, name: "regions apart for an hour: events missed over events kept", unit: Share,
 		budget:    func(Size, Design) float64 { return 1 },
 		mechanism: "over 1, a director that comes back is sent the whole list and ten minutes of purges, not what it missed; no measurement",
 		working:   "an hour of events / events kept",
 		value: func(c *calculation) float64 {
 			return c.eventsPerSecond() * c.RegionsApart.Seconds() / float64(c.HistoryKept)
-		}},
-	{role: Failures, name: "a region comes back: first answers", unit: Bytes,
+		},
+	},
+	{
+		role: Failures, name: "a region comes back: first answers", unit: Bytes,
 		mechanism: "each of its directors gets the whole list, the membership and ten minutes of purges, within the pause above",
 		working:   "directors/regions x the first answer",
-		value:     func(c *calculation) float64 { return c.directorsPer(c.Regions) * c.wholeAnswer() }},
+		value:     func(c *calculation) float64 { return c.directorsPer(c.Regions) * c.wholeAnswer() },
+	},
 }
--- a/internal/tools/capacity/measure/director.go
+++ b/internal/tools/capacity/measure/director.go
@@ -27,24 +27,42 @@
 
 func directorMeasures() []Measure {
 	return []Measure{
-		{Name: "director.memory.hosts", About: "heap of a director that knows so many caches (constant: the process with none)", XUnit: "cache",
-			Unit: capacity.Bytes, Sizes: cacheSizes, At: func(size int) (float64, error) { return programHeap(hostFeed(size)) }},
-		{Name: "director.memory.purges", About: "heap of a director that keeps so many purges", XUnit: "purge kept",
-			Unit: capacity.Bytes, Sizes: []int{200, 400, 800, 1600, 3200}, At: func(size int) (float64, error) { return programHeap(purgeFeed(size)) }},
-		{Name: "director.memory.membership", About: "heap of a director that knows so many directors", XUnit: "director",
-			Unit: capacity.Bytes, Sizes: directorSizes, At: func(size int) (float64, error) { return programHeap(memberFeed(size, 0)) }},
-		{Name: "director.time.host_change", About: "taking in the change of one cache in a list of so many", XUnit: "cache",
-			Unit: capacity.Seconds, Sizes: cacheSizes, At: hostChangeTime},
-		{Name: "director.time.membership_change", About: "taking in a director that joins among so many", XUnit: "director",
-			Unit: capacity.Seconds, Sizes: directorSizes, At: membershipChangeTime},
-		{Name: "director.time.watch_call", About: "writing a watch call with quotas of so many cold caches, and reading its answer", XUnit: "cold cache",
-			Unit: capacity.Seconds, Sizes: coldSizes, At: directorCallTime},
-		{Name: "director.bytes.call", About: "a watch call with quotas of so many cold caches", XUnit: "cold cache",
-			Unit: capacity.Bytes, Sizes: coldSizes, At: func(size int) (float64, error) { return float64(len(newCaller(size).call())), nil }},
-		{Name: "director.bytes.answer", About: "its answer with as many grants and no event", XUnit: "cold cache",
-			Unit: capacity.Bytes, Sizes: coldSizes, At: func(size int) (float64, error) { return float64(len(newCaller(size).answer())), nil }},
-		{Name: "director.bytes.report", About: "a health report on so many caches, in the call", XUnit: "cache reported",
-			Unit: capacity.Bytes, Sizes: []int{4, 8, 16, 24, 32}, At: reportBytes},
+		{
+			Name: "director.memory.hosts", About: "heap of a director that knows so many caches (constant: the process with none)", XUnit: "cache",
+			Unit: capacity.Bytes, Sizes: cacheSizes, At: func(size int) (float64, error) { return programHeap(hostFeed(size)) },
+		},
+		{
+			Name: "director.memory.purges", About: "heap of a director that keeps so many purges", XUnit: "purge kept",
+			Unit: capacity.Bytes, Sizes: []int{200, 400, 800, 1600, 3200}, At: func(size int) (float64, error) { return programHeap(purgeFeed(size)) },
+		},
+		{
+			Name: "director.memory.membership", About: "heap of a director that knows so many directors", XUnit: "director",
+			Unit: capacity.Bytes, Sizes: directorSizes, At: func(size int) (float64, error) { return programHeap(memberFeed(size, 0)) },
+		},
+		{
+			Name: "director.time.host_change", About: "taking in the change of one cache in a list of so many", XUnit: "cache",
+			Unit: capacity.Seconds, Sizes: cacheSizes, At: hostChangeTime,
+		},
+		{
+			Name: "director.time.membership_change", About: "taking in a director that joins among so many", XUnit: "director",
+			Unit: capacity.Seconds, Sizes: directorSizes, At: membershipChangeTime,
+		},
+		{
+			Name: "director.time.watch_call", About: "writing a watch call with quotas of so many cold caches, and reading its answer", XUnit: "cold cache",
+			Unit: capacity.Seconds, Sizes: coldSizes, At: directorCallTime,
+		},
+		{
+			Name: "director.bytes.call", About: "a watch call with quotas of so many cold caches", XUnit: "cold cache",
+			Unit: capacity.Bytes, Sizes: coldSizes, At: func(size int) (float64, error) { return float64(len(newCaller(size).call())), nil },
+		},
+		{
+			Name: "director.bytes.answer", About: "its answer with as many grants and no event", XUnit: "cold cache",
+			Unit: capacity.Bytes, Sizes: coldSizes, At: func(size int) (float64, error) { return float64(len(newCaller(size).answer())), nil },
+		},
+		{
+			Name: "director.bytes.report", About: "a health report on so many caches, in the call", XUnit: "cache reported",
+			Unit: capacity.Bytes, Sizes: []int{4, 8, 16, 24, 32}, At: reportBytes,
+		},
 	}
 }
 
@@ -64,8 +82,10 @@
 
 // memberFeed is the membership as a whole, and so many directors that join one by one afterwards.
 func memberFeed(directors, joining int) []byte {
-	items := []discovery.Event{{Revision: 1, Endpoints: &discovery.EndpointList{Sequence: 1, Snapshot: true},
-		Membership: &discovery.Membership{Snapshot: true, Joined: wireDirectors(directors)}}}
+	items := []discovery.Event{{
+		Revision: 1, Endpoints: &discovery.EndpointList{Sequence: 1, Snapshot: true},
+		Membership: &discovery.Membership{Snapshot: true, Joined: wireDirectors(directors)},
+	}}
 	for i := range joining {
 		no := int64(i + 2)
 		joined := []discovery.Director{discovery.Director(directorOf(directors + i))}
@@ -198,8 +218,10 @@
 
 func newCaller(cold int) *caller {
 	own := discovery.Director(directorOf(7))
-	return &caller{own: own, holder: quota.NewHolder(own.ID(), quotaSettings), witness: health.NewReporter(health.DefaultSettings, own.ID()),
-		cold: coldLimits(cold), now: time.Hour}
+	return &caller{
+		own: own, holder: quota.NewHolder(own.ID(), quotaSettings), witness: health.NewReporter(health.DefaultSettings, own.ID()),
+		cold: coldLimits(cold), now: time.Hour,
+	}
 }
 
 // call writes the next call.
--- a/internal/tools/capacity/measure/fixtures.go
+++ b/internal/tools/capacity/measure/fixtures.go
@@ -33,8 +33,10 @@
 		WeightMode: decision.WeightModeOff, CacheStatusMode: decision.CacheStatusModeHits, JoinsFills: true, Cancel: true, RetryAfter: true,
 		MaxAttempts: 6, MaxRetryAfter: 700 * time.Millisecond, DialTimeout: 400 * time.Millisecond,
 		DrainGrace: 250 * time.Millisecond, PurgeGrace: 300 * time.Millisecond, PurgeDone: 5300 * time.Millisecond,
-		Classes: []decision.Class{{Name: "clips", LatencyObjective: 400 * time.Millisecond, ObjectiveStretch: 2, Deadline: 6 * time.Second, PriorityWeight: 1,
-			Idempotency: decision.Idempotent}},
+		Classes: []decision.Class{{
+			Name: "clips", LatencyObjective: 400 * time.Millisecond, ObjectiveStretch: 2, Deadline: 6 * time.Second, PriorityWeight: 1,
+			Idempotency: decision.Idempotent,
+		}},
 	}
 }
 
@@ -48,8 +50,10 @@
 func wireHosts(caches int) []discovery.Endpoint {
 	hosts := make([]discovery.Endpoint, 0, caches)
 	for i := range caches {
-		hosts = append(hosts, discovery.Endpoint{Name: cacheName(i), Address: cacheAddress(i), Site: zoneName(i), Class: "cache", Block: i % 8,
-			Health: "in_service", Share: 1})
+		hosts = append(hosts, discovery.Endpoint{
+			Name: cacheName(i), Address: cacheAddress(i), Site: zoneName(i), Class: "cache", Block: i % 8,
+			Health: "in_service", Share: 1,
+		})
 	}
 	return hosts
 }
--- a/internal/tools/capacity/measure/leader.go
+++ b/internal/tools/capacity/measure/leader.go
@@ -28,34 +28,56 @@
 
 func leaderMeasures() []Measure {
 	return []Measure{
-		{Name: "leader.time.lease", About: "taking in a lease call with so many directors, one event applied since the last (renewals are read, not answered)", XUnit: "director",
-			Unit: capacity.Seconds, Sizes: serverSizes, At: leaseTime},
-		{Name: "leader.time.renewal", About: "one quota renewal without a limit among so many holders", XUnit: "holder",
-			Unit: capacity.Seconds, Sizes: holderSizes, At: func(size int) (float64, error) { return renewalTime(size, 0) }},
-		{Name: "leader.time.renewal_8_limits", About: "one quota renewal of 8 limits among so many holders of each", XUnit: "holder",
-			Unit: capacity.Seconds, Sizes: holderSizes, At: func(size int) (float64, error) { return renewalTime(size, 8) }},
-		{Name: "leader.time.report", About: "one health report on 27 caches among so many directors", XUnit: "director",
-			Unit: capacity.Seconds, Sizes: directorSizes, At: reportTime},
-		{Name: "leader.time.health", About: "finding from reports on 27 caches of so many directors what all see", XUnit: "director",
-			Unit: capacity.Seconds, Sizes: directorSizes, At: healthTime},
-		{Name: "leader.time.tick", About: "what is done each 25 ms for so many directors: versions, adoption, and forgetting old evidence and quotas", XUnit: "director",
-			Unit: capacity.Seconds, Sizes: directorSizes, At: tickTime},
-		{Name: "leader.time.membership", About: "finding that the membership of so many directors has not changed", XUnit: "director",
-			Unit: capacity.Seconds, Sizes: directorSizes, At: changeTime},
-		{Name: "leader.memory.adoption", About: "heap of the record of 200 events at 437 to 7,000 directors", XUnit: "director x event",
-			Unit: capacity.Bytes, Sizes: scaledBy(directorSizes, adoptionEvents), At: adoptionHeap},
-		{Name: "leader.memory.quota", About: "heap of quotas of 8 limits with so many holders", XUnit: "holder",
+		{
+			Name: "leader.time.lease", About: "taking in a lease call with so many directors, one event applied since the last (renewals are read, not answered)", XUnit: "director",
+			Unit: capacity.Seconds, Sizes: serverSizes, At: leaseTime,
+		},
+		{
+			Name: "leader.time.renewal", About: "one quota renewal without a limit among so many holders", XUnit: "holder",
+			Unit: capacity.Seconds, Sizes: holderSizes, At: func(size int) (float64, error) { return renewalTime(size, 0) },
+		},
+		{
+			Name: "leader.time.renewal_8_limits", About: "one quota renewal of 8 limits among so many holders of each", XUnit: "holder",
+			Unit: capacity.Seconds, Sizes: holderSizes, At: func(size int) (float64, error) { return renewalTime(size, 8) },
+		},
+		{
+			Name: "leader.time.report", About: "one health report on 27 caches among so many directors", XUnit: "director",
+			Unit: capacity.Seconds, Sizes: directorSizes, At: reportTime,
+		},
+		{
+			Name: "leader.time.health", About: "finding from reports on 27 caches of so many directors what all see", XUnit: "director",
+			Unit: capacity.Seconds, Sizes: directorSizes, At: healthTime,
+		},
+		{
+			Name: "leader.time.tick", About: "what is done each 25 ms for so many directors: versions, adoption, and forgetting old evidence and quotas", XUnit: "director",
+			Unit: capacity.Seconds, Sizes: directorSizes, At: tickTime,
+		},
+		{
+			Name: "leader.time.membership", About: "finding that the membership of so many directors has not changed", XUnit: "director",
+			Unit: capacity.Seconds, Sizes: directorSizes, At: changeTime,
+		},
+		{
+			Name: "leader.memory.adoption", About: "heap of the record of 200 events at 437 to 7,000 directors", XUnit: "director x event",
+			Unit: capacity.Bytes, Sizes: scaledBy(directorSizes, adoptionEvents), At: adoptionHeap,
+		},
+		{
+			Name: "leader.memory.quota", About: "heap of quotas of 8 limits with so many holders", XUnit: "holder",
 			Unit: capacity.Bytes, Sizes: holderSizes, At: func(size int) (float64, error) {
 				return heapOf(func() any { return allocatorOf(size, 8) }), nil
-			}},
-		{Name: "leader.memory.health", About: "heap of evidence of so many directors on 27 caches each", XUnit: "director",
+			},
+		},
+		{
+			Name: "leader.memory.health", About: "heap of evidence of so many directors on 27 caches each", XUnit: "director",
 			Unit: capacity.Bytes, Sizes: directorSizes, At: func(size int) (float64, error) {
 				return heapOf(func() any { return newReporters(size).merger }), nil
-			}},
-		{Name: "leader.memory.membership", About: "heap of heartbeats of so many directors", XUnit: "director",
+			},
+		},
+		{
+			Name: "leader.memory.membership", About: "heap of heartbeats of so many directors", XUnit: "director",
 			Unit: capacity.Bytes, Sizes: directorSizes, At: func(size int) (float64, error) {
 				return heapOf(func() any { return trackerOf(size) }), nil
-			}},
+			},
+		},
 	}
 }
 
--- a/internal/tools/capacity/measure/module.go
+++ b/internal/tools/capacity/measure/module.go
@@ -12,12 +12,18 @@
 
 func moduleMeasures() []Measure {
 	return []Measure{
-		{Name: "director.time.purge", About: "a purge in the decision module with so many requests open", XUnit: "open request",
-			Unit: capacity.Seconds, Sizes: []int{250, 500, 1000, 2000, 4000}, At: purgeTime},
-		{Name: "director.memory.open", About: "heap of the decision module with so many requests open", XUnit: "open request",
-			Unit: capacity.Bytes, Sizes: []int{250, 500, 1000, 2000, 4000}, At: openHeap},
-		{Name: "director.memory.served", About: "heap of the decision module that has served so many different objects, one after another", XUnit: "object served",
-			Unit: capacity.Bytes, Sizes: []int{10_000, 20_000, 40_000, 80_000, 160_000}, At: servedHeap},
+		{
+			Name: "director.time.purge", About: "a purge in the decision module with so many requests open", XUnit: "open request",
+			Unit: capacity.Seconds, Sizes: []int{250, 500, 1000, 2000, 4000}, At: purgeTime,
+		},
+		{
+			Name: "director.memory.open", About: "heap of the decision module with so many requests open", XUnit: "open request",
+			Unit: capacity.Bytes, Sizes: []int{250, 500, 1000, 2000, 4000}, At: openHeap,
+		},
+		{
+			Name: "director.memory.served", About: "heap of the decision module that has served so many different objects, one after another", XUnit: "object served",
+			Unit: capacity.Bytes, Sizes: []int{10_000, 20_000, 40_000, 80_000, 160_000}, At: servedHeap,
+		},
 	}
 }
 
@@ -117,8 +123,10 @@
 				return m
 			}
 			a := attempts[0]
-			m.take(m.router.Handle(m.now, decision.AttemptResult{Request: a.Request, Terminal: true, Host: a.Host, Status: decision.OK,
-				CacheStatus: decision.CacheStatusHit, Elapsed: time.Millisecond, FirstByte: time.Millisecond}))
+			m.take(m.router.Handle(m.now, decision.AttemptResult{
+				Request: a.Request, Terminal: true, Host: a.Host, Status: decision.OK,
+				CacheStatus: decision.CacheStatusHit, Elapsed: time.Millisecond, FirstByte: time.Millisecond,
+			}))
 			if m.now >= m.sweep {
 				m.take(m.router.Handle(m.now, decision.TimerFired{Timer: decision.Timer{Kind: decision.TimerUpkeep}}))
 			}
--- a/internal/tools/capacity/measure/operator.go
+++ b/internal/tools/capacity/measure/operator.go
@@ -12,12 +12,18 @@
 
 func operatorMeasures() []Measure {
 	return []Measure{
-		{Name: "operator.bytes.members", About: "the answer that lists so many directors", XUnit: "director",
-			Unit: capacity.Bytes, Sizes: directorSizes, At: membersBytes},
-		{Name: "operator.bytes.adoption", About: "the answer that says when so many directors applied one event", XUnit: "director",
-			Unit: capacity.Bytes, Sizes: directorSizes, At: adoptionBytes},
-		{Name: "operator.bytes.world", About: "the answer that shows so many caches, declared and observed", XUnit: "cache",
-			Unit: capacity.Bytes, Sizes: cacheSizes, At: worldBytes},
+		{
+			Name: "operator.bytes.members", About: "the answer that lists so many directors", XUnit: "director",
+			Unit: capacity.Bytes, Sizes: directorSizes, At: membersBytes,
+		},
+		{
+			Name: "operator.bytes.adoption", About: "the answer that says when so many directors applied one event", XUnit: "director",
+			Unit: capacity.Bytes, Sizes: directorSizes, At: adoptionBytes,
+		},
+		{
+			Name: "operator.bytes.world", About: "the answer that shows so many caches, declared and observed", XUnit: "cache",
+			Unit: capacity.Bytes, Sizes: cacheSizes, At: worldBytes,
+		},
 	}
 }
 
--- a/internal/tools/capacity/measure/relay.go
+++ b/internal/tools/capacity/measure/relay.go
@@ -25,14 +25,22 @@
 
 func relayMeasures() []Measure {
 	return []Measure{
-		{Name: "relay.time.renewal_8_limits", About: "one quota renewal of 8 limits at a relay with so many directors, each each 100 ms; its own renewals each 50 ms and their answers are in it",
-			XUnit: "director of a relay", Unit: capacity.Seconds, Sizes: relaySizes, At: relayRenewalTime},
-		{Name: "relay.bytes.renewal_8_limits", About: "the relay's own renewal of 8 limits in JSON", XUnit: "director of a relay",
-			Unit: capacity.Bytes, Sizes: relaySizes, At: relayRenewalBytes},
-		{Name: "leader.time.renewal_8_limits_relays", About: "one quota renewal of 8 limits, of 16 groups of demand each, among so many relays", XUnit: "relay",
-			Unit: capacity.Seconds, Sizes: few, At: renewalOfRelaysTime},
-		{Name: "leader.memory.adoption_relays", About: "heap of the record of 2,000 events at so many relays", XUnit: "relay",
-			Unit: capacity.Bytes, Sizes: few, At: relayAdoptionHeap},
+		{
+			Name: "relay.time.renewal_8_limits", About: "one quota renewal of 8 limits at a relay with so many directors, each each 100 ms; its own renewals each 50 ms and their answers are in it",
+			XUnit: "director of a relay", Unit: capacity.Seconds, Sizes: relaySizes, At: relayRenewalTime,
+		},
+		{
+			Name: "relay.bytes.renewal_8_limits", About: "the relay's own renewal of 8 limits in JSON", XUnit: "director of a relay",
+			Unit: capacity.Bytes, Sizes: relaySizes, At: relayRenewalBytes,
+		},
+		{
+			Name: "leader.time.renewal_8_limits_relays", About: "one quota renewal of 8 limits, of 16 groups of demand each, among so many relays", XUnit: "relay",
+			Unit: capacity.Seconds, Sizes: few, At: renewalOfRelaysTime,
+		},
+		{
+			Name: "leader.memory.adoption_relays", About: "heap of the record of 2,000 events at so many relays", XUnit: "relay",
+			Unit: capacity.Bytes, Sizes: few, At: relayAdoptionHeap,
+		},
 	}
 }
 
--- a/internal/tools/capacity/measure/wire.go
+++ b/internal/tools/capacity/measure/wire.go
@@ -16,20 +16,32 @@
 
 func wireMeasures() []Measure {
 	return []Measure{
-		{Name: "wire.bytes.purges", About: "the answer with so many purges", XUnit: "purge",
-			Unit: capacity.Bytes, Sizes: eventSizes, At: purgeBytes},
-		{Name: "wire.bytes.hosts", About: "the answer with so many changes of a cache each", XUnit: "host change",
-			Unit: capacity.Bytes, Sizes: eventSizes, At: hostBytes},
-		{Name: "wire.bytes.members", About: "the answer with so many directors that join in one event", XUnit: "director that joins",
+		{
+			Name: "wire.bytes.purges", About: "the answer with so many purges", XUnit: "purge",
+			Unit: capacity.Bytes, Sizes: eventSizes, At: purgeBytes,
+		},
+		{
+			Name: "wire.bytes.hosts", About: "the answer with so many changes of a cache each", XUnit: "host change",
+			Unit: capacity.Bytes, Sizes: eventSizes, At: hostBytes,
+		},
+		{
+			Name: "wire.bytes.members", About: "the answer with so many directors that join in one event", XUnit: "director that joins",
 			Unit: capacity.Bytes, Sizes: eventSizes, At: func(size int) (float64, error) {
 				return eventBytes(fleet.MembershipChange{Joined: directorsOf(size)})
-			}},
-		{Name: "wire.bytes.gone", About: "the answer with so many directors that leave in one event", XUnit: "director that leaves",
-			Unit: capacity.Bytes, Sizes: eventSizes, At: goneBytes},
-		{Name: "wire.bytes.whole", About: "the first answer to a director: 720 caches, 256 slots of claims and so many directors", XUnit: "director",
-			Unit: capacity.Bytes, Sizes: directorSizes, At: func(size int) (float64, error) { return wholeBytes(usualCaches, size) }},
-		{Name: "wire.bytes.whole_caches", About: "the first answer to a director: so many caches, no director", XUnit: "cache",
-			Unit: capacity.Bytes, Sizes: cacheSizes, At: func(size int) (float64, error) { return wholeBytes(size, 0) }},
+			},
+		},
+		{
+			Name: "wire.bytes.gone", About: "the answer with so many directors that leave in one event", XUnit: "director that leaves",
+			Unit: capacity.Bytes, Sizes: eventSizes, At: goneBytes,
+		},
+		{
+			Name: "wire.bytes.whole", About: "the first answer to a director: 720 caches, 256 slots of claims and so many directors", XUnit: "director",
+			Unit: capacity.Bytes, Sizes: directorSizes, At: func(size int) (float64, error) { return wholeBytes(usualCaches, size) },
+		},
+		{
+			Name: "wire.bytes.whole_caches", About: "the first answer to a director: so many caches, no director", XUnit: "cache",
+			Unit: capacity.Bytes, Sizes: cacheSizes, At: func(size int) (float64, error) { return wholeBytes(size, 0) },
+		},
 	}
 }
 
--- a/internal/tools/capacity/render.go
+++ b/internal/tools/capacity/render.go
@@ -152,15 +152,19 @@
 		if r.Fault != "" && r.Recovery > 0 {
 			held += ", after which all watched again in " + quantity(r.Recovery, Seconds)
 		}
-		rows = append(rows, []string{strconv.Itoa(r.Relays), strconv.Itoa(r.ColdCaches), strconv.Itoa(r.Directors), strconv.Itoa(r.JoinsPerSecond) + "/s",
+		rows = append(rows, []string{
+			strconv.Itoa(r.Relays), strconv.Itoa(r.ColdCaches), strconv.Itoa(r.Directors), strconv.Itoa(r.JoinsPerSecond) + "/s",
 			leader, quantity(r.ReplicaCores, Cores), relay,
 			quantity(r.DirectorCores, Cores) + ", " + quantity(r.DirectorMemory, Bytes),
 			significant(r.DirectorCalls) + "/s, " + quantity(r.DirectorBytes, BytesPerSecond),
 			quantity(r.PurgeP99, Seconds), quantity(r.PurgeLastP99, Seconds), quantity(r.PurgeLongest, Seconds),
-			held, significant(r.Load), "`" + r.File + "`"})
+			held, significant(r.Load), "`" + r.File + "`",
+		})
 	}
-	return table([]string{"relays", "cold caches", "directors", "joining", "leader", "a replica that follows", "a relay", "a director", "its watch",
-		"purge, p99", "purge at the last director, p99", "the longest seen", "held", "load", "run"}, rows)
+	return table([]string{
+		"relays", "cold caches", "directors", "joining", "leader", "a replica that follows", "a relay", "a director", "its watch",
+		"purge, p99", "purge at the last director, p99", "the longest seen", "held", "load", "run",
+	}, rows)
 }
 
 // lawTable lists laws with their points, and after them the commands that gave these, by the numbers in the table.
--- a/internal/tools/capacity/scalerun.go
+++ b/internal/tools/capacity/scalerun.go
@@ -94,13 +94,15 @@
 	}
 	var rows []Row
 	for _, from := range run.Rows {
-		row := Row{File: file, At: from.Began.UTC().Truncate(time.Second), Cores: run.Cores, Load: from.LoadAverage[1],
+		row := Row{
+			File: file, At: from.Began.UTC().Truncate(time.Second), Cores: run.Cores, Load: from.LoadAverage[1],
 			Replicas: run.Settings.Replicas, Relays: run.Settings.Relays, ColdCaches: run.Settings.ColdCaches,
 			JoinsPerSecond: run.Settings.Processes * run.Settings.Starts,
 			Directors:      from.Hollow + from.Real, DirectorBytes: from.Up + from.Down, DirectorCalls: from.Calls,
 			PurgeP99: from.Delay.P99 / 1000, PurgeLastP99: from.Last.P99 / 1000, PurgeLongest: from.Last.Max / 1000,
 			PurgesMissing: from.Missing, Changes: from.Changes, Collapsed: from.Collapsed,
-			Fault: from.Fault, Recovery: from.Recovery}
+			Fault: from.Fault, Recovery: from.Recovery,
+		}
 		for _, use := range from.Roles {
 			row.take(use)
 		}
@@ -152,8 +154,10 @@
 	{processReplicaMemory, "the resident memory of a replica that follows", Bytes, false, func(r Row) float64 { return r.ReplicaMemory }},
 	{processLeaderCores, "the leader", Cores, false, func(r Row) float64 { return r.LeaderCores }},
 	{processLeaderMemory, "the leader's resident memory", Bytes, false, func(r Row) float64 { return r.LeaderMemory }},
-	{processPurgeDelay, "the 99th percentile over purges of the time from acceptance to the last director", Seconds, false,
-		func(r Row) float64 { return r.PurgeLastP99 }},
+	{
+		processPurgeDelay, "the 99th percentile over purges of the time from acceptance to the last director", Seconds, false,
+		func(r Row) float64 { return r.PurgeLastP99 },
+	},
 	{processRelayCores, "a relay", Cores, true, func(r Row) float64 { return r.RelayCores }},
 	{processRelayMemory, "a relay's resident memory", Bytes, true, func(r Row) float64 { return r.RelayMemory }},
 }
@@ -200,6 +204,8 @@
 		}
 		loads += " " + significant(row.Load)
 	}
-	return Source{Command: "stairvane scale, saved in docs/design/capacity-runs as " + strings.Join(files, ", "), At: rows[0].At,
-		Machine: fmt.Sprintf("%d cores, load%s", rows[0].Cores, loads)}
+	return Source{
+		Command: "stairvane scale, saved in docs/design/capacity-runs as " + strings.Join(files, ", "), At: rows[0].At,
+		Machine: fmt.Sprintf("%d cores, load%s", rows[0].Cores, loads),
+	}
 }
--- a/internal/tools/fakes/client.go
+++ b/internal/tools/fakes/client.go
@@ -51,8 +51,10 @@
 	c.open[seq] = time.Now()
 	c.tally.Sent++
 	c.mu.Unlock()
-	fields := append([]string{"method", class, "rid", fmt.Sprintf("%016x", rand.Uint64()), "budget", fmt.Sprint(budget.Milliseconds()),
-		"obj", fmt.Sprintf("%016x", object), "part", "0"}, more...)
+	fields := append([]string{
+		"method", class, "rid", fmt.Sprintf("%016x", rand.Uint64()), "budget", fmt.Sprint(budget.Milliseconds()),
+		"obj", fmt.Sprintf("%016x", object), "part", "0",
+	}, more...)
 	b := binary.BigEndian.AppendUint32(nil, 0x80010001)
 	text := func(s string) {
 		b = binary.BigEndian.AppendUint32(b, uint32(len(s)))
--- a/internal/tools/fleetsim/fleetsim_test.go
+++ b/internal/tools/fleetsim/fleetsim_test.go
@@ -21,8 +21,10 @@
 	t.Logf("seeds from %d on", first)
 	unused := time.Duration(0)
 	for i := range n {
-		cfg := Config{Seed: first + uint64(i), Directors: []int{2, 5, 12, 30}[i%4], Caches: 2, Length: 12 * time.Second, Loss: []float64{0, 0.1, 0.3}[i%3],
-			Drift: 0.02, Double: 3 * time.Second, Halve: 6 * time.Second, Cut: 8 * time.Second, Skew: []float64{-1, 1, 2}[i%3]}
+		cfg := Config{
+			Seed: first + uint64(i), Directors: []int{2, 5, 12, 30}[i%4], Caches: 2, Length: 12 * time.Second, Loss: []float64{0, 0.1, 0.3}[i%3],
+			Drift: 0.02, Double: 3 * time.Second, Halve: 6 * time.Second, Cut: 8 * time.Second, Skew: []float64{-1, 1, 2}[i%3],
+		}
 		if i%2 == 0 {
 			cfg.Regrant = 9 * time.Second
 		}
--- a/internal/tools/scale/window.go
+++ b/internal/tools/scale/window.go
@@ -240,9 +240,15 @@
 			to   *float64
 			with float64
 		}{
-			{&mean.CPU, p.CPU}, {&mean.ResidentMB, p.ResidentMB}, {&mean.ReadBytes, p.ReadBytes}, {&mean.WriteBytes, p.WriteBytes},
-			{&mean.ReadCalls, p.ReadCalls}, {&mean.WriteCalls, p.WriteCalls}, {&mean.Requests, p.Requests},
-			{&mean.BytesUp, p.BytesUp}, {&mean.BytesDown, p.BytesDown},
+			{&mean.CPU, p.CPU},
+			{&mean.ResidentMB, p.ResidentMB},
+			{&mean.ReadBytes, p.ReadBytes},
+			{&mean.WriteBytes, p.WriteBytes},
+			{&mean.ReadCalls, p.ReadCalls},
+			{&mean.WriteCalls, p.WriteCalls},
+			{&mean.Requests, p.Requests},
+			{&mean.BytesUp, p.BytesUp},
+			{&mean.BytesDown, p.BytesDown},
 		} {
 			*field.to = (*field.to*n + field.with) / (n + 1)
 		}
--- a/internal/tools/testharness/directors.go
+++ b/internal/tools/testharness/directors.go
@@ -42,8 +42,10 @@
 		family["ParentKind"] = 1
 		own["FamilyInfo"] = family
 	}
-	config := map[string]any{"name": name, "listen": "127.0.0.1:0", "seed": fmt.Sprintf("%016x", 1+first), "bulletin": bulletins[0],
-		"limits": map[string]any{"memory_mb": 64, "sockets": 512}, "known": map[string]any{"no": 0, "items": []any{}}, "settings": own}
+	config := map[string]any{
+		"name": name, "listen": "127.0.0.1:0", "seed": fmt.Sprintf("%016x", 1+first), "bulletin": bulletins[0],
+		"limits": map[string]any{"memory_mb": 64, "sockets": 512}, "known": map[string]any{"no": 0, "items": []any{}}, "settings": own,
+	}
 	text, err := json.Marshal(config)
 	if err != nil {
 		return nil, err
@@ -73,12 +75,18 @@
 // caches of one location drop within 4 s, orders.
 var settings = map[string]any{
 	"Areas": []string{"hub", "west", "east"}, "Zone": "west", "Models": []string{"std", "parent", "origin"}, "Balancers": 1, "SlotNo": 0, "Weights": "nominal",
-	"FamilyInfo": map[string]any{"ParentKind": -1, "SourceKind": 2, "CountByZone": []int{0, 1, 1}, "OneFlowKbPerS": 5000, "Tells": "hit", "Joins": true,
-		"Siblings": "off", "NoticeTime": 0, "PurgeDone": 6000, "GoodFor": []int{0, 0}, "OlderBy": []int{0, 0}, "PassOn": []bool{false, false}, "MultiPart": []bool{true, false}},
-	"Grades": []any{map[string]any{"Name": "clips", "Aim": 600, "AimStretch": 2, "Deadline": 6000, "Worth": 2, "Effect": "safe", "Group": "all"},
-		map[string]any{"Name": "orders", "Aim": 600, "AimStretch": 2, "Deadline": 6000, "Worth": 2, "Effect": "keyed", "Group": "zone", "DedupWindow": 4000}},
-	"Limits": map[string]any{"Cancel": true, "ConnIdle": 15000, "DialTimeout": 400, "MaxAttempts": 8, "MaxRetryAfter": 2000, "MostHeld": 20000,
-		"Multiplex": 32, "RetryAfter": true},
+	"FamilyInfo": map[string]any{
+		"ParentKind": -1, "SourceKind": 2, "CountByZone": []int{0, 1, 1}, "OneFlowKbPerS": 5000, "Tells": "hit", "Joins": true,
+		"Siblings": "off", "NoticeTime": 0, "PurgeDone": 6000, "GoodFor": []int{0, 0}, "OlderBy": []int{0, 0}, "PassOn": []bool{false, false}, "MultiPart": []bool{true, false},
+	},
+	"Grades": []any{
+		map[string]any{"Name": "clips", "Aim": 600, "AimStretch": 2, "Deadline": 6000, "Worth": 2, "Effect": "safe", "Group": "all"},
+		map[string]any{"Name": "orders", "Aim": 600, "AimStretch": 2, "Deadline": 6000, "Worth": 2, "Effect": "keyed", "Group": "zone", "DedupWindow": 4000},
+	},
+	"Limits": map[string]any{
+		"Cancel": true, "ConnIdle": 15000, "DialTimeout": 400, "MaxAttempts": 8, "MaxRetryAfter": 2000, "MostHeld": 20000,
+		"Multiplex": 32, "RetryAfter": true,
+	},
 	"Report": map[string]any{"How": "inline", "Fields": []string{"cpu_share", "busy_reqs"}},
 	"Rules":  map[string]any{"DrainGrace": 500, "GraceToAnswer": 8, "Cold": 16000, "ColdFrom": 0.17, "Fall": 3000, "TipMultiple": 4},
 }
