--- a/cmd/stairvane-fleet/audit.go
+++ b/cmd/stairvane-fleet/audit.go
@@ -6,147 +6,168 @@
 	"slices"
 	"time"
 
-	"github.com/olekukonko/tablewriter"
-
+	"stairvane.org/stairvane/internal/controlplane/adoption"
 	"stairvane.org/stairvane/internal/controlplane/api"
 )
 
+// auditCmd shows by what directors act.
 type auditCmd struct {
-	Versions auditVersionsCmd `cmd:"" help:"Who acts by which event, configuration and program. Ends with 1 if somebody is behind, or acts by another configuration or program than most."`
-	Event    auditEventCmd    `cmd:"" help:"When each director took an event. Ends with 1 if some have not, or if it is not recorded."`
+	Versions auditVersionsCmd `cmd:"" help:"Who has applied which revision, by which configuration and program. Ends with 1 if somebody is behind, or differs from most."`
+	Event    auditEventCmd    `cmd:"" help:"When each director applied an event. Ends with 1 if some have not, or if it is not recorded."`
 }
 
+// auditEventCmd shows the adoption of one event.
 type auditEventCmd struct {
-	boardAt
-	output
-	No int64 `arg:"" help:"The event's number."`
+	controlPlaneFlags
+	outputFlags
+	Revision int64 `arg:"" name:"no" help:"The event's number."`
 }
 
+// Run shows when each director applied the event.
 func (c auditEventCmd) Run(s streams) error {
 	client, err := c.client()
 	if err != nil {
 		return err
 	}
-	e, err := client.Adoption(c.No)
+	event, err := client.Adoption(c.Revision)
 	if err != nil {
 		return err
 	}
-	if c.Output == "json" {
-		err = writeJSON(s.out, e)
+	if c.json() {
+		err = writeJSON(s.out, event)
 	} else {
-		t := tablewriter.NewWriter(s.out)
-		t.Header("director", "took it after")
-		for _, d := range e.Taken {
-			if err := t.Append(d.Director, fmt.Sprintf("%d ms", d.AfterMS)); err != nil {
-				return err
-			}
-		}
-		for _, d := range e.Missing {
-			if err := t.Append(d, "not yet"); err != nil {
-				return err
-			}
-		}
-		for _, d := range e.Lost {
-			if err := t.Append(d, "not heard of since"); err != nil {
-				return err
-			}
-		}
-		if err = t.Render(); err == nil {
-			_, err = fmt.Fprintf(s.out, "event %d, accepted %d ms ago: taken by %d (p50 %d ms, p99 %d ms, last %d ms), not by %d, %d are lost; %d came later and had it\n",
-				e.No, e.AgeMS, len(e.Taken), e.P50MS, e.P99MS, e.LastMS, len(e.Missing), len(e.Lost), e.Had)
-		}
+		err = showAdoption(s, event)
 	}
-	if n := len(e.Missing) + len(e.Lost); err == nil && n > 0 {
-		err = &exit{exitFailed, fmt.Sprintf("%d directors have not taken event %d", n, e.No)}
+	if n := len(event.Missing) + len(event.Lost); err == nil && n > 0 {
+		err = &exitError{exitFailed, fmt.Sprintf("%d directors have not taken event %d", n, event.No)}
 	}
 	return err
 }
 
+func showAdoption(s streams, event adoption.Event) error {
+	var rows [][]string
+	for _, d := range event.Taken {
+		rows = append(rows, []string{d.Director, fmt.Sprintf("%d ms", d.AfterMS)})
+	}
+	for _, director := range event.Missing {
+		rows = append(rows, []string{director, "not yet"})
+	}
+	for _, director := range event.Lost {
+		rows = append(rows, []string{director, "not heard of since"})
+	}
+	if err := writeTable(s, rows, "director", "took it after"); err != nil {
+		return err
+	}
+	s.printf("event %d, accepted %d ms ago: taken by %d (p50 %d ms, p99 %d ms, last %d ms), ",
+		event.No, event.AgeMS, len(event.Taken), event.P50MS, event.P99MS, event.LastMS)
+	s.printf("not by %d, %d are lost; %d came later and had it\n", len(event.Missing), len(event.Lost), event.Had)
+	return nil
+}
+
+// auditVersionsCmd compares what directors act by.
 type auditVersionsCmd struct {
-	boardAt
-	output
-	Within time.Duration `default:"1s" help:"A director that acts by an older event for longer than this is behind."`
+	controlPlaneFlags
+	outputFlags
+	Within time.Duration `default:"1s" help:"A director that has applied only an older revision for longer than this is behind."`
 }
 
-// odd is a director that acts otherwise than most.
-type odd struct {
+// deviation is a director that acts otherwise than most, and how.
+type deviation struct {
 	Director string `json:"director"`
-	Why      string `json:"why"`
+	Reason   string `json:"why"`
 }
 
+// versionsReport is the command's answer as JSON.
+type versionsReport struct {
+	api.Members
+	Deviations []deviation `json:"odd"`
+}
+
+// Run shows by what each director acts, and who deviates.
 func (c auditVersionsCmd) Run(s streams) error {
 	client, err := c.client()
 	if err != nil {
 		return err
 	}
-	r, err := client.Members()
+	members, err := client.Members()
 	if err != nil {
 		return err
 	}
-	odds := oddOnes(r, c.Within)
-	if c.Output == "json" {
-		err = writeJSON(s.out, struct {
-			api.Members
-			Odd []odd `json:"odd"`
-		}{r, odds})
+	found := deviations(members, c.Within)
+	if c.json() {
+		err = writeJSON(s.out, versionsReport{members, found})
 	} else {
-		t := tablewriter.NewWriter(s.out)
-		t.Header("director", "location", "acts by event", "behind", "configuration", "program", "heard")
-		for _, d := range r.Directors {
-			behind := "no"
-			if d.AppliedRevision < r.Revision {
-				behind = fmt.Sprintf("%d events for %d ms", r.Revision-d.AppliedRevision, d.BehindMS)
-			}
-			if err := t.Append(d.Name, d.Location, fmt.Sprint(d.AppliedRevision), behind, d.Config, d.Version, fmt.Sprintf("%d ms ago", d.LastHeardMS)); err != nil {
-				return err
-			}
-		}
-		if err = t.Render(); err == nil {
-			_, err = fmt.Fprintf(s.out, "%d directors, the history is at event %d\n", len(r.Directors), r.Revision)
-		}
-		for _, o := range odds {
-			fmt.Fprintf(s.out, "%s: %s\n", o.Director, o.Why)
-		}
+		err = showVersions(s, members, found)
 	}
-	if err == nil && len(odds) > 0 {
-		err = &exit{exitFailed, fmt.Sprintf("%d of %d directors act otherwise than they should", len(odds), len(r.Directors))}
+	if err == nil && len(found) > 0 {
+		err = &exitError{exitFailed, fmt.Sprintf("%d of %d directors act otherwise than they should", len(found), len(members.Directors))}
 	}
 	return err
 }
 
-// oddOnes finds who is behind, and who acts by another configuration or program than most.
-func oddOnes(r api.Members, within time.Duration) (odds []odd) {
-	most := func(of func(api.MemberStatus) string) string {
-		n := map[string]int{}
-		for _, d := range r.Directors {
-			n[of(d)]++
+func showVersions(s streams, members api.Members, found []deviation) error {
+	var rows [][]string
+	for _, d := range members.Directors {
+		behind := "no"
+		if d.AppliedRevision < members.Revision {
+			behind = fmt.Sprintf("%d events for %d ms", members.Revision-d.AppliedRevision, d.BehindMS)
 		}
-		best := ""
-		for v, k := range n {
-			if k > n[best] || k == n[best] && v < best {
-				best = v
-			}
-		}
-		return best
+		rows = append(rows, []string{
+			d.Name, d.Location, fmt.Sprint(d.AppliedRevision), behind, d.Config, d.Version, fmt.Sprintf("%d ms ago", d.LastHeardMS),
+		})
 	}
-	config, program := most(func(d api.MemberStatus) string { return d.Config }), most(func(d api.MemberStatus) string { return d.Version })
-	for _, d := range r.Directors {
-		if d.AppliedRevision < r.Revision && time.Duration(d.BehindMS)*time.Millisecond > within {
-			odds = append(odds, odd{d.Name, fmt.Sprintf("acts by event %d for %d ms; the history is at %d", d.AppliedRevision, d.BehindMS, r.Revision)})
+	if err := writeTable(s, rows, "director", "location", "acts by event", "behind", "configuration", "program", "heard"); err != nil {
+		return err
+	}
+	s.printf("%d directors, the history is at event %d\n", len(members.Directors), members.Revision)
+	for _, d := range found {
+		s.printf("%s: %s\n", d.Director, d.Reason)
+	}
+	return nil
+}
+
+// deviations finds who is behind, and who acts by another configuration or program than most.
+func deviations(members api.Members, within time.Duration) (found []deviation) {
+	config := mostCommon(members.Directors, func(d api.MemberStatus) string { return d.Config })
+	program := mostCommon(members.Directors, func(d api.MemberStatus) string { return d.Version })
+	for _, d := range members.Directors {
+		add := func(format string, args ...any) {
+			found = append(found, deviation{Director: d.Name, Reason: fmt.Sprintf(format, args...)})
+		}
+		if d.AppliedRevision < members.Revision && time.Duration(d.BehindMS)*time.Millisecond > within {
+			add("acts by event %d for %d ms; the history is at %d", d.AppliedRevision, d.BehindMS, members.Revision)
 		}
-		if d.AppliedRevision > r.Revision {
-			odds = append(odds, odd{d.Name, fmt.Sprintf("acts by event %d, and the history ends at %d: it follows, or followed, another one", d.AppliedRevision, r.Revision)})
+		if d.AppliedRevision > members.Revision {
+			add("acts by event %d, and the history ends at %d: it follows, or followed, another one", d.AppliedRevision, members.Revision)
 		}
 		if d.Config != config {
-			odds = append(odds, odd{d.Name, fmt.Sprintf("its configuration is %s, most have %s: send it SIGHUP, or start it anew", d.Config, config)})
+			add("its configuration is %s, most have %s: send it SIGHUP, or start it anew", d.Config, config)
 		}
 		if d.Version != program {
-			odds = append(odds, odd{d.Name, fmt.Sprintf("its program is %s, most run %s", d.Version, program)})
+			add("its program is %s, most run %s", d.Version, program)
 		}
 	}
-	for _, l := range r.Lost {
-		odds = append(odds, odd{l.Name, fmt.Sprintf("is not heard of for %d ms; it acted by event %d", l.LostMS, l.AppliedRevision)})
+	for _, lost := range members.Lost {
+		found = append(found, deviation{
+			Director: lost.Name,
+			Reason:   fmt.Sprintf("is not heard of for %d ms; it acted by event %d", lost.LostMS, lost.AppliedRevision),
+		})
+	}
+	slices.SortFunc(found, func(a, b deviation) int { return cmp.Compare(a.Director+a.Reason, b.Director+b.Reason) })
+	return found
+}
+
+// mostCommon is the value that most directors have; of several the first in order.
+func mostCommon(directors []api.MemberStatus, value func(api.MemberStatus) string) string {
+	counts := map[string]int{}
+	for _, d := range directors {
+		counts[value(d)]++
+	}
+	best := ""
+	for v, n := range counts {
+		if n > counts[best] || n == counts[best] && v < best {
+			best = v
+		}
 	}
-	slices.SortFunc(odds, func(a, b odd) int { return cmp.Compare(a.Director+a.Why, b.Director+b.Why) })
-	return odds
+	return best
 }
--- a/cmd/stairvane-fleet/capacity.go
+++ b/cmd/stairvane-fleet/capacity.go
@@ -9,14 +9,12 @@
 	"os"
 	"path/filepath"
 
-	"github.com/olekukonko/tablewriter"
-
 	"stairvane.org/stairvane/internal/tools/capacity"
 )
 
 // capacityCmd works out what each role costs at a size, from the laws that were measured.
 type capacityCmd struct {
-	output
+	outputFlags
 	Slopes string            `default:"docs/design/capacity-slopes.json" help:"The file of laws with their measured points."`
 	Size   map[string]string `help:"Values other than the operators', such as directors=1000;purges-per-second=5."`
 	Design map[string]string `help:"Values other than the program's, such as relays=5;replicas=5."`
@@ -31,29 +29,18 @@
 	Figures []capacity.Figure `json:"figures"`
 }
 
+// Run shows the figures, or keeps further measurements, or writes a page.
 func (c capacityCmd) Run(s streams) error {
-	size, design := capacity.Operators(), capacity.Current()
-	for name, value := range c.Size {
-		if err := size.Set(name, value); err != nil {
-			return fmt.Errorf("--size: %w", err)
-		}
-	}
-	for name, value := range c.Design {
-		if err := design.Set(name, value); err != nil {
-			return fmt.Errorf("--design: %w", err)
-		}
+	size, design, err := c.sizeAndDesign()
+	if err != nil {
+		return err
 	}
 	measured, err := readMeasured(c.Slopes, capacity.Read)
 	if err != nil {
 		return err
 	}
 	if len(c.Add) > 0 {
-		for _, path := range c.Add {
-			if err := addMeasured(&measured, path); err != nil {
-				return err
-			}
-		}
-		if err := writeMeasured(c.Slopes, measured); err != nil || c.Write == "" {
+		if err := c.keep(&measured); err != nil || c.Write == "" {
 			return err
 		}
 	}
@@ -61,26 +48,44 @@
 		return writeCapacityPage(c.Write, size, design, measured)
 	}
 	figures := capacity.Table(size, design, measured)
-	if c.Output == "json" {
+	if c.json() {
 		return writeJSON(s.out, capacityReport{Size: size, Design: design, Figures: figures})
 	}
-	table := tablewriter.NewWriter(s.out)
-	table.Header("role", "figure", "at size", "budget", "verdict", "laws read")
-	for _, row := range capacity.Text(figures) {
-		if err := table.Append(row); err != nil {
+	return writeTable(s, capacity.Text(figures), "role", "figure", "at size", "budget", "verdict", "laws read")
+}
+
+// sizeAndDesign are the operators' size and the program's design, with the values of the flags in place of theirs.
+func (c capacityCmd) sizeAndDesign() (capacity.Size, capacity.Design, error) {
+	size, design := capacity.Operators(), capacity.Current()
+	for name, value := range c.Size {
+		if err := size.Set(name, value); err != nil {
+			return size, design, fmt.Errorf("--size: %w", err)
+		}
+	}
+	for name, value := range c.Design {
+		if err := design.Set(name, value); err != nil {
+			return size, design, fmt.Errorf("--design: %w", err)
+		}
+	}
+	return size, design, nil
+}
+
+// keep adds the files of further measurements to the file of laws.
+func (c capacityCmd) keep(measured *capacity.Measured) error {
+	for _, path := range c.Add {
+		if err := addMeasured(measured, path); err != nil {
 			return err
 		}
 	}
-	return table.Render()
+	return writeMeasured(c.Slopes, *measured)
 }
 
 func readMeasured(path string, read func(io.Reader) (capacity.Measured, error)) (capacity.Measured, error) {
-	file, err := os.Open(path)
+	text, err := os.ReadFile(path)
 	if err != nil {
 		return capacity.Measured{}, err
 	}
-	defer file.Close()
-	measured, err := read(file)
+	measured, err := read(bytes.NewReader(text))
 	if err != nil {
 		return measured, fmt.Errorf("%s: %w", path, err)
 	}
--- a/cmd/stairvane-fleet/capacity_test.go
+++ b/cmd/stairvane-fleet/capacity_test.go
@@ -52,8 +52,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	points := `{"laws":[{"name":"process.director.cores.with_relays","about":"a","x_unit":"director","unit":"cores","points":[{"x":1,"y":2},{"x":2,"y":4},
-		{"x":3,"y":6},{"x":4,"y":8},{"x":5,"y":10}],"source":{"command":"stairvane scale","at":"2026-12-02T05:00:00Z","machine":"m"}}]}`
+	points := `{"laws":[{"name":"process.director.cores.with_relays","about":"a","x_unit":"director","unit":"cores",
+		"points":[{"x":1,"y":2},{"x":2,"y":4},{"x":3,"y":6},{"x":4,"y":8},{"x":5,"y":10}],
+		"source":{"command":"stairvane scale","at":"2026-12-02T05:00:00Z","machine":"m"}}]}`
 	if err := errors.Join(os.WriteFile(laws, text, 0o600), os.WriteFile(more, []byte(points), 0o600)); err != nil {
 		t.Fatal(err)
 	}
@@ -61,7 +62,8 @@
 	if status := runCommand([]string{"capacity", "--slopes", laws, "--add", more}, &out, &out); status != exitDone || out.Len() > 0 {
 		t.Fatalf("status %d: %s", status, out.String())
 	}
-	if status := runCommand([]string{"capacity", "--slopes", laws, "-o", "json", "--size", "directors=10"}, &out, &out); status != exitDone {
+	command := []string{"capacity", "--slopes", laws, "-o", "json", "--size", "directors=10"}
+	if status := runCommand(command, &out, &out); status != exitDone {
 		t.Fatalf("status %d: %s", status, out.String())
 	}
 	var report capacityReport
--- a/cmd/stairvane-fleet/cli.go
+++ b/cmd/stairvane-fleet/cli.go
@@ -5,79 +5,121 @@
 	"errors"
 	"fmt"
 	"io"
-	"os"
 	"runtime/debug"
 
 	"github.com/alecthomas/kong"
+	"github.com/olekukonko/tablewriter"
 	"github.com/willabides/kongplete"
 
 	"stairvane.org/stairvane/internal/controlplane/api"
 	"stairvane.org/stairvane/internal/fleet/plan"
 )
 
-// cli is the grammar of the command line.
+// cli is the grammar of the command line. Aliases are the sub-commands' earlier names, which scripts go on using.
 type cli struct {
-	Director directorCmd `cmd:"" help:"Run a director on as many cores as the program's file says (LB_CONFIG names its configuration)."`
-	Board    boardCmd    `cmd:"" help:"Run the board that keeps the fleet and carries out plans."`
-	Relay    relayCmd    `cmd:"" help:"Run a relay, which serves watches to the directors of a region for the copies of a board."`
+	Director     directorCmd     `cmd:"" help:"Run a director on as many cores as the program's file says (LB_CONFIG names its configuration)."`
+	ControlPlane controlPlaneCmd `cmd:"" aliases:"board" help:"Run a replica of the control plane, or one that is alone."`
+	Relay        relayCmd        `cmd:"" help:"Run a relay, which serves watches to the directors of a region for the replicas of a control plane."`
+
 	Validate validateCmd `cmd:"" help:"Check the operator's files."`
 	Fmt      fmtCmd      `cmd:"" help:"Write the operator's files in the one form, comments kept."`
-	Plan     planCmd     `cmd:"" help:"Plan the way from the board's world to a wished fleet. Ends with 0: nothing to change, 2: changes, 1: an error, or no order keeps the constraints."`
+	Plan     planCmd     `cmd:"" help:"Plan the way from the observed to the desired state. Ends with 0: nothing to change, 2: changes, 1: an error, or no order keeps the constraints."`
 	Show     showCmd     `cmd:"" help:"Show a plan file."`
-	Apply    applyCmd    `cmd:"" help:"Have the board carry out a plan. Ends with 0: done, 3: stale, 4: another apply is under way, 6: it stopped."`
+	Apply    applyCmd    `cmd:"" help:"Have the control plane carry out a plan. Ends with 0: done, 3: stale, 4: another apply is under way, 6: it stopped."`
 	Applies  appliesCmd  `cmd:"" help:"List applies; show, pause, resume or cancel one."`
 	Revert   revertCmd   `cmd:"" help:"Plan back to what the fleet was before an apply."`
-	World    worldCmd    `cmd:"" help:"Show the fleet as it is declared and as it was seen."`
+	State    stateCmd    `cmd:"" aliases:"world" help:"Show the fleet as it is declared and as it was seen."`
 	Purge    purgeCmd    `cmd:"" help:"Purge an object or a group on all caches."`
-	Copies   copiesCmd   `cmd:"" help:"Show the copies of the board, let one in, take one out, replace one, hand the lead over."`
-	Roll     rollCmd     `cmd:"" help:"Show which directors there are: their versions, when they were heard of, what claims they decide on."`
-	Audit    auditCmd    `cmd:"" help:"Show by which versions directors act, and who is behind."`
-	Model    modelCmd    `cmd:"" help:"Play a fleet that shares cold boxes by turns, in a model. Ends with 1 if a limit is passed."`
-	Signals  signalsCmd  `cmd:"" help:"Show what directors together see of boxes, and by whose evidence."`
-	Turns    turnsCmd    `cmd:"" help:"Show who holds what part of what directors share, and until when."`
+
+	Replicas replicasCmd `cmd:"" aliases:"copies" help:"Show the replicas of the control plane, admit one, remove one, replace one, transfer the leadership."`
+	Members  membersCmd  `cmd:"" aliases:"roll" help:"Show which directors there are: their versions, their last heartbeats, the claims they decide on."`
+	Audit    auditCmd    `cmd:"" help:"Show which revisions directors have applied, and who is behind."`
+	Quotas   quotasCmd   `cmd:"" aliases:"turns" help:"Show who holds what share of what directors divide, and until when."`
+	Health   healthCmd   `cmd:"" aliases:"signals" help:"Show the aggregated health of caches, and whose reports it rests on."`
+
 	Capacity capacityCmd `cmd:"" help:"Work out what each role costs at a size, from measured laws."`
-	Version  versionCmd  `cmd:"" help:"Tell which program this is."`
 	Scale    scaleCmd    `cmd:"" help:"Measure the control plane beside many simulated directors on this machine."`
-	Standin  standinCmd  `cmd:"" help:"Stand-ins for a quick start on one machine."`
+	Model    modelCmd    `cmd:"" help:"Play a fleet that shares warming caches by quotas, in a model. Ends with 1 if a limit is passed."`
+	Fake     fakeCmd     `cmd:"" aliases:"standin" help:"Fake caches and clients for a quick start on one machine."`
+	Version  versionCmd  `cmd:"" help:"Tell which program this is."`
 
 	InstallCompletions kongplete.InstallCompletions `cmd:"" help:"Install or remove the shell's completions."`
 }
 
-// output is how a command writes.
-type output struct {
+const description = "Without a command: a director for depot caches, which LB_CONFIG configures. The commands run the control plane " +
+	"that keeps the fleet, and plan and apply changes to it."
+
+// outputJSON is the value of --output with which a command writes JSON.
+const outputJSON = "json"
+
+// outputFlags choose how a command writes.
+type outputFlags struct {
 	Output string `short:"o" enum:"text,json" default:"text" help:"text or json."`
 }
 
-// boardAt is how a command reaches the board.
-type boardAt struct {
-	Board       string `default:"unix:board.sock" env:"STAIRVANE_BOARD" help:"The board's write side: unix:PATH or HOST:PORT; of several copies all, parted by commas."`
-	Who         string `env:"STAIRVANE_WHO" help:"Who you are, if the system does not tell."`
-	Certificate string `type:"path" help:"Client certificate, PEM."`
-	Key         string `type:"path" help:"Its key."`
-	Authority   string `type:"path" help:"The authority of the board's certificate."`
+func (f outputFlags) json() bool { return f.Output == outputJSON }
+
+// controlPlaneFlags say how a command reaches the control plane.
+type controlPlaneFlags struct {
+	ControlPlane string `name:"board" default:"unix:board.sock" env:"STAIRVANE_BOARD" help:"The control plane's write side: unix:PATH or HOST:PORT; of several replicas all, separated by commas."`
+	Who          string `env:"STAIRVANE_WHO" help:"Who you are, if the system does not tell."`
+	Certificate  string `type:"path" help:"Client certificate, PEM."`
+	Key          string `type:"path" help:"Its key."`
+	Authority    string `type:"path" help:"The authority of the control plane's certificate."`
 }
 
-func (b boardAt) client() (*api.Client, error) {
-	return api.NewClient(b.Board, b.Who, api.Credentials{Certificate: b.Certificate, Key: b.Key, Authority: b.Authority})
+func (f controlPlaneFlags) client() (*api.Client, error) {
+	return api.NewClient(f.ControlPlane, f.Who, api.Credentials{Certificate: f.Certificate, Key: f.Key, Authority: f.Authority})
 }
 
 // streams are where a command writes; they are bound to its Run.
-type streams struct{ out, err io.Writer }
+type streams struct{ out, err *stickyWriter }
+
+// printf writes to standard output. A failure is kept by the stream and ends the command with a status of its own.
+func (s streams) printf(format string, args ...any) { _, _ = fmt.Fprintf(s.out, format, args...) }
+
+// println writes a line to standard output, as printf does.
+func (s streams) println(args ...any) { _, _ = fmt.Fprintln(s.out, args...) }
+
+// notef writes to standard error, beside the result.
+func (s streams) notef(format string, args ...any) { _, _ = fmt.Fprintf(s.err, format, args...) }
+
+// stickyWriter remembers its first error, so that a command may write many lines and the error is still reported.
+type stickyWriter struct {
+	io.Writer
+	err error
+}
+
+func (w *stickyWriter) Write(b []byte) (int, error) {
+	if w.err != nil {
+		return 0, w.err
+	}
+	n, err := w.Writer.Write(b)
+	w.err = err
+	return n, err
+}
 
-// exit is an error with a status of its own. An empty message prints nothing.
-type exit struct {
+// exitError is an error with an exit status of its own. An empty message prints nothing.
+type exitError struct {
 	status  int
 	message string
 }
 
-func (e *exit) Error() string { return e.message }
+func (e *exitError) Error() string { return e.message }
 
+// runCommand runs one command line and returns the process's exit status.
 func runCommand(args []string, out, errOut io.Writer) (status int) {
+	s := streams{out: &stickyWriter{Writer: out}, err: &stickyWriter{Writer: errOut}}
 	var c cli
-	parser, err := kong.New(&c, kong.Name("stairvane"), kong.Description("Without a command: a director for depot caches, which LB_CONFIG configures. The commands run the board that keeps the fleet, and plan and apply changes to it."),
-		kong.Writers(out, errOut), kong.UsageOnError(), kong.Bind(streams{out, errOut}), kong.Exit(func(code int) { panic(exitPanic(code)) }))
+	parser, err := kong.New(&c,
+		kong.Name("stairvane"),
+		kong.Description(description),
+		kong.Writers(out, errOut),
+		kong.UsageOnError(),
+		kong.Bind(s),
+		kong.Exit(func(code int) { panic(exitPanic(code)) }))
 	if err != nil {
-		fmt.Fprintln(errOut, "stairvane:", err)
+		s.notef("stairvane: %v\n", err)
 		return exitFailed
 	}
 	defer func() { // kong ends the process for --help; here that is a value
@@ -92,80 +134,96 @@
 	kongplete.Complete(parser)
 	ctx, err := parser.Parse(args)
 	if err != nil {
-		fmt.Fprintln(errOut, "stairvane:", err)
+		s.notef("stairvane: %v\n", err)
 		return exitFailed
 	}
-	return statusOf(ctx.Run(), errOut)
+	err = ctx.Run()
+	if err == nil {
+		err = s.out.err
+	}
+	return statusOf(err, s)
 }
 
+// exitPanic carries kong's exit status to runCommand.
 type exitPanic int
 
-// statusOf prints an error in one line and gives the status that it stands for.
-func statusOf(err error, errOut io.Writer) int {
+// statusOf prints an error in one line and returns the status that it stands for.
+func statusOf(err error, s streams) int {
 	if err == nil {
 		return exitDone
 	}
-	var e *exit
-	if errors.As(err, &e) {
-		if e.message != "" {
-			fmt.Fprintln(errOut, "stairvane:", e.message)
+	var own *exitError
+	if errors.As(err, &own) {
+		if own.message != "" {
+			s.notef("stairvane: %s\n", own.message)
 		}
-		return e.status
+		return own.status
 	}
-	fmt.Fprintln(errOut, "stairvane:", err)
-	var refused *api.Error
-	switch {
-	case errors.As(err, &refused) && refused.Kind == api.Stale:
-		return exitStale
-	case errors.As(err, &refused) && refused.Kind == api.Busy:
-		return exitBusy
-	case errors.As(err, &refused) && (refused.Kind == api.Damaged || refused.Kind == api.Newer),
-		errors.Is(err, plan.ErrDamaged), errors.Is(err, plan.ErrNewer):
+	s.notef("stairvane: %v\n", err)
+	if errors.Is(err, plan.ErrDamaged) || errors.Is(err, plan.ErrNewer) {
 		return exitDamaged
 	}
+	var rejected *api.Error
+	if errors.As(err, &rejected) {
+		switch rejected.Kind {
+		case api.Stale:
+			return exitStale
+		case api.Busy:
+			return exitBusy
+		case api.Damaged, api.Newer:
+			return exitDamaged
+		}
+	}
 	return exitFailed
 }
 
 func writeJSON(w io.Writer, v any) error {
-	enc := json.NewEncoder(w)
-	enc.SetIndent("", "  ")
-	return enc.Encode(v)
+	encoder := json.NewEncoder(w)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(v)
 }
 
-type versionCmd struct{ output }
+// writeTable writes rows under a header. All rows have as many cells as the header.
+func writeTable(s streams, rows [][]string, header ...string) error {
+	t := tablewriter.NewWriter(s.out)
+	t.Header(header)
+	if err := t.Bulk(rows); err != nil {
+		return err
+	}
+	return t.Render()
+}
 
+// versionCmd tells which program this is.
+type versionCmd struct{ outputFlags }
+
+// programVersion is the command's answer as JSON.
+type programVersion struct {
+	Program  string `json:"program"`
+	Version  string `json:"version"`
+	Revision string `json:"revision,omitempty"`
+	Go       string `json:"go"`
+	PlanFile int    `json:"plan_file"`
+}
+
+// Run prints the version.
 func (c versionCmd) Run(s streams) error {
-	v := struct {
-		Program  string `json:"program"`
-		Version  string `json:"version"`
-		Revision string `json:"revision,omitempty"`
-		Go       string `json:"go"`
-		PlanFile int    `json:"plan_file"`
-	}{Program: "stairvane", Version: "unknown", PlanFile: plan.Version}
+	v := programVersion{Program: "stairvane", Version: "unknown", PlanFile: plan.Version}
 	if info, ok := debug.ReadBuildInfo(); ok {
-		v.Version, v.Go = info.Main.Version, info.GoVersion
-		for _, set := range info.Settings {
-			if set.Key == "vcs.revision" {
-				v.Revision = set.Value
-			}
-		}
+		v.Version, v.Go, v.Revision = info.Main.Version, info.GoVersion, buildSetting(info, "vcs.revision")
 	}
-	if c.Output == "json" {
+	if c.json() {
 		return writeJSON(s.out, v)
 	}
-	_, err := fmt.Fprintf(s.out, "stairvane %s %s (%s), plan files of version %d\n", v.Version, v.Revision, v.Go, v.PlanFile)
-	return err
+	s.printf("stairvane %s %s (%s), plan files of version %d\n", v.Version, v.Revision, v.Go, v.PlanFile)
+	return nil
 }
 
-// readPlan reads a plan file; errors name it.
-func readPlan(path string) (*plan.Plan, []byte, error) {
-	file, err := os.ReadFile(path)
-	if err != nil {
-		return nil, nil, err
-	}
-	p, err := plan.Decode(file)
-	if err != nil {
-		return nil, nil, fmt.Errorf("%s: %w", path, err)
+// buildSetting is a setting of the build; empty if the build does not tell it.
+func buildSetting(info *debug.BuildInfo, key string) string {
+	for _, setting := range info.Settings {
+		if setting.Key == key {
+			return setting.Value
+		}
 	}
-	return p, file, nil
+	return ""
 }
--- a/cmd/stairvane-fleet/cli_test.go
+++ b/cmd/stairvane-fleet/cli_test.go
@@ -24,7 +24,7 @@
 	return status, o.String() + e.String()
 }
 
-const wished = `(rules (cold (warm 0s)) (drain-settle 0s) (told-within 0s) (width 1))
+const desiredFleet = `(rules (cold (warm 0s)) (drain-settle 0s) (told-within 0s) (width 1))
 (template box (class std) (share 4) (running))
 (origin store (at 127.0.0.1:9) (site hub) (class origin) (share 40))
 (location west (floor 4) (sources store)
@@ -33,8 +33,8 @@
   (cache c-3 (like box) (at 127.0.0.1:13)))
 `
 
-// The exit statuses and the one clear line of each refusal are part of what the commands promise.
-func TestStatusesAndRefusals(t *testing.T) {
+// TestStatusesAndRejections guards the exit statuses and the one clear line of each rejection, which are part of what the commands promise.
+func TestStatusesAndRejections(t *testing.T) {
 	dir := t.TempDir()
 	path := func(name string) string { return filepath.Join(dir, name) }
 	put := func(name, text string) string {
@@ -56,7 +56,7 @@
 		t.Fatal(faults)
 	}
 	t.Setenv("STAIRVANE_BOARD", "unix:"+path("s"))
-	fleet := put("fleet.scm", wished)
+	fleet := put("fleet.scm", desiredFleet)
 	want(exitFailed, "board", "plan", fleet) // nobody is there
 	b, err := controlplane.New(set.ControlPlane, controlplane.Options{})
 	if err != nil {
@@ -78,10 +78,10 @@
 	want(exitDone, "nothing to change", "plan", fleet)
 
 	// The file is edited between plan and apply; comments and form alone do not make a plan stale.
-	drained := strings.Replace(wished, "  (cache c-2 (like box) (at 127.0.0.1:12))\n", "", 1)
+	drained := strings.Replace(desiredFleet, "  (cache c-2 (like box) (at 127.0.0.1:12))\n", "", 1)
 	put("fleet.scm", drained)
 	want(exitChanges, "drain cache c-2", "plan", fleet, "--out", path("b.plan"))
-	put("fleet.scm", wished)
+	put("fleet.scm", desiredFleet)
 	want(exitStale, "edited since", "apply", path("b.plan"))
 	put("fleet.scm", "; a remark\n"+drained)
 
@@ -93,7 +93,8 @@
 	want(exitStale, `"thing": "location west"`, "apply", "-o", "json", path("b.plan"))
 
 	// One that is held up, another that comes meanwhile, and the orders.
-	put("slower.scm", strings.Replace(strings.Replace(drained, "(drain-settle 0s)", "(drain-settle 1h) (give-up 2h)", 1), "(floor 4)", "(floor 3)", 1))
+	slower := strings.Replace(drained, "(drain-settle 0s)", "(drain-settle 1h) (give-up 2h)", 1)
+	put("slower.scm", strings.Replace(slower, "(floor 4)", "(floor 3)", 1))
 	want(exitChanges, "set the rules", "plan", path("slower.scm"), "--out", path("d.plan"))
 	want(exitDone, "is done", "apply", path("d.plan"))
 	held := strings.Replace(strings.Replace(drained, "(drain-settle 0s)", "(drain-settle 1h) (give-up 2h)", 1), "(floor 4)", "(floor 0)", 1)
@@ -124,16 +125,17 @@
 	file[len(file)/2] ^= 1
 	want(exitDamaged, "damaged", "apply", put("damaged.plan", string(file)))
 	want(exitDamaged, "newer version", "show", put("newer.plan", "stairvane-plan 9 1 x\n"))
-	put("low.scm", strings.Replace(wished, "(floor 4)", "(floor 9)", 1))
+	put("low.scm", strings.Replace(desiredFleet, "(floor 4)", "(floor 9)", 1))
 	want(exitFailed, "floor 9 can't be kept", "plan", path("low.scm"))
-	put("swap.scm", strings.NewReplacer("(floor 4)", "(floor 5)", "c-1", "n-1", "c-2", "n-2", "c-3", "n-3").Replace(wished))
+	put("swap.scm", strings.NewReplacer("(floor 4)", "(floor 5)", "c-1", "n-1", "c-2", "n-2", "c-3", "n-3").Replace(desiredFleet))
 	want(exitFailed, "no order of steps keeps the constraints", "plan", path("swap.scm"))
 	want(exitFailed, "unknown word", "validate", put("bad.scm", "(locatoin x)"))
 	want(exitFailed, `did you mean "location"?`, "validate", path("bad.scm"))
 	want(exitDone, path("fleet.scm"), "fmt", path("fleet.scm"))
 	want(exitDone, "", "fmt", "--check", path("fleet.scm"))
 	want(exitFailed, "(relay ...) is missing", "relay", program)
-	want(exitFailed, "relay.upstream: missing", "validate", "--program", put("relay.scm", "(relay (name r) (machine m) (site s) (region n) (listen 127.0.0.1:0))"))
+	withoutUpstream := put("relay.scm", "(relay (name r) (machine m) (site s) (region n) (listen 127.0.0.1:0))")
+	want(exitFailed, "relay.upstream: missing", "validate", "--program", withoutUpstream)
 	want(exitFailed, "unexpected", "aply")
 	want(exitDone, "purged by event", "purge", "--group", "7")
 	want(exitFailed, "not within 0 to 255", "purge", "--group", "700")
@@ -141,3 +143,17 @@
 		t.Error(status, out)
 	}
 }
+
+// TestEarlierSubCommandsAreAliases guards scripts that use the sub-commands' earlier names.
+func TestEarlierSubCommandsAreAliases(t *testing.T) {
+	for earlier, name := range map[string]string{
+		"board": "control-plane", "copies": "replicas", "roll": "members", "turns": "quotas", "signals": "health", "standin": "fake",
+		"world": "state", "scale hollow": "scale simulated",
+	} {
+		status, help := call(append(strings.Fields(earlier), "--help")...)
+		wantStatus, wantHelp := call(append(strings.Fields(name), "--help")...)
+		if status != exitDone || status != wantStatus || help != wantHelp {
+			t.Errorf("%s is not %s: status %d, %s", earlier, name, status, help)
+		}
+	}
+}
--- a/cmd/stairvane-fleet/files.go
+++ b/cmd/stairvane-fleet/files.go
@@ -12,10 +12,11 @@
 	"stairvane.org/stairvane/internal/sexpr"
 )
 
+// validateCmd checks the operator's files.
 type validateCmd struct {
-	output
+	outputFlags
 	Program bool     `help:"The files set the program; they declare no fleet."`
-	Files   []string `arg:"" help:"Files of the wished fleet."`
+	Files   []string `arg:"" help:"Files of the desired state."`
 }
 
 // Run tells all faults of all files at once.
@@ -30,50 +31,50 @@
 		}
 		faults = append(faults, found...)
 	}
-	if c.Output == "json" {
+	if c.json() {
 		if err := writeJSON(s.out, faults); err != nil {
 			return err
 		}
 	} else {
-		for _, f := range faults {
-			fmt.Fprintln(s.out, f.Error())
+		for _, fault := range faults {
+			s.println(fault.Error())
 		}
 	}
 	if len(faults) > 0 {
-		return &exit{exitFailed, fmt.Sprintf("%d faults", len(faults))}
+		return &exitError{exitFailed, fmt.Sprintf("%d faults", len(faults))}
 	}
 	return nil
 }
 
+// fmtCmd formats the operator's files.
 type fmtCmd struct {
 	Check bool     `help:"Change nothing; end with 1 if a file is not in the form."`
 	Files []string `arg:"" help:"Files to format."`
 }
 
+// Run formats all files, also after one of them failed.
 func (c fmtCmd) Run(s streams) error {
 	var failed error
 	for _, name := range c.Files {
-		if err := c.one(name, s); err != nil {
-			failed = errors.Join(failed, err)
-		}
+		failed = errors.Join(failed, c.formatFile(s, name))
 	}
 	return failed
 }
 
-func (c fmtCmd) one(name string, s streams) error {
+func (c fmtCmd) formatFile(s streams, name string) error {
 	text, err := os.ReadFile(name)
 	if err != nil {
 		return err
 	}
 	tree, faults := sexpr.Parse(name, string(text))
 	if len(faults) > 0 {
-		return faults // a file that can't be read whole is left as it is
+		return faults // a file with faults is left as it is
 	}
-	formed := []byte(sexpr.Format(tree))
-	if bytes.Equal(formed, text) {
+	formatted := []byte(sexpr.Format(tree))
+	if bytes.Equal(formatted, text) {
 		return nil
 	}
-	fmt.Fprintln(s.out, name)
+	s.println(name)
 	if c.Check {
 		return fmt.Errorf("%s is not in the form", name)
 	}
@@ -81,5 +82,5 @@
 	if err != nil {
 		return err
 	}
-	return renameio.WriteFile(name, formed, info.Mode().Perm())
+	return renameio.WriteFile(name, formatted, info.Mode().Perm())
 }
--- a/cmd/stairvane-fleet/main.go
+++ b/cmd/stairvane-fleet/main.go
@@ -1,6 +1,6 @@
-// Command stairvane-fleet holds the sub-commands of stairvane: the board that keeps the fleet and the tools that plan and
-// apply changes to it. It is a program of its own so that the director, which needs none of their libraries, is not made
-// larger by them; stairvane runs it for whatever it is called with.
+// Command stairvane-fleet holds the sub-commands of stairvane: the control plane that keeps the fleet's state, the relay, the tools
+// that plan and apply changes, and the views of what the control plane knows. It is a program of its own so that the director, which
+// needs none of their libraries, is not made larger by them; stairvane runs it for whatever it is called with.
 package main
 
 import (
@@ -23,7 +23,7 @@
 
 func main() {
 	if err := logging.Setup(); err != nil {
-		fmt.Fprintln(os.Stderr, "stairvane:", err)
+		_, _ = fmt.Fprintln(os.Stderr, "stairvane:", err) // nothing else can be reported where standard error fails
 		os.Exit(exitFailed)
 	}
 	os.Exit(runCommand(os.Args[1:], os.Stdout, os.Stderr))
--- a/cmd/stairvane-fleet/plan.go
+++ b/cmd/stairvane-fleet/plan.go
@@ -3,7 +3,6 @@
 import (
 	"errors"
 	"fmt"
-	"io"
 	"os"
 	"path/filepath"
 	"strings"
@@ -16,23 +15,24 @@
 	"stairvane.org/stairvane/internal/operatorconfig"
 )
 
+// planCmd plans the way to a desired state.
 type planCmd struct {
-	boardAt
-	output
-	File string        `arg:"" type:"path" help:"The file of the wished fleet."`
+	controlPlaneFlags
+	outputFlags
+	File string        `arg:"" type:"path" help:"The file of the desired state."`
 	Out  string        `type:"path" help:"Write the plan to this file, for apply."`
-	Wait time.Duration `help:"Wait so long for a board that is just starting."`
+	Wait time.Duration `help:"Wait so long for a control plane that is just starting."`
 }
 
-// Run plans here, against the world that the board tells; the board judges the plan again when it is applied.
+// Run plans here, from the state that the control plane tells; the control plane judges the plan again when it is applied.
 func (c planCmd) Run(s streams) error {
-	wish, faults := operatorconfig.ReadFleet(c.File, os.ReadFile)
+	desired, faults := operatorconfig.ReadFleet(c.File, os.ReadFile)
 	if len(faults) > 0 {
 		return faults
 	}
-	w, err := c.world()
-	for end := time.Now().Add(c.Wait); err != nil && time.Now().Before(end); w, err = c.world() {
-		time.Sleep(followEvery)
+	state, err := c.observedState()
+	for deadline := time.Now().Add(c.Wait); err != nil && time.Now().Before(deadline); state, err = c.observedState() {
+		time.Sleep(pollInterval)
 	}
 	if err != nil {
 		return err
@@ -41,9 +41,9 @@
 	if err != nil {
 		return err
 	}
-	p, err := plan.Make(w, wish, path)
+	p, err := plan.Make(state, desired, path)
 	var impossible *plan.Impossible
-	if errors.As(err, &impossible) && c.Output == "json" {
+	if errors.As(err, &impossible) && c.json() {
 		if err := writeJSON(s.out, impossible); err != nil {
 			return err
 		}
@@ -51,28 +51,28 @@
 	if err != nil {
 		return err
 	}
-	return putPlan(s.out, p, c.Out, c.Output)
+	return writePlan(s, p, c.Out, c.outputFlags)
 }
 
-func (b boardAt) world() (fleet.ObservedState, error) {
-	client, err := b.client()
+func (f controlPlaneFlags) observedState() (fleet.ObservedState, error) {
+	client, err := f.client()
 	if err != nil {
 		return fleet.ObservedState{}, err
 	}
-	world, err := client.State()
+	state, err := client.State()
 	if err != nil {
 		return fleet.ObservedState{}, err
 	}
-	return world.ObservedState()
+	return state.ObservedState()
 }
 
-// putPlan shows a plan and writes its file. Its status tells whether there is anything to do.
-func putPlan(out io.Writer, p *plan.Plan, path, form string) error {
+// writePlan shows a plan and writes its file, if it is given a path. Its status tells whether there is anything to do.
+func writePlan(s streams, p *plan.Plan, path string, form outputFlags) error {
 	file, err := plan.Encode(p)
 	if err != nil {
 		return err
 	}
-	if err := showPlan(out, p, form); err != nil {
+	if err := showPlan(s, p, form); err != nil {
 		return err
 	}
 	if path != "" {
@@ -81,63 +81,87 @@
 		}
 	}
 	if len(p.Steps) > 0 {
-		return &exit{status: exitChanges}
+		return &exitError{status: exitChanges}
 	}
 	return nil
 }
 
+// showCmd shows a plan file.
 type showCmd struct {
-	output
+	outputFlags
 	Plan string `arg:"" type:"path" help:"The plan file."`
 }
 
+// Run shows the plan.
 func (c showCmd) Run(s streams) error {
 	p, _, err := readPlan(c.Plan)
 	if err != nil {
 		return err
 	}
-	return showPlan(s.out, p, c.Output)
+	return showPlan(s, p, c.outputFlags)
 }
 
-func showPlan(out io.Writer, p *plan.Plan, form string) error {
-	if form == "json" {
-		return writeJSON(out, p)
+// readPlan reads a plan file; errors name it.
+func readPlan(path string) (*plan.Plan, []byte, error) {
+	file, err := os.ReadFile(path)
+	if err != nil {
+		return nil, nil, err
+	}
+	p, err := plan.Decode(file)
+	if err != nil {
+		return nil, nil, fmt.Errorf("%s: %w", path, err)
+	}
+	return p, file, nil
+}
+
+// shownKinds is the order in which a plan's steps are summed up.
+var shownKinds = []plan.Kind{
+	plan.Add, plan.Raise, plan.Lower, plan.Drain, plan.Remove, plan.Locate, plan.Widen, plan.Narrow, plan.Forget, plan.SetRules,
+}
+
+// shortSum is how many digits of a plan's checksum are shown.
+const shortSum = 16
+
+func showPlan(s streams, p *plan.Plan, form outputFlags) error {
+	if form.json() {
+		return writeJSON(s.out, p)
 	}
 	if len(p.Steps) == 0 {
-		_, err := fmt.Fprintf(out, "nothing to change at revision %d\n", p.Revision)
-		return err
+		s.printf("nothing to change at revision %d\n", p.Revision)
+		return nil
 	}
 	sum, err := plan.Sum(p)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "plan %s\nat revision %d, wish %s, %d things read\n", sum[:16], p.Revision, p.DesiredSum, len(p.Reads))
+	s.printf("plan %s\nat revision %d, wish %s, %d things read\n", sum[:shortSum], p.Revision, p.DesiredSum, len(p.Reads))
 	if p.RevertOf != 0 {
-		fmt.Fprintf(out, "back to what was before apply %d\n", p.RevertOf)
+		s.printf("back to what was before apply %d\n", p.RevertOf)
 	}
 	counts := map[plan.Kind]int{}
 	group, wave := -1, -1
-	for _, st := range p.Steps {
-		if st.Group != group || st.Wave != wave {
-			group, wave = st.Group, st.Wave
-			fmt.Fprintf(out, "group %d, wave %d\n", group, wave)
+	for _, step := range p.Steps {
+		if step.Group != group || step.Wave != wave {
+			group, wave = step.Group, step.Wave
+			s.printf("group %d, wave %d\n", group, wave)
 		}
-		fmt.Fprintf(out, "%6d  %s  (until %s)\n", st.ID, st, st.Wait)
-		counts[st.Kind]++
+		s.printf("%6d  %s  (until %s)\n", step.ID, step, step.Wait)
+		counts[step.Kind]++
 	}
 	var sums []string
-	for _, k := range []plan.Kind{plan.Add, plan.Raise, plan.Lower, plan.Drain, plan.Remove, plan.Locate, plan.Widen, plan.Narrow, plan.Forget, plan.SetRules} {
-		if counts[k] > 0 {
-			sums = append(sums, fmt.Sprintf("%d %s", counts[k], k))
+	for _, kind := range shownKinds {
+		if counts[kind] > 0 {
+			sums = append(sums, fmt.Sprintf("%d %s", counts[kind], kind))
 		}
 	}
-	_, err = fmt.Fprintf(out, "%d steps: %s; on trouble: %s\n", len(p.Steps), strings.Join(sums, ", "), p.Rules.OnFault)
-	return err
+	s.printf("%d steps: %s; on trouble: %s\n", len(p.Steps), strings.Join(sums, ", "), p.Rules.OnFault)
+	return nil
 }
 
+// revertCmd plans back to what the fleet was before an apply.
 type revertCmd struct {
-	boardAt
-	output
+	controlPlaneFlags
+	outputFlags
 	ID  int64  `arg:"" help:"The apply to undo."`
 	Out string `type:"path" help:"Write the plan to this file, for apply."`
 }
@@ -152,14 +176,14 @@
 	if err != nil {
 		return err
 	}
-	w, err := c.world()
+	state, err := c.observedState()
 	if err != nil {
 		return err
 	}
-	p, err := plan.Make(w, before, "")
+	p, err := plan.Make(state, before, "")
 	if err != nil {
 		return err
 	}
 	p.RevertOf = c.ID
-	return putPlan(s.out, p, c.Out, c.Output)
+	return writePlan(s, p, c.Out, c.outputFlags)
 }
--- /dev/null
+++ b/cmd/stairvane-fleet/progress.go
@@ -0,0 +1,79 @@
+package main
+
+import (
+	"fmt"
+	"os"
+
+	"github.com/mattn/go-isatty"
+	"github.com/vbauerster/mpb/v8"
+	"github.com/vbauerster/mpb/v8/decor"
+
+	"stairvane.org/stairvane/internal/controlplane/api"
+	"stairvane.org/stairvane/internal/fleet/apply"
+)
+
+const barWidth = 48 // columns
+
+// progress shows an apply: a bar on a terminal, and one line a step elsewhere; with JSON, one object a step.
+type progress struct {
+	s     streams
+	form  outputFlags
+	shown map[int]apply.Phase // by step
+	bars  *mpb.Progress       // nil: no bar
+	bar   *mpb.Bar            // nil: nothing was shown yet
+}
+
+func newProgress(s streams, form outputFlags) *progress {
+	p := &progress{s: s, form: form, shown: map[int]apply.Phase{}}
+	if f, is := s.out.Writer.(*os.File); is && !form.json() && isatty.IsTerminal(f.Fd()) {
+		p.bars = mpb.New(mpb.WithOutput(s.out), mpb.WithWidth(barWidth))
+	}
+	return p
+}
+
+// show brings the display to where the apply is.
+func (p *progress) show(a api.Apply) error {
+	if p.bars != nil {
+		p.showBar(a)
+		return nil
+	}
+	for _, step := range a.Steps {
+		if step.Phase == apply.Pending || p.shown[step.ID] == step.Phase {
+			continue
+		}
+		p.shown[step.ID] = step.Phase
+		if p.form.json() {
+			if err := writeJSON(p.s.out, step); err != nil {
+				return err
+			}
+			continue
+		}
+		state := "begun"
+		if step.Phase == apply.Completed {
+			state = "done "
+		}
+		p.s.printf("%s %4d/%d  %s\n", state, step.ID, a.Record.Steps, step.What)
+	}
+	return p.s.out.err
+}
+
+func (p *progress) showBar(a api.Apply) {
+	if p.bar == nil {
+		p.bar = p.bars.AddBar(int64(a.Record.Steps),
+			mpb.PrependDecorators(decor.Name(fmt.Sprintf("apply %d ", a.ID)), decor.CountersNoUnit("%d/%d")),
+			mpb.AppendDecorators(decor.Elapsed(decor.ET_STYLE_MMSS)))
+	}
+	p.bar.SetCurrent(int64(a.StepsDone))
+}
+
+// close ends the bar, if there is one. It may be called again.
+func (p *progress) close() {
+	if p.bars == nil {
+		return
+	}
+	if p.bar != nil && !p.bar.Completed() {
+		p.bar.Abort(false)
+	}
+	p.bars.Wait()
+	p.bars = nil
+}
--- a/cmd/stairvane-fleet/quickstart_test.go
+++ b/cmd/stairvane-fleet/quickstart_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// The commands of the README's quick starts run as they stand there, one after the other, and show what it says.
+// TestQuickStart runs the commands of the README's quick start as they stand there, one after the other.
 func TestQuickStart(t *testing.T) {
 	out := quickStart(t, "quick start")
 	for _, want := range []string{
@@ -25,9 +25,13 @@
 	}
 }
 
-func TestQuickStartOfCopies(t *testing.T) {
-	out := quickStart(t, "quick start copies")
-	for _, want := range []string{"apply 1 is done: 7 steps", "3 copies vote, all are there", "purged by event 8", "not for ", "the group bears the loss of 1", " 0 failed, 0 doubled, 0 lost"} {
+// TestQuickStartOfReplicas does the same with three replicas, of which one is killed.
+func TestQuickStartOfReplicas(t *testing.T) {
+	out := quickStart(t, "quick start of replicas")
+	for _, want := range []string{
+		"apply 1 is done: 7 steps", "3 copies vote, all are there", "purged by event 8", "not for ", "the group bears the loss of 1",
+		" 0 failed, 0 doubled, 0 lost",
+	} {
 		if !strings.Contains(out, want) {
 			t.Errorf("it does not show %q\n%s", want, out)
 		}
--- /dev/null
+++ b/cmd/stairvane-fleet/quotas.go
@@ -0,0 +1,42 @@
+package main
+
+import (
+	"fmt"
+)
+
+// quotasCmd shows the quotas in force.
+type quotasCmd struct {
+	controlPlaneFlags
+	outputFlags
+}
+
+// Run shows who holds what share of which limit.
+func (c quotasCmd) Run(s streams) error {
+	client, err := c.client()
+	if err != nil {
+		return err
+	}
+	allocations, err := client.Quotas()
+	if err != nil {
+		return err
+	}
+	if c.json() {
+		return writeJSON(s.out, allocations)
+	}
+	if len(allocations) == 0 {
+		s.println("nothing is shared by turns at the moment")
+		return nil
+	}
+	var rows [][]string
+	for _, a := range allocations {
+		rows = append(rows, []string{
+			a.Limit,
+			string(a.Kind),
+			a.Holder,
+			fmt.Sprintf("%.3f", a.Part),
+			fmt.Sprintf("%.3f", a.Demand),
+			fmt.Sprintf("%d ms", a.Left.Milliseconds()),
+		})
+	}
+	return writeTable(s, rows, "limit", "kind", "director", "part", "wants", "for")
+}
--- a/cmd/stairvane-fleet/relay.go
+++ b/cmd/stairvane-fleet/relay.go
@@ -10,6 +10,7 @@
 	"stairvane.org/stairvane/internal/operatorconfig"
 )
 
+// relayCmd runs a relay.
 type relayCmd struct {
 	Config string `arg:"" type:"path" help:"The program's file; (relay ...) is read."`
 }
@@ -18,22 +19,22 @@
 func (c relayCmd) Run() error {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
-	set, faults := operatorconfig.ReadProgram(c.Config, os.ReadFile)
+	settings, faults := operatorconfig.ReadProgram(c.Config, os.ReadFile)
 	if len(faults) > 0 {
 		return faults
 	}
-	if set.Relay.Name == "" {
+	if settings.Relay.Name == "" {
 		return fmt.Errorf("%s: (relay ...) is missing", c.Config)
 	}
-	r, err := relayserver.New(set.Relay)
+	server, err := relayserver.New(settings.Relay)
 	if err != nil {
 		return err
 	}
 	go func() {
 		<-signals
-		r.Leave()
+		server.Leave()
 		<-signals
-		r.Stop()
+		server.Stop()
 	}()
-	return r.Run()
+	return server.Run()
 }
--- a/cmd/stairvane-fleet/scale.go
+++ b/cmd/stairvane-fleet/scale.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"os"
 	"os/signal"
@@ -14,13 +15,15 @@
 	"stairvane.org/stairvane/internal/tools/scale/simulated"
 )
 
+// scaleCmd measures the control plane on this machine.
 type scaleCmd struct {
-	Run    scaleRunCmd    `cmd:"" default:"withargs" help:"Start a control plane, directors and simulated directors on this machine and measure them under load. Ends with 1 if a size collapses."`
-	Hollow scaleHollowCmd `cmd:"" hidden:"" help:"Simulated directors of a run, in one process."`
+	Run       scaleRunCmd       `cmd:"" default:"withargs" help:"Start a control plane, directors and simulated directors on this machine and measure them under load. Ends with 1 if a size collapses."`
+	Simulated scaleSimulatedCmd `cmd:"" aliases:"hollow" hidden:"" help:"Simulated directors of a run, in one process."`
 }
 
+// scaleRunCmd makes one run.
 type scaleRunCmd struct {
-	output
+	outputFlags
 	Directors  []int         `default:"100,200,400" help:"Sizes: simulated directors."`
 	Replicas   int           `default:"3" help:"Replicas of the control plane."`
 	Relays     int           `default:"0" help:"Relays between replicas and directors; 0: directors watch replicas."`
@@ -44,45 +47,56 @@
 	Save       string        `type:"path" help:"Also write the result as JSON to a file in this folder, named by time and topology."`
 }
 
-func (c scaleRunCmd) settings() (set scale.Settings, err error) {
-	set = scale.Settings{
-		Directors: c.Directors, Replicas: c.Replicas, Relays: c.Relays, RealDirectors: c.Real, Processes: c.Processes, ColdCaches: c.Cold,
-		Demand: c.Demand, Zipf: c.Zipf, PurgesPerSecond: c.Purges, ChangesPerSecond: c.Changes, Crowd: c.Crowd, StartPerSecond: c.StartRate,
-		Settle: c.Settle, Window: c.Window, RestartPerSecond: c.Restart, KeepOn: c.KeepOn, Seed: c.Seed,
+func (c scaleRunCmd) settings() (settings scale.Settings, err error) {
+	settings = scale.Settings{
+		Directors:        c.Directors,
+		Replicas:         c.Replicas,
+		Relays:           c.Relays,
+		RealDirectors:    c.Real,
+		Processes:        c.Processes,
+		ColdCaches:       c.Cold,
+		Demand:           c.Demand,
+		Zipf:             c.Zipf,
+		PurgesPerSecond:  c.Purges,
+		ChangesPerSecond: c.Changes,
+		Crowd:            c.Crowd,
+		StartPerSecond:   c.StartRate,
+		Settle:           c.Settle,
+		Window:           c.Window,
+		RestartPerSecond: c.Restart,
+		KeepOn:           c.KeepOn,
+		Seed:             c.Seed,
 	}
 	if c.KillRelay {
-		set.Fault = scale.KillRelay
+		settings.Fault = scale.KillRelay
 	}
 	if c.KillLeader {
-		set.Fault = scale.KillLeader
+		settings.Fault = scale.KillLeader
 	}
-	set.Program, err = os.Executable()
-	return set, err
+	settings.Program, err = os.Executable()
+	return settings, err
 }
 
 // Run measures; what was measured is written also where the run ends early.
 func (c scaleRunCmd) Run(s streams) error {
-	set, err := c.settings()
+	settings, err := c.settings()
 	if err != nil {
 		return err
 	}
-	if set.Folder = c.Folder; set.Folder == "" {
-		if set.Folder, err = os.MkdirTemp("", "stairvane-scale"); err != nil {
-			return err
-		}
-		defer os.RemoveAll(set.Folder)
-	} else if err := os.Mkdir(set.Folder, 0o700); err != nil {
+	removeFolder, err := c.makeFolder(&settings)
+	if err != nil {
 		return err
 	}
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-	defer stop()
-	shown, err := json.Marshal(set)
+	defer removeFolder()
+	shown, err := json.Marshal(settings)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(s.err, "settings: %s\n", shown)
-	result, runErr := scale.Run(ctx, set, func(r scale.Row) {
-		fmt.Fprintf(s.err, "%d hollow directors measured, load average %.1f\n", r.Hollow, r.LoadAverage[1])
+	s.notef("settings: %s\n", shown)
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	defer stop()
+	result, runErr := scale.Run(ctx, settings, func(r scale.Row) {
+		s.notef("%d hollow directors measured, load average %.1f\n", r.Hollow, r.LoadAverage[1])
 	})
 	if len(result.Rows) > 0 {
 		err = c.write(s, result)
@@ -94,14 +108,24 @@
 		return err
 	}
 	if last := result.Rows[len(result.Rows)-1]; len(last.Collapsed) > 0 {
-		return &exit{exitFailed, fmt.Sprintf("%d hollow directors are more than the control plane bears here", last.Hollow)}
+		return &exitError{exitFailed, fmt.Sprintf("%d hollow directors are more than the control plane bears here", last.Hollow)}
 	}
 	return nil
 }
 
+// makeFolder makes the folder of the run's files. What it returns removes it, unless it is to stay.
+func (c scaleRunCmd) makeFolder(settings *scale.Settings) (remove func(), err error) {
+	if c.Folder != "" {
+		settings.Folder = c.Folder
+		return func() {}, os.Mkdir(c.Folder, 0o700)
+	}
+	settings.Folder, err = os.MkdirTemp("", "stairvane-scale")
+	return func() { _ = os.RemoveAll(settings.Folder) }, err // what is left of a temporary folder harms nobody
+}
+
 // write writes the result as it is wanted.
 func (c scaleRunCmd) write(s streams, result scale.Result) (err error) {
-	if c.Output == "json" {
+	if c.json() {
 		err = writeJSON(s.out, result)
 	} else {
 		err = scale.WriteTable(s.out, result)
@@ -113,7 +137,7 @@
 }
 
 // save writes the result to a file of its own.
-func (c scaleRunCmd) save(result scale.Result) error {
+func (c scaleRunCmd) save(result scale.Result) (err error) {
 	name := fmt.Sprintf("%s-%d-replicas-%d-relays-%d-cold", result.Began.Format("20060102-150405"), c.Replicas, c.Relays, c.Cold)
 	if fault := result.Settings.Fault; fault != scale.NoFault {
 		name += "-" + string(fault)
@@ -122,23 +146,24 @@
 	if err != nil {
 		return err
 	}
-	defer file.Close()
+	defer func() { err = errors.Join(err, file.Close()) }()
 	return writeJSON(file, result)
 }
 
-type scaleHollowCmd struct {
+// scaleSimulatedCmd runs the simulated directors of a run.
+type scaleSimulatedCmd struct {
 	Settings string `arg:"" type:"path" help:"File of settings."`
 }
 
 // Run serves until the run ends it.
-func (c scaleHollowCmd) Run() error {
-	set, err := simulated.ReadSettings(c.Settings)
+func (c scaleSimulatedCmd) Run() error {
+	settings, err := simulated.ReadSettings(c.Settings)
 	if err != nil {
 		return err
 	}
-	p, err := simulated.New(set)
+	process, err := simulated.New(settings)
 	if err != nil {
 		return err
 	}
-	return p.Run()
+	return process.Run()
 }
--- /dev/null
+++ b/cmd/stairvane-fleet/state.go
@@ -0,0 +1,71 @@
+package main
+
+import (
+	"strconv"
+
+	"stairvane.org/stairvane/internal/controlplane/api"
+	"stairvane.org/stairvane/internal/fleet"
+)
+
+// stateCmd shows the fleet's state.
+type stateCmd struct {
+	controlPlaneFlags
+	outputFlags
+}
+
+// Run shows the fleet as it is declared and as it was seen.
+func (c stateCmd) Run(s streams) error {
+	client, err := c.client()
+	if err != nil {
+		return err
+	}
+	answer, err := client.State()
+	if err != nil {
+		return err
+	}
+	if c.json() {
+		return writeJSON(s.out, answer)
+	}
+	state, err := answer.ObservedState()
+	if err != nil {
+		return err
+	}
+	writeSummary(s, answer, state)
+	for l := range state.Locations() {
+		s.printf("location %s: floor %.4g, load %.4g, sources %v\n", l.Name, l.Floor, l.Load, l.Sources)
+		for _, slack := range state.LocationSlacks(l.Name) {
+			if slack.Slack < 0 {
+				s.printf("  BROKEN %v\n", slack)
+			}
+		}
+	}
+	for host := range state.Hosts() {
+		s.printf("%-6s %-16s %-11s %-21s %s  share %.4g/%.4g  %s\n",
+			host.Role, host.Name, host.State, host.Address, host.Site, host.Serving, host.Share, sightOf(state, host))
+	}
+	return nil
+}
+
+func writeSummary(s streams, answer api.State, state fleet.ObservedState) {
+	observer := "off"
+	if answer.Observer {
+		observer = "on"
+	}
+	s.printf("revision %d, %d boxes, %d followers told up to event %d, observer %s\n",
+		state.Revision, state.Len(), answer.Followers, answer.AcknowledgedUpTo, observer)
+	if r := answer.LeaseHolder; r != nil {
+		s.println("under way:", recordLine(*r))
+	}
+}
+
+// sightOf says how a host was seen, and for how long it still warms up.
+func sightOf(state fleet.ObservedState, host *fleet.Host) string {
+	sight := string(state.Observed[host.Name].Sight)
+	if sight == "" {
+		sight = string(fleet.Unknown)
+	}
+	if until := state.ColdUntil(host); until > state.NowMS {
+		sight += ", cold for " + strconv.FormatInt((until-state.NowMS+999)/1000, 10) + " s"
+	}
+	return sight
+}
