--- a/cmd/stairvane-fleet/scale.go
+++ b/cmd/stairvane-fleet/scale.go
@@ -96,7 +96,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	result, runErr := scale.Run(ctx, settings, func(r scale.Row) {
-		s.notef("%d hollow directors measured, load average %.1f\n", r.Hollow, r.LoadAverage[1])
+		s.notef("%d hollow directors measured, load average %.1f\n", r.Simulated, r.LoadAverage[1])
 	})
 	if len(result.Rows) > 0 {
 		err = c.write(s, result)
@@ -108,7 +108,7 @@
 		return err
 	}
 	if last := result.Rows[len(result.Rows)-1]; len(last.Collapsed) > 0 {
-		return &exitError{exitFailed, fmt.Sprintf("%d hollow directors are more than the control plane bears here", last.Hollow)}
+		return &exitError{exitFailed, fmt.Sprintf("%d hollow directors are more than the control plane bears here", last.Simulated)}
 	}
 	return nil
 }
--- a/internal/tools/scale/cluster.go
+++ b/internal/tools/scale/cluster.go
@@ -21,19 +21,19 @@
 
 // Roles of processes.
 const (
-	RoleLeader   = "leader"
-	RoleReplica  = "replica"
-	RoleRelay    = "relay"
-	RoleDirector = "director"
-	RoleHollow   = "hollow"
-	RoleRun      = "run"
+	RoleLeader    = "leader"
+	RoleReplica   = "replica"
+	RoleRelay     = "relay"
+	RoleDirector  = "director"
+	RoleSimulated = "hollow" // as stored runs name it
+	RoleRun       = "run"
 )
 
 const (
-	startWithin   = 30 * time.Second
-	controlWithin = 15 * time.Second
-	joinLook      = 250 * time.Millisecond
-	snapshotEvery = 10_000 // events
+	startTimeout     = 30 * time.Second
+	controlTimeout   = 15 * time.Second
+	joinPollInterval = 250 * time.Millisecond
+	snapshotEvery    = 10_000 // events
 )
 
 // processSpec is how a process is started: it serves once it has logged an event, a key of which gives an address.
@@ -48,24 +48,24 @@
 type member struct {
 	*testharness.Process
 	role    string
-	address string // of its watch server, or of a hollow process's control server
+	address string // of its watch server, or of a process of simulated directors's control server
 }
 
 // cluster is all processes of one size.
 type cluster struct {
-	set       Settings
+	settings  Settings
 	folder    string
 	group     *testharness.Cluster
 	relays    []*member
 	directors []*testharness.Director
-	hollows   []*member
+	simulated []*member
 	caches    []*fakes.Cache
 	control   *http.Client
 }
 
-// startCluster starts all but the hollow directors.
+// startCluster starts all but the simulated directors.
 func startCluster(set Settings, folder string) (*cluster, error) {
-	c := &cluster{set: set, folder: folder, control: &http.Client{Timeout: controlWithin}}
+	c := &cluster{settings: set, folder: folder, control: &http.Client{Timeout: controlTimeout}}
 	if err := c.startAll(); err != nil {
 		c.close()
 		return nil, err
@@ -74,12 +74,12 @@
 }
 
 func (c *cluster) startAll() (err error) {
-	if c.group, err = testharness.NewCluster(c.set.Program, c.folder, c.set.Replicas, 0); err != nil {
+	if c.group, err = testharness.NewCluster(c.settings.Program, c.folder, c.settings.Replicas, 0); err != nil {
 		return err
 	}
-	c.group.Relays = c.set.Relays > 0
+	c.group.Relays = c.settings.Relays > 0
 	c.group.Every = snapshotEvery
-	if err := c.group.Found(startWithin); err != nil {
+	if err := c.group.Found(startTimeout); err != nil {
 		return err
 	}
 	if err := c.declareFleet(); err != nil {
@@ -88,8 +88,8 @@
 	if err := c.startRelays(); err != nil {
 		return err
 	}
-	for i := range c.set.RealDirectors {
-		d, err := c.group.StartDirector(fmt.Sprintf("real-%d", i), "west", i%c.set.Replicas, "")
+	for i := range c.settings.RealDirectors {
+		d, err := c.group.StartDirector(fmt.Sprintf("real-%d", i), "west", i%c.settings.Replicas, "")
 		if err != nil {
 			return err
 		}
@@ -99,11 +99,11 @@
 }
 
 func (c *cluster) start(spec processSpec, role string) (*member, error) {
-	p, err := testharness.Start(spec.name, c.set.Program, spec.args, nil)
+	p, err := testharness.Start(spec.name, c.settings.Program, spec.args, nil)
 	if err != nil {
 		return nil, err
 	}
-	serves, _, err := p.Event(spec.event, 0, startWithin)
+	serves, _, err := p.Event(spec.event, 0, startTimeout)
 	if err != nil {
 		p.Kill()
 		return nil, fmt.Errorf("%w\n%s", err, strings.Join(p.Log(), "\n"))
@@ -122,7 +122,7 @@
 	for _, b := range c.group.Replicas {
 		upstream = append(upstream, b.Write.Addr())
 	}
-	for i := range c.set.Relays {
+	for i := range c.settings.Relays {
 		name := fmt.Sprintf("r%d", i+1)
 		file := filepath.Join(c.folder, name+".scm")
 		text := fmt.Sprintf("(relay (name %s) (machine m-%s) (site s-%s) (region region-%d) (listen 127.0.0.1:0) (upstream %s))\n",
@@ -145,7 +145,7 @@
 	return nil
 }
 
-// watchServers are the addresses that hollow directors watch: the relays', or else the replicas' own, without the link stand-ins
+// watchServers are the addresses that simulated directors watch: the relays', or else the replicas' own, without the proxies
 // between, which would cost CPU in the run.
 func (c *cluster) watchServers() (addresses []netip.AddrPort, err error) {
 	for _, relay := range c.relays {
@@ -170,7 +170,7 @@
 
 // replicaWatch is the address of a replica's own watch server.
 func replicaWatch(b *testharness.Replica) (netip.AddrPort, error) {
-	serves, _, err := b.Event("board.serves", 0, startWithin)
+	serves, _, err := b.Event("board.serves", 0, startTimeout)
 	if err != nil {
 		return netip.AddrPort{}, err
 	}
@@ -178,41 +178,54 @@
 	return netip.ParseAddrPort(address)
 }
 
-// startHollow starts the hollow directors.
-func (c *cluster) startHollow(count int) error {
+// startSimulated starts the simulated directors.
+func (c *cluster) startSimulated(count int) error {
 	addresses, err := c.watchServers()
 	if err != nil {
 		return err
 	}
 	first := 0
-	for i := range c.set.Processes {
-		share := count * (i + 1) / c.set.Processes
+	for i := range c.settings.Processes {
+		share := count * (i + 1) / c.settings.Processes
 		set := simulated.Settings{
-			Addresses: addresses, First: first, Count: share - first, Total: count, ColdCaches: c.set.ColdCaches, Demand: c.set.Demand,
-			Zipf: c.set.Zipf, Crowd: cmp.Or(c.set.Crowd, count), Seed: c.set.Seed, StartPerSecond: c.set.StartPerSecond,
+			Addresses:      addresses,
+			First:          first,
+			Count:          share - first,
+			Total:          count,
+			ColdCaches:     c.settings.ColdCaches,
+			Demand:         c.settings.Demand,
+			Zipf:           c.settings.Zipf,
+			Crowd:          cmp.Or(c.settings.Crowd, count),
+			Seed:           c.settings.Seed,
+			StartPerSecond: c.settings.StartPerSecond,
 		}
 		first = share
 		text, err := json.Marshal(set)
 		if err != nil {
 			return err
 		}
-		name := fmt.Sprintf("hollow-%d", i)
+		name := fmt.Sprintf("simulated-%d", i)
 		file := filepath.Join(c.folder, name+".json")
 		if err := os.WriteFile(file, text, 0o600); err != nil {
 			return err
 		}
-		spec := processSpec{name: name, args: []string{"scale", "hollow", file}, event: simulated.ServesEvent, addressKey: simulated.ControlKey}
-		p, err := c.start(spec, RoleHollow)
+		spec := processSpec{
+			name:       name,
+			args:       []string{"scale", "simulated", file},
+			event:      simulated.ServesEvent,
+			addressKey: simulated.ControlKey,
+		}
+		p, err := c.start(spec, RoleSimulated)
 		if err != nil {
 			return err
 		}
-		c.hollows = append(c.hollows, p)
+		c.simulated = append(c.simulated, p)
 	}
 	return nil
 }
 
-// ask calls a hollow process's control server.
-func (c *cluster) ask(p *member, method, path string, out any) error {
+// call calls a process of simulated directors's control server.
+func (c *cluster) call(p *member, method, path string, out any) error {
 	request, err := http.NewRequest(method, "http://"+p.address+path, nil)
 	if err != nil {
 		return err
@@ -221,18 +234,18 @@
 	if err != nil {
 		return err
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }() // it was read as far as it is wanted
 	if response.StatusCode != http.StatusOK {
 		return fmt.Errorf("scale: %s answered %s", p.Name, response.Status)
 	}
 	return json.NewDecoder(response.Body).Decode(out)
 }
 
-// sum adds up what all hollow processes answer.
+// sum adds up what all process of simulated directorses answer.
 func (c *cluster) sum(method, path string) (total int, err error) {
-	for _, p := range c.hollows {
+	for _, p := range c.simulated {
 		var one int
-		if err := c.ask(p, method, path, &one); err != nil {
+		if err := c.call(p, method, path, &one); err != nil {
 			return total, err
 		}
 		total += one
@@ -246,7 +259,7 @@
 	rules.Cache.WarmUpMS = 0
 	rules.Parent.WarmUpMS = 0
 	wanted := fleet.DesiredState{Rules: rules}
-	for _, box := range []fleet.HostSpec{
+	for _, host := range []fleet.HostSpec{
 		{Name: "store", Role: fleet.Origin, Site: "hub", Class: "origin", Share: 40},
 		{Name: "west-0", Role: fleet.Cache, Site: "west", Class: "std", Share: 4, Running: true},
 		{Name: "west-1", Role: fleet.Cache, Site: "west", Class: "std", Share: 4, Running: true},
@@ -256,8 +269,8 @@
 			return err
 		}
 		c.caches = append(c.caches, cache)
-		box.Address = cache.Addr()
-		wanted.Hosts = append(wanted.Hosts, box)
+		host.Address = cache.Addr()
+		wanted.Hosts = append(wanted.Hosts, host)
 	}
 	wanted.Locations = []fleet.Location{{Name: "west", Floor: 1, Load: 1, Sources: []string{"store"}}}
 	wanted.Normalize()
@@ -265,7 +278,7 @@
 	if err != nil {
 		return err
 	}
-	for end := time.Now().Add(startWithin); ; time.Sleep(retryPause) {
+	for end := time.Now().Add(startTimeout); ; time.Sleep(retryPause) {
 		err := change(client, func(fleet.ObservedState) fleet.DesiredState { return wanted })
 		if err == nil || time.Now().After(end) {
 			return err
@@ -273,23 +286,23 @@
 	}
 }
 
-// join waits until so many directors are on the membership. It gives how many are, also where the time is over.
-func (c *cluster) join(count int, within time.Duration) (joined int, took time.Duration, err error) {
+// awaitJoined waits until so many directors are on the membership. It gives how many are, also where the time is over.
+func (c *cluster) awaitJoined(count int, within time.Duration) (joined int, took time.Duration, err error) {
 	client, err := c.group.Client()
 	if err != nil {
 		return 0, 0, err
 	}
 	begin := time.Now()
 	for {
-		var roll api.Members
-		if roll, err = client.Members(); err == nil {
-			joined = len(roll.Directors)
+		var members api.Members
+		if members, err = client.Members(); err == nil {
+			joined = len(members.Directors)
 		}
 		took = time.Since(begin)
 		if joined >= count || took > within {
 			return joined, took, err
 		}
-		time.Sleep(joinLook)
+		time.Sleep(joinPollInterval)
 	}
 }
 
@@ -310,7 +323,7 @@
 	for _, d := range c.directors {
 		all = append(all, &member{Process: d.Process, role: RoleDirector})
 	}
-	return append(all, c.hollows...)
+	return append(all, c.simulated...)
 }
 
 // resident is the memory of all processes in bytes.
@@ -338,7 +351,7 @@
 
 // close ends all processes.
 func (c *cluster) close() {
-	for _, p := range append(c.relays, c.hollows...) {
+	for _, p := range append(c.relays, c.simulated...) {
 		if p.Running() {
 			p.Kill()
 		}
--- a/internal/tools/scale/fit_test.go
+++ b/internal/tools/scale/fit_test.go
@@ -18,7 +18,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !near(law.QuadraticConstant, 0.04) || !near(law.QuadraticSlope, 0.001) || !near(law.Square, square) || law.QuadraticResidual > 1e-9 {
+		found := near(law.QuadraticConstant, 0.04) && near(law.QuadraticSlope, 0.001) && near(law.Square, square)
+		if !found || law.QuadraticResidual > 1e-9 {
 			t.Errorf("square %g: %+v", square, law)
 		}
 		if straight := near(law.Constant, 0.04) && near(law.Slope, 0.001) && law.Residual < 1e-9; straight != (square == 0) {
--- a/internal/tools/scale/load.go
+++ b/internal/tools/scale/load.go
@@ -27,8 +27,8 @@
 
 // load applies purges and changes of the configuration at steady rates.
 type load struct {
-	stop context.CancelFunc
-	work sync.WaitGroup
+	stop  context.CancelFunc
+	tasks sync.WaitGroup
 
 	mu          sync.Mutex
 	purges      []acceptedPurge
@@ -50,13 +50,13 @@
 			stop()
 			return nil, err
 		}
-		l.work.Go(func() {
+		l.tasks.Go(func() {
 			for n := range due {
 				l.purge(client, n)
 			}
 		})
 	}
-	l.work.Go(func() {
+	l.tasks.Go(func() {
 		defer close(due)
 		each(ctx, set.PurgesPerSecond, func(n int64) {
 			select {
@@ -73,7 +73,7 @@
 		stop()
 		return nil, err
 	}
-	l.work.Go(func() { each(ctx, set.ChangesPerSecond, func(n int64) { l.change(client, n) }) })
+	l.tasks.Go(func() { each(ctx, set.ChangesPerSecond, func(n int64) { l.change(client, n) }) })
 	return l, nil
 }
 
@@ -126,7 +126,7 @@
 	l.changes = append(l.changes, called)
 }
 
-// change plans the way to a wished fleet and hands the plan in.
+// change plans the way to a desired state and hands the plan in.
 func change(client *api.Client, wished func(fleet.ObservedState) fleet.DesiredState) error {
 	answer, err := client.State()
 	if err != nil {
@@ -151,7 +151,7 @@
 // end stops the load.
 func (l *load) end() {
 	l.stop()
-	l.work.Wait()
+	l.tasks.Wait()
 }
 
 // within counts the times between two.
--- a/internal/tools/scale/memory_test.go
+++ b/internal/tools/scale/memory_test.go
@@ -15,10 +15,10 @@
 		t.Fatal(err)
 	}
 	defer p.Kill()
-	c := &cluster{group: &testharness.Cluster{}, hollows: []*member{{Process: p, role: RoleHollow}}}
+	c := &cluster{group: &testharness.Cluster{}, simulated: []*member{{Process: p, role: RoleSimulated}}}
 	for _, most := range []int64{1, machineMemory()} {
 		ctx, cancel := context.WithCancelCause(t.Context())
-		within, stop := context.WithTimeout(ctx, 4*memoryEvery)
+		within, stop := context.WithTimeout(ctx, 4*memoryCheckInterval)
 		begin := time.Now()
 		c.guardMemory(within, cancel, most)
 		if got := errors.Is(context.Cause(ctx), ErrMemory); got != (most == 1) {
--- a/internal/tools/scale/parse_test.go
+++ b/internal/tools/scale/parse_test.go
@@ -66,8 +66,8 @@
 }
 
 func TestCollapses(t *testing.T) {
-	calm := Row{Hollow: 30, Real: 2, Joined: 32}
-	if got := collapses(calm); len(got) != 0 {
+	calm := Row{Simulated: 30, Real: 2, Joined: 32}
+	if got := collapseReasons(calm); len(got) != 0 {
 		t.Errorf("%v", got)
 	}
 	for name, change := range map[string]func(*Row){
@@ -82,7 +82,7 @@
 	} {
 		row := calm
 		change(&row)
-		if got := collapses(row); len(got) != 1 {
+		if got := collapseReasons(row); len(got) != 1 {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
--- a/internal/tools/scale/run.go
+++ b/internal/tools/scale/run.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	joinWithin  = 45 * time.Second
-	memoryEvery = 500 * time.Millisecond
+	joinTimeout         = 45 * time.Second
+	memoryCheckInterval = 500 * time.Millisecond
 )
 
 // ErrMemory ends a run that uses more memory than it may.
@@ -64,7 +64,7 @@
 		return row, err
 	}
 	defer c.close()
-	if err := c.startHollow(size); err != nil {
+	if err := c.startSimulated(size); err != nil {
 		return row, err
 	}
 	guarded := make(chan struct{})
@@ -81,31 +81,31 @@
 
 // measure waits until all directors are there, applies the load and takes a window.
 func (c *cluster) measure(ctx context.Context, size int) (row Row, err error) {
-	row = Row{Began: time.Now().UTC(), Hollow: size, Real: c.set.RealDirectors, Fault: c.set.Fault}
+	row = Row{Began: time.Now().UTC(), Simulated: size, Real: c.settings.RealDirectors, Fault: c.settings.Fault}
 	var took time.Duration
-	if row.Joined, took, err = c.join(size+c.set.RealDirectors, joinWithin); err != nil {
+	if row.Joined, took, err = c.awaitJoined(size+c.settings.RealDirectors, joinTimeout); err != nil {
 		return row, err
 	}
 	row.JoinSeconds = took.Seconds()
-	purges, err := startLoad(c.group, c.set)
+	purges, err := startLoad(c.group, c.settings)
 	if err != nil {
 		return row, err
 	}
 	defer purges.end()
-	if err := sleep(ctx, c.set.Settle); err != nil {
+	if err := sleep(ctx, c.settings.Settle); err != nil {
 		return row, err
 	}
-	w := &window{cluster: c, set: c.set, load: purges, row: &row}
+	w := &window{cluster: c, settings: c.settings, load: purges, row: &row}
 	if err := w.measure(ctx); err != nil {
 		return row, err
 	}
-	row.Collapsed = collapses(row)
+	row.Collapsed = collapseReasons(row)
 	return row, c.saveLogs()
 }
 
 // guardMemory cancels the run when its processes use more memory, in bytes, than they may; 0: any.
 func (c *cluster) guardMemory(ctx context.Context, cancel context.CancelCauseFunc, most int64) {
-	for sleep(ctx, memoryEvery) == nil {
+	for sleep(ctx, memoryCheckInterval) == nil {
 		if most > 0 && c.resident() > most {
 			cancel(ErrMemory)
 			return
--- a/internal/tools/scale/run_test.go
+++ b/internal/tools/scale/run_test.go
@@ -24,16 +24,29 @@
 		os.Exit(1)
 	}
 	status := m.Run()
-	os.RemoveAll(folder)
+	_ = os.RemoveAll(folder) // a temporary folder
 	os.Exit(status)
 }
 
-// All hollow directors get each purge once and in order, none is taken off the membership, and all figures are there.
+// All simulated directors get each purge once and in order, none is removed from the membership, and all figures are there.
 func TestRun(t *testing.T) {
 	const size = 30
 	set := scale.Settings{
-		Program: program, Folder: t.TempDir(), Directors: []int{size}, Replicas: 3, RealDirectors: 1, Processes: 2, ColdCaches: 2, Demand: 1.5,
-		Zipf: 1.1, PurgesPerSecond: 21, ChangesPerSecond: 1, StartPerSecond: 100, Settle: time.Second, Window: 4 * time.Second, Seed: 5,
+		Program:          program,
+		Folder:           t.TempDir(),
+		Directors:        []int{size},
+		Replicas:         3,
+		RealDirectors:    1,
+		Processes:        2,
+		ColdCaches:       2,
+		Demand:           1.5,
+		Zipf:             1.1,
+		PurgesPerSecond:  21,
+		ChangesPerSecond: 1,
+		StartPerSecond:   100,
+		Settle:           time.Second,
+		Window:           4 * time.Second,
+		Seed:             5,
 	}
 	t.Logf("seed %d", set.Seed)
 	result, err := scale.Run(t.Context(), set, func(scale.Row) {})
@@ -46,7 +59,8 @@
 		t.Errorf("%d directors on the membership", row.Joined)
 	}
 	if row.Accepted.Count == 0 || row.Delay.Count != size*row.Accepted.Count || row.Missing != 0 || row.Repeated != 0 {
-		t.Errorf("%d arrivals of %d purges at %d directors, %d missing, %d repeated", row.Delay.Count, row.Accepted.Count, size, row.Missing, row.Repeated)
+		t.Errorf("%d arrivals of %d purges at %d directors, %d missing, %d repeated",
+			row.Delay.Count, row.Accepted.Count, size, row.Missing, row.Repeated)
 	}
 	if row.MembershipLost != 0 {
 		t.Errorf("taken off the membership: %v", row.LostNames)
@@ -60,11 +74,12 @@
 	roles := map[string]int{}
 	for _, use := range row.Roles {
 		roles[use.Role] = use.Processes
-		if use.ResidentMB <= 0 || use.WriteBytes <= 0 || (use.Role == scale.RoleLeader || use.Role == scale.RoleReplica) && use.Requests <= 0 {
+		servesWatches := use.Role == scale.RoleLeader || use.Role == scale.RoleReplica
+		if use.ResidentMB <= 0 || use.WriteBytes <= 0 || servesWatches && use.Requests <= 0 {
 			t.Errorf("figures are missing: %+v", use)
 		}
 	}
-	want := map[string]int{scale.RoleLeader: 1, scale.RoleReplica: 2, scale.RoleDirector: 1, scale.RoleHollow: 2, scale.RoleRun: 1}
+	want := map[string]int{scale.RoleLeader: 1, scale.RoleReplica: 2, scale.RoleDirector: 1, scale.RoleSimulated: 2, scale.RoleRun: 1}
 	if fmt.Sprint(roles) != fmt.Sprint(want) {
 		t.Errorf("roles %v", roles)
 	}
--- a/internal/tools/scale/settings.go
+++ b/internal/tools/scale/settings.go
@@ -1,5 +1,5 @@
 // Package scale measures the control plane beside many directors. A run starts real replicas, and relays if wanted, a few real
-// directors, and hollow directors (package hollow) in processes of their own, applies a steady load and measures a window. All
+// directors, and simulated directors (package simulated) in processes of their own, applies a steady load and measures a window. All
 // processes run on one machine, on loopback, so that CPU times are what counts: delays include what the processes take from each
 // other.
 package scale
@@ -36,24 +36,24 @@
 type Settings struct {
 	Program          string  `json:"-"`         // path of stairvane-fleet
 	Folder           string  `json:"-"`         // for files, stores and logs; the run leaves them there
-	Directors        []int   `json:"directors"` // hollow directors, one size after the other
+	Directors        []int   `json:"directors"` // simulated directors, one size after the other
 	Replicas         int     `json:"replicas"`
 	Relays           int     `json:"relays"`
 	RealDirectors    int     `json:"real_directors"`
-	Processes        int     `json:"processes"` // that the hollow directors share
+	Processes        int     `json:"processes"` // that the simulated directors share
 	ColdCaches       int     `json:"cold_caches"`
-	Demand           float64 `json:"demand"` // of all directors for one cold cache, in parts of its limit
+	Demand           float64 `json:"demand"` // of all directors for one warming cache, in parts of its limit
 	Zipf             float64 `json:"zipf"`   // exponent
 	PurgesPerSecond  float64 `json:"purges_per_second"`
 	ChangesPerSecond float64 `json:"changes_per_second"`
-	// Crowd is the number of directors by the hollow directors' configuration, with which their reconnect pauses grow; 0: as
+	// Crowd is the number of directors by the simulated directors' configuration, with which their reconnect pauses grow; 0: as
 	// many as there are.
 	Crowd            int           `json:"crowd"`
-	StartPerSecond   int           `json:"start_per_second"` // hollow directors that begin to watch, in each process
+	StartPerSecond   int           `json:"start_per_second"` // simulated directors that begin to watch, in each process
 	Settle           time.Duration `json:"settle"`           // under load, before the window
 	Window           time.Duration `json:"window"`
 	Fault            Fault         `json:"fault,omitempty"`
-	RestartPerSecond int           `json:"restart_per_second"` // hollow directors
+	RestartPerSecond int           `json:"restart_per_second"` // simulated directors
 	KeepOn           bool          `json:"keep_on"`            // go on with larger sizes after one has collapsed
 	Seed             uint64        `json:"seed"`
 }
@@ -68,7 +68,8 @@
 			return fmt.Errorf("scale: %d directors, at most %d are allowed", size, MaxDirectors)
 		}
 		if s.Processes < 1 || size < s.Processes || size > s.Processes*simulated.MaxDirectors {
-			return fmt.Errorf("scale: %d hollow directors in %d processes, 1 to %d are allowed in each", size, s.Processes, simulated.MaxDirectors)
+			return fmt.Errorf("scale: %d hollow directors in %d processes, 1 to %d are allowed in each",
+				size, s.Processes, simulated.MaxDirectors)
 		}
 	}
 	processes := s.Replicas + s.Relays + s.RealDirectors + s.Processes
--- a/internal/tools/scale/simulated/answers_test.go
+++ b/internal/tools/scale/simulated/answers_test.go
@@ -12,7 +12,8 @@
 			body = events + `,"turns":` + grant + "}"
 		}
 		feed, err := a.decode([]byte(body))
-		if err != nil || feed.LastRevision != 7 || len(feed.Events) != 1 || feed.Events[0].Purge == nil || string(feed.QuotaGrant) != grant {
+		onePurge := len(feed.Events) == 1 && feed.Events[0].Purge != nil
+		if err != nil || feed.LastRevision != 7 || !onePurge || string(feed.QuotaGrant) != grant {
 			t.Errorf("%s: %+v, %v", body, feed, err)
 		}
 	}
--- a/internal/tools/scale/simulated/director.go
+++ b/internal/tools/scale/simulated/director.go
@@ -14,8 +14,8 @@
 	"stairvane.org/stairvane/internal/transport"
 )
 
-// TurnedAway is the reason of a reconnect where the server has no lease, or too many watchers.
-const TurnedAway = "status 503"
+// Rejected is the reason of a reconnect where the server has no lease, or too many watchers.
+const Rejected = "status 503"
 
 var errSilent = errors.New("no answer in time")
 
@@ -33,7 +33,7 @@
 	last    int64 // number of the last event that was taken in
 	roll    int64 // number of the last event of the membership
 	renewer *quota.Holder
-	demands []float64 // mean demands, by cold cache
+	demands []float64 // mean demands, by warming cache
 	request []byte
 
 	answers  int64         // since it began: purges of the first one are from before it
@@ -45,8 +45,8 @@
 	d := &simulatedDirector{
 		process: p,
 		number:  number,
-		at:      number % len(p.set.Addresses),
-		random:  mathrand.New(mathrand.NewPCG(p.set.Seed, uint64(number))),
+		at:      number % len(p.settings.Addresses),
+		random:  mathrand.New(mathrand.NewPCG(p.settings.Seed, uint64(number))),
 		demands: demands,
 	}
 	d.timer.Fire = d.overdue
@@ -96,7 +96,7 @@
 
 func (d *simulatedDirector) connect() {
 	d.timer.Stop()
-	conn, err := d.process.loop.Dial(d.process.set.Addresses[d.at], d.process.timing.Dial, d)
+	conn, err := d.process.loop.Dial(d.process.settings.Addresses[d.at], d.process.timing.Dial, d)
 	if err != nil {
 		d.lost(err)
 		return
@@ -109,9 +109,9 @@
 	d.close()
 	d.process.count.ended++
 	d.process.count.reasons[err.Error()]++
-	pause := d.process.timing.Pause(d.retry, d.process.set.Crowd, d.random.Float64())
+	pause := d.process.timing.Pause(d.retry, d.process.settings.Crowd, d.random.Float64())
 	d.process.loop.Set(&d.timer, d.process.loop.Now()+pause)
-	addresses := len(d.process.set.Addresses)
+	addresses := len(d.process.settings.Addresses)
 	d.at = (d.at + 1) % addresses
 	d.tried++
 	if d.tried%addresses != 0 {
@@ -133,7 +133,7 @@
 }
 
 func (d *simulatedDirector) poll() {
-	address := d.process.set.Addresses[d.at].String()
+	address := d.process.settings.Addresses[d.at].String()
 	d.request = discovery.AppendRequest(d.request[:0], address, d.last, d.process.timing.Patience.Milliseconds(), d.announcement())
 	traffic := &d.process.count.traffic[d.at]
 	traffic.Requests++
--- a/internal/tools/scale/simulated/process.go
+++ b/internal/tools/scale/simulated/process.go
@@ -23,7 +23,7 @@
 
 // ServesEvent is the log event that tells that a process runs; ControlKey is its key with the address of the control server.
 const (
-	ServesEvent = "hollow.serves"
+	ServesEvent = "simulated.serves"
 	ControlKey  = "control"
 )
 
@@ -38,9 +38,9 @@
 
 func limitName(cache int) string { return fmt.Sprintf("cold:cache-%03d", cache) }
 
-// Process is all hollow directors of one process on one loop. All but its control server runs on that loop.
+// Process is all simulated directors of one process on one loop. All but its control server runs on that loop.
 type Process struct {
-	set       Settings
+	settings  Settings
 	timing    director.WatchTiming
 	answers   answers
 	loop      *transport.Loop
@@ -60,7 +60,13 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Process{set: set, timing: director.TimingOfWatch(len(set.Addresses), true), answers: newAnswers(), loop: loop, count: newCounters(set, Now())}
+	p := &Process{
+		settings: set,
+		timing:   director.TimingOfWatch(len(set.Addresses), true),
+		answers:  newAnswers(),
+		loop:     loop,
+		count:    newCounters(set, Now()),
+	}
 	if p.control, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		loop.Release()
 		return nil, err
@@ -81,12 +87,12 @@
 // Run serves until the process is ended.
 func (p *Process) Run() error {
 	for i, d := range p.directors {
-		at := p.loop.Now() + time.Duration(i)*time.Second/time.Duration(p.set.StartPerSecond)
+		at := p.loop.Now() + time.Duration(i)*time.Second/time.Duration(p.settings.StartPerSecond)
 		p.loop.Set(&d.timer, at)
 	}
 	go func() {
 		if err := http.Serve(p.control, p.handler()); err != nil {
-			slog.Error("hollow.control", "err", err)
+			slog.Error("simulated.control_ended", "err", err)
 		}
 	}()
 	slog.Info(ServesEvent, ControlKey, p.control.Addr().String(), "directors", len(p.directors))
@@ -114,13 +120,13 @@
 		done := make(chan any, 1)
 		p.loop.Post(func() { done <- do(count) })
 		if err := json.NewEncoder(w).Encode(<-done); err != nil {
-			slog.Warn("hollow.control", "err", err)
+			slog.Warn("simulated.answer_not_sent", "err", err)
 		}
 	})
 }
 
 func (p *Process) begin() int {
-	p.count = newCounters(p.set, Now())
+	p.count = newCounters(p.settings, Now())
 	for _, d := range p.directors {
 		d.silence = 0
 	}
@@ -153,7 +159,7 @@
 		Length:     now - p.count.begin,
 		Traffic:    p.count.traffic,
 		Grants:     p.count.grants,
-		PartSums:   make([]float64, p.set.ColdCaches),
+		PartSums:   make([]float64, p.settings.ColdCaches),
 		Reconnects: p.count.ended,
 		Reasons:    p.count.reasons,
 		Repeated:   p.count.repeated,
--- a/internal/tools/scale/simulated/report.go
+++ b/internal/tools/scale/simulated/report.go
@@ -23,7 +23,7 @@
 	Length         time.Duration     `json:"length"`   // of the window so far
 	Traffic        []Traffic         `json:"traffic"`
 	Grants         int64             `json:"grants"`          // quota grants that were taken
-	PartSums       []float64         `json:"part_sums"`       // for each cold cache, the sum of the parts in force now
+	PartSums       []float64         `json:"part_sums"`       // for each warming cache, the sum of the parts in force now
 	Reconnects     int64             `json:"reconnects"`      // connections that ended or could not be opened
 	Reasons        map[string]int64  `json:"reasons"`         // of reconnects, with how many there were
 	LongestSilence time.Duration     `json:"longest_silence"` // longest time in the window that a director was without an answer
--- a/internal/tools/scale/simulated/settings_test.go
+++ b/internal/tools/scale/simulated/settings_test.go
@@ -33,7 +33,14 @@
 }
 
 func TestSettingsAreChecked(t *testing.T) {
-	set := Settings{Addresses: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1")}, Count: 10, Total: 20, First: 10, Crowd: 20, StartPerSecond: 1}
+	set := Settings{
+		Addresses:      []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1")},
+		Count:          10,
+		Total:          20,
+		First:          10,
+		Crowd:          20,
+		StartPerSecond: 1,
+	}
 	if err := set.check(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/tools/scale/window.go
+++ b/internal/tools/scale/window.go
@@ -16,34 +16,34 @@
 )
 
 const (
-	megabyte     = 1 << 20
-	leaderWithin = 5 * time.Second
-	faultAfter   = 4                     // the fault is made after the window's length divided by this
-	watchEvery   = 25 * time.Millisecond // to look whether all watch, after a fault
-	arrivesIn    = time.Second           // a purge that took longer counts as missing
-	mostNames    = 20
-	goneWithin   = 2 * time.Second // after the window, for what happened in it to be logged
+	megabyte          = 1 << 20
+	leaderTimeout     = 5 * time.Second
+	faultAfter        = 4                     // the fault is made after the window's length divided by this
+	watchPollInterval = 25 * time.Millisecond // to check whether all watch, after a fault
+	arrivalTimeout    = time.Second           // a purge that took longer counts as missing
+	maxNames          = 20
+	logDelay          = 2 * time.Second // after the window, for what happened in it to be logged
 )
 
 // window measures a cluster under load for a time.
 type window struct {
-	cluster *cluster
-	set     Settings
-	load    *load
-	row     *Row
-	members []*member
-	before  []usage
-	lines   []int // of each replica's or relay's log before the window
-	began   time.Duration
-	ended   time.Duration
-	faultAt time.Duration // 0: none was made
-	notAll  atomic.Int64  // when some director was last seen not to watch
-	tasks   sync.WaitGroup
+	cluster        *cluster
+	settings       Settings
+	load           *load
+	row            *Row
+	members        []*member
+	before         []usage
+	lines          []int // of each replica's or relay's log before the window
+	began          time.Duration
+	ended          time.Duration
+	faultAt        time.Duration // 0: none was made
+	lastIncomplete atomic.Int64  // when some director was last seen not to watch
+	tasks          sync.WaitGroup
 }
 
 // measure takes one window and fills the row.
 func (w *window) measure(ctx context.Context) error {
-	leader := w.cluster.group.Leader(leaderWithin)
+	leader := w.cluster.group.Leader(leaderTimeout)
 	if leader == nil {
 		return errNoLeader
 	}
@@ -60,7 +60,7 @@
 	tasks, stop := context.WithCancel(ctx)
 	defer stop()
 	w.disturb(tasks, leader)
-	if err := sleep(ctx, w.set.Window); err != nil {
+	if err := sleep(ctx, w.settings.Window); err != nil {
 		return err
 	}
 	w.ended = simulated.Now()
@@ -75,7 +75,7 @@
 	w.watchFigures(reports)
 	w.purgeFigures(reports)
 	w.recoveryFigures()
-	if err := sleep(ctx, goneWithin); err != nil {
+	if err := sleep(ctx, logDelay); err != nil {
 		return err
 	}
 	w.membershipFigures(reports)
@@ -131,44 +131,44 @@
 
 // disturb makes the fault and the restarts that are wanted while the window goes on.
 func (w *window) disturb(ctx context.Context, leader *testharness.Replica) {
-	if w.set.RestartPerSecond > 0 {
+	if w.settings.RestartPerSecond > 0 {
 		w.tasks.Go(func() {
-			each(ctx, float64(w.set.RestartPerSecond), func(n int64) {
-				p := w.cluster.hollows[int(n)%len(w.cluster.hollows)]
+			each(ctx, float64(w.settings.RestartPerSecond), func(n int64) {
+				p := w.cluster.simulated[int(n)%len(w.cluster.simulated)]
 				var restarted int
-				_ = w.cluster.ask(p, "POST", "/restart?count=1", &restarted) // those that were are counted by the process
+				_ = w.cluster.call(p, "POST", "/restart?count=1", &restarted) // those that were are counted by the process
 			})
 		})
 	}
-	if w.set.Fault == NoFault {
+	if w.settings.Fault == NoFault {
 		return
 	}
 	w.tasks.Go(func() {
-		if sleep(ctx, w.set.Window/faultAfter) != nil {
+		if sleep(ctx, w.settings.Window/faultAfter) != nil {
 			return
 		}
 		w.faultAt = simulated.Now()
-		if w.set.Fault == KillRelay {
+		if w.settings.Fault == KillRelay {
 			w.cluster.relays[0].Signal(syscall.SIGKILL)
 		} else {
 			leader.Signal(syscall.SIGKILL)
 		}
-		each(ctx, float64(time.Second/watchEvery), func(int64) { w.lookWatching() })
+		each(ctx, float64(time.Second/watchPollInterval), func(int64) { w.observeWatching() })
 	})
 }
 
-func (w *window) lookWatching() {
+func (w *window) observeWatching() {
 	at := simulated.Now()
 	watching, err := w.cluster.sum("GET", "/watching")
-	if err != nil || watching < w.row.Hollow {
-		w.notAll.Store(int64(at))
+	if err != nil || watching < w.row.Simulated {
+		w.lastIncomplete.Store(int64(at))
 	}
 }
 
 func (w *window) reports() (all []simulated.Report, err error) {
-	for _, p := range w.cluster.hollows {
+	for _, p := range w.cluster.simulated {
 		var r simulated.Report
-		if err := w.cluster.ask(p, "GET", "/report", &r); err != nil {
+		if err := w.cluster.call(p, "GET", "/report", &r); err != nil {
 			return nil, err
 		}
 		all = append(all, r)
@@ -176,11 +176,11 @@
 	return all, nil
 }
 
-// watchFigures adds up what the hollow processes counted of the watch protocol and of quotas.
+// watchFigures adds up what the process of simulated directorses counted of the watch protocol and of quotas.
 func (w *window) watchFigures(reports []simulated.Report) {
 	row := w.row
 	row.Reasons = map[string]int64{}
-	sums := make([]float64, w.set.ColdCaches)
+	sums := make([]float64, w.settings.ColdCaches)
 	for _, r := range reports {
 		seconds := r.Length.Seconds()
 		for _, t := range r.Traffic {
@@ -195,7 +195,7 @@
 		for reason, count := range r.Reasons {
 			row.Reasons[reason] += count
 		}
-		row.EndedByServer += r.Reasons[io.EOF.Error()] + r.Reasons[simulated.TurnedAway]
+		row.EndedByServer += r.Reasons[io.EOF.Error()] + r.Reasons[simulated.Rejected]
 		for cache, sum := range r.PartSums {
 			sums[cache] += sum
 		}
@@ -203,12 +203,12 @@
 	for _, sum := range sums {
 		row.LargestPartSum = max(row.LargestPartSum, sum)
 	}
-	row.Roles = means(row.Processes)
+	row.Roles = meansByRole(row.Processes)
 }
 
 func (w *window) addTraffic(t simulated.Traffic, seconds float64) {
 	for i, m := range w.members {
-		if m.address != t.Address || m.role == RoleHollow {
+		if m.address != t.Address || m.role == RoleSimulated {
 			continue
 		}
 		use := &w.row.Processes[i]
@@ -216,14 +216,14 @@
 		use.BytesUp += float64(t.BytesUp) / seconds
 		use.BytesDown += float64(t.BytesDown) / seconds
 	}
-	directors := float64(w.row.Hollow) * seconds
+	directors := float64(w.row.Simulated) * seconds
 	w.row.DirectorCalls += float64(t.Requests) / directors
 	w.row.DirectorUp += float64(t.BytesUp) / directors
 	w.row.DirectorDown += float64(t.BytesDown) / directors
 }
 
-// means are the means of each role's processes, in the order in which roles come.
-func means(processes []Use) (roles []Use) {
+// meansByRole are the means of each role's processes, in the order in which roles come.
+func meansByRole(processes []Use) (roles []Use) {
 	for _, p := range processes {
 		if p.Ended {
 			continue
@@ -264,7 +264,7 @@
 	defer l.mu.Unlock()
 	var accepted, delays, last []time.Duration
 	for _, p := range l.purges {
-		if p.called < w.began || p.accepted > w.ended-arrivesIn {
+		if p.called < w.began || p.accepted > w.ended-arrivalTimeout {
 			continue
 		}
 		accepted = append(accepted, p.accepted-p.called)
@@ -279,9 +279,9 @@
 			}
 		}
 		last = append(last, latest)
-		w.row.Missing += max(0, w.row.Hollow-came)
+		w.row.Missing += max(0, w.row.Simulated-came)
 	}
-	w.row.Unjudged = w.set.RestartPerSecond > 0 // a director that begins anew gets purges from before with its first answer
+	w.row.Unjudged = w.settings.RestartPerSecond > 0 // a director that begins anew gets purges from before with its first answer
 	w.row.Accepted, w.row.Delay, w.row.Last = spread(accepted), spread(delays), spread(last)
 	w.row.NotAccepted = within(l.failed, w.began, w.ended)
 	w.row.Changes = within(l.changes, w.began, w.ended)
@@ -293,7 +293,7 @@
 		return
 	}
 	w.row.FaultAtSeconds = (w.faultAt - w.began).Seconds()
-	if notAll := time.Duration(w.notAll.Load()); notAll > 0 {
+	if notAll := time.Duration(w.lastIncomplete.Load()); notAll > 0 {
 		w.row.RecoverySeconds = (notAll - w.faultAt).Seconds()
 		w.row.Recovered = w.ended-notAll > time.Second
 		return
@@ -301,7 +301,7 @@
 	w.row.Recovered = true
 }
 
-// membershipFigures counts who was taken off the membership, and who let watchers go, by the logs.
+// membershipFigures counts who was removed from the membership, and who closed their watches, by the logs.
 func (w *window) membershipFigures(reports []simulated.Report) {
 	stopped := map[string]bool{}
 	for _, r := range reports {
@@ -321,15 +321,15 @@
 				continue
 			}
 			w.row.MembershipLost++
-			if len(w.row.LostNames) < mostNames {
+			if len(w.row.LostNames) < maxNames {
 				w.row.LostNames = append(w.row.LostNames, id)
 			}
 		}
 	}
 }
 
-// readLog finds, in lines of a replica's or relay's log, the IDs of directors that were taken off the membership, and how often
-// the process let its watchers go for want of a lease.
+// readLog finds, in lines of a replica's or relay's log, the IDs of directors that were removed from the membership, and how often
+// the process closed its watches for want of a lease.
 func readLog(lines []string) (gone []string, leaseLosses int) {
 	for _, line := range lines {
 		var event struct {
