--- a/internal/decision/router.go
+++ b/internal/decision/router.go
@@ -1,7 +1,3 @@
-// The decisions of stairvane. The interface (settings, events, actions) is types.go.
-//
-// The file follows a request's life: it arrives, meets the table of open attempts, gets a cache and a source,
-// is sent, watched, answered, tried again or refused. Then windows, health, cold hosts, purges, list, sweep.
 package decision
 
 import (
