--- a/internal/decision/cold_sum_test.go
+++ b/internal/decision/cold_sum_test.go
@@ -105,12 +105,12 @@
 }
 
 func (f *coldFleet) obtain(i int, r *Router, a StartAttempt) {
-	q := r.open[a.Request]
+	q := r.requests[a.Request]
 	n := len(q.attempts) - 1
 	if a.Host == coldHost {
 		f.calls = append(f.calls, f.now)
 	}
-	took := 20*time.Millisecond + q.send
+	took := 20*time.Millisecond + q.sendTime
 	bad := a.Host == coldHost && f.rng.Float64() < f.fails
 	f.after(took, func() {
 		e := AttemptResult{Request: a.Request, Terminal: !bad, Host: a.Host, Attempt: n, Status: OK, CacheStatus: CacheStatusHit, Elapsed: took}
--- a/internal/decision/large_test.go
+++ b/internal/decision/large_test.go
@@ -42,11 +42,11 @@
 }
 
 func (w *largeWorld) obtain(a StartAttempt) {
-	q := w.r.open[a.Request]
+	q := w.r.requests[a.Request]
 	n, sent := len(q.attempts)-1, w.now
 	w.out[a.Host]++
 	slow := max(1, w.out[a.Host]/w.link)
-	took := 20*time.Millisecond + time.Duration(slow*float64(q.send))
+	took := 20*time.Millisecond + time.Duration(slow*float64(q.sendTime))
 	gone := q.deadline
 	w.after(min(took, gone-w.now), func() {
 		w.out[a.Host]--
@@ -54,7 +54,7 @@
 		if w.now >= gone && took > gone-sent {
 			status = TimedOut
 		}
-		if _, open := w.r.open[a.Request]; open && status == OK {
+		if _, open := w.r.requests[a.Request]; open && status == OK {
 			w.asked[w.at[a.Request]].answered = true
 		}
 		w.act(w.r.Handle(w.now, AttemptResult{
@@ -106,7 +106,7 @@
 				share := func(part []sized) float64 {
 					n := 0.0
 					for _, x := range part {
-						n += bool01(x.answered)
+						n += indicator(x.answered)
 					}
 					return n / float64(len(part))
 				}
--- /dev/null
+++ b/internal/decision/latency.go
@@ -0,0 +1,148 @@
+package decision
+
+import (
+	"math"
+	"time"
+)
+
+// Estimates of what is usual: the overhead of answers beyond their sending time, the size of requests, the shares of misses and of
+// fetches, and how quickly each source serves fills. All are exponentially weighted moving averages of results.
+
+const (
+	smoothing         = 0.1           // weight of a new sample: about the last ten results count
+	slowSmoothing     = smoothing / 4 // for what hardly changes
+	fetchSmoothing    = smoothing / 2
+	sourceStaleFactor = 2 // longest deadlines after which a source's estimate is too old to be used
+)
+
+// smooth moves a mean towards a sample, by the sample's weight.
+func smooth(mean *float64, sample, weight float64) { *mean += weight * (sample - *mean) }
+
+// indicator is 1 for true and 0 for false.
+func indicator(b bool) float64 {
+	if b {
+		return 1
+	}
+	return 0
+}
+
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+
+// overheadEstimate is the usual overhead of an answer beyond its sending time, in seconds, and its mean deviation, as TCP estimates
+// round trips (RFC 6298).
+type overheadEstimate struct {
+	mean      float64
+	deviation float64
+}
+
+func (o *overheadEstimate) observe(overhead float64) {
+	smooth(&o.deviation, math.Abs(overhead-o.mean), smoothing)
+	smooth(&o.mean, overhead, smoothing)
+}
+
+// limit is the overhead, in seconds, that is so many mean deviations beyond the mean.
+func (o *overheadEstimate) limit(deviations float64) float64 { return o.mean + deviations*o.deviation }
+
+// sourceEstimate is how a host serves fills as a source.
+type sourceEstimate struct {
+	firstByte    float64 // smoothed time to the first byte, in seconds
+	fillOverhead float64 // smoothed rest of a fill's time that neither that, its size nor a hit's overhead explains, in seconds
+	sampledAt    time.Duration
+}
+
+func (s *sourceEstimate) observe(firstByte, fillOverhead float64, isRecent bool, now time.Duration) {
+	if !isRecent {
+		s.firstByte = firstByte
+		s.fillOverhead = fillOverhead
+	}
+	smooth(&s.fillOverhead, fillOverhead, smoothing)
+	smooth(&s.firstByte, firstByte, smoothing)
+	s.sampledAt = now
+}
+
+// estimates are those that are not kept for each host.
+type estimates struct {
+	overhead    overheadEstimate
+	hitOverhead float64   // smoothed overhead of hits beyond their sending time, in seconds
+	meanSend    []float64 // smoothed sending time of each class, in seconds
+	missShare   float64   // smoothed share of answers that were no hits
+	fetchShare  float64   // smoothed share of fills that the source had to fetch
+}
+
+func newEstimates(classes int) estimates {
+	return estimates{meanSend: make([]float64, classes), missShare: unmeasuredMissShare}
+}
+
+// observeSize returns the sending time of a request from its size and the pace of a transfer, and learns the class's usual one. Where
+// either is not known, it returns the usual one.
+func (s *estimates) observeSize(class int, sizeKB, paceKBPerS float64) time.Duration {
+	mean := &s.meanSend[class]
+	if sizeKB <= 0 || paceKBPerS <= 0 {
+		return seconds(*mean)
+	}
+	send := sizeKB / paceKBPerS
+	if *mean == 0 {
+		*mean = send
+	}
+	smooth(mean, send, slowSmoothing)
+	return seconds(send)
+}
+
+// plannedMissShare is the share of attempts whose fills are planned with, on the safe side.
+func (s *estimates) plannedMissShare() float64 { return min(1, missShareMargin*s.missShare) }
+
+// observeLatency learns from a served attempt.
+func (r *Router) observeLatency(a *attempt, e AttemptResult) {
+	s := &r.estimates
+	mode := r.settings.CacheStatusMode
+	overhead := max(0, (e.Elapsed - a.request.sendTime).Seconds())
+	s.overhead.observe(overhead)
+	smooth(&a.cache.overhead, overhead, 2*smoothing)
+	if e.CacheStatus == CacheStatusHit || a.source == a.cache {
+		smooth(&s.hitOverhead, overhead, smoothing)
+	}
+	if mode != CacheStatusModeNone {
+		isMiss := e.CacheStatus != CacheStatusHit && e.CacheStatus != CacheStatusStale
+		smooth(&s.missShare, indicator(isMiss), slowSmoothing)
+	}
+	if e.CacheStatus == CacheStatusFilled || e.CacheStatus == CacheStatusFilledByOrigin {
+		smooth(&s.fetchShare, indicator(e.CacheStatus == CacheStatusFilledByOrigin), fetchSmoothing)
+	}
+	if r.sourceTookPart(e) {
+		r.observeSource(a, e)
+	}
+}
+
+// observeSource learns from a fill how quickly its source serves.
+func (r *Router) observeSource(a *attempt, e AttemptResult) {
+	source := a.source
+	source.lastAnswerAt = r.now
+	firstByte := e.FirstByte.Seconds()
+	if firstByte <= 0 { // not known
+		firstByte = max(0, (e.Elapsed - a.request.sendTime).Seconds())
+	}
+	fillOverhead := 0.0
+	if e.FirstByte > 0 && source != r.endpoints.origin {
+		fillOverhead = (e.Elapsed - e.FirstByte - a.request.sendTime).Seconds() - r.estimates.hitOverhead
+	}
+	source.asSource.observe(firstByte, fillOverhead, r.isRecent(source.asSource), r.now)
+}
+
+// isRecent reports whether a source's estimate may be used.
+func (r *Router) isRecent(s sourceEstimate) bool {
+	return s.sampledAt > 0 && r.now-s.sampledAt < sourceStaleFactor*r.longestDeadline
+}
+
+// sourceLatency is the time, in seconds, that a fill from a parent is expected to take beyond a hit: to its first byte, its overhead,
+// and the time that is likely lost by the failures that all directors see. A parent without a recent estimate counts as average.
+func (r *Router) sourceLatency(p *host) float64 {
+	sum := 0.0
+	n := 0.0
+	for _, o := range r.endpoints.parents {
+		if r.isRecent(o.asSource) && (o == p || !r.isRecent(p.asSource)) {
+			sum = sum + o.asSource.firstByte + max(0, o.asSource.fillOverhead)
+			n++
+		}
+	}
+	return sum/max(1, n) + p.health.aggregatedFailures*r.shortestDeadline.Seconds()
+}
--- a/internal/decision/router_test.go
+++ b/internal/decision/router_test.go
@@ -106,8 +106,8 @@
 	if first.Host != second.Host || first.Source != second.Source {
 		t.Errorf("second went to %d from %d, want %d from %d", second.Host, second.Source, first.Host, first.Source)
 	}
-	if len(b.r.table) != 1 {
-		t.Errorf("%d entries, want one", len(b.r.table))
+	if len(b.r.fills) != 1 {
+		t.Errorf("%d entries, want one", len(b.r.fills))
 	}
 }
 
@@ -152,9 +152,9 @@
 		s.JoinsFills = joins
 		b := start(t, s)
 		first := b.sent(b.query("a", 1))
-		h := b.r.hosts[first.Host]
+		h := b.r.endpoints.byID[first.Host]
 		b.now += ms
-		h.answered, h.link = b.now, window{limit: 1, out: time.Second}
+		h.lastAnswerAt, h.limit = b.now, concurrencyLimit{limit: 1, inFlight: time.Second}
 		got := of[StartAttempt](b.query("b", 1))
 		if held := len(got) == 0; held == joins {
 			t.Errorf("joins %v: a follower at a full cache that answers was held: %v", joins, held)
@@ -166,7 +166,7 @@
 	b := start(t, site())
 	pick := func() (out []HostID) {
 		for i := range 300 {
-			out = append(out, b.r.pickCache(&request{key: objectPart{object: ObjectID(i)}, aimAt: time.Hour * 2}).Host)
+			out = append(out, b.r.pickCache(&request{key: fillKey{object: ObjectID(i)}, objectiveAt: time.Hour * 2}).Host)
 		}
 		return out
 	}
@@ -189,13 +189,13 @@
 func TestSourceIsTheQuickerParent(t *testing.T) {
 	b := start(t, site())
 	for _, h := range []HostID{500, 501} {
-		p := b.r.hosts[h]
-		p.ttfb, p.heard = float64(h-499)*0.1, b.now
+		p := b.r.endpoints.byID[h]
+		p.asSource.firstByte, p.asSource.sampledAt = float64(h-499)*0.1, b.now
 	}
 	if got := b.sent(b.query("a", 1)); got.Source != 500 {
 		t.Errorf("source %d, want the quicker 500", got.Source)
 	}
-	b.r.hosts[500].drag = 0.5 // its link is jammed: the first byte is quick, the rest is not
+	b.r.endpoints.byID[500].asSource.fillOverhead = 0.5 // its link is jammed: the first byte is quick, the rest is not
 	if got := b.sent(b.query("b", 2)); got.Source != 501 {
 		t.Errorf("source %d, want 501 past a jammed parent", got.Source)
 	}
@@ -212,7 +212,7 @@
 	b.query("a", 1)
 	b.now += 50 * ms
 	b.on(Purge{Object: 1, Age: 20 * ms})
-	if len(b.r.table) != 0 {
+	if len(b.r.fills) != 0 {
 		t.Error("the entry opened before the purge is still open")
 	}
 	b.now += 100 * ms
@@ -228,8 +228,8 @@
 func TestCrowdedCachePassesOn(t *testing.T) {
 	b := start(t, site())
 	first := b.sent(b.query("a", 1))
-	b.r.hosts[first.Host].out = 40
-	b.r.table = map[objectPart]*entry{}
+	b.r.endpoints.byID[first.Host].attemptsInFlight = 40
+	b.r.fills = fillTable{}
 	if got := b.sent(b.query("b", 1)); got.Host == first.Host {
 		t.Error("a crowded cache took one more")
 	}
@@ -237,8 +237,8 @@
 
 func TestFullCachesRefuseAtOnce(t *testing.T) {
 	b := start(t, site())
-	for _, h := range b.r.caches {
-		h.link = window{limit: 1, out: time.Second}
+	for _, h := range b.r.endpoints.caches {
+		h.limit = concurrencyLimit{limit: 1, inFlight: time.Second}
 	}
 	denied := of[Reject](b.query("a", 1))
 	// Of the 400 ms of its aim and twice its sending, half of what is left beside the sending itself.
@@ -251,12 +251,12 @@
 	b := start(t, site())
 	first := b.sent(b.query("a", 1))
 	b.now += 300 * ms
-	for range silentLimit {
+	for range maxUnanswered {
 		if got := of[StartAttempt](b.on(TimerFired{Timer{Kind: TimerAttemptOverdue, Request: "a"}})); len(got) != 0 {
 			t.Errorf("second copies %v", got)
 		}
 	}
-	if b.r.healthy(b.r.hosts[first.Host]) {
+	if b.r.healthy(b.r.endpoints.byID[first.Host]) {
 		t.Error("a cache silent twice is still used")
 	}
 }
@@ -266,19 +266,19 @@
 	for _, alike := range []int{1, 9} {
 		s.DirectorsByZone = []int{0, alike}
 		b := start(t, s)
-		b.r.caches[0].out, b.r.caches[1].out, b.r.caches[2].out = 5, 2, 2
-		if got := b.r.crowded(b.r.caches[0]); got != (alike == 1) {
+		b.r.endpoints.caches[0].attemptsInFlight, b.r.endpoints.caches[1].attemptsInFlight, b.r.endpoints.caches[2].attemptsInFlight = 5, 2, 2
+		if got := b.r.crowded(b.r.endpoints.caches[0]); got != (alike == 1) {
 			t.Errorf("5 of 9 attempts out at one of three caches, %d dispatchers: crowded %v", alike, got)
 		}
 	}
 }
 
 // narrowed is a window that limits and has no room.
-func narrowed() window { return window{limit: 1, out: time.Second} }
+func narrowed() concurrencyLimit { return concurrencyLimit{limit: 1, inFlight: time.Second} }
 
 func TestLookBeforeFillWhileFillsAreLimited(t *testing.T) {
 	b := start(t, site())
-	b.r.fills = narrowed()
+	b.r.limits.fills = narrowed()
 	look := b.sent(b.query("a", 1))
 	if look.Source != look.Host {
 		t.Fatalf("source %d, want a look at what %d keeps", look.Source, look.Host)
@@ -286,8 +286,8 @@
 	if got := b.answer("a", look, 0, Miss, CacheStatusNone); len(of[Reject](got)) != 1 {
 		t.Errorf("lacking and no room: %v, want a refusal at once", got)
 	}
-	b.r.fills.out = 0
-	b.r.further = 0
+	b.r.limits.fills.inFlight = 0
+	b.r.retryBudget.tokens = 0
 	look = b.sent(b.query("b", 1))
 	if got := b.sent(b.answer("b", look, 0, Miss, CacheStatusNone)); got.Host != look.Host || got.Source == look.Host {
 		t.Errorf("lacking and room: %+v, want a fill at %d, free of the budget", got, look.Host)
@@ -298,13 +298,13 @@
 func TestNoLooksAtAColdCacheWhileWindowsHaveRoom(t *testing.T) {
 	for _, room := range []bool{true, false} {
 		b := start(t, site())
-		b.r.carriedBest = 1000
-		for _, h := range b.r.caches {
+		b.r.load.bestServed = 1000
+		for _, h := range b.r.endpoints.caches {
 			h.StartedAt = b.now
 		}
-		b.r.fills, b.r.fetches = window{limit: float64(time.Second)}, window{limit: float64(time.Second)}
+		b.r.limits.fills, b.r.limits.fetches = concurrencyLimit{limit: float64(time.Second)}, concurrencyLimit{limit: float64(time.Second)}
 		if !room {
-			b.r.fetches = narrowed()
+			b.r.limits.fetches = narrowed()
 		}
 		if o := b.sent(b.query("a", 1)); (o.Source == o.Host) == room {
 			t.Errorf("room %v: cache %d, source %d", room, o.Host, o.Source)
@@ -315,7 +315,7 @@
 // A look must come back at once, also where a fill hangs that it could join.
 func TestLookJoinsNoFill(t *testing.T) {
 	b := start(t, site())
-	b.r.fills = narrowed()
+	b.r.limits.fills = narrowed()
 	if look := b.sent(b.query("a", 1)); look.Options&JoinFill != 0 {
 		t.Errorf("options %d of a look join a fill", look.Options)
 	}
@@ -328,11 +328,11 @@
 		b := start(t, site())
 		first := b.sent(b.query("a", 1))
 		b.now += 10 * ms
-		h := b.r.hosts[first.Host]
-		h.answered, h.load, b.r.parents[0].answered = b.now, LoadReport{CPUShare: strain}, b.now
+		h := b.r.endpoints.byID[first.Host]
+		h.lastAnswerAt, h.load, b.r.endpoints.parents[0].lastAnswerAt = b.now, LoadReport{CPUShare: strain}, b.now
 		b.now += 400 * ms
 		off := of[CancelAttempt](b.on(TimerFired{Timer{Kind: TimerAttemptOverdue, Request: "a"}}))
-		if strain > strainedShare {
+		if strain > saturatedCPUShare {
 			if len(off) != 0 {
 				t.Errorf("a strained cache is asked again: %v", off)
 			}
@@ -352,13 +352,13 @@
 func TestSlowCacheIsEjectedALossyOneIsNot(t *testing.T) {
 	for _, slow := range []bool{true, false} {
 		b := start(t, site())
-		b.r.lag, b.r.lagDev = 0.05, 0.04
-		h := b.r.hosts[b.sent(b.query("a", 1)).Host]
-		h.lag = 0.05 + 0.5*bool01(slow)
+		b.r.estimates.overhead.mean, b.r.estimates.overhead.deviation = 0.05, 0.04
+		h := b.r.endpoints.byID[b.sent(b.query("a", 1)).Host]
+		h.overhead = 0.05 + 0.5*indicator(slow)
 		b.now += ms
-		h.answered = b.now
-		for _, p := range b.r.parents {
-			p.answered = b.now
+		h.lastAnswerAt = b.now
+		for _, p := range b.r.endpoints.parents {
+			p.lastAnswerAt = b.now
 		}
 		for range 10 {
 			b.on(TimerFired{Timer{Kind: TimerAttemptOverdue, Request: "a"}})
@@ -373,7 +373,7 @@
 // would eat up else.
 func TestRefusedConnectionCostsNoBudget(t *testing.T) {
 	b := start(t, site())
-	b.r.further = 0
+	b.r.retryBudget.tokens = 0
 	first := b.sent(b.query("a", 1))
 	if got := b.sent(b.answer("a", first, 0, ConnectFailed, CacheStatusNone)); got.Host == first.Host {
 		t.Errorf("asked again at %d, which refused the connection", got.Host)
@@ -384,7 +384,7 @@
 // that shows nothing short, and the windows stay as they are.
 func TestHastyClientNarrowsNoWindow(t *testing.T) {
 	b := start(t, site())
-	b.r.lag = 0.05
+	b.r.estimates.overhead.mean = 0.05
 	hasty := func(id string) StartAttempt {
 		return b.sent(b.on(Request{ID: RequestID(id), Object: 1, Class: "clip", SizeKB: 100, TimeLeft: 120 * ms}))
 	}
@@ -395,20 +395,20 @@
 	if got := b.answer("a", look, 0, Miss, CacheStatusNone); len(of[Reject](got)) != 1 {
 		t.Errorf("no time for a fill: %v, want a refusal at once", got)
 	}
-	b.r.lag = 0
+	b.r.estimates.overhead.mean = 0
 	for i := range 20 {
 		id := strconv.Itoa(i)
 		o := hasty(id)
 		b.on(AttemptResult{Request: RequestID(id), Host: o.Host, Status: TimedOut, Elapsed: 120 * ms})
 	}
-	if b.r.fills.limit > 0 || b.r.fetches.limit > 0 {
-		t.Errorf("windows of fills %+v and fetches %+v limit", b.r.fills, b.r.fetches)
+	if b.r.limits.fills.limit > 0 || b.r.limits.fetches.limit > 0 {
+		t.Errorf("windows of fills %+v and fetches %+v limit", b.r.limits.fills, b.r.limits.fetches)
 	}
 }
 
 func TestParentsAreAskedWhatTheyKeepWhileFetchesAreLimited(t *testing.T) {
 	b := start(t, site())
-	b.r.fetches = narrowed()
+	b.r.limits.fetches = narrowed()
 	first := b.sent(b.query("a", 1))
 	if first.Options&SourceCachedOnly == 0 {
 		t.Fatalf("options %d, want only what the parent keeps", first.Options)
@@ -416,7 +416,7 @@
 	if got := b.answer("a", first, 0, Miss, CacheStatusSourceMissing); len(of[Reject](got)) != 1 {
 		t.Errorf("lacking and no room: %v, want a refusal at once", got)
 	}
-	b.r.fetches.out = 0
+	b.r.limits.fetches.inFlight = 0
 	second := b.sent(b.query("b", 2))
 	if got := b.sent(b.answer("b", second, 0, Miss, CacheStatusSourceMissing)); got.Options&SourceCachedOnly != 0 {
 		t.Error("the room was not used")
@@ -425,26 +425,26 @@
 
 func TestWindowNarrowsWidensAndIsFreed(t *testing.T) {
 	b := start(t, site())
-	b.r.meanSend[0] = 0.1
-	w, q := &window{out: 2 * time.Second}, &request{send: 100 * ms}
-	b.r.move(w, q, false)
+	b.r.estimates.meanSend[0] = 0.1
+	w, q := &concurrencyLimit{inFlight: 2 * time.Second}, &request{sendTime: 100 * ms}
+	b.r.updateLimit(w, q, false)
 	if w.limit != 0 {
 		t.Error("one late request limits")
 	}
 	for range 5 {
-		b.r.move(w, q, false)
+		b.r.updateLimit(w, q, false)
 	}
 	low := w.limit
 	if low <= 0 || low > float64(time.Second) {
 		t.Fatalf("limit %v after six late ones with 2 s out", time.Duration(low))
 	}
-	b.r.move(w, q, true)
+	b.r.updateLimit(w, q, true)
 	if w.limit <= low {
 		t.Error("one in time does not widen it")
 	}
-	w.out = 0
+	w.inFlight = 0
 	for i := 0; w.limit > 0; i++ {
-		if b.r.move(w, q, true); i > 200 {
+		if b.r.updateLimit(w, q, true); i > 200 {
 			t.Fatal("it never comes free")
 		}
 	}
@@ -454,11 +454,11 @@
 	late := func(b *bench, note CacheStatus) (fills, fetches, link float64) {
 		o := b.sent(b.query("a", 1))
 		b.now += 2 * time.Second
-		for _, p := range b.r.parents {
-			p.answered = b.now
+		for _, p := range b.r.endpoints.parents {
+			p.lastAnswerAt = b.now
 		}
 		b.on(AttemptResult{Request: "a", Terminal: true, Host: o.Host, Status: OK, CacheStatus: note, Elapsed: 2 * time.Second})
-		return b.r.fills.late, b.r.fetches.late, b.r.hosts[o.Host].link.late
+		return b.r.limits.fills.lateShare, b.r.limits.fetches.lateShare, b.r.endpoints.byID[o.Host].limit.lateShare
 	}
 	for note, want := range map[CacheStatus][3]bool{
 		CacheStatusHit: {false, false, true}, CacheStatusFilled: {true, false, false},
@@ -477,11 +477,11 @@
 	s := site()
 	s.CacheStatusMode = CacheStatusModeHits
 	b := start(t, s)
-	b.r.fetches = narrowed()
-	b.r.fetches.limit, b.r.fetches.out = float64(10*time.Second), 0
-	for i := 0; b.r.fetches.limit > 0; i++ {
+	b.r.limits.fetches = narrowed()
+	b.r.limits.fetches.limit, b.r.limits.fetches.inFlight = float64(10*time.Second), 0
+	for i := 0; b.r.limits.fetches.limit > 0; i++ {
 		if i == 200 {
-			t.Fatalf("still limited to %v after %d fetches in time", b.r.fetches.limit, i)
+			t.Fatalf("still limited to %v after %d fetches in time", b.r.limits.fetches.limit, i)
 		}
 		id := fmt.Sprint("q", i)
 		o := b.sent(b.query(id, ObjectID(i)))
@@ -498,7 +498,7 @@
 		Request: "b", Terminal: true, Host: first.Host, Status: OK, CacheStatus: CacheStatusFilledByOrigin,
 		Elapsed: 3 * time.Second,
 	})
-	if b.r.fetches.late != 0 {
+	if b.r.limits.fetches.lateShare != 0 {
 		t.Error("a follower's lateness moved the window of fetches")
 	}
 }
@@ -509,10 +509,10 @@
 		o := b.sent(b.query("a", 1))
 		b.now += time.Second
 		if alone {
-			b.r.hosts[1001-o.Source].answered = b.now // the other of 500 and 501
+			b.r.endpoints.byID[1001-o.Source].lastAnswerAt = b.now // the other of 500 and 501
 		}
 		b.on(TimerFired{Timer{Kind: TimerObjectiveMissed, Request: "a"}})
-		if got := b.r.fills.late > 0; got == alone {
+		if got := b.r.limits.fills.lateShare > 0; got == alone {
 			t.Errorf("silent alone %v: counted as late %v", alone, got)
 		}
 	}
@@ -534,10 +534,10 @@
 		b.sent(b.query("a", 1000))
 		b.now += time.Second
 		b.on(TimerFired{Timer{Kind: TimerObjectiveMissed, Request: "a"}})
-		if got := b.r.fills.late > 0; got != (use >= linkFull) {
+		if got := b.r.limits.fills.lateShare > 0; got != (use >= fullLinkUse) {
 			t.Errorf("link in use %v: counted as late %v", use, got)
 		}
-		if b.r.fetches.late == 0 {
+		if b.r.limits.fetches.lateShare == 0 {
 			t.Errorf("link in use %v: the window of fetches learnt nothing", use)
 		}
 	}
@@ -547,12 +547,12 @@
 func TestOverdueAttemptCountsAsLateForItsWindows(t *testing.T) {
 	b := start(t, site())
 	b.sent(b.query("a", 1))
-	b.r.parents[0].answered = b.now
+	b.r.endpoints.parents[0].lastAnswerAt = b.now
 	b.now += 300 * ms // before the aim
 	if off := of[CancelAttempt](b.on(TimerFired{Timer{Kind: TimerAttemptOverdue, Request: "a"}})); len(off) != 1 {
 		t.Fatalf("called off %v", off)
 	}
-	if b.r.fetches.late == 0 {
+	if b.r.limits.fetches.lateShare == 0 {
 		t.Error("what was called off as overdue is not late for the window of fetches")
 	}
 }
@@ -561,9 +561,11 @@
 // an origin that was late because of them.
 func TestOverdueFillIsNotAskedAgainWhileAllBehindIsSlow(t *testing.T) {
 	for name, change := range map[string]func(*Router){
-		"a parent sends":    func(r *Router) { r.parents[0].answered = r.now },
-		"no parent sends":   func(*Router) {},
-		"fetches are short": func(r *Router) { r.parents[0].answered, r.fetches.limit = r.now, float64(time.Second) },
+		"a parent sends":  func(r *Router) { r.endpoints.parents[0].lastAnswerAt = r.now },
+		"no parent sends": func(*Router) {},
+		"fetches are short": func(r *Router) {
+			r.endpoints.parents[0].lastAnswerAt, r.limits.fetches.limit = r.now, float64(time.Second)
+		},
 	} {
 		b := start(t, site())
 		b.sent(b.query("a", 1))
@@ -582,9 +584,9 @@
 		s := site()
 		s.DirectorsByZone = []int{0, n}
 		b := start(t, s)
-		b.r.meanSend[0] = 1
-		w := &window{limit: float64(time.Second), late: 1}
-		b.r.move(w, &request{send: 100 * ms}, inTime)
+		b.r.estimates.meanSend[0] = 1
+		w := &concurrencyLimit{limit: float64(time.Second), lateShare: 1}
+		b.r.updateLimit(w, &request{sendTime: 100 * ms}, inTime)
 		return w.limit - float64(time.Second)
 	}
 	for _, inTime := range []bool{true, false} {
@@ -596,11 +598,11 @@
 
 func TestManyLateLeaveRoomForOne(t *testing.T) {
 	b := start(t, site())
-	w, q := &window{out: time.Second}, &request{send: 100 * ms}
+	w, q := &concurrencyLimit{inFlight: time.Second}, &request{sendTime: 100 * ms}
 	for range 100 {
-		b.r.move(w, q, false)
+		b.r.updateLimit(w, q, false)
 	}
-	if w.limit < float64(q.send) {
+	if w.limit < float64(q.sendTime) {
 		t.Errorf("limit %v: it takes many requests in time before two may be out", time.Duration(w.limit))
 	}
 }
@@ -614,7 +616,7 @@
 	}{{80, nil, 80}, {80, []int{0}, 80}, {80, []int{0, 0}, 80}, {80, []int{0, 8}, 8}, {0, nil, 1}} {
 		s := site()
 		s.Directors, s.DirectorsByZone = x.all, x.byZone
-		if got := start(t, s).r.alike; got != x.want {
+		if got := start(t, s).r.directorsInZone; got != x.want {
 			t.Errorf("%+v: %v", x, got)
 		}
 	}
@@ -629,7 +631,7 @@
 			id := fmt.Sprint("q", i)
 			b.answer(id, b.sent(b.query(id, ObjectID(i))), 0, OK, CacheStatusHit)
 		}
-		if all, most := b.r.further*float64(n), float64(max(furtherBurst, furtherLeast*n)); all > most {
+		if all, most := b.r.retryBudget.tokens*float64(n), float64(max(zoneRetryTokens, minRetryTokens*n)); all > most {
 			t.Errorf("%d dispatchers may spend %v at once, %v at most", n, all, most)
 		}
 	}
@@ -637,13 +639,13 @@
 
 func TestSlowingCacheIsGivenLess(t *testing.T) {
 	b := start(t, site())
-	h := b.r.hosts[b.sent(b.query("a", 1)).Host]
-	q := &request{send: 100 * ms}
+	h := b.r.endpoints.byID[b.sent(b.query("a", 1)).Host]
+	q := &request{sendTime: 100 * ms}
 	for range 12 {
-		b.r.move(&h.link, q, false) // hits that end later and later
+		b.r.updateLimit(&h.limit, q, false) // hits that end later and later
 	}
-	h.link.out = time.Second
-	b.r.table = map[objectPart]*entry{}
+	h.limit.inFlight = time.Second
+	b.r.fills = fillTable{}
 	if got := b.sent(b.query("b", 1)); got.Host == h.Host {
 		t.Error("a cache whose hits are late was given one more")
 	}
@@ -651,14 +653,14 @@
 
 func TestLostAnswersStrandNobody(t *testing.T) {
 	b := start(t, site())
-	b.r.further = 0
+	b.r.retryBudget.tokens = 0
 	first := b.sent(b.query("a", 1))
 	for n := range 4 { // the copy is there: back to it, at no cost to the budget and no blame
 		if got := b.sent(b.answer("a", first, n, Reset, CacheStatusNone)); got.Host != first.Host {
 			t.Fatalf("went on at %d, want %d, where the copy is", got.Host, first.Host)
 		}
 	}
-	if h := b.r.hosts[first.Host]; h.bad != 0 || !b.r.healthy(h) {
+	if h := b.r.endpoints.byID[first.Host]; h.health.failureShare != 0 || !b.r.healthy(h) {
 		t.Error("a cache whose answers got lost was blamed")
 	}
 }
@@ -680,8 +682,8 @@
 	}
 	for name, prepare := range map[string]func(*Router){
 		"purged":     func(r *Router) { r.Handle(r.now, Purge{ByGroup: true}) },
-		"lacked":     func(r *Router) { r.fetchShare = 0.9 },
-		"parent out": func(r *Router) { r.parents[3].listed = false },
+		"lacked":     func(r *Router) { r.estimates.fetchShare = 0.9 },
+		"parent out": func(r *Router) { r.endpoints.parents[3].isReady = false },
 	} {
 		if !slices.Equal(sources(1, prepare), sources(2, prepare)) {
 			t.Errorf("%s: two dispatchers draw different parents", name)
@@ -708,14 +710,14 @@
 		b.now += 2 * time.Second
 		b.on(TimerFired{Timer{Kind: TimerUpkeep}})
 	}
-	if n := len(b.r.hosts); n > 20 {
+	if n := len(b.r.endpoints.byID); n > 20 {
 		t.Errorf("%d hosts are remembered, 14 are listed", n)
 	}
-	if n := len(b.r.purged) + len(b.r.flushed); n > 8*2*6 {
+	if n := len(b.r.purges.objects) + len(b.r.purges.groups); n > 8*2*6 {
 		t.Errorf("%d purges are remembered", n)
 	}
-	if len(b.r.caches) != 11 {
-		t.Errorf("%d caches to choose from, want 11", len(b.r.caches))
+	if len(b.r.endpoints.caches) != 11 {
+		t.Errorf("%d caches to choose from, want 11", len(b.r.endpoints.caches))
 	}
 }
 
@@ -734,7 +736,7 @@
 	sent := map[HostID]float64{}
 	for i := range 200 {
 		b.now += 5 * ms
-		b.r.carriedBest = carried
+		b.r.load.bestServed = carried
 		for _, o := range of[StartAttempt](b.query(fmt.Sprint("q", i), ObjectID(i))) {
 			sent[o.Host] += 0.1
 		}
@@ -757,22 +759,22 @@
 				{Host: h, Zone: "hub", Kind: "parent", Readiness: Ready, StartedAt: b.now - 19*time.Second},
 			}})
 		}
-		b.r.missShare, b.r.carriedBest = 0.1, 100
+		b.r.estimates.missShare, b.r.load.bestServed = 0.1, 100
 		b.now += 500 * ms
 		if look {
-			b.r.fills = window{limit: float64(time.Hour)}
+			b.r.limits.fills = concurrencyLimit{limit: float64(time.Hour)}
 		}
 		o := b.sent(b.query("a", 1))
 		if look {
 			o = b.sent(b.answer("a", o, 0, Miss, CacheStatusNone))
 		}
-		p := b.r.hosts[o.Source]
-		full := p.tokens
-		b.r.coldSpend(p, b.r.open["a"], -1)
-		one := p.tokens - full
-		b.r.coldFits(p, b.r.open["a"])
-		rate, _, rule, _ := b.r.coldRate(p, b.r.open["a"])
-		return (rate*rule.Window.Seconds()*coldBurst - full) / one
+		p := b.r.endpoints.byID[o.Source]
+		full := p.slowStart.tokens
+		b.r.spendSlowStart(p, b.r.requests["a"], -1)
+		one := p.slowStart.tokens - full
+		b.r.hasSlowStartCapacity(p, b.r.requests["a"])
+		budget, _ := b.r.slowStartBudget(p, b.r.requests["a"])
+		return (budget.rate*budget.rule.Window.Seconds()*slowStartBurst - full) / one
 	}
 	if got := spent(false); got < 0.14 || got > 0.16 {
 		t.Errorf("an attempt that may be a hit spent %.2f of a fill, want the share planned with, 0.15", got)
@@ -784,14 +786,14 @@
 
 func TestColdBudgetOutlivesAWaveOfRemovals(t *testing.T) {
 	b := start(t, site())
-	b.r.carriedBest = 6
+	b.r.load.bestServed = 6
 	q := &request{}
 	rate := func() float64 {
 		cold := members()[1]
 		cold.StartedAt = b.now
 		b.on(EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{cold}})
-		got, _, _, _ := b.r.coldRate(b.r.hosts[cold.Host], q)
-		return got
+		budget, _ := b.r.slowStartBudget(b.r.endpoints.byID[cold.Host], q)
+		return budget.rate
 	}
 	before := rate()
 	b.on(EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{
@@ -799,9 +801,9 @@
 		{Host: 102, Zone: "west", Kind: "cache", Readiness: Gone},
 	}})
 	b.on(TimerFired{Timer{Kind: TimerUpkeep}})
-	b.r.carriedBest = 6
-	if after := rate(); len(b.r.caches) != 1 || after > before {
-		t.Errorf("%d caches left: %.2f s a second for a cold one, %.2f before the others were gone", len(b.r.caches), after, before)
+	b.r.load.bestServed = 6
+	if after := rate(); len(b.r.endpoints.caches) != 1 || after > before {
+		t.Errorf("%d caches left: %.2f s a second for a cold one, %.2f before the others were gone", len(b.r.endpoints.caches), after, before)
 	}
 }
 
@@ -821,11 +823,11 @@
 	fresh.StartedAt = b.now - 100*ms
 	b.on(EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{fresh}})
 	const carried = 3.0 // by this instance's zone, in transfers at full pace
-	b.r.carriedBest = carried
+	b.r.load.bestServed = carried
 	spent := 0.0
 	for i := range 200 {
 		b.now += 5 * ms
-		b.r.carriedBest = carried
+		b.r.load.bestServed = carried
 		b.query(fmt.Sprint("q", i), ObjectID(i))
 	}
 	for _, o := range of[StartAttempt](b.acts) {
@@ -859,23 +861,23 @@
 					list[j].Weight = 6
 				}
 				b.on(EndpointUpdate{Kind: UpdateSnapshot, Endpoints: list})
-				q := &request{send: 250 * ms}
-				b.r.meanSend[0] = 0.25
-				h := b.r.caches[0]
+				q := &request{sendTime: 250 * ms}
+				b.r.estimates.meanSend[0] = 0.25
+				h := b.r.endpoints.caches[0]
 				if parent {
-					h = b.r.parents[0]
+					h = b.r.endpoints.parents[0]
 				}
 				h.StartedAt = b.now
-				rate, _, _, cold := b.r.coldRate(h, q)
+				budget, cold := b.r.slowStartBudget(h, q)
 				if !cold {
 					t.Fatal("it is not cold")
 				}
-				total += rate
-				if b.r.coldFits(h, q) { // at once
-					spent += q.send.Seconds()
+				total += budget.rate
+				if b.r.hasSlowStartCapacity(h, q) { // at once
+					spent += q.sendTime.Seconds()
 				}
 			}
-			if want := coldSafety * rule.OverloadFactor * rule.InitialShare * 6; total < 0.99*want || total > 1.01*want {
+			if want := slowStartSafety * rule.OverloadFactor * rule.InitialShare * 6; total < 0.99*want || total > 1.01*want {
 				t.Errorf("%d dispatchers, parent %v: budgets come to %v, want %v", n, parent, total, want)
 			}
 			if most := rule.OverloadFactor * rule.InitialShare * 6 * rule.Window.Seconds(); n > 1 && spent > most {
@@ -894,21 +896,21 @@
 	}
 	b.on(EndpointUpdate{Kind: UpdateSnapshot, Endpoints: more})
 	for range 3 {
-		b.r.outcome(b.r.parents[0], 1)
-		b.r.outcome(b.r.parents[1], 1)
+		b.r.recordOutcome(b.r.endpoints.parents[0], true)
+		b.r.recordOutcome(b.r.endpoints.parents[1], true)
 	}
-	for i, p := range b.r.parents {
-		if out := b.now < p.until; out != (i < 2) {
+	for i, p := range b.r.endpoints.parents {
+		if out := b.now < p.health.ejectedUntil; out != (i < 2) {
 			t.Errorf("parent %d ejected: %v", i, out)
 		}
 	}
 	b = start(t, site())
 	for range 9 {
-		for _, p := range b.r.parents { // all suffer: no host's fault
-			b.r.outcome(p, 1)
+		for _, p := range b.r.endpoints.parents { // all suffer: no host's fault
+			b.r.recordOutcome(p, true)
 		}
 	}
-	if slices.ContainsFunc(b.r.parents, func(p *host) bool { return b.now < p.until }) {
+	if slices.ContainsFunc(b.r.endpoints.parents, func(p *host) bool { return b.now < p.health.ejectedUntil }) {
 		t.Error("ejected for what all suffer")
 	}
 }
@@ -920,14 +922,14 @@
 		s.CacheStatusMode = CacheStatusModeHits
 		b := start(t, s)
 		o := b.sent(b.query("a", 1))
-		cache, source := b.r.hosts[o.Host], b.r.hosts[o.Source]
-		source.bad = 0.4
+		cache, source := b.r.endpoints.byID[o.Host], b.r.endpoints.byID[o.Source]
+		source.health.failureShare = 0.4
 		b.now += elapsed
 		b.on(AttemptResult{Request: "a", Host: o.Host, Status: Full, Elapsed: elapsed})
-		if (cache.bad == 0) != sources {
-			t.Errorf("after %v: the cache's share is %v", elapsed, cache.bad)
+		if (cache.health.failureShare == 0) != sources {
+			t.Errorf("after %v: the cache's share is %v", elapsed, cache.health.failureShare)
 		}
-		if b.r.fetches.late > 0 {
+		if b.r.limits.fetches.lateShare > 0 {
 			t.Errorf("after %v: the refusal of a parent that is bad alone counts against the origin", elapsed)
 		}
 	}
@@ -944,11 +946,11 @@
 		b.on(EndpointUpdate{Kind: UpdateSnapshot, Endpoints: members()})
 		again := Endpoint{Host: 500, Zone: "hub", Kind: "parent", Readiness: Ready, Weight: 6, StartedAt: b.now}
 		b.on(EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{again}})
-		b.r.meanSend[0] = 0.25
-		q := &request{send: 250 * ms}
-		b.r.coldFits(b.r.hosts[500], q)
+		b.r.estimates.meanSend[0] = 0.25
+		q := &request{sendTime: 250 * ms}
+		b.r.hasSlowStartCapacity(b.r.endpoints.byID[500], q)
 		b.r.now += 4 * time.Second // a third of a token
-		ready += int(bool01(b.r.coldFits(b.r.hosts[500], q)))
+		ready += int(indicator(b.r.hasSlowStartCapacity(b.r.endpoints.byID[500], q)))
 	}
 	if ready < 12 || ready > 45 {
 		t.Errorf("4 s after the news %d of 80 may send", ready)
@@ -957,24 +959,24 @@
 
 func TestHungCacheIsEjectedAndTried(t *testing.T) {
 	b := start(t, site())
-	h := b.r.caches[0]
-	for i := range silentLimit {
+	h := b.r.endpoints.caches[0]
+	for i := range maxUnanswered {
 		q := &request{Request: Request{ID: RequestID(fmt.Sprint(i))}}
-		b.r.overdue(&attempt{req: q, host: h, source: b.r.origin, sentAt: b.now})
+		b.r.handleOverdue(&attempt{request: q, cache: h, source: b.r.endpoints.origin, sentAt: b.now})
 	}
 	if b.r.healthy(h) {
 		t.Fatal("a silent cache is still used")
 	}
-	b.r.eject(b.r.caches[1])
-	if !b.r.healthy(b.r.caches[1]) {
+	b.r.eject(b.r.endpoints.caches[1])
+	if !b.r.healthy(b.r.endpoints.caches[1]) {
 		t.Error("so many are out that the rest cannot carry the load")
 	}
-	b.now = h.until
+	b.now = h.health.ejectedUntil
 	b.r.Handle(b.now, PeerMessage{})
 	if !b.r.healthy(h) {
 		t.Error("no way back")
 	}
-	h.out = 1
+	h.attemptsInFlight = 1
 	if b.r.healthy(h) {
 		t.Error("on trial, more than one attempt at a time")
 	}
@@ -1008,8 +1010,8 @@
 	s := site()
 	s.Classes[0].Uncacheable = true
 	b := start(t, s)
-	if got := b.sent(b.query("a", 1)); got.Options&JoinFill != 0 || got.CachePriority != 0 || len(b.r.table) != 0 {
-		t.Errorf("uncacheable: %+v with %d entries", got, len(b.r.table))
+	if got := b.sent(b.query("a", 1)); got.Options&JoinFill != 0 || got.CachePriority != 0 || len(b.r.fills) != 0 {
+		t.Errorf("uncacheable: %+v with %d entries", got, len(b.r.fills))
 	}
 }
 
@@ -1219,38 +1221,38 @@
 // against it. Of itself it ejects nobody; one bad outcome of one's own is enough beside it, and never where the peers are as bad.
 func TestOpinionIsAPriorAndNoVerdict(t *testing.T) {
 	b := start(t, site())
-	doubted := b.r.parents[0]
+	doubted := b.r.endpoints.parents[0]
 	b.on(AggregatedHealth{Host: doubted.Host, FailureShare: 0.6})
-	if !b.r.healthy(doubted) || doubted.bad != 0 {
+	if !b.r.healthy(doubted) || doubted.health.failureShare != 0 {
 		t.Error("an opinion has ejected a parent")
 	}
 	drawn := func() (n int) {
 		for i := range 200 {
-			q := &request{Request: Request{Object: ObjectID(i)}, key: objectPart{object: ObjectID(i)}}
-			n += int(bool01(b.r.pickSource(q) == doubted))
+			q := &request{Request: Request{Object: ObjectID(i)}, key: fillKey{object: ObjectID(i)}}
+			n += int(indicator(b.r.pickSource(q) == doubted))
 		}
 		return n
 	}
 	if n := drawn(); n > 0 {
 		t.Errorf("a doubted parent is drawn %d times in 200 though there are others", n)
 	}
-	b.r.outcome(doubted, 1)
+	b.r.recordOutcome(doubted, true)
 	if b.r.healthy(doubted) {
 		t.Error("a doubted parent that failed here too is still in")
 	}
 	b = start(t, site())
-	doubted = b.r.parents[0]
+	doubted = b.r.endpoints.parents[0]
 	b.on(AggregatedHealth{Host: doubted.Host, FailureShare: 0.6})
-	for _, p := range b.r.parents[1:] {
-		p.listed = false
+	for _, p := range b.r.endpoints.parents[1:] {
+		p.isReady = false
 	}
 	if drawn() != 200 {
 		t.Error("the only parent is not used")
 	}
-	for _, p := range b.r.parents[1:] {
-		p.listed, p.bad = true, 0.3
+	for _, p := range b.r.endpoints.parents[1:] {
+		p.isReady, p.health.failureShare = true, 0.3
 	}
-	if b.r.outcome(doubted, 1); !b.r.healthy(doubted) {
+	if b.r.recordOutcome(doubted, true); !b.r.healthy(doubted) {
 		t.Error("ejected for what all suffer")
 	}
 	b.on(AggregatedHealth{Host: doubted.Host})
@@ -1262,7 +1264,7 @@
 		m[i].StartedAt = b.now
 	}
 	b.on(AggregatedHealth{Host: doubted.Host, FailureShare: 0.6})
-	if b.on(EndpointUpdate{Kind: UpdateSnapshot, Version: 9, Endpoints: m}); b.r.hosts[doubted.Host].doubt != 0 {
+	if b.on(EndpointUpdate{Kind: UpdateSnapshot, Version: 9, Endpoints: m}); b.r.endpoints.byID[doubted.Host].health.aggregatedFailures != 0 {
 		t.Error("a process that was started anew has the old one's opinion")
 	}
 }
@@ -1270,9 +1272,9 @@
 // What is told of a host is what came since it was asked last.
 func TestEvidence(t *testing.T) {
 	b := start(t, site())
-	h := b.r.caches[0]
+	h := b.r.endpoints.caches[0]
 	for i := range 5 {
-		b.r.outcome(h, bool01(i == 0))
+		b.r.recordOutcome(h, i == 0)
 	}
 	for want := 5.0; want >= 0; want -= 5 {
 		tried, failed := 0.0, 0.0
