--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -2,11 +2,13 @@
 
 import "time"
 
-// Admission: a request that no host can take, or that may have no further attempt, gets its final answer at once instead of waiting
-// for its deadline. It is rejected if it has not run or may run again, so that the client can retry it; else it fails.
+// Admission: a request that no host can take, or that may have no further attempt, gets its final
+// answer at once instead of waiting for its deadline. It is rejected if it has not run or may run
+// again, so that the client can retry it; else it fails.
 //
-// Retry-After is half of the time that is left until the request's last chance to be sent within its objective: a client that obeys
-// it can still be served in time, and clients do not all come back at one moment.
+// Retry-After is half of the time that is left until the request's last chance to be sent within
+// its objective: a client that obeys it can still be served in time, and clients do not all come
+// back at one moment.
 
 const minRetryAfter = time.Millisecond
 
@@ -20,7 +22,8 @@
 	r.finish(q)
 }
 
-// mayRunAnywhere reports whether the client can retry the request at any director without running it twice.
+// mayRunAnywhere reports whether the client can retry the request at any director without running
+// it twice.
 func (r *Router) mayRunAnywhere(q *request) bool {
 	class := r.class(q)
 	return class.Idempotency == Idempotent || q.firstRun() == nil ||
--- /dev/null
+++ b/internal/decision/admission_test.go
@@ -0,0 +1,27 @@
+package decision
+
+import (
+	"testing"
+)
+
+func TestFullCachesRejectAtOnce(t *testing.T) {
+	r := startRouter(t, testSettings())
+	for _, h := range r.router.endpoints.caches {
+		h.limit = exhaustedLimit()
+	}
+	rejected := actionsOf[Reject](r.request("a", 1))
+	// The objective is 400 ms and twice the sending time of 100 ms. Half of what is left beside the
+	// sending time is 250 ms.
+	if len(rejected) != 1 || rejected[0].RetryAfter != 250*ms {
+		t.Errorf("got %v, want one rejection with Retry-After 250ms", rejected)
+	}
+}
+
+func TestNoEndpointsRejects(t *testing.T) {
+	r := &testRouter{t: t, router: NewRouter(testSettings(), 1), now: 0}
+	r.router.Start(0)
+	r.handle(EndpointUpdate{Kind: UpdateCached})
+	if got := actionsOf[Reject](r.request("a", 1)); len(got) != 1 {
+		t.Errorf("no hosts: %v, want one rejection", r.actions)
+	}
+}
--- a/internal/decision/attempts.go
+++ b/internal/decision/attempts.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Attempts: a request is sent to a cache with a source for what the cache does not have, and the attempt's result is taken in. A
-// request has at most one attempt out. What is learnt from a result is decided in outliers.go, limits.go and latency.go, what follows
-// from a failure in retries.go.
+// Attempts: a request is sent to a cache with a source for what the cache does not have, and the
+// attempt's result is taken in. A request has at most one attempt out. What is learnt from a result
+// is decided in outliers.go, limits.go and latency.go, what follows from a failure in retries.go.
 
 // attempt is one sending of a request to a cache.
 type attempt struct {
@@ -33,7 +33,8 @@
 	number  int
 }
 
-// launch sends a request to the cache of the fill that it joins, or to a cache of its own choice; for nil it joins none.
+// launch sends a request to the cache of the fill that it joins, or to a cache of its own choice;
+// for nil it joins none.
 func (r *Router) launch(q *request, join *fill) {
 	var cache, source *host
 	if join != nil && r.usable(join.cache, q) {
--- a/internal/decision/benchmark_test.go
+++ b/internal/decision/benchmark_test.go
@@ -8,10 +8,10 @@
 
 // BenchmarkRequest measures a request that arrives, is answered and finished.
 func BenchmarkRequest(b *testing.B) {
-	r := NewRouter(site(), 7)
+	r := NewRouter(testSettings(), 7)
 	now := time.Hour
 	r.Start(now)
-	r.Handle(now, EndpointUpdate{Kind: UpdateCached, Endpoints: members()})
+	r.Handle(now, EndpointUpdate{Kind: UpdateCached, Endpoints: testEndpoints()})
 	ids := make([]RequestID, 1<<12)
 	for i := range ids {
 		ids[i] = RequestID("request-" + strconv.Itoa(i))
--- a/internal/decision/coalescing.go
+++ b/internal/decision/coalescing.go
@@ -2,14 +2,17 @@
 
 import "slices"
 
-// Request coalescing: while an attempt fetches an object, later requests of the same class and tenant for the same part share its
-// work. Where caches can let requests join a fill (Settings.JoinsFills), they are sent to the same cache with the same source.
-// Elsewhere they wait until the attempt ends, or until the last moment at which they can still meet their latency objective.
+// Request coalescing: while an attempt fetches an object, later requests of the same class and
+// tenant for the same part share its work. Where caches can let requests join a fill
+// (Settings.JoinsFills), they are sent to the same cache with the same source. Elsewhere they wait
+// until the attempt ends, or until the last moment at which they can still meet their latency
+// objective.
 //
-// A waiting request costs the cache nothing. A full cache that still answers is therefore no reason to stop waiting.
+// A waiting request costs the cache nothing. A full cache that still answers is therefore no reason
+// to stop waiting.
 
-// fillKey identifies what a fill is for: a part of an object as one class and one tenant ask for it. Classes and tenants may use the
-// same object numbers for different objects.
+// fillKey identifies what a fill is for: a part of an object as one class and one tenant ask for
+// it. Classes and tenants may use the same object numbers for different objects.
 type fillKey struct {
 	object ObjectID
 	part   int
@@ -27,7 +30,8 @@
 	waiting []*request
 }
 
-// fillTable is the in-flight table: for each key the fill that was opened last, unless it has ended or was purged.
+// fillTable is the in-flight table: for each key the fill that was opened last, unless it has ended
+// or was purged.
 type fillTable map[fillKey]*fill
 
 // close takes a fill off the table, if it is still there.
@@ -37,7 +41,8 @@
 	}
 }
 
-// closePurged takes the fills that a purge covers off the table: what they fetch may be older than the purge.
+// closePurged takes the fills that a purge covers off the table: what they fetch may be older than
+// the purge.
 func (t fillTable) closePurged(p Purge) {
 	for key, f := range t {
 		if p.ByGroup && f.group == p.Group || !p.ByGroup && key.object == p.Object {
@@ -55,7 +60,8 @@
 	q.waitingFor = nil
 }
 
-// route joins a request to the fill under way for its object, has it wait for that fill, or launches an attempt of its own.
+// route joins a request to the fill under way for its object, has it wait for that fill, or
+// launches an attempt of its own.
 func (r *Router) route(q *request) {
 	f := r.fills[q.key]
 	switch {
@@ -94,7 +100,8 @@
 	}
 }
 
-// closeFill closes the fill of an attempt that has ended, and returns the requests that wait for it.
+// closeFill closes the fill of an attempt that has ended, and returns the requests that wait for
+// it.
 func (r *Router) closeFill(a *attempt) []*request {
 	if a.fill == nil {
 		return nil
@@ -103,8 +110,8 @@
 	return a.fill.waiting
 }
 
-// release sends the requests that have waited for an attempt. If it was served, its cache has the object now. Otherwise the first of
-// them opens a new fill, which the others share again.
+// release sends the requests that have waited for an attempt. If it was served, its cache has the
+// object now. Otherwise the first of them opens a new fill, which the others share again.
 func (r *Router) release(waiting []*request, a *attempt, served bool) {
 	for _, q := range waiting {
 		if r.requests[q.ID] != q || q.waitingFor == nil {
--- a/internal/decision/doc.go
+++ b/internal/decision/doc.go
@@ -1,12 +1,14 @@
-// Package decision decides, for a director in front of a tier of caches that hold large objects behind thin links, which cache
-// answers each request, where a missing object is filled from, what is cached, and when a request waits, is retried or is rejected.
+// Package decision decides, for a director in front of a tier of caches that hold large objects
+// behind thin links, which cache answers each request, where a missing object is filled from, what
+// is cached, and when a request waits, is retried or is rejected.
 //
 // # Events in, actions out
 //
-// A Router is the state of one director. NewRouter makes it and Start begins its work. From then on the caller passes each event to
-// Handle (a request has arrived, an attempt has ended, the endpoint list has changed, a timer has fired) and carries out the actions
-// that Handle returns, in their order (start or cancel an attempt, reject a request, set a timer). The package does no I/O, starts no
-// goroutine and reads no clock.
+// A Router is the state of one director. NewRouter makes it and Start begins its work. From then on
+// the caller passes each event to Handle (a request has arrived, an attempt has ended, the endpoint
+// list has changed, a timer has fired) and carries out the actions that Handle returns, in their
+// order (start or cancel an attempt, reject a request, set a timer). The package does no I/O,
+// starts no goroutine and reads no clock.
 //
 // # Duties of the caller
 //
@@ -20,9 +22,10 @@
 //
 // # Concurrency, time and randomness
 //
-// A Router must not be used by two goroutines at once. The slice that Handle returns belongs to the caller. Time is an argument: any
-// clock that does not run backwards will do, if Endpoint.StartedAt is on the same one. Random draws come from a generator with the
-// seed that NewRouter was given, so that equal seeds and events give equal actions.
+// A Router must not be used by two goroutines at once. The slice that Handle returns belongs to the
+// caller. Time is an argument: any clock that does not run backwards will do, if Endpoint.StartedAt
+// is on the same one. Random draws come from a generator with the seed that NewRouter was given, so
+// that equal seeds and events give equal actions.
 //
 // # Rules
 //
--- a/internal/decision/endpoints.go
+++ b/internal/decision/endpoints.go
@@ -7,14 +7,17 @@
 	"time"
 )
 
-// Endpoints: the hosts that discovery lists, what is known of each, and what each can be used for. A snapshot replaces the list, a
-// delta changes it. A host that has left the list is kept until its attempts have ended. A host that has started anew is a new
-// process: what was learnt of the old one does not hold for it.
+// Endpoints: the hosts that discovery lists, what is known of each, and what each can be used for.
+// A snapshot replaces the list, a delta changes it. A host that has left the list stays known until
+// its attempts have ended. A host that has started anew is a new process: what was learnt of the
+// old one does not hold for it.
 
-// saturatedCPUShare is the share of busy cores from which a cache has all the load that it can take.
+// saturatedCPUShare is the share of busy cores from which a cache has all the load that it can
+// take.
 const saturatedCPUShare = 0.9
 
-// watchRetryDivisor divides Settings.NotifiedAfter into the delay, and its random part, after which a rejected watch is asked for again.
+// watchRetryDivisor divides Settings.NotifiedAfter into the delay, and its random part, after which
+// a rejected watch is asked for again.
 const watchRetryDivisor = 8
 
 // host is an endpoint and what is known of it. Each part is explained at its rule.
@@ -31,7 +34,8 @@
 	slowStart        slowStartState
 }
 
-// isSaturated reports whether a cache reports that it, or the location's link, has all the load that it can take.
+// isSaturated reports whether a cache reports that it, or the location's link, has all the load
+// that it can take.
 func (h *host) isSaturated() bool {
 	return h.load.CPUShare > saturatedCPUShare || h.load.LinkUse > 1
 }
@@ -42,7 +46,8 @@
 	h.health.unanswered = 0
 }
 
-// restart makes the host a new process with nothing known of it. Attempts at the old one are still in flight.
+// restart makes the host a new process with nothing known of it. Attempts at the old one are still
+// in flight.
 func (h *host) restart(now time.Duration) {
 	*h = host{
 		attemptsInFlight: h.attemptsInFlight,
@@ -93,14 +98,16 @@
 	}
 }
 
-// dropGone forgets the hosts that are gone and have no attempt in flight, and reports whether there were any.
+// dropGone forgets the hosts that are gone and have no attempt in flight, and reports whether there
+// were any.
 func (t *endpointTable) dropGone() bool {
 	known := len(t.byID)
 	maps.DeleteFunc(t.byID, func(_ HostID, h *host) bool { return h.Readiness == Gone && h.attemptsInFlight == 0 })
 	return len(t.byID) < known
 }
 
-// updateEndpoints takes in an endpoint list, or asks for it again where discovery has rejected the watch.
+// updateEndpoints takes in an endpoint list, or asks for it again where discovery has rejected the
+// watch.
 func (r *Router) updateEndpoints(e EndpointUpdate) {
 	if e.Kind == UpdateRejected {
 		if r.settings.MustWatch {
@@ -122,7 +129,8 @@
 	return within/watchRetryDivisor + seconds(r.random.Float64()*within.Seconds()/watchRetryDivisor)
 }
 
-// indexEndpoints sorts the hosts by what they can be used for. The origin is the first that is ready, else the first.
+// indexEndpoints sorts the hosts by what they can be used for. The origin is the first that is
+// ready, else the first.
 func (r *Router) indexEndpoints() {
 	t := &r.endpoints
 	t.caches = nil
--- a/internal/decision/events.go
+++ b/internal/decision/events.go
@@ -28,8 +28,8 @@
 	TimeLeft   time.Duration // until the client gives up
 }
 
-// PriorAttempt reports that a request with an idempotency key was sent before, by another director: an attempt may have run at
-// caches of this zone and cell.
+// PriorAttempt reports that a request with an idempotency key was sent before, by another director:
+// an attempt may have run at caches of this zone and cell.
 type PriorAttempt struct {
 	Request RequestID
 	Zone    string
@@ -69,25 +69,26 @@
 	Miss          Status = "miss"           // not cached as deep as the attempt was allowed to look
 )
 
-// CacheStatus is what an answer tells of how it was served, or of why it failed.
+// CacheStatus is what an answer reports of how it was served, or of why it failed.
 type CacheStatus int
 
 // The cache statuses.
 const (
 	CacheStatusNone           CacheStatus = iota
 	CacheStatusHit                        // cached
-	CacheStatusFilled                     // filled from the source, which had it cached where all statuses are told
+	CacheStatusFilled                     // filled from the source; with CacheStatusModeAll, the source had it cached
 	CacheStatusFilledByOrigin             // filled from the source, which had to fetch it from the origin
 	CacheStatusCoalesced                  // joined a fill under way
 	CacheStatusStale                      // cached and older than its class's FreshFor
 	CacheStatusSourceRejected             // the source was full
 	CacheStatusSourceLost                 // the source did not answer
 	CacheStatusSourceMissing              // the source does not have it cached
-	CacheStatusNoSpace                    // the cache had no room to fill it
+	CacheStatusNoSpace                    // the cache had no space to fill it
 	CacheStatusOriginFailed               // the origin failed
 )
 
-// LoadReport is what a cache reports of its load with an answer. Values that were not reported are 0.
+// LoadReport is what a cache reports of its load with an answer. Values that were not reported are
+// 0.
 type LoadReport struct {
 	CPUShare   float64 // share of its cores that is busy, 0 to 1
 	LinkUse    float64 // transfers on its location's link over those that fit; over 1 the link is full
@@ -161,8 +162,8 @@
 	Share float64 // of 1 for all directors; 0: an even share
 }
 
-// AggregatedHealth gives the share of attempts at a host that fail by the host's fault, as all directors together see it. The
-// sender lets it fade and sends it again as it does.
+// AggregatedHealth gives the share of attempts at a host that fail by the host's fault, as all
+// directors together see it. The sender lets it fade and sends it again as it does.
 type AggregatedHealth struct {
 	Host         HostID
 	FailureShare float64 // 0 to 1
--- a/internal/decision/example_test.go
+++ b/internal/decision/example_test.go
@@ -7,7 +7,8 @@
 	"stairvane.org/stairvane/internal/decision"
 )
 
-// A dispatcher makes one Router, hands it events as they happen, and carries out the actions in order.
+// A director makes one Router, hands it events as they happen, and carries out the actions in
+// order.
 func Example() {
 	router := decision.NewRouter(decision.Settings{
 		Zone: "west", Kinds: []string{"cache", "parent", "origin"}, ParentKind: 1, OriginKind: 2,
@@ -24,7 +25,7 @@
 			case decision.StartAttempt:
 				fmt.Printf("ask %d for %s, fill from %d\n", a.Host, a.Request, a.Source)
 			case decision.Reject:
-				fmt.Printf("refuse %s\n", a.Request)
+				fmt.Printf("reject %s\n", a.Request)
 			case decision.SetTimer:
 				// start a timer that hands the router a TimerFired with a.Timer
 			}
--- a/internal/decision/freshness.go
+++ b/internal/decision/freshness.go
@@ -5,14 +5,16 @@
 	"time"
 )
 
-// Freshness decides how old a cached object may be that answers a request: no older than its class's FreshFor, and not from before the
-// last purge of the object or its group. A purge also closes the fills that it covers, so that no later request shares what was fetched
-// before it.
+// Freshness decides how old a cached object may be that answers a request: no older than its
+// class's FreshFor, and not from before the last purge of the object or its group. A purge also
+// closes the fills that it covers, so that no later request shares what was fetched before it.
 
-// purgeMemory is for how many times Settings.PurgeDone a purge is remembered: a fill that began before it may end late.
+// purgeMemory is for how many times Settings.PurgeDone a purge is remembered: a fill that began
+// before it may end late.
 const purgeMemory = 2
 
-// purgeResolution is added to a purge's time, so that an object cached in the same instant counts as older.
+// purgeResolution is added to a purge's time, so that an object cached in the same instant counts
+// as older.
 const purgeResolution = time.Millisecond
 
 // purgeLog holds the clock time of the last purge of each object and group.
--- a/internal/decision/latency.go
+++ b/internal/decision/latency.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Estimates of what is usual: the overhead of answers beyond their sending time, the size of requests, the shares of misses and of
-// fetches, and how quickly each source serves fills. All are exponentially weighted moving averages of results.
+// Estimates of what is usual: the overhead of answers beyond their sending time, the size of
+// requests, the shares of misses and of fetches, and how quickly each source serves fills. All are
+// exponentially weighted moving averages of results.
 
 const (
 	smoothing         = 0.1           // weight of a new sample: about the last ten results count
@@ -28,8 +29,8 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// overheadEstimate is the usual overhead of an answer beyond its sending time, in seconds, and its mean deviation, as TCP estimates
-// round trips (RFC 6298).
+// overheadEstimate is the usual overhead of an answer beyond its sending time, in seconds, and its
+// mean deviation, as TCP estimates round trips (RFC 6298).
 type overheadEstimate struct {
 	mean      float64
 	deviation float64
@@ -60,7 +61,7 @@
 	s.sampledAt = now
 }
 
-// estimates are those that are not kept for each host.
+// estimates are those that are not of one host.
 type estimates struct {
 	overhead    overheadEstimate
 	hitOverhead float64   // smoothed overhead of hits beyond their sending time, in seconds
@@ -73,8 +74,8 @@
 	return estimates{meanSend: make([]float64, classes), missShare: unmeasuredMissShare}
 }
 
-// observeSize returns the sending time of a request from its size and the pace of a transfer, and learns the class's usual one. Where
-// either is not known, it returns the usual one.
+// observeSize returns the sending time of a request from its size and the pace of a transfer, and
+// learns the class's usual one. Where either is not known, it returns the usual one.
 func (s *estimates) observeSize(class int, sizeKB, paceKBPerS float64) time.Duration {
 	mean := &s.meanSend[class]
 	if sizeKB <= 0 || paceKBPerS <= 0 {
@@ -133,8 +134,9 @@
 	return s.sampledAt > 0 && r.now-s.sampledAt < sourceStaleFactor*r.longestDeadline
 }
 
-// sourceLatency is the time, in seconds, that a fill from a parent is expected to take beyond a hit: to its first byte, its overhead,
-// and the time that is likely lost by the failures that all directors see. A parent without a recent estimate counts as average.
+// sourceLatency is the time, in seconds, that a fill from a parent is expected to take beyond a
+// hit: to its first byte, its overhead, and the time that is likely lost by the failures that all
+// directors see. A parent without a recent estimate counts as average.
 func (r *Router) sourceLatency(p *host) float64 {
 	sum := 0.0
 	n := 0.0
--- a/internal/decision/limits.go
+++ b/internal/decision/limits.go
@@ -6,10 +6,12 @@
 	"time"
 )
 
-// Concurrency limits bound the sending time that is in flight over something shared that may be short: a cache's own link, the
-// location's link for fills, and the origin for fetches. What is short shows itself by answers that miss their objective or are
-// rejected. A limit therefore adapts: it widens by a share of each request that meets its objective and narrows by a larger share of
-// each that does not. There is no limit until a good share of requests miss, and again once it is far wider than what is in flight.
+// Concurrency limits bound the sending time that is in flight over something shared that may be
+// short: a cache's own link, the location's link for fills, and the origin for fetches. What is
+// short shows itself by answers that miss their objective or are rejected. A limit therefore
+// adapts: it widens by a share of each request that meets its objective and narrows by a larger
+// share of each that does not. There is no limit until a good share of requests miss, and again
+// once it is far wider than what is in flight.
 
 const (
 	limitFromLateShare  = 0.2 // share of late or rejected requests from which there is a limit
@@ -39,7 +41,8 @@
 
 func (l *concurrencyLimit) release(sendTime time.Duration) { l.inFlight -= sendTime }
 
-// update adapts the limit to a request that has met its objective or not. A step is larger by the given factor.
+// update adapts the limit to a request that has met its objective or not. A step is larger by the
+// given factor.
 func (l *concurrencyLimit) update(sendTime, usualSendTime time.Duration, metObjective bool, factor float64) {
 	send := float64(sendTime)
 	smooth(&l.meanInFlight, float64(l.inFlight), smoothing)
@@ -69,8 +72,9 @@
 	return sharedLimits{linkUse: fullLinkUse} // as if full: not all sites report it
 }
 
-// of returns the limits under which an attempt is in flight: that of fetches alone where the parents are known to lack the object,
-// that of fills alone where only what the source has is asked for.
+// of returns the limits under which an attempt is in flight: that of fetches alone where the object
+// is known not to be cached by the parents, that of fills alone where only what the source has is
+// asked for.
 func (s *sharedLimits) of(q *request, depth fetchDepth) []*concurrencyLimit {
 	switch {
 	case depth == fetchFromSource:
@@ -82,7 +86,8 @@
 	}
 }
 
-// updateLimits takes an attempt out of its limits, and updates those whose link, parents or origin its result speaks of.
+// updateLimits takes an attempt out of its limits, and updates those whose link, parents or origin
+// its result speaks of.
 func (r *Router) updateLimits(a *attempt, e AttemptResult) {
 	q := a.request
 	a.cache.limit.release(q.sendTime)
@@ -100,8 +105,8 @@
 		r.updateLimit(&a.cache.limit, q, metObjective)
 		return
 	case e.CacheStatus == CacheStatusFilled && r.settings.CacheStatusMode == CacheStatusModeAll:
-		// The origin had no part in it. Where only hits are told, a fetched fill looks the same and has to count, or the limit of
-		// fetches would learn from failures alone.
+		// The origin had no part in it. Where only hits are reported, a fetched fill looks the same
+		// and has to count, or the limit of fetches would learn from failures alone.
 		a.limits = slices.DeleteFunc(a.limits, func(l *concurrencyLimit) bool { return l == &r.limits.fetches })
 	case e.CacheStatus == CacheStatusFilledByOrigin && !metObjective && len(a.limits) > 0: // the origin is late, not the link
 		a.limits = a.limits[len(a.limits)-1:]
@@ -112,8 +117,9 @@
 	}
 }
 
-// updateSharedLimits updates the shared limits of an attempt, once for each attempt. The limit of fills stands for the location's
-// link: a late fill does not narrow it where reports show that the link is not full, or where the fill's source alone hangs.
+// updateSharedLimits updates the shared limits of an attempt, once for each attempt. The limit of
+// fills stands for the location's link: a late fill does not narrow it where reports show that the
+// link is not full, or where the fill's source alone hangs.
 func (r *Router) updateSharedLimits(a *attempt, metObjective bool) {
 	if a.limitsMoved {
 		return
@@ -129,13 +135,15 @@
 	}
 }
 
-// updateLimit updates one limit for a request. Where many directors see few answers each, steps are larger.
+// updateLimit updates one limit for a request. Where many directors see few answers each, steps are
+// larger.
 func (r *Router) updateLimit(l *concurrencyLimit, q *request, metObjective bool) {
 	usual := seconds(r.estimates.meanSend[q.classIndex])
 	l.update(q.sendTime, usual, metObjective, math.Sqrt(r.directorsInZone))
 }
 
-// onlySourceIsSilent reports whether an attempt's source has answered nothing since, while a parent has.
+// onlySourceIsSilent reports whether an attempt's source has answered nothing since, while a parent
+// has.
 func (r *Router) onlySourceIsSilent(a *attempt) bool {
 	return a.source.lastAnswerAt < a.sentAt && r.anyParentAnsweredSince(a.sentAt)
 }
--- a/internal/decision/load.go
+++ b/internal/decision/load.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Load meters measure the sending time that clients demand and that is served, in seconds per second. Slow start takes them for the
-// capacity of hosts that list none.
+// Load meters measure the sending time that clients demand and that is served, in seconds per
+// second. Slow start takes them for the capacity of hosts that list none.
 
 const (
 	rateInterval   = 2.0 // seconds over which rates are measured: a few large answers
@@ -48,5 +48,6 @@
 	l.measuredAt = now
 }
 
-// ServedRate is the load that this director serves, and the most of it lately, in seconds of sending time per second.
+// ServedRate is the load that this director serves, and the most of it lately, in seconds of
+// sending time per second.
 func (r *Router) ServedRate() (now, best float64) { return r.load.served.rate, r.load.bestServed }
--- a/internal/decision/outliers.go
+++ b/internal/decision/outliers.go
@@ -6,12 +6,14 @@
 	"time"
 )
 
-// Outlier detection ejects a host that fails much more than its peers: caches are compared with the caches of the zone, parents with
-// parents. What all peers suffer is not the host's fault, and ejecting it would help nobody.
+// Outlier detection ejects a host that fails much more than its peers: caches are compared with the
+// caches of the zone, parents with parents. What all peers suffer is not the host's fault, and
+// ejecting it would help nobody.
 //
-// Inputs are the results of attempts at the host, attempts that are overdue, and the failures that all directors together have seen.
-// An ejection lasts longer each time in a row. After it the host is on trial: it gets one attempt at a time, a failure ejects it
-// again, and a success while its share of failures is low ends the trial. The origin is never ejected.
+// Inputs are the results of attempts at the host, attempts that are overdue, and the failures that
+// all directors together have seen. An ejection lasts longer each time in a row. After it the host
+// is on trial: it gets one attempt at a time, a failure ejects it again, and a success while its
+// share of failures is low ends the trial. The origin is never ejected.
 
 const (
 	outlierFailureShare   = 0.4 // share of failures that ejects a host, if most of its peers have under half of its share
@@ -55,7 +57,8 @@
 	}
 }
 
-// sourceTookPart reports whether a served attempt counts for its source. Where answers do not tell, each does.
+// sourceTookPart reports whether a served attempt counts for its source. Where answers do not
+// report it, each does.
 func (r *Router) sourceTookPart(e AttemptResult) bool {
 	isFill := e.CacheStatus == CacheStatusFilled || e.CacheStatus == CacheStatusFilledByOrigin
 	return isFill || r.settings.CacheStatusMode == CacheStatusModeNone
@@ -80,8 +83,8 @@
 	}
 }
 
-// recordOverdue counts an overdue attempt against its cache if that has answered nothing since, else against a source that has not,
-// else against the cache if its answers are slow.
+// recordOverdue counts an overdue attempt against its cache if that has answered nothing since,
+// else against a source that has not, else against the cache if its answers are slow.
 func (r *Router) recordOverdue(a *attempt) {
 	overhead := r.estimates.overhead
 	switch cache := a.cache; {
@@ -116,7 +119,8 @@
 	}
 }
 
-// failsMoreThanPeers reports whether a host has more than twice the failures of its peers' median. Some peers may fail beside it.
+// failsMoreThanPeers reports whether a host has more than twice the failures of its peers' median.
+// Some peers may fail beside it.
 func (r *Router) failsMoreThanPeers(h *host) bool {
 	var others []float64
 	for _, o := range r.endpoints.peersOf(h) {
@@ -152,8 +156,8 @@
 	h.health.ejectedUntil = r.now + r.shortestDeadline*time.Duration(min(h.health.ejections, maxEjectionMultiplier))
 }
 
-// HostOutcomes passes what was seen of each host since it was called last: outcomes, how many of them were failures by the host's
-// fault, and its smoothed latency overhead in seconds.
+// HostOutcomes passes what was seen of each host since it was called last: outcomes, how many of
+// them were failures by the host's fault, and its smoothed latency overhead in seconds.
 func (r *Router) HostOutcomes(report func(h HostID, outcomes, failures, overhead float64)) {
 	for id, h := range r.endpoints.byID {
 		if h.health.outcomes > 0 {
--- /dev/null
+++ b/internal/decision/outliers_test.go
@@ -0,0 +1,193 @@
+package decision
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+)
+
+func TestUnansweredAttemptsEjectWithoutHedging(t *testing.T) {
+	r := startRouter(t, testSettings())
+	first := r.onlyAttempt(r.request("a", 1))
+	r.now += 300 * ms
+	for range maxUnanswered {
+		if got := actionsOf[StartAttempt](r.handle(TimerFired{Timer{Kind: TimerAttemptOverdue, Request: "a"}})); len(got) != 0 {
+			t.Errorf("hedged requests %v", got)
+		}
+	}
+	if r.router.healthy(r.router.endpoints.byID[first.Host]) {
+		t.Error("a cache that left two attempts unanswered is still used")
+	}
+}
+
+func TestUnresponsiveCacheIsEjectedThenOnTrial(t *testing.T) {
+	r := startRouter(t, testSettings())
+	h := r.router.endpoints.caches[0]
+	for i := range maxUnanswered {
+		q := &request{Request: Request{ID: RequestID(fmt.Sprint(i))}}
+		r.router.handleOverdue(&attempt{request: q, cache: h, source: r.router.endpoints.origin, sentAt: r.now})
+	}
+	if r.router.healthy(h) {
+		t.Fatal("an unresponsive cache is still used")
+	}
+	r.router.eject(r.router.endpoints.caches[1])
+	if !r.router.healthy(r.router.endpoints.caches[1]) {
+		t.Error("so many are ejected that the others cannot carry the load")
+	}
+	r.now = h.health.ejectedUntil
+	r.router.Handle(r.now, PeerMessage{})
+	if !r.router.healthy(h) {
+		t.Error("the ejection does not end")
+	}
+	h.attemptsInFlight = 1
+	if r.router.healthy(h) {
+		t.Error("on trial, more than one attempt at a time")
+	}
+}
+
+// A cache whose answers come as usual has only lost some, and ejecting it would cost its cached
+// objects.
+func TestSlowCacheIsEjectedLossyOneIsNot(t *testing.T) {
+	for _, slow := range []bool{true, false} {
+		r := startRouter(t, testSettings())
+		r.router.estimates.overhead = overheadEstimate{mean: 0.05, deviation: 0.04}
+		h := r.router.endpoints.byID[r.onlyAttempt(r.request("a", 1)).Host]
+		h.overhead = 0.05 + 0.5*indicator(slow)
+		r.now += ms
+		h.lastAnswerAt = r.now
+		for _, p := range r.router.endpoints.parents {
+			p.lastAnswerAt = r.now
+		}
+		for range 10 {
+			r.handle(TimerFired{Timer{Kind: TimerAttemptOverdue, Request: "a"}})
+		}
+		if r.router.healthy(h) == slow {
+			t.Errorf("slow %t: healthy %t", slow, !slow)
+		}
+	}
+}
+
+// Guards against two failing hosts that hide each other in a mean of their peers.
+func TestTwoFailingParentsOfFourAreEjected(t *testing.T) {
+	r := startRouter(t, testSettings())
+	more := testEndpoints()
+	for i := range 2 {
+		more = append(more, Endpoint{Host: HostID(502 + i), Zone: "hub", Kind: "parent", Readiness: Ready, Weight: 1})
+	}
+	r.handle(EndpointUpdate{Kind: UpdateSnapshot, Endpoints: more})
+	for range 3 {
+		r.router.recordOutcome(r.router.endpoints.parents[0], true)
+		r.router.recordOutcome(r.router.endpoints.parents[1], true)
+	}
+	for i, p := range r.router.endpoints.parents {
+		if ejected := r.now < p.health.ejectedUntil; ejected != (i < 2) {
+			t.Errorf("parent %d ejected: %v", i, ejected)
+		}
+	}
+	r = startRouter(t, testSettings())
+	for range 9 {
+		for _, p := range r.router.endpoints.parents { // no host fails more than its peers
+			r.router.recordOutcome(p, true)
+		}
+	}
+	if slices.ContainsFunc(r.router.endpoints.parents, func(p *host) bool { return r.now < p.health.ejectedUntil }) {
+		t.Error("ejected for what all suffer")
+	}
+}
+
+// Guards caches and limits against a lost parent's rejections where answers report only hits.
+func TestLateRejectionCountsAgainstSource(t *testing.T) {
+	for elapsed, isSources := range map[time.Duration]bool{2 * ms: false, 150 * ms: true} {
+		s := testSettings()
+		s.CacheStatusMode = CacheStatusModeHits
+		r := startRouter(t, s)
+		o := r.onlyAttempt(r.request("a", 1))
+		cache := r.router.endpoints.byID[o.Host]
+		source := r.router.endpoints.byID[o.Source]
+		source.health.failureShare = 0.4
+		r.now += elapsed
+		r.handle(AttemptResult{Request: "a", Host: o.Host, Status: Full, Elapsed: elapsed})
+		if (cache.health.failureShare == 0) != isSources {
+			t.Errorf("after %v: the cache's share is %v", elapsed, cache.health.failureShare)
+		}
+		if r.router.limits.fetches.lateShare > 0 {
+			t.Errorf("after %v: the rejection of a parent that alone fails counts against the origin", elapsed)
+		}
+	}
+}
+
+// Aggregated failures weigh in the choice of the source and in an ejection after an own failure.
+// They eject nobody by themselves.
+func TestAggregatedHealth(t *testing.T) {
+	r := startRouter(t, testSettings())
+	suspect := r.router.endpoints.parents[0]
+	r.handle(AggregatedHealth{Host: suspect.Host, FailureShare: 0.6})
+	if !r.router.healthy(suspect) || suspect.health.failureShare != 0 {
+		t.Error("aggregated health has ejected a parent")
+	}
+	drawn := func() (n int) {
+		for i := range 200 {
+			q := &request{Request: Request{Object: ObjectID(i)}, key: fillKey{object: ObjectID(i)}}
+			n += int(indicator(r.router.pickSource(q) == suspect))
+		}
+		return n
+	}
+	if n := drawn(); n > 0 {
+		t.Errorf("a parent with aggregated failures is drawn %d times in 200 though there are others", n)
+	}
+	r.router.recordOutcome(suspect, true)
+	if r.router.healthy(suspect) {
+		t.Error("a parent with aggregated failures that failed here too is not ejected")
+	}
+	r = startRouter(t, testSettings())
+	suspect = r.router.endpoints.parents[0]
+	r.handle(AggregatedHealth{Host: suspect.Host, FailureShare: 0.6})
+	for _, p := range r.router.endpoints.parents[1:] {
+		p.isReady = false
+	}
+	if drawn() != 200 {
+		t.Error("the only parent is not used")
+	}
+	for _, p := range r.router.endpoints.parents[1:] {
+		p.isReady = true
+		p.health.failureShare = 0.3
+	}
+	if r.router.recordOutcome(suspect, true); !r.router.healthy(suspect) {
+		t.Error("ejected for what all suffer")
+	}
+	r.handle(AggregatedHealth{Host: suspect.Host})
+	if drawn() == 0 {
+		t.Error("its aggregated failures are gone, and it is never drawn")
+	}
+	m := testEndpoints()
+	for i := range m {
+		m[i].StartedAt = r.now
+	}
+	r.handle(AggregatedHealth{Host: suspect.Host, FailureShare: 0.6})
+	r.handle(EndpointUpdate{Kind: UpdateSnapshot, Version: 9, Endpoints: m})
+	if r.router.endpoints.byID[suspect.Host].health.aggregatedFailures != 0 {
+		t.Error("a restarted host has the old process's aggregated failures")
+	}
+}
+
+func TestHostOutcomesSinceLastCall(t *testing.T) {
+	r := startRouter(t, testSettings())
+	h := r.router.endpoints.caches[0]
+	for i := range 5 {
+		r.router.recordOutcome(h, i == 0)
+	}
+	for want := 5.0; want >= 0; want -= 5 {
+		outcomes := 0.0
+		failures := 0.0
+		r.router.HostOutcomes(func(id HostID, n, failed, _ float64) {
+			if id == h.Host {
+				outcomes = n
+				failures = failed
+			}
+		})
+		if outcomes != want || failures != min(1, want) {
+			t.Errorf("%v failures of %v outcomes, want %v outcomes", failures, outcomes, want)
+		}
+	}
+}
--- a/internal/decision/placement.go
+++ b/internal/decision/placement.go
@@ -6,22 +6,24 @@
 	"slices"
 )
 
-// Placement chooses the cache of a request and the source of a fill, and decides how deep an attempt may fetch.
+// Placement chooses the cache of a request and the source of a fill, and decides how deep an
+// attempt may fetch.
 //
-// The cache is chosen by weighted rendezvous hashing of the object over the listed caches of the zone, so that all directors agree
-// without talking and a change of the list moves only the changed cache's objects. Loads are bounded: a cache that has far more than
-// its share of the attempts in flight is passed over.
+// The cache is chosen by weighted rendezvous hashing of the object over the listed caches of the
+// zone, so that all directors agree without talking and a change of the list moves only the changed
+// cache's objects. Loads are bounded: a cache that has far more than its share of the attempts in
+// flight is passed over.
 //
-// The source is the quicker of two parents drawn at random, or the origin where no parent can be used. While parents are likely to
-// lack the object, the two are drawn by the object's hash, so that all directors ask the same two and the origin is asked at most
-// twice.
+// The source is the quicker of two parents drawn at random, or the origin where no parent can be
+// used. While parents are likely not to have the object, the two are drawn by the object's hash, so
+// that all directors ask the same two and the origin is asked at most twice.
 
 const (
 	loadBound           = 1.25 // times its share of the attempts in flight above which a cache is passed over
 	loadBoundDeviations = 3    // standard deviations of that share that are put down to chance
 	loadBoundMin        = 4    // attempts in flight that a cache may always have: smaller counts compare badly
 
-	coldParentsFetchShare = 0.5 // share of fills that parents had to fetch from which they are likely to lack any object
+	coldParentsFetchShare = 0.5 // share of fills that parents had to fetch from which they are likely to miss any object
 )
 
 // fetchDepth is how deep an attempt may fetch an object.
@@ -33,8 +35,9 @@
 	fetchAnywhere
 )
 
-// fetchDepth decides how deep a request may fetch, and whether it may be sent at all. While fills are limited, what the cache has is
-// looked up first, and while fetches are limited, what the parents have: only a known miss needs capacity under a limit.
+// fetchDepth decides how deep a request may fetch, and whether it may be sent at all. While fills
+// are limited, what the cache has is looked up first, and while fetches are limited, what the
+// parents have: only a known miss needs capacity under a limit.
 func (r *Router) fetchDepth(q *request, cache, source *host) (depth fetchDepth, ok bool) {
 	knownMiss := q.knownMiss(cache)
 	fills := &r.limits.fills
@@ -55,8 +58,9 @@
 	}
 }
 
-// pickCache chooses a cache that can take the request and has not failed it. Crowded caches come after the others, and ejected ones
-// last: an unlikely answer is better than none. It returns nil if there is none.
+// pickCache chooses a cache that can take the request and has not failed it. Crowded caches come
+// after the others, and ejected ones last: an unlikely answer is better than none. It returns nil
+// if there is none.
 func (r *Router) pickCache(q *request) *host {
 	const (
 		notCrowded = iota
@@ -85,8 +89,9 @@
 	return nil
 }
 
-// crowded reports whether a cache has far more than its share of the attempts in flight. Where other directors send to the caches too,
-// this one's counts are a sample, and deviations by chance are allowed for.
+// crowded reports whether a cache has far more than its share of the attempts in flight. Where
+// other directors send to the caches too, this one's counts are a sample, and deviations by chance
+// are allowed for.
 func (r *Router) crowded(h *host) bool {
 	inFlight := 0.0
 	weight := 0.0
@@ -101,7 +106,8 @@
 	return h.attemptsInFlight >= loadBoundMin && float64(h.attemptsInFlight+1) > loadBound*share+chance
 }
 
-// weight is a cache's size relative to others, where the endpoint list gives one that does not change with load.
+// weight is a cache's size relative to others, where the endpoint list gives one that does not
+// change with load.
 func (r *Router) weight(h *host) float64 {
 	if (r.settings.WeightMode == WeightModeNominal || r.settings.WeightMode == WeightModeRough) && h.Weight > 0 {
 		return h.Weight
@@ -109,8 +115,8 @@
 	return 1
 }
 
-// rendezvousScore is the score of a host for an object. The host with the highest one has the object; each has a share of all objects
-// in proportion to its weight.
+// rendezvousScore is the score of a host for an object. The host with the highest one has the
+// object; each has a share of all objects in proportion to its weight.
 func rendezvousScore(k fillKey, h *host, weight float64) float64 {
 	x := mix64(uint64(k.object) ^ mix64(uint64(k.part)<<32^uint64(h.Host)))
 	u := (float64(x>>11) + 0.5) / (1 << 53) // uniform between 0 and 1, both excluded
@@ -152,8 +158,8 @@
 	return parents[0]
 }
 
-// parentsLikelyMiss reports whether the parents are likely to lack the object: it was purged lately, a parent is out, or most fills had
-// to be fetched.
+// parentsLikelyMiss reports whether the parents are likely not to have the object: it was purged
+// lately, a parent is out, or most fills had to be fetched.
 func (r *Router) parentsLikelyMiss(q *request) bool {
 	_, purged := r.purges.last(q.Object, q.PurgeGroup)
 	return purged || r.estimates.fetchShare > coldParentsFetchShare ||
--- a/internal/decision/requests.go
+++ b/internal/decision/requests.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A request is open from its arrival until it has its final answer. Its objective, deadline and sending time are fixed when it
-// arrives.
+// A request is open from its arrival until it has its final answer. Its objective, deadline and
+// sending time are fixed when it arrives.
 
 // request is an open request.
 type request struct {
@@ -44,7 +44,8 @@
 	return slices.ContainsFunc(q.attempts, func(a *attempt) bool { return a.source == h })
 }
 
-// knownMiss is how deep the last attempt has shown the object not to be cached, at a cache or, for nil, at any. 0: not at all.
+// knownMiss is how deep the last attempt has shown the object not to be cached, at a cache or, for
+// nil, at any. 0: not at all.
 func (q *request) knownMiss(cache *host) fetchDepth {
 	n := len(q.attempts)
 	if n > 0 && (cache == nil || q.attempts[n-1].cache == cache) {
@@ -82,8 +83,9 @@
 	r.route(q)
 }
 
-// requiredHeadroom is the geometric mean of the request's sending time and, twice, the class's usual one, and at most the former.
-// Under a limit that is short a large request would hardly ever find all of its own sending time free.
+// requiredHeadroom is the geometric mean of the request's sending time and, twice, the class's
+// usual one, and at most the former. Under a limit that is short a large request would hardly ever
+// find all of its own sending time free.
 func (r *Router) requiredHeadroom(q *request) time.Duration {
 	usual := r.estimates.meanSend[q.classIndex]
 	return min(q.sendTime, seconds(math.Cbrt(q.sendTime.Seconds()*(usual*usual))))
@@ -104,7 +106,8 @@
 	return q.objectiveAt - q.sendTime - seconds(r.estimates.overhead.limit(1))
 }
 
-// finish forgets a request that has its final answer, and cancels the attempt that is still out for it.
+// finish forgets a request that has its final answer, and cancels the attempt that is still out for
+// it.
 func (r *Router) finish(q *request) {
 	if q == nil {
 		return
--- a/internal/decision/retries.go
+++ b/internal/decision/retries.go
@@ -7,11 +7,14 @@
 
 // Retries decide when a request may have another attempt.
 //
-// An attempt that failed, or that is overdue and was cancelled, is followed by another if the request may run again (mayRepeat), if
-// time and Settings.MaxAttempts allow it (hasAttemptLeft), and if the retry budget has a token. A failure that cost no work, or whose
-// work was not lost, needs no token. An overdue attempt is cancelled before the next one starts: a request never has two attempts out.
+// An attempt that failed, or that is overdue and was cancelled, is followed by another if the
+// request may run again (mayRepeat), if time and Settings.MaxAttempts allow it (hasAttemptLeft),
+// and if the retry budget has a token. A failure that cost no work, or whose work was not lost,
+// needs no token. An overdue attempt is cancelled before the next one starts: a request never has
+// two attempts out.
 //
-// The retry budget grows with the requests, so that retries are a bounded share of the load and cannot turn an overload into a storm.
+// The retry budget grows with the requests, so that retries are a bounded share of the load and
+// cannot turn an overload into a storm.
 
 const (
 	retryTokensPerRequest = 0.15 // retries that each request pays for
@@ -24,8 +27,8 @@
 // retryBudget is a token bucket. Each request pays in a share of a token; a retry takes one.
 type retryBudget struct{ tokens float64 }
 
-// maxRetryTokens bounds what one director saves up: what all directors of a zone can spend at once on its caches must not grow with
-// their number.
+// maxRetryTokens bounds what one director saves up: what all directors of a zone can spend at once
+// on its caches must not grow with their number.
 func maxRetryTokens(directorsInZone float64) float64 {
 	return max(minRetryTokens, zoneRetryTokens/directorsInZone)
 }
@@ -43,8 +46,8 @@
 	return len(q.attempts) < r.settings.MaxAttempts && r.now+q.sendTime < q.deadline
 }
 
-// mayRepeat reports whether an attempt at the host is safe, though an earlier one may have run: the request is idempotent, or its key
-// is known at the host.
+// mayRepeat reports whether an attempt at the host is safe, though an earlier one may have run: the
+// request is idempotent, or its key is known at the host.
 func (r *Router) mayRepeat(q *request, h *host) bool {
 	class := r.class(q)
 	if class.Idempotency == Idempotent {
@@ -73,8 +76,8 @@
 // handleFailure follows an attempt that has ended without serving its request.
 func (r *Router) handleFailure(q *request, a *attempt, e AttemptResult) {
 	timedOut := e.Status == TimedOut && r.now+r.settings.AnswerGrace >= q.deadline
-	// A lookup that found nothing and a refused connection cost no work. Behind a broken connection the work was done, and the cache
-	// has the object.
+	// A lookup that found nothing and a refused connection cost no work. Behind a broken connection
+	// the work was done, and the cache has the object.
 	isFree := a.knownMiss > 0 || e.Status == Reset || e.Status == ConnectFailed
 	if timedOut || !r.hasAttemptLeft(q) || !isFree && !r.retryBudget.hasToken() {
 		r.giveUp(q)
@@ -86,8 +89,9 @@
 	r.route(q)
 }
 
-// overdueAt is the clock time at which an attempt that is sent now is overdue: it has taken longer than its size and the usual
-// overhead explain, and another attempt has to start to meet the objective. Later attempts get twice the time of the one before.
+// overdueAt is the clock time at which an attempt that is sent now is overdue: it has taken longer
+// than its size and the usual overhead explain, and another attempt has to start to meet the
+// objective. Later attempts get twice the time of the one before.
 func (r *Router) overdueAt(q *request) time.Duration {
 	usual := q.sendTime + seconds(r.estimates.overhead.mean)
 	margin := seconds(overdueDeviations * r.estimates.overhead.deviation)
@@ -106,11 +110,13 @@
 	r.recordOverdue(a)
 }
 
-// shouldReplace reports whether an overdue attempt is cancelled and followed by another: its answer may be lost, or its fill may hang.
+// shouldReplace reports whether an overdue attempt is cancelled and followed by another: its answer
+// may be lost, or its fill may hang.
 func (r *Router) shouldReplace(a *attempt) bool {
 	cache := a.cache
 	q := a.request
-	// While fetches are short or no parent sends, all fills are slow, and another one would add to the overload.
+	// While fetches are short or no parent sends, all fills are slow, and another one would add to
+	// the overload.
 	fillsAreSlow := a.source != cache && a.depth == fetchAnywhere &&
 		(r.limits.fetches.isLimited() || !r.anyParentAnsweredSince(a.sentAt))
 	if fillsAreSlow || cache.lastAnswerAt < a.sentAt && !r.hasOtherCache(q, cache) {
--- a/internal/decision/router.go
+++ b/internal/decision/router.go
@@ -71,8 +71,9 @@
 	return r.actions
 }
 
-// initialDirectorsInZone is the number of directors that serve the zone as the settings give it. Where they do not, all directors
-// are counted, so that the shares of all together never exceed what there is.
+// initialDirectorsInZone is the number of directors that serve the zone as the settings give it.
+// Where they do not, all directors are counted, so that the shares of all together never exceed
+// what there is.
 func (r *Router) initialDirectorsInZone() float64 {
 	i := slices.Index(r.settings.Zones, r.settings.Zone)
 	if i >= 0 && i < len(r.settings.DirectorsByZone) && r.settings.DirectorsByZone[i] > 0 {
@@ -81,7 +82,8 @@
 	return max(1, float64(r.settings.Directors))
 }
 
-// Handle takes one event and returns the actions that it calls for, in the order in which they are to be done.
+// Handle takes one event and returns the actions that it calls for, in the order in which they are
+// to be done.
 func (r *Router) Handle(now time.Duration, ev Event) []Action {
 	r.begin(now)
 	switch e := ev.(type) {
--- a/internal/decision/settings.go
+++ b/internal/decision/settings.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Settings is the configuration of a Router. It is fixed while the Router lives, but for the numbers of directors, which
-// PeerCounts events replace.
+// Settings is the configuration of a Router. It is fixed while the Router lives, but for the
+// numbers of directors, which PeerCounts events replace.
 type Settings struct {
 	Zone       string   // own zone; its caches answer the requests
 	Zones      []string // all zones, in the order of the lists by zone below
@@ -19,7 +19,7 @@
 	LinkKBPerS      []float64       // each zone's link in, in kB/s; 0: not known
 	FlowKBPerS      float64         // pace of one transfer to a client, in kB/s; 0: not known
 	WeightMode      WeightMode      // meaning of Endpoint.Weight
-	CacheStatusMode CacheStatusMode // what answers tell of how they were served
+	CacheStatusMode CacheStatusMode // what answers report of how they were served
 	SiblingMode     SiblingMode     // which caches may be the source of a fill
 	JoinsFills      bool            // a cache can let a request join a fill under way
 	DirectToSource  bool            // requests may go to a parent or the origin themselves
@@ -90,7 +90,7 @@
 	ScopeCell DedupScope = "cell"
 )
 
-// CacheStatusMode is what answers tell of how a request was served.
+// CacheStatusMode is what answers report of how a request was served.
 type CacheStatusMode string
 
 // The modes of cache status.
--- a/internal/decision/slowstart.go
+++ b/internal/decision/slowstart.go
@@ -5,17 +5,19 @@
 	"time"
 )
 
-// Slow start: a host that has just started is cold and bears only part of its load; asked for more, it fails. The settings give the
-// part (SlowStart) and when the host's capacity is complete. Until then each director sends it no more than its share of that part,
-// by a token bucket in seconds of sending time.
+// Slow start: a host that has just started has an empty cache and bears only part of its load; with
+// more, it fails. The settings give the part (SlowStart) and when the host's capacity is complete.
+// Until then each director sends it no more than its share of that part, by a token bucket in
+// seconds of sending time.
 //
-// A host's capacity is its listed weight where that is nominal; then all directors divide it, evenly or by the shares that QuotaShare
-// gives. Elsewhere this director's own load stands for its share of the capacity, divided by the number of such hosts.
+// A host's capacity is its listed weight where that is nominal; then all directors divide it,
+// evenly or by the shares that QuotaShare gives. Elsewhere this director's own load stands for its
+// share of the capacity, divided by the number of such hosts.
 
 const (
 	slowStartSafety     = 0.5  // share of the budget that is planned with
 	slowStartBurst      = 0.4  // share of a window's budget that may be spent at once
-	unmeasuredMissShare = 0.35 // stands for the share of misses where answers do not tell hits
+	unmeasuredMissShare = 0.35 // stands for the share of misses where answers do not report hits
 	missShareMargin     = 1.5  // safety factor on the share of misses
 	unservedDemandShare = 0.3  // share of demand that stands for load before any was served: clients repeat their requests
 )
@@ -35,11 +37,12 @@
 	rule SlowStart
 }
 
-// SetSlowStartShare has a function give the share, of 1, of this director's load that stands for capacity where hosts have no listed
-// one. It is called from Handle.
+// SetSlowStartShare has a function give the share, of 1, of this director's load that stands for
+// capacity where hosts have no listed one. It is called from Handle.
 func (r *Router) SetSlowStartShare(share func() float64) { r.slowStartShare = share }
 
-// slowStartBudget is the budget of a host for attempts such as a request's; ok is false if the host is not in slow start.
+// slowStartBudget is the budget of a host for attempts such as a request's; ok is false if the host
+// is not in slow start.
 func (r *Router) slowStartBudget(h *host, q *request) (budget slowStartBudget, ok bool) {
 	isParent := r.endpoints.isParent(h)
 	budget.rule = r.settings.CacheSlowStart
@@ -58,7 +61,8 @@
 	return budget, true
 }
 
-// capacityShare is this director's share of a host's capacity when it is warm, in seconds of sending time per second.
+// capacityShare is this director's share of a host's capacity when it is warm, in seconds of
+// sending time per second.
 func (r *Router) capacityShare(h *host, isParent bool) float64 {
 	if r.settings.WeightMode == WeightModeNominal && h.Weight > 0 {
 		return h.Weight * cmp.Or(h.slowStart.quotaShare, 1/r.directorsSharing(isParent))
@@ -97,7 +101,8 @@
 	burst := budget.rate * budget.rule.Window.Seconds() * slowStartBurst
 	capacity := max(burst, r.estimates.meanSend[q.classIndex])
 	if !state.isSeeded && burst < capacity {
-		// Many directors have less than one attempt to spend each. Random first tokens keep them from spending it all at once.
+		// Many directors have less than one attempt to spend each. Random first tokens keep them
+		// from spending it all at once.
 		state.tokens = r.random.Float64() * capacity
 		state.refilledAt = r.now
 	}
@@ -114,8 +119,8 @@
 	}
 }
 
-// SlowStartDemand passes, for each listed host in slow start, what this director would send there, as a share of what all directors
-// together may send.
+// SlowStartDemand passes, for each listed host in slow start, what this director would send there,
+// as a share of what all directors together may send.
 func (r *Router) SlowStartDemand(report func(h HostID, demand float64)) {
 	usual := &request{sendTime: seconds(r.estimates.meanSend[0])}
 	for _, hosts := range [][]*host{r.endpoints.caches, r.endpoints.parents} {
