--- a/internal/decision/attempts.go
+++ b/internal/decision/attempts.go
@@ -11,20 +11,20 @@
 
 // attempt is one sending of a request to a cache.
 type attempt struct {
-	request     *request
-	number      int // among the request's attempts, from 0
-	cache       *host
-	source      *host // cache itself: there is nothing to fill from
-	sentAt      time.Duration
-	depth       fetchDepth
-	fill        *fill // the fill that this attempt opened; nil: none
-	ended       bool
-	mayHaveRun  bool
-	cacheFailed bool                // the cache is not asked again for this request
-	knownMiss   fetchDepth          // how deep it has shown the object not to be cached
-	cacheBlamed bool                // it was overdue and counted against its cache; its success does not count for it
-	limits      []*concurrencyLimit // shared limits under which it is in flight
-	limitsMoved bool                // its shared limits have been updated for it
+	request       *request
+	number        int // among the request's attempts, from 0
+	cache         *host
+	source        *host // cache itself: there is nothing to fill from
+	sentAt        time.Duration
+	depth         fetchDepth
+	fill          *fill // the fill that this attempt opened; nil: none
+	ended         bool
+	mayHaveRun    bool
+	cacheFailed   bool                // the cache is not asked again for this request
+	knownMiss     fetchDepth          // how deep it has shown the object not to be cached
+	cacheBlamed   bool                // it was overdue and counted against its cache; its success does not count for it
+	limits        []*concurrencyLimit // shared limits under which it is in flight
+	limitsUpdated bool                // its shared limits have been updated for it
 }
 
 // attemptKey identifies an attempt.
@@ -53,7 +53,7 @@
 	depth := fetchAnywhere
 	if join == nil && !r.class(q).Uncacheable {
 		var ok bool
-		if depth, ok = r.fetchDepth(q, cache, source); !ok {
+		if depth, ok = r.chooseDepth(q, cache, source); !ok {
 			r.giveUp(q)
 			return
 		}
@@ -85,7 +85,7 @@
 		mayHaveRun: true,
 	}
 	if !joins && depth != fetchFromCache {
-		a.limits = r.limits.of(q, depth)
+		a.limits = r.limits.forAttempt(q, depth)
 		for _, l := range a.limits {
 			l.acquire(q.sendTime)
 		}
--- a/internal/decision/endpoints.go
+++ b/internal/decision/endpoints.go
@@ -31,7 +31,8 @@
 	asSource         sourceEstimate
 	health           healthRecord
 	limit            concurrencyLimit
-	slowStart        slowStartState
+	slowStart        tokenBucket
+	quotaShare       float64 // see QuotaShare; 0: an even share
 }
 
 // isSaturated reports whether a cache reports that it, or the location's link, has all the load
@@ -52,7 +53,7 @@
 	*h = host{
 		attemptsInFlight: h.attemptsInFlight,
 		limit:            concurrencyLimit{inFlight: h.limit.inFlight},
-		slowStart:        slowStartState{refilledAt: now},
+		slowStart:        tokenBucket{refilledAt: now},
 	}
 }
 
@@ -69,6 +70,10 @@
 
 func (t *endpointTable) isParent(h *host) bool { return slices.Contains(t.parents, h) }
 
+func (t *endpointTable) parentAnsweredSince(since time.Duration) bool {
+	return slices.ContainsFunc(t.parents, func(p *host) bool { return p.lastAnswerAt >= since })
+}
+
 // peersOf are the hosts with which one is compared, itself included.
 func (t *endpointTable) peersOf(h *host) []*host {
 	if t.isParent(h) {
--- a/internal/decision/latency.go
+++ b/internal/decision/latency.go
@@ -41,8 +41,8 @@
 	smooth(&o.mean, overhead, smoothing)
 }
 
-// limit is the overhead, in seconds, that is so many mean deviations beyond the mean.
-func (o *overheadEstimate) limit(deviations float64) float64 { return o.mean + deviations*o.deviation }
+// bound is the overhead, in seconds, that is so many mean deviations beyond the mean.
+func (o *overheadEstimate) bound(deviations float64) float64 { return o.mean + deviations*o.deviation }
 
 // sourceEstimate is how a host serves fills as a source.
 type sourceEstimate struct {
--- a/internal/decision/limits.go
+++ b/internal/decision/limits.go
@@ -14,11 +14,13 @@
 // once it is far wider than what is in flight.
 
 const (
-	limitFromLateShare  = 0.2 // share of late or rejected requests from which there is a limit
-	limitWidening       = 0.2 // of the sending time of each request that meets its objective
-	limitNarrowing      = 0.6 // of that of each other: a quarter of late requests keeps the limit where it is
-	limitFreedAt        = 4   // times what is usually in flight at which there is no limit any more
-	fullLinkUse         = 2   // transfers over those that fit from which the location's link may be short
+	limitFromLateShare = 0.2 // share of late or rejected requests from which there is a limit
+	limitWidening      = 0.2 // of the sending time of each request that meets its objective
+	limitNarrowing     = 0.6 // of that of each other: a quarter of late requests keeps the limit where it is
+	limitFreedAt       = 4   // times what is usually in flight at which there is no limit any more
+	fullLinkUse        = 2   // transfers over those that fit from which the location's link may be short
+
+	// Share of failures from which a source that fails more than its peers is at fault for late fills.
 	suspectFailureShare = outlierFailureShare / 2
 )
 
@@ -72,10 +74,10 @@
 	return sharedLimits{linkUse: fullLinkUse} // as if full: not all sites report it
 }
 
-// of returns the limits under which an attempt is in flight: that of fetches alone where the object
+// forAttempt returns the limits under which an attempt is in flight: that of fetches alone where the object
 // is known not to be cached by the parents, that of fills alone where only what the source has is
 // asked for.
-func (s *sharedLimits) of(q *request, depth fetchDepth) []*concurrencyLimit {
+func (s *sharedLimits) forAttempt(q *request, depth fetchDepth) []*concurrencyLimit {
 	switch {
 	case depth == fetchFromSource:
 		return []*concurrencyLimit{&s.fills}
@@ -121,11 +123,12 @@
 // fills stands for the location's link: a late fill does not narrow it where reports show that the
 // link is not full, or where the fill's source alone hangs.
 func (r *Router) updateSharedLimits(a *attempt, metObjective bool) {
-	if a.limitsMoved {
+	if a.limitsUpdated {
 		return
 	}
-	a.limitsMoved = true
-	if !metObjective && a.source != a.cache && a.source.health.failureShare > suspectFailureShare && r.failsMoreThanPeers(a.source) {
+	a.limitsUpdated = true
+	sourceMayFail := a.source != a.cache && a.source.health.failureShare > suspectFailureShare
+	if !metObjective && sourceMayFail && r.failsMoreThanPeers(a.source) {
 		return // the source is at fault, and what it rejects shows nothing to be short
 	}
 	for _, l := range a.limits {
@@ -145,9 +148,5 @@
 // onlySourceIsSilent reports whether an attempt's source has answered nothing since, while a parent
 // has.
 func (r *Router) onlySourceIsSilent(a *attempt) bool {
-	return a.source.lastAnswerAt < a.sentAt && r.anyParentAnsweredSince(a.sentAt)
-}
-
-func (r *Router) anyParentAnsweredSince(since time.Duration) bool {
-	return slices.ContainsFunc(r.endpoints.parents, func(p *host) bool { return p.lastAnswerAt >= since })
+	return a.source.lastAnswerAt < a.sentAt && r.endpoints.parentAnsweredSince(a.sentAt)
 }
--- a/internal/decision/outliers.go
+++ b/internal/decision/outliers.go
@@ -16,11 +16,11 @@
 // share of failures is low ends the trial. The origin is never ejected.
 
 const (
-	outlierFailureShare   = 0.4 // share of failures that ejects a host, if most of its peers have under half of its share
-	maxUnanswered         = 2   // overdue attempts without any answer of the host between them that eject it
-	maxEjectedShare       = 0.5 // share of a host's peers that may be ejected at once: the others have to carry their load
-	maxEjectionMultiplier = 3   // ejections in a row up to which an ejection grows by the shortest deadline
-	slowDeviations        = 2   // mean deviations beyond the usual overhead at which a cache is slow, not only losing answers
+	outlierFailureShare = 0.4 // share of failures that ejects a host, if most of its peers have under half of its share
+	maxUnanswered       = 2   // overdue attempts without any answer of the host between them that eject it
+	maxEjectedShare     = 0.5 // share of a host's peers that may be ejected at once: the others have to carry their load
+	maxEjectionSteps    = 3   // ejections in a row up to which each is longer than the one before, by the shortest deadline
+	slowDeviations      = 2   // mean deviations beyond the usual overhead at which a cache is slow, not only losing answers
 
 	// A cache that is full says so at once; its source's rejection reaches it over a connection.
 	ownRejectionWithin = 25 * time.Millisecond
@@ -42,6 +42,20 @@
 
 func (h *healthRecord) isOnTrial(now time.Duration) bool { return h.ejections > 0 && !h.isEjected(now) }
 
+// count counts an outcome.
+func (h *healthRecord) count(failed bool) {
+	smooth(&h.failureShare, indicator(failed), 2*smoothing)
+	h.outcomes++
+	h.failures += indicator(failed)
+}
+
+// eject begins an ejection. It lasts a step longer than the one before, up to a limit.
+func (h *healthRecord) eject(now, step time.Duration) {
+	h.ejections++
+	h.unanswered = 0
+	h.ejectedUntil = now + step*time.Duration(min(h.ejections, maxEjectionSteps))
+}
+
 // healthy reports whether a host may be used.
 func (r *Router) healthy(h *host) bool {
 	return !h.health.isEjected(r.now) && (h.health.ejections == 0 || h.attemptsInFlight == 0)
@@ -95,7 +109,7 @@
 		}
 	case a.source.lastAnswerAt < a.sentAt && a.source != r.endpoints.origin && a.source != cache:
 		r.recordOutcome(a.source, true)
-	case !cache.isSaturated() && cache.overhead > overhead.limit(slowDeviations):
+	case !cache.isSaturated() && cache.overhead > overhead.bound(slowDeviations):
 		a.cacheBlamed = true
 		r.recordOutcome(cache, true)
 	}
@@ -104,9 +118,7 @@
 // recordOutcome counts an outcome for or against a host, and ejects it if it has become an outlier.
 func (r *Router) recordOutcome(h *host, failed bool) {
 	health := &h.health
-	smooth(&health.failureShare, indicator(failed), 2*smoothing)
-	health.outcomes++
-	health.failures += indicator(failed)
+	health.count(failed)
 	if !failed {
 		if health.isOnTrial(r.now) && health.failureShare < outlierFailureShare {
 			health.ejections = 0
@@ -151,9 +163,7 @@
 	if float64(ejected) > maxEjectedShare*float64(ready) {
 		return
 	}
-	h.health.ejections++
-	h.health.unanswered = 0
-	h.health.ejectedUntil = r.now + r.shortestDeadline*time.Duration(min(h.health.ejections, maxEjectionMultiplier))
+	h.health.eject(r.now, r.shortestDeadline)
 }
 
 // HostOutcomes passes what was seen of each host since it was called last: outcomes, how many of
--- a/internal/decision/placement.go
+++ b/internal/decision/placement.go
@@ -23,7 +23,7 @@
 	loadBoundDeviations = 3    // standard deviations of that share that are put down to chance
 	loadBoundMin        = 4    // attempts in flight that a cache may always have: smaller counts compare badly
 
-	coldParentsFetchShare = 0.5 // share of fills that parents had to fetch from which they are likely to miss any object
+	likelyMissFetchShare = 0.5 // share of fills that parents had to fetch from which they are likely to miss any object
 )
 
 // fetchDepth is how deep an attempt may fetch an object.
@@ -35,15 +35,15 @@
 	fetchAnywhere
 )
 
-// fetchDepth decides how deep a request may fetch, and whether it may be sent at all. While fills
+// chooseDepth decides how deep a request may fetch, and whether it may be sent at all. While fills
 // are limited, what the cache has is looked up first, and while fetches are limited, what the
 // parents have: only a known miss needs capacity under a limit.
-func (r *Router) fetchDepth(q *request, cache, source *host) (depth fetchDepth, ok bool) {
+func (r *Router) chooseDepth(q *request, cache, source *host) (depth fetchDepth, ok bool) {
 	knownMiss := q.knownMiss(cache)
 	fills := &r.limits.fills
 	fetches := &r.limits.fetches
 	switch {
-	case r.now+q.sendTime+seconds(r.estimates.overhead.limit(1)) > q.deadline: // too short a deadline for a fill
+	case r.now+q.sendTime+seconds(r.estimates.overhead.bound(1)) > q.deadline: // too short a deadline for a fill
 		return fetchFromCache, knownMiss < fetchFromCache
 	case r.inSlowStart(cache, q) && fills.fits(q.headroom) && fetches.fits(q.headroom): // a lookup would spend its budget too
 		return fetchAnywhere, true
@@ -162,7 +162,7 @@
 // lately, a parent is out, or most fills had to be fetched.
 func (r *Router) parentsLikelyMiss(q *request) bool {
 	_, purged := r.purges.last(q.Object, q.PurgeGroup)
-	return purged || r.estimates.fetchShare > coldParentsFetchShare ||
+	return purged || r.estimates.fetchShare > likelyMissFetchShare ||
 		slices.ContainsFunc(r.endpoints.parents, func(p *host) bool { return !p.isReady || !r.healthy(p) })
 }
 
--- a/internal/decision/requests.go
+++ b/internal/decision/requests.go
@@ -103,7 +103,7 @@
 
 // lastSendAt is the last clock time at which a request can be sent and still meet its objective.
 func (r *Router) lastSendAt(q *request) time.Duration {
-	return q.objectiveAt - q.sendTime - seconds(r.estimates.overhead.limit(1))
+	return q.objectiveAt - q.sendTime - seconds(r.estimates.overhead.bound(1))
 }
 
 // finish forgets a request that has its final answer, and cancels the attempt that is still out for
--- a/internal/decision/retries.go
+++ b/internal/decision/retries.go
@@ -118,7 +118,7 @@
 	// While fetches are short or no parent sends, all fills are slow, and another one would add to
 	// the overload.
 	fillsAreSlow := a.source != cache && a.depth == fetchAnywhere &&
-		(r.limits.fetches.isLimited() || !r.anyParentAnsweredSince(a.sentAt))
+		(r.limits.fetches.isLimited() || !r.endpoints.parentAnsweredSince(a.sentAt))
 	if fillsAreSlow || cache.lastAnswerAt < a.sentAt && !r.hasOtherCache(q, cache) {
 		return false
 	}
--- a/internal/decision/router.go
+++ b/internal/decision/router.go
@@ -106,7 +106,7 @@
 		r.directorsTotal = max(1, e.Total)
 	case QuotaShare:
 		if h := r.endpoints.byID[e.Host]; h != nil {
-			h.slowStart.quotaShare = e.Share
+			h.quotaShare = e.Share
 		}
 	case AggregatedHealth:
 		if h := r.endpoints.byID[e.Host]; h != nil {
--- a/internal/decision/slowstart.go
+++ b/internal/decision/slowstart.go
@@ -22,14 +22,23 @@
 	unservedDemandShare = 0.3  // share of demand that stands for load before any was served: clients repeat their requests
 )
 
-// slowStartState is what is known of a host for slow start.
-type slowStartState struct {
+// tokenBucket is what may be sent to a host in slow start at once.
+type tokenBucket struct {
 	tokens     float64 // seconds of sending time
 	refilledAt time.Duration
-	isSeeded   bool    // the bucket has got its first tokens
-	quotaShare float64 // see QuotaShare; 0: an even share
+	isStarted  bool // it has been filled before
 }
 
+// refill adds the tokens of the time since the last refill, at a rate per second and up to a
+// maximum.
+func (b *tokenBucket) refill(rate, maxTokens float64, now time.Duration) {
+	b.tokens = min(maxTokens, b.tokens+rate*(now-b.refilledAt).Seconds())
+	b.refilledAt = now
+	b.isStarted = true
+}
+
+func (b *tokenBucket) spend(tokens float64) { b.tokens -= tokens }
+
 // slowStartBudget is what this director may send to a host in slow start.
 type slowStartBudget struct {
 	rate float64 // seconds of sending time per second
@@ -38,7 +47,7 @@
 }
 
 // SetSlowStartShare has a function give the share, of 1, of this director's load that stands for
-// capacity where hosts have no listed one. It is called from Handle.
+// capacity where hosts have no listed one. Handle and SlowStartDemand call it.
 func (r *Router) SetSlowStartShare(share func() float64) { r.slowStartShare = share }
 
 // slowStartBudget is the budget of a host for attempts such as a request's; ok is false if the host
@@ -65,7 +74,7 @@
 // sending time per second.
 func (r *Router) capacityShare(h *host, isParent bool) float64 {
 	if r.settings.WeightMode == WeightModeNominal && h.Weight > 0 {
-		return h.Weight * cmp.Or(h.slowStart.quotaShare, 1/r.directorsSharing(isParent))
+		return h.Weight * cmp.Or(h.quotaShare, 1/r.directorsSharing(isParent))
 	}
 	served := max(r.load.bestServed, r.load.demand.rate*unservedDemandShare)
 	if r.slowStartShare != nil {
@@ -97,32 +106,30 @@
 	if !ok {
 		return true
 	}
-	state := &h.slowStart
+	bucket := &h.slowStart
 	burst := budget.rate * budget.rule.Window.Seconds() * slowStartBurst
-	capacity := max(burst, r.estimates.meanSend[q.classIndex])
-	if !state.isSeeded && burst < capacity {
+	maxTokens := max(burst, r.estimates.meanSend[q.classIndex])
+	if !bucket.isStarted && burst < maxTokens {
 		// Many directors have less than one attempt to spend each. Random first tokens keep them
 		// from spending it all at once.
-		state.tokens = r.random.Float64() * capacity
-		state.refilledAt = r.now
+		bucket.tokens = r.random.Float64() * maxTokens
+		bucket.refilledAt = r.now
 	}
-	state.isSeeded = true
-	state.tokens = min(capacity, state.tokens+budget.rate*(r.now-state.refilledAt).Seconds())
-	state.refilledAt = r.now
-	return state.tokens >= budget.cost
+	bucket.refill(budget.rate, maxTokens, r.now)
+	return bucket.tokens >= budget.cost
 }
 
 // spendSlowStart counts an attempt, or the given share of one, against a host's budget.
 func (r *Router) spendSlowStart(h *host, q *request, share float64) {
 	if budget, ok := r.slowStartBudget(h, q); ok {
-		h.slowStart.tokens -= share * budget.cost
+		h.slowStart.spend(share * budget.cost)
 	}
 }
 
 // SlowStartDemand passes, for each listed host in slow start, what this director would send there,
 // as a share of what all directors together may send.
 func (r *Router) SlowStartDemand(report func(h HostID, demand float64)) {
-	usual := &request{sendTime: seconds(r.estimates.meanSend[0])}
+	usual := &request{sendTime: seconds(r.estimates.meanSend[0])} // of the first class
 	for _, hosts := range [][]*host{r.endpoints.caches, r.endpoints.parents} {
 		for _, h := range hosts {
 			budget, ok := r.slowStartBudget(h, usual)
@@ -134,7 +141,7 @@
 			if isParent {
 				demand *= r.estimates.plannedMissShare()
 			}
-			share := cmp.Or(h.slowStart.quotaShare, 1/r.directorsSharing(isParent))
+			share := cmp.Or(h.quotaShare, 1/r.directorsSharing(isParent))
 			report(h.Host, demand/(budget.rate/share))
 		}
 	}
