--- a/cmd/stairvane-sim/main.go
+++ b/cmd/stairvane-sim/main.go
@@ -1,4 +1,6 @@
-// Command stairvane-sim hosts instances of the decision module on the simulator's wire.
+// Command stairvane-sim hosts the decision module for the simulator. It speaks the simulator's
+// protocol on standard input and output, and exits with 1 and one line on standard error when a
+// line cannot be read.
 package main
 
 import (
--- a/internal/decision/helpers_test.go
+++ b/internal/decision/helpers_test.go
@@ -16,7 +16,7 @@
 			Name: "clip", LatencyObjective: 400 * ms, ObjectiveStretch: 2, Deadline: 4 * time.Second, PriorityWeight: 1,
 			Idempotency: Idempotent, DedupWindow: time.Second,
 		}},
-		WeightMode: WeightModeOff, CacheStatusMode: CacheStatusModeAll, SiblingMode: SiblingModeOff,
+		WeightMode: WeightModeOff, CacheStatusMode: CacheStatusModeAll,
 		JoinsFills: true, Cancel: true, HedgedRequests: true, RetryAfter: true,
 		MaxAttempts: 6, MaxRetryAfter: 700 * ms, AnswerGrace: 8 * ms,
 		DrainGrace: 250 * ms, PurgeGrace: 300 * ms, PurgeDone: 5 * time.Second,
--- a/internal/decision/router_test.go
+++ b/internal/decision/router_test.go
@@ -30,10 +30,10 @@
 	s := testSettings()
 	s.JoinsFills = rng.IntN(2) == 0
 	s.HedgedRequests = rng.IntN(2) == 0
-	s.DirectToSource = rng.IntN(2) == 0
+	rng.IntN(2) // keeps the events of each seed
 	s.CacheStatusMode = []CacheStatusMode{CacheStatusModeAll, CacheStatusModeHits, CacheStatusModeNone}[rng.IntN(3)]
 	s.Classes[0].Idempotency = []Idempotency{Idempotent, IdempotentWithKey, NonIdempotent}[rng.IntN(3)]
-	s.SiblingMode = []SiblingMode{SiblingModeOff, SiblingModeLocation}[rng.IntN(2)]
+	rng.IntN(2) // likewise
 	s.Directors = 60
 	s.DirectorsByZone = []int{0, 1 + rng.IntN(9)}
 	r := startRouter(t, s)
--- a/internal/decision/settings.go
+++ b/internal/decision/settings.go
@@ -7,7 +7,6 @@
 type Settings struct {
 	Zone       string   // own zone; its caches answer the requests
 	Zones      []string // all zones, in the order of the lists by zone below
-	Instance   int      // number of this director among all
 	Directors  int      // directors in all zones
 	Kinds      []string // kinds of hosts, as Endpoint.Kind names them
 	ParentKind int      // index in Kinds of the parent caches; negative: there are none
@@ -15,20 +14,15 @@
 	Classes    []Class
 
 	DirectorsByZone []int           // directors that serve each zone; 0: not known, all directors may
-	ParentsByZone   []int           // parent caches of each zone
-	LinkKBPerS      []float64       // each zone's link in, in kB/s; 0: not known
 	FlowKBPerS      float64         // pace of one transfer to a client, in kB/s; 0: not known
 	WeightMode      WeightMode      // meaning of Endpoint.Weight
 	CacheStatusMode CacheStatusMode // what answers report of how they were served
-	SiblingMode     SiblingMode     // which caches may be the source of a fill
 	JoinsFills      bool            // a cache can let a request join a fill under way
-	DirectToSource  bool            // requests may go to a parent or the origin themselves
 
 	MustWatch     bool          // discovery sends changes only to who watches
 	NotifiedAfter time.Duration // discovery counts a director that has not polled for this long as notified
 
 	Cancel         bool          // attempts can be cancelled
-	Probes         bool          // hosts can be health checked
 	HedgedRequests bool          // a request may have two attempts out
 	RetryAfter     bool          // a rejected client obeys Retry-After
 	MaxAttempts    int           // attempts of one request
@@ -36,9 +30,6 @@
 	MaxRetryAfter  time.Duration // longest Retry-After
 	DialTimeout    time.Duration // connecting to a host
 
-	ProbePrice float64 // cost of a health check, in requests
-	WastePrice float64 // cost of an attempt that served nobody, in requests
-
 	AnswerGrace time.Duration // an attempt that timed out this close to the deadline has no time for a retry
 	DrainGrace  time.Duration // a draining host finishes what it was sent within this
 	PurgeGrace  time.Duration // a purge is notified to all within this
@@ -46,9 +37,6 @@
 
 	CacheSlowStart  SlowStart
 	ParentSlowStart SlowStart
-
-	OriginLimitFactor float64       // load over capacity at which the origin fails
-	OriginFall        time.Duration // over this long
 }
 
 // Class is the configuration of one class of requests.
@@ -58,16 +46,12 @@
 	ObjectiveStretch float64       // the objective grows by this many times the request's sending time
 	Deadline         time.Duration // how long a client waits in all
 	PriorityWeight   float64       // weight of a request served in time
-	LateWeight       float64       // share of it that a request served after its objective has
 	Idempotency      Idempotency
 	DedupScope       DedupScope    // hosts that drop repeats of a request with an idempotency key
 	DedupWindow      time.Duration // for this long after the first attempt
-	Stream           bool          // answers are streamed
 	FreshFor         time.Duration // how long a cached object is fresh; 0: until it is purged
 	StaleFor         time.Duration // how much older than that a cached object may be served
-	StaleWeight      float64       // share of the weight that a stale answer has
 	Uncacheable      bool          // answers are never cached; the origin makes each
-	MultiPart        bool          // objects have several parts
 }
 
 // Idempotency tells whether a class of requests may be repeated.
@@ -111,16 +95,6 @@
 	WeightModeLive    WeightMode = "live"    // relative size that changes with load; not used for placement
 )
 
-// SiblingMode is which caches may be the source of a fill.
-type SiblingMode string
-
-// The modes of siblings.
-const (
-	SiblingModeOff      SiblingMode = "off"
-	SiblingModeLocation SiblingMode = "location"
-	SiblingModeAny      SiblingMode = "any"
-)
-
 // SlowStart is how much load a host bears that has just started.
 type SlowStart struct {
 	InitialShare   float64       // share of its capacity at the start
--- a/internal/protocol/simulator/digest_test.go
+++ b/internal/protocol/simulator/digest_test.go
@@ -20,7 +20,7 @@
 	"stairvane.org/stairvane/internal/decision"
 )
 
-var updateDigest = flag.Bool("update-digest", false, "write the decision digests anew, after a change that is meant to alter decisions")
+var updateDigest = flag.Bool("update-digest", false, "write new decision digests, after a change that is meant to alter decisions")
 
 const (
 	digestBlocks       = 20  // digests in the file
@@ -28,8 +28,8 @@
 	digestFile         = "decisions.digest"
 )
 
-// TestDecisionDigest guards against a refactoring that changes a decision: it hashes every action of the decision module over
-// generated days in which every event, status, note and setting occurs.
+// TestDecisionDigest guards against a refactoring that changes a decision: it hashes every action of
+// the decision module over generated days in which every event, status and setting occurs.
 func TestDecisionDigest(t *testing.T) {
 	seen := map[string]int{}
 	var got strings.Builder
@@ -62,7 +62,7 @@
 	}
 }
 
-// digestKinds are the events and outcomes that have to occur, and the actions that have to follow.
+// digestKinds are the events, results and actions that have to occur.
 var digestKinds = []string{
 	"up", "topology changes", "topology all", "topology remembered", "topology refused", "query", "answer", "first", "invalidated object",
 	"invalidated group", "left", "alarm", "status_back", "peer", "bound", "peers", "quota", "health", "evidence", "cold demand",
@@ -73,7 +73,7 @@
 	"do obtain", "do deny", "do drop_request", "do abort_attempt", "do after", "do stream_changes",
 }
 
-// digestEvent is a line that comes at a time.
+// digestEvent is a line that the server gets at a time.
 type digestEvent struct {
 	at    time.Duration
 	order int
@@ -97,8 +97,8 @@
 	return last
 }
 
-// digestDay plays one generated day against one instance over the simulator's own protocol, so that it depends on no name of the
-// decision module but those of the events that the protocol lacks.
+// digestDay plays one generated day against one Router over the simulator's protocol. It depends on
+// no name of the decision module but those of the events that the protocol does not have.
 type digestDay struct {
 	t        *testing.T
 	rng      *rand.Rand
@@ -109,7 +109,7 @@
 	queue    digestQueue
 	order    int
 	classes  int
-	members  []string // by number, their lines without readiness and start
+	members  []string // lines of the endpoints without readiness and start
 	ended    map[string]bool
 	attempts map[string]int
 	open     map[string]string // attempt to its host, while it is out
@@ -118,8 +118,16 @@
 }
 
 func newDigestDay(t *testing.T, seed uint64, sum hash.Hash, seen map[string]int) *digestDay {
-	d := &digestDay{t: t, rng: rand.New(rand.NewPCG(seed, 29)), sum: sum, seen: seen, ended: map[string]bool{}, attempts: map[string]int{}, open: map[string]string{}}
-	d.server = &server{out: bufio.NewWriter(&d.out), instances: map[int]*decision.Router{}}
+	d := &digestDay{
+		t:        t,
+		rng:      rand.New(rand.NewPCG(seed, 29)),
+		sum:      sum,
+		seen:     seen,
+		ended:    map[string]bool{},
+		attempts: map[string]int{},
+		open:     map[string]string{},
+	}
+	d.server = &server{out: bufio.NewWriter(&d.out), routers: map[int]*decision.Router{}}
 	d.faulty = []float64{0, 0.05, 0.2, 0.5, 0.9}[d.rng.IntN(5)]
 	d.slow = time.Duration(20+d.rng.IntN(800)) * time.Millisecond
 	return d
@@ -127,6 +135,10 @@
 
 func (d *digestDay) pick(words ...string) string { return words[d.rng.IntN(len(words))] }
 
+func (d *digestDay) hash(format string, args ...any) {
+	_, _ = fmt.Fprintf(d.sum, format, args...) // a hash returns no error
+}
+
 func (d *digestDay) chance(p float64) bool { return d.rng.Float64() < p }
 
 func (d *digestDay) at(at time.Duration, format string, args ...any) {
@@ -135,7 +147,8 @@
 }
 
 func (d *digestDay) settings(seed uint64) string {
-	weights, tells := d.pick("off", "nominal", "rough", "live"), d.pick("all", "hit", "off")
+	weights := d.pick("off", "nominal", "rough", "live")
+	tells := d.pick("all", "hit", "off")
 	mode := d.pick("subscribe", "push")
 	d.seen["weights "+weights]++
 	d.seen["tells "+tells]++
@@ -143,34 +156,48 @@
 	d.classes = 1 + d.rng.IntN(4)
 	words := []string{
 		"Zone=west", "Areas=west,east,mid", "SlotNo=" + fmt.Sprint(d.rng.IntN(5)), "Balancers=" + fmt.Sprint(1+d.rng.IntN(300)),
-		"Models=cache,parent,origin", "FamilyInfo.ParentKind=" + d.pick("1", "1", "1", "-1"), "FamilyInfo.SourceKind=" + d.pick("2", "2", "2", "-1"),
+		"Models=cache,parent,origin", "FamilyInfo.ParentKind=" + d.pick("1", "1", "1", "-1"),
+		"FamilyInfo.SourceKind=" + d.pick("2", "2", "2", "-1"),
 		"FamilyInfo.CountByZone=" + d.pick("3,1,1", "40,20,0", "0,1,1", "1,1,1"), "FamilyInfo.HubByZone=2,2,2",
-		"FamilyInfo.PipeKbPerS=" + d.pick("9000,9000,9000", "0,0,0"), "FamilyInfo.OneFlowKbPerS=" + d.pick("310", "5000", "0"),
+		"FamilyInfo.PipeKbPerS=" + d.pick("9000,9000,9000", "0,0,0"),
+		"FamilyInfo.OneFlowKbPerS=" + d.pick("310", "5000", "0"),
 		"Weights=" + weights, "FamilyInfo.Tells=" + tells, "FamilyInfo.Siblings=" + d.pick("off", "location", "any"),
 		"FamilyInfo.Joins=" + d.pick("true", "false"), "FamilyInfo.Direct=" + d.pick("true", "false"), "MembershipMode=" + mode,
-		"Rules.AskWithin=" + d.pick("2000", "8000"), "Limits.Cancel=" + d.pick("true", "true", "false"), "Limits.Probes=" + d.pick("true", "false"),
+		"Rules.AskWithin=" + d.pick("2000", "8000"), "Limits.Cancel=" + d.pick("true", "true", "false"),
+		"Limits.Probes=" + d.pick("true", "false"),
 		"Limits.SecondCopies=" + d.pick("true", "false"), "Limits.RetryAfter=" + d.pick("true", "false"),
 		"Limits.MaxAttempts=" + d.pick("1", "2", "4", "8"), "Limits.MostHeld=1000", "Limits.MaxRetryAfter=" + d.pick("0", "300", "2000"),
 		"Limits.DialTimeout=250", "Charges.Probe=0.01", "Charges.Waste=0.2", "Rules.GraceToAnswer=" + d.pick("0", "20", "100"),
 		"Rules.DrainGrace=500", "FamilyInfo.NoticeTime=300", "FamilyInfo.PurgeDone=" + d.pick("1000", "4000"),
-		"Rules.ColdFrom=" + d.pick("0.05", "0.2"), "Rules.Cold=" + d.pick("0", "4000", "9000"), "Rules.TipMultiple=" + d.pick("1.2", "2"), "Rules.Fall=" + d.pick("500", "1000"),
+		"Rules.ColdFrom=" + d.pick("0.05", "0.2"), "Rules.Cold=" + d.pick("0", "4000", "9000"),
+		"Rules.TipMultiple=" + d.pick("1.2", "2"), "Rules.Fall=" + d.pick("500", "1000"),
 		"FamilyInfo.UpperColdFrom=0.1", "FamilyInfo.ParentWarmsIn=" + d.pick("0", "6000"), "FamilyInfo.ParentBreaksAt=1.5",
 		"FamilyInfo.OriginLimitFactor=2", "FamilyInfo.RootFall=500", "Grades.count=" + fmt.Sprint(d.classes),
 	}
-	var good, older, stale, parts, pass []string
+	var freshFor, staleFor, staleWeights, multiPart, uncacheable []string
 	for i := range d.classes {
-		effect, scope := d.pick("safe", "keyed", "unsafe"), d.pick("all", "zone", "cell")
+		effect := d.pick("safe", "keyed", "unsafe")
+		scope := d.pick("all", "zone", "cell")
 		d.seen["effect "+effect]++
 		d.seen["scope "+scope]++
 		class := fmt.Sprintf("Grades.%d.", i)
-		words = append(words, class+"Name=g"+fmt.Sprint(i), class+"Aim="+d.pick("100", "400", "1500"), class+"AimStretch="+d.pick("0", "1.5"),
-			class+"Deadline="+d.pick("600", "3000", "8000"), class+"Worth="+d.pick("1", "5"), class+"LateWorth=0.3", class+"Effect="+effect,
-			class+"Group="+scope, class+"DedupWindow="+d.pick("200", "1000", "10000"), class+"Stream="+d.pick("true", "false"))
-		good, older = append(good, d.pick("0", "500", "60000")), append(older, d.pick("0", "2000"))
-		stale, parts, pass = append(stale, "0.5"), append(parts, d.pick("true", "false")), append(pass, d.pick("false", "false", "false", "true"))
+		words = append(words, class+"Name=g"+fmt.Sprint(i), class+"Aim="+d.pick("100", "400", "1500"),
+			class+"AimStretch="+d.pick("0", "1.5"), class+"Deadline="+d.pick("600", "3000", "8000"),
+			class+"Worth="+d.pick("1", "5"), class+"LateWorth=0.3", class+"Effect="+effect, class+"Group="+scope,
+			class+"DedupWindow="+d.pick("200", "1000", "10000"), class+"Stream="+d.pick("true", "false"))
+		freshFor = append(freshFor, d.pick("0", "500", "60000"))
+		staleFor = append(staleFor, d.pick("0", "2000"))
+		staleWeights = append(staleWeights, "0.5")
+		multiPart = append(multiPart, d.pick("true", "false"))
+		uncacheable = append(uncacheable, d.pick("false", "false", "false", "true"))
 	}
-	words = append(words, "FamilyInfo.GoodFor="+strings.Join(good, ","), "FamilyInfo.OlderBy="+strings.Join(older, ","),
-		"FamilyInfo.StaleEarns="+strings.Join(stale, ","), "FamilyInfo.MultiPart="+strings.Join(parts, ","), "FamilyInfo.PassOn="+strings.Join(pass, ","))
+	words = append(words,
+		"FamilyInfo.GoodFor="+strings.Join(freshFor, ","),
+		"FamilyInfo.OlderBy="+strings.Join(staleFor, ","),
+		"FamilyInfo.StaleEarns="+strings.Join(staleWeights, ","),
+		"FamilyInfo.MultiPart="+strings.Join(multiPart, ","),
+		"FamilyInfo.PassOn="+strings.Join(uncacheable, ","),
+	)
 	d.seen["up"]++
 	return fmt.Sprintf("up 1 %d %s", seed, strings.Join(words, " "))
 }
@@ -181,7 +208,7 @@
 	d.do(d.settings(seed))
 	if d.chance(0.4) {
 		share := d.rng.Float64()
-		d.server.instances[1].SetSlowStartShare(func() float64 { return share })
+		d.server.routers[1].SetSlowStartShare(func() float64 { return share })
 	}
 	d.schedule()
 	limit := 20_000
@@ -196,11 +223,12 @@
 	}
 }
 
-// place draws the hosts.
+// place draws the endpoints.
 func (d *digestDay) place() {
 	hosts := func(first, n int, kind string, zones ...string) {
 		for i := range n {
-			d.members = append(d.members, fmt.Sprintf("%d %s %s %d %%s %s %%s", first+i, d.pick(zones...), kind, d.rng.IntN(3), d.pick("1", "2.5", "40", "0", "-")))
+			d.members = append(d.members, fmt.Sprintf("%d %s %s %d %%s %s %%s",
+				first+i, d.pick(zones...), kind, d.rng.IntN(3), d.pick("1", "2.5", "40", "0", "-")))
 		}
 	}
 	hosts(1, 1+d.rng.IntN(12), "cache", "west", "west", "west", "west", "east")
@@ -208,7 +236,7 @@
 	hosts(200, d.rng.IntN(3), "origin", "mid")
 }
 
-// schedule draws what comes from outside.
+// schedule draws the events that do not follow from actions.
 func (d *digestDay) schedule() {
 	d.at(0, "list all")
 	for n := d.rng.IntN(6); n > 0; n-- {
@@ -219,8 +247,9 @@
 	for n := 20 + d.rng.IntN(160); n > 0; n-- {
 		at := time.Duration(d.rng.IntN(spread)) * time.Millisecond
 		id := fmt.Sprintf("q%d", n)
-		d.at(at, "query 1 %s %016x %d %s %s %s %d %s g%d", id, 1+d.rng.IntN(objects), d.rng.IntN(8), d.pick("0", "12", "300", "2500", "-"),
-			d.pick("t1", "t1", "t2", "-"), d.pick("40", "500", "3000", "8000"), d.rng.IntN(2), d.pick("0", "1", "2"), d.rng.IntN(d.classes+d.rng.IntN(2)))
+		d.at(at, "query 1 %s %016x %d %s %s %s %d %s g%d", id, 1+d.rng.IntN(objects), d.rng.IntN(8),
+			d.pick("0", "12", "300", "2500", "-"), d.pick("t1", "t1", "t2", "-"), d.pick("40", "500", "3000", "8000"),
+			d.rng.IntN(2), d.pick("0", "1", "2"), d.rng.IntN(d.classes+d.rng.IntN(2)))
 		if d.chance(0.08) {
 			d.at(at+time.Duration(d.rng.IntN(2000))*time.Millisecond, "left 1 %s", id)
 		}
@@ -259,14 +288,12 @@
 	return number
 }
 
-// do has one event happen, hashes what follows and draws what that brings.
+// do plays one event, hashes the actions and draws the events that follow from them.
 func (d *digestDay) do(line string) {
 	name, rest, _ := strings.Cut(line, " ")
-	instance := d.server.instances[1]
+	router := d.server.routers[1]
 	handle := func(e decision.Event) {
-		for _, a := range instance.Handle(d.server.now, e) {
-			writeAction(d.server.out, 1, a)
-		}
+		d.server.writeActions(1, router.Handle(d.server.now, e))
 	}
 	var text string
 	var number, other int
@@ -278,7 +305,9 @@
 	case "bound":
 		_, _ = fmt.Sscan(rest, new(string), &text, &number, &other)
 		id, _, _ := strings.Cut(rest, " ")
-		handle(decision.PriorAttempt{Request: decision.RequestID(id), Zone: text, Cell: number, Age: time.Duration(other) * time.Millisecond})
+		handle(decision.PriorAttempt{
+			Request: decision.RequestID(id), Zone: text, Cell: number, Age: time.Duration(other) * time.Millisecond,
+		})
 	case "peers":
 		_, _ = fmt.Sscan(rest, &number, &other)
 		handle(decision.PeerCounts{InZone: number, Total: other})
@@ -289,16 +318,16 @@
 		_, _ = fmt.Sscan(rest, &number, &share)
 		handle(decision.AggregatedHealth{Host: decision.HostID(number), FailureShare: share})
 	case "evidence":
-		d.evidence(instance)
+		d.hostOutcomes(router)
 	case "cold":
-		d.coldDemand(instance)
+		d.slowStartDemand(router)
 	default:
 		if name == "answer" && d.rewriteAnswer(rest) != "" {
 			line = "answer " + d.rewriteAnswer(rest)
 			id, _, _ := strings.Cut(strings.TrimPrefix(rest, "1 "), " ")
 			d.noteEnd(id, line)
 		}
-		if err := d.server.event(line); err != nil {
+		if err := d.server.handleLine(line); err != nil {
 			d.t.Fatalf("%q: %v", line, err)
 		}
 	}
@@ -345,12 +374,13 @@
 }
 
 func (d *digestDay) event(line string) {
-	if err := d.server.event(line); err != nil {
+	if err := d.server.handleLine(line); err != nil {
 		d.t.Fatalf("%q: %v", line, err)
 	}
 }
 
-// rewriteAnswer gives an answer its terminal flag as it stands when it comes; empty: the line stays.
+// rewriteAnswer returns an answer with the terminal flag that it has when it arrives; empty: the
+// line stays.
 func (d *digestDay) rewriteAnswer(rest string) string {
 	words := strings.Split(rest, " ")
 	if len(words) < 9 {
@@ -369,12 +399,12 @@
 	}
 }
 
-// collect hashes the actions and draws what the caches make of them.
+// collect hashes the actions and draws what the caches do with them.
 func (d *digestDay) collect() {
 	_ = d.server.out.Flush()
 	text := d.out.String()
 	d.out.Reset()
-	fmt.Fprintf(d.sum, "%d\n%s", d.server.now, text)
+	d.hash("%d\n%s", d.server.now, text)
 	for line := range strings.Lines(text) {
 		words := strings.Split(strings.TrimSuffix(line, "\n"), " ")
 		d.seen["do "+words[0]]++
@@ -393,7 +423,7 @@
 	}
 }
 
-// answer draws how a cache answers an attempt.
+// answer draws the result of an attempt.
 func (d *digestDay) answer(words []string) {
 	id, host := words[2], words[3]
 	number := d.attempts[id]
@@ -401,7 +431,7 @@
 	key := fmt.Sprintf("%s:%d", id, number)
 	d.open[key] = host
 	if d.chance(0.03) {
-		return // it is never answered
+		return // no answer comes
 	}
 	took := time.Duration(d.rng.Int64N(int64(2 * d.slow)))
 	status, note := "ok", d.pick("0", "1", "1", "2", "3", "4", "5")
@@ -428,7 +458,7 @@
 	d.at(d.server.now+took, "answer 1 %s 0 %s %s %d %s %s %d %s", id, firstByte, host, number, note, status, took.Milliseconds(), report)
 }
 
-// cancelled answers an attempt that was called off.
+// cancelled schedules the result of a cancelled attempt.
 func (d *digestDay) cancelled(words []string) {
 	key := words[2] + ":" + words[3]
 	host, out := d.open[key]
@@ -438,17 +468,17 @@
 	d.at(d.server.now+time.Millisecond, "answer 1 %s 0 - %s %s 0 cancelled 10 -", words[2], host, words[3])
 }
 
-func (d *digestDay) evidence(instance *decision.Router) {
+func (d *digestDay) hostOutcomes(router *decision.Router) {
 	var lines []string
-	instance.HostOutcomes(func(h decision.HostID, tried, failed, lag float64) {
-		lines = append(lines, fmt.Sprintf("%d %v %v %v\n", h, tried, failed, lag))
+	router.HostOutcomes(func(h decision.HostID, outcomes, failures, overhead float64) {
+		lines = append(lines, fmt.Sprintf("%d %v %v %v\n", h, outcomes, failures, overhead))
 	})
 	slices.Sort(lines) // they come in the order of a map
-	fmt.Fprint(d.sum, lines)
+	d.hash("%s", fmt.Sprint(lines))
 }
 
-func (d *digestDay) coldDemand(instance *decision.Router) {
-	instance.SlowStartDemand(func(h decision.HostID, demand float64) { fmt.Fprintf(d.sum, "%d %v\n", h, demand) })
-	now, best := instance.ServedRate()
-	fmt.Fprintf(d.sum, "%v %v\n", now, best)
+func (d *digestDay) slowStartDemand(router *decision.Router) {
+	router.SlowStartDemand(func(h decision.HostID, demand float64) { d.hash("%d %v\n", h, demand) })
+	now, best := router.ServedRate()
+	d.hash("%v %v\n", now, best)
 }
--- a/internal/protocol/simulator/wire_test.go
+++ b/internal/protocol/simulator/server_test.go
@@ -8,13 +8,15 @@
 	"testing"
 )
 
-const up = "up 3 8565319633688438 Areas=hub,west Balancers=1 FamilyInfo.ParentKind=1 FamilyInfo.SourceKind=2 " +
+// upLine starts a director of the zone west.
+const upLine = "up 3 8565319633688438 Areas=hub,west Balancers=1 FamilyInfo.ParentKind=1 FamilyInfo.SourceKind=2 " +
 	"FamilyInfo.Joins=true FamilyInfo.OneFlowKbPerS=1000.0 FamilyInfo.Tells=all FamilyInfo.GoodFor=0.0 " +
 	"Grades.count=1 Grades.0.Name=clip Grades.0.Aim=400.0 Grades.0.AimStretch=2.0 Grades.0.Deadline=4000.0 " +
 	"Grades.0.Effect=safe Limits.MaxAttempts=6 Limits.MaxRetryAfter=500.0 Models=cache,parent,origin Orgs= " +
 	"Zone=west Not.Known=whatever\n"
 
-const list = "define_list 0 3\nitem 51 west cache 0 IN 1 -\nitem 70 hub parent 1 IN 1.5 6100.0\n" +
+// listLines give it a cache, a parent and an origin.
+const listLines = "define_list 0 3\nitem 51 west cache 0 IN 1 -\nitem 70 hub parent 1 IN 1.5 6100.0\n" +
 	"item 90 hub origin 2 IN 1 -\ntopology 3 remembered 41 0\n"
 
 func serve(t *testing.T, in string) (string, error) {
@@ -31,13 +33,13 @@
 	}
 }
 
-func TestDay(t *testing.T) {
-	out, err := serve(t, "clock 10\n"+up+list+"go\n"+
+func TestBatches(t *testing.T) {
+	out, err := serve(t, "clock 10\n"+upLine+listLines+"go\n"+
 		"clock 20\nquery 3 t/a 91f03b7c55d20a64 0 100 - 240.0 0 11 clip\ngo\n"+
 		"clock 30\nanswer 3 t/a 1 9.4 51 0 2 ok 18.5 cpu_share:0.5,unknown:1\nalarm 3 watch:t/a:0\n"+
 		"left 3 t/never\nstatus_back 3 51 ok 3.5 -\npeer 3 1 68\nfirst 3 t/a 0 51 1.5\n"+
 		"invalidated 3 - 11 85.0\ninvalidated 3 0000007c55d20a01 11 85.0\ntopology 3 refused 41 -\ngo\n"+
-		"clock 30\n"+up+"topology 3 remembered 41 0\npower_off 3\nquery 3 t/b 91f03b7c55d20a64 0 100 - 240 0 11 clip\ngo\n")
+		"clock 30\n"+upLine+"topology 3 remembered 41 0\npower_off 3\nquery 3 t/b 91f03b7c55d20a64 0 100 - 240 0 11 clip\ngo\n")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,20 +50,20 @@
 		t.Errorf("%d replies, want 4", got)
 	}
 	if strings.Contains(out, "t/b") {
-		t.Error("an instance that was killed still answers")
+		t.Error("a director that was powered off still answers")
 	}
 }
 
-func TestTableNumbersAreReusedWithinABatch(t *testing.T) {
-	second := strings.ReplaceAll(list, " 51 ", " 52 ")
-	out, err := serve(t, "clock 10\n"+up+list+second+"query 3 t/a 91f03b7c55d20a64 0 100 - 240 0 11 clip\ngo\n")
+func TestListNumberIsReusedWithinBatch(t *testing.T) {
+	second := strings.ReplaceAll(listLines, " 51 ", " 52 ")
+	out, err := serve(t, "clock 10\n"+upLine+listLines+second+"query 3 t/a 91f03b7c55d20a64 0 100 - 240 0 11 clip\ngo\n")
 	if err != nil || !strings.Contains(out, "obtain 3 t/a 52 ") {
 		t.Errorf("got %q, %v", out, err)
 	}
 }
 
 func TestBadInput(t *testing.T) {
-	head := "clock 10\n" + up
+	head := "clock 10\n" + upLine
 	for name, c := range map[string]struct{ in, want string }{
 		"no clock":          {"go\n", "line 1: clock expected"},
 		"bad clock":         {"clock x\n", "line 1: clock: field Now: not a number"},
@@ -91,7 +93,7 @@
 	}
 }
 
-// TestCommand builds and starts the adapter as the deploy file does.
+// TestCommand builds and runs stairvane-sim as the deploy file does.
 func TestCommand(t *testing.T) {
 	bin := filepath.Join(t.TempDir(), "stairvane-sim")
 	if out, err := exec.Command("go", "build", "-o", bin, "../../../cmd/stairvane-sim").CombinedOutput(); err != nil {
--- a/internal/protocol/simulator/timer.go
+++ b/internal/protocol/simulator/timer.go
@@ -16,7 +16,8 @@
 	decision.TimerObjectiveMissed: "late",
 }
 
-// formatTimer writes a timer as one word: its name, then its request and attempt where it has them, separated by colons.
+// formatTimer writes a timer as one word: its name, then its request and attempt where it has them,
+// separated by colons.
 func formatTimer(t decision.Timer) string {
 	name := timerNames[t.Kind]
 	switch t.Kind {
@@ -28,7 +29,8 @@
 	return name
 }
 
-// parseTimer reads what formatTimer wrote. A word that it did not write is the zero Timer, which the module ignores.
+// parseTimer reads what formatTimer wrote. A word that it did not write is the zero Timer, which
+// the module ignores.
 func parseTimer(word string) decision.Timer {
 	name, rest, _ := strings.Cut(word, ":")
 	for kind, known := range timerNames {
