--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -6,10 +6,11 @@
 // answer at once instead of waiting for its deadline. It is rejected if it has not run or may run
 // again, so that the client can retry it; else it fails.
 //
-// Retry-After is half of the time that is left until the request's last chance to be sent within
-// its objective: a client that obeys it can still be served in time, and clients do not all come
-// back at one moment.
+// Retry-After is half of the time that is left until the request must be sent to meet its
+// objective, so that a client that obeys it can still be served in time. It is at least
+// minRetryAfter and at most Settings.MaxRetryAfter.
 
+// minRetryAfter keeps a client whose objective has passed from retrying at once.
 const minRetryAfter = time.Millisecond
 
 // giveUp gives a request its final answer.
--- a/internal/decision/attempts.go
+++ b/internal/decision/attempts.go
@@ -182,7 +182,7 @@
 	case Full, ConnectFailed, NotSent, Miss:
 		a.mayHaveRun = false
 	}
-	switch {
+	switch { // what is no failure of the cache comes first
 	case e.Status == Miss || e.Status == Reset:
 	case e.Status == Cancelled && a.cache.lastAnswerAt >= a.sentAt: // the cache answers others; this answer was lost
 	case e.CacheStatus >= CacheStatusSourceRejected && e.CacheStatus != CacheStatusNoSpace: // the source failed, not the cache
--- a/internal/decision/coalescing.go
+++ b/internal/decision/coalescing.go
@@ -65,8 +65,7 @@
 func (r *Router) route(q *request) {
 	f := r.fills[q.key]
 	switch {
-	case f == nil || r.class(q).Uncacheable || !r.usable(f.cache, q) || q.failedAt(f.cache) ||
-		(r.settings.JoinsFills || f.cache.lastAnswerAt < f.attempt.sentAt) && !f.cache.limit.fits(q.headroom):
+	case !r.canShare(q, f):
 		r.launch(q, nil)
 	case r.settings.JoinsFills:
 		r.launch(q, f)
@@ -75,6 +74,18 @@
 	}
 }
 
+// canShare reports whether a request may join or wait for a fill. For nil it may not.
+func (r *Router) canShare(q *request, f *fill) bool {
+	if f == nil || r.class(q).Uncacheable || !r.usable(f.cache, q) || q.failedAt(f.cache) {
+		return false
+	}
+	cacheAnswers := f.cache.lastAnswerAt >= f.attempt.sentAt
+	if !r.settings.JoinsFills && cacheAnswers {
+		return true // waiting costs the cache nothing
+	}
+	return f.cache.limit.fits(q.headroom)
+}
+
 // wait has a request wait for a fill.
 func (r *Router) wait(q *request, f *fill) {
 	until := r.lastSendAt(q)
--- a/internal/decision/endpoints.go
+++ b/internal/decision/endpoints.go
@@ -23,12 +23,12 @@
 // host is an endpoint and what is known of it. Each part is explained at its rule.
 type host struct {
 	Endpoint
-	isReady          bool // listed as Ready
-	attemptsInFlight int  // of this director
-	lastAnswerAt     time.Duration
-	load             LoadReport // the last
-	overhead         float64    // smoothed overhead of its answers as a cache beyond their sending time, in seconds
-	asSource         sourceEstimate
+	isReady          bool           // listed as Ready
+	attemptsInFlight int            // of this director
+	lastAnswerAt     time.Duration  // clock time of its last answer to any attempt
+	load             LoadReport     // its last one
+	overhead         float64        // smoothed overhead of its answers as a cache beyond their sending time, in seconds
+	asSource         sourceEstimate // how it serves fills as a source
 	health           healthRecord
 	limit            concurrencyLimit
 	slowStart        tokenBucket
@@ -63,9 +63,9 @@
 	caches  []*host // of the own zone, by id
 	parents []*host // by id
 	origin  *host   // nil: none is known
-	// The most caches and parents that were known at once.
-	maxCaches  int
-	maxParents int
+
+	maxCaches  int // the most caches that were known at once
+	maxParents int // the same of parents
 }
 
 func (t *endpointTable) isParent(h *host) bool { return slices.Contains(t.parents, h) }
--- a/internal/decision/freshness.go
+++ b/internal/decision/freshness.go
@@ -13,8 +13,8 @@
 // before it may end late.
 const purgeMemory = 2
 
-// purgeResolution is added to a purge's time, so that an object cached in the same instant counts
-// as older.
+// purgeResolution is added to a purge's time, so that an object that was cached in the same instant
+// counts as purged.
 const purgeResolution = time.Millisecond
 
 // purgeLog holds the clock time of the last purge of each object and group.
--- a/internal/decision/limits.go
+++ b/internal/decision/limits.go
@@ -52,7 +52,7 @@
 	switch {
 	case l.limit == 0 && !metObjective && l.lateShare > limitFromLateShare:
 		l.limit = max(float64(l.inFlight)/2, send)
-	case l.limit == 0:
+	case l.limit == 0: // too few were late for a limit
 	case !metObjective:
 		step := limitNarrowing * min(send, l.limit/4) * factor
 		l.limit = max(l.limit-step, min(l.limit, send)) // one request may be in flight anyway
--- a/internal/decision/load.go
+++ b/internal/decision/load.go
@@ -9,8 +9,8 @@
 // second. Slow start takes them for the capacity of hosts that list none.
 
 const (
-	rateInterval   = 2.0 // seconds over which rates are measured: a few large answers
-	bestServedLife = 4   // longest deadlines over which the best served rate fades
+	rateInterval   = 2 * time.Second // over which rates are measured: a few large answers
+	bestServedLife = 4               // longest deadlines over which the best served rate fades
 )
 
 // rateMeter measures a rate.
@@ -41,7 +41,7 @@
 	if elapsed <= 0 {
 		return
 	}
-	weight := min(1, elapsed/rateInterval)
+	weight := min(1, elapsed/rateInterval.Seconds())
 	l.demand.measure(elapsed, weight)
 	l.served.measure(elapsed, weight)
 	l.bestServed = max(l.served.rate, l.bestServed*math.Exp(-elapsed/(bestServedLife*longestDeadline.Seconds())))
--- a/internal/decision/placement.go
+++ b/internal/decision/placement.go
@@ -72,7 +72,8 @@
 		bestScore := math.Inf(-1)
 		for _, h := range r.endpoints.caches {
 			switch {
-			case !h.isReady || q.failedAt(h) || !r.mayRepeat(q, h) || !r.hasSlowStartCapacity(h, q) || !h.limit.fits(q.headroom):
+			case !h.isReady || q.failedAt(h) || !r.mayRepeat(q, h):
+			case !r.hasSlowStartCapacity(h, q) || !h.limit.fits(q.headroom):
 			case preference < anyCache && !r.healthy(h):
 			case preference == notCrowded && r.crowded(h):
 			default:
--- a/internal/decision/requests.go
+++ b/internal/decision/requests.go
@@ -17,21 +17,25 @@
 	sendTime   time.Duration // that its answer takes to send to the client
 	headroom   time.Duration // sending time that must be free under a concurrency limit before it is sent
 	objective  time.Duration // its latency objective, whatever its client's timeout
-	// Clock times by which it should and must be answered.
-	objectiveAt time.Duration
-	deadline    time.Duration
-	attempts    []*attempt
-	prior       *attempt // another director's attempt that may have run; nil: none is known
-	waitingFor  *fill    // the fill that it waits for; nil: it does not wait
+
+	objectiveAt time.Duration // clock time by which it should be answered
+	deadline    time.Duration // clock time at which its client gives up
+
+	attempts   []*attempt
+	prior      *attempt // another director's attempt that may have run; nil: none is known
+	waitingFor *fill    // the fill that it waits for; nil: it does not wait
 }
 
 // firstRun is the first attempt that may have run; nil if none has.
 func (q *request) firstRun() *attempt {
+	if q.prior != nil {
+		return q.prior
+	}
 	i := slices.IndexFunc(q.attempts, func(a *attempt) bool { return a.mayHaveRun })
-	if q.prior == nil && i >= 0 {
-		return q.attempts[i]
+	if i < 0 {
+		return nil
 	}
-	return q.prior
+	return q.attempts[i]
 }
 
 // failedAt reports whether the cache has failed the request.
--- a/internal/decision/router.go
+++ b/internal/decision/router.go
@@ -16,9 +16,9 @@
 	actions    []Action      // what that event has called for so far
 
 	directorsInZone float64 // directors that serve this zone, this one included
-	directorsTotal  int
-	// The shortest and the longest deadline of all classes.
-	shortestDeadline time.Duration
+	directorsTotal  int     // directors in all zones
+
+	shortestDeadline time.Duration // of all classes
 	longestDeadline  time.Duration
 
 	endpoints      endpointTable
@@ -60,7 +60,7 @@
 	r.load.measuredAt = now
 	r.directorsInZone = r.initialDirectorsInZone()
 	r.retryBudget.tokens = maxRetryTokens(r.directorsInZone) / 2
-	for _, c := range r.settings.Classes {
+	for _, c := range r.settings.Classes { // a shortest deadline of 0 stands for none yet
 		r.shortestDeadline = min(cmp.Or(r.shortestDeadline, c.Deadline), c.Deadline)
 		r.longestDeadline = max(r.longestDeadline, c.Deadline)
 	}
@@ -138,6 +138,7 @@
 	}
 }
 
+// begin starts the handling of an event.
 func (r *Router) begin(now time.Duration) {
 	r.now = now
 	r.actions = nil
