--- a/internal/decision/latency.go
+++ b/internal/decision/latency.go
@@ -12,7 +12,7 @@
 const (
 	smoothing         = 0.1           // weight of a new sample: about the last ten results count
 	slowSmoothing     = smoothing / 4 // for what hardly changes
-	fetchSmoothing    = smoothing / 2 // for the share of fetches, which a purge changes at once
+	fetchSmoothing    = smoothing / 2 // for the share of fetches
 	sourceStaleFactor = 2             // longest deadlines after which a source's estimate is too old to be used
 )
 
--- a/internal/protocol/simulator/digest_test.go
+++ b/internal/protocol/simulator/digest_test.go
@@ -28,8 +28,8 @@
 	digestFile         = "decisions.digest"
 )
 
-// TestDecisionDigest guards against a refactoring that changes a decision: it hashes every action of
-// the decision module over generated days in which every event, status and setting occurs.
+// TestDecisionDigest guards against a refactoring that changes a decision: it hashes every action
+// of the decision module over generated days in which every event, status and setting occurs.
 func TestDecisionDigest(t *testing.T) {
 	seen := map[string]int{}
 	var got strings.Builder
@@ -100,27 +100,27 @@
 // digestDay plays one generated day against one Router over the simulator's protocol. It depends on
 // no name of the decision module but those of the events that the protocol does not have.
 type digestDay struct {
-	t        *testing.T
-	rng      *rand.Rand
-	sum      hash.Hash
-	seen     map[string]int
-	server   *server
-	out      bytes.Buffer
-	queue    digestQueue
-	order    int
-	classes  int
-	members  []string // lines of the endpoints without readiness and start
-	ended    map[string]bool
-	attempts map[string]int
-	open     map[string]string // attempt to its host, while it is out
-	faulty   float64           // share of attempts that go wrong
-	slow     time.Duration
+	t         *testing.T
+	random    *rand.Rand
+	sum       hash.Hash
+	seen      map[string]int
+	server    *server
+	out       bytes.Buffer
+	queue     digestQueue
+	order     int
+	classes   int
+	endpoints []string // lines of the endpoints without readiness and start
+	ended     map[string]bool
+	attempts  map[string]int
+	open      map[string]string // attempt to its host, while it is out
+	faulty    float64           // share of attempts that go wrong
+	slow      time.Duration
 }
 
 func newDigestDay(t *testing.T, seed uint64, sum hash.Hash, seen map[string]int) *digestDay {
 	d := &digestDay{
 		t:        t,
-		rng:      rand.New(rand.NewPCG(seed, 29)),
+		random:   rand.New(rand.NewPCG(seed, 29)),
 		sum:      sum,
 		seen:     seen,
 		ended:    map[string]bool{},
@@ -128,18 +128,18 @@
 		open:     map[string]string{},
 	}
 	d.server = &server{out: bufio.NewWriter(&d.out), routers: map[int]*decision.Router{}}
-	d.faulty = []float64{0, 0.05, 0.2, 0.5, 0.9}[d.rng.IntN(5)]
-	d.slow = time.Duration(20+d.rng.IntN(800)) * time.Millisecond
+	d.faulty = []float64{0, 0.05, 0.2, 0.5, 0.9}[d.random.IntN(5)]
+	d.slow = time.Duration(20+d.random.IntN(800)) * time.Millisecond
 	return d
 }
 
-func (d *digestDay) pick(words ...string) string { return words[d.rng.IntN(len(words))] }
+func (d *digestDay) pick(words ...string) string { return words[d.random.IntN(len(words))] }
 
 func (d *digestDay) hash(format string, args ...any) {
 	_, _ = fmt.Fprintf(d.sum, format, args...) // a hash returns no error
 }
 
-func (d *digestDay) chance(p float64) bool { return d.rng.Float64() < p }
+func (d *digestDay) chance(p float64) bool { return d.random.Float64() < p }
 
 func (d *digestDay) at(at time.Duration, format string, args ...any) {
 	d.order++
@@ -148,20 +148,20 @@
 
 func (d *digestDay) settings(seed uint64) string {
 	weights := d.pick("off", "nominal", "rough", "live")
-	tells := d.pick("all", "hit", "off")
+	cacheStatusMode := d.pick("all", "hit", "off")
 	mode := d.pick("subscribe", "push")
 	d.seen["weights "+weights]++
-	d.seen["tells "+tells]++
+	d.seen["tells "+cacheStatusMode]++
 	d.seen[mode]++
-	d.classes = 1 + d.rng.IntN(4)
+	d.classes = 1 + d.random.IntN(4)
 	words := []string{
-		"Zone=west", "Areas=west,east,mid", "SlotNo=" + fmt.Sprint(d.rng.IntN(5)), "Balancers=" + fmt.Sprint(1+d.rng.IntN(300)),
+		"Zone=west", "Areas=west,east,mid", "SlotNo=" + fmt.Sprint(d.random.IntN(5)), "Balancers=" + fmt.Sprint(1+d.random.IntN(300)),
 		"Models=cache,parent,origin", "FamilyInfo.ParentKind=" + d.pick("1", "1", "1", "-1"),
 		"FamilyInfo.SourceKind=" + d.pick("2", "2", "2", "-1"),
 		"FamilyInfo.CountByZone=" + d.pick("3,1,1", "40,20,0", "0,1,1", "1,1,1"), "FamilyInfo.HubByZone=2,2,2",
 		"FamilyInfo.PipeKbPerS=" + d.pick("9000,9000,9000", "0,0,0"),
 		"FamilyInfo.OneFlowKbPerS=" + d.pick("310", "5000", "0"),
-		"Weights=" + weights, "FamilyInfo.Tells=" + tells, "FamilyInfo.Siblings=" + d.pick("off", "location", "any"),
+		"Weights=" + weights, "FamilyInfo.Tells=" + cacheStatusMode, "FamilyInfo.Siblings=" + d.pick("off", "location", "any"),
 		"FamilyInfo.Joins=" + d.pick("true", "false"), "FamilyInfo.Direct=" + d.pick("true", "false"), "MembershipMode=" + mode,
 		"Rules.AskWithin=" + d.pick("2000", "8000"), "Limits.Cancel=" + d.pick("true", "true", "false"),
 		"Limits.Probes=" + d.pick("true", "false"),
@@ -204,10 +204,10 @@
 
 func (d *digestDay) run() {
 	d.place()
-	seed := d.rng.Uint64()
+	seed := d.random.Uint64()
 	d.do(d.settings(seed))
 	if d.chance(0.4) {
-		share := d.rng.Float64()
+		share := d.random.Float64()
 		d.server.routers[1].SetSlowStartShare(func() float64 { return share })
 	}
 	d.schedule()
@@ -227,49 +227,49 @@
 func (d *digestDay) place() {
 	hosts := func(first, n int, kind string, zones ...string) {
 		for i := range n {
-			d.members = append(d.members, fmt.Sprintf("%d %s %s %d %%s %s %%s",
-				first+i, d.pick(zones...), kind, d.rng.IntN(3), d.pick("1", "2.5", "40", "0", "-")))
+			d.endpoints = append(d.endpoints, fmt.Sprintf("%d %s %s %d %%s %s %%s",
+				first+i, d.pick(zones...), kind, d.random.IntN(3), d.pick("1", "2.5", "40", "0", "-")))
 		}
 	}
-	hosts(1, 1+d.rng.IntN(12), "cache", "west", "west", "west", "west", "east")
-	hosts(100, d.rng.IntN(4), "parent", "mid")
-	hosts(200, d.rng.IntN(3), "origin", "mid")
+	hosts(1, 1+d.random.IntN(12), "cache", "west", "west", "west", "west", "east")
+	hosts(100, d.random.IntN(4), "parent", "mid")
+	hosts(200, d.random.IntN(3), "origin", "mid")
 }
 
 // schedule draws the events that do not follow from actions.
 func (d *digestDay) schedule() {
 	d.at(0, "list all")
-	for n := d.rng.IntN(6); n > 0; n-- {
-		d.at(time.Duration(d.rng.IntN(15_000))*time.Millisecond, "list %s", d.pick("changes", "changes", "all", "remembered", "refused"))
+	for n := d.random.IntN(6); n > 0; n-- {
+		d.at(time.Duration(d.random.IntN(15_000))*time.Millisecond, "list %s", d.pick("changes", "changes", "all", "remembered", "refused"))
 	}
-	objects := 1 + d.rng.IntN(40)
-	spread := 500 + d.rng.IntN(12_000)
-	for n := 20 + d.rng.IntN(160); n > 0; n-- {
-		at := time.Duration(d.rng.IntN(spread)) * time.Millisecond
+	objects := 1 + d.random.IntN(40)
+	spread := 500 + d.random.IntN(12_000)
+	for n := 20 + d.random.IntN(160); n > 0; n-- {
+		at := time.Duration(d.random.IntN(spread)) * time.Millisecond
 		id := fmt.Sprintf("q%d", n)
-		d.at(at, "query 1 %s %016x %d %s %s %s %d %s g%d", id, 1+d.rng.IntN(objects), d.rng.IntN(8),
+		d.at(at, "query 1 %s %016x %d %s %s %s %d %s g%d", id, 1+d.random.IntN(objects), d.random.IntN(8),
 			d.pick("0", "12", "300", "2500", "-"), d.pick("t1", "t1", "t2", "-"), d.pick("40", "500", "3000", "8000"),
-			d.rng.IntN(2), d.pick("0", "1", "2"), d.rng.IntN(d.classes+d.rng.IntN(2)))
+			d.random.IntN(2), d.pick("0", "1", "2"), d.random.IntN(d.classes+d.random.IntN(2)))
 		if d.chance(0.08) {
-			d.at(at+time.Duration(d.rng.IntN(2000))*time.Millisecond, "left 1 %s", id)
+			d.at(at+time.Duration(d.random.IntN(2000))*time.Millisecond, "left 1 %s", id)
 		}
 		if d.chance(0.08) {
-			d.at(at, "bound %s %s %d %d", id, d.pick("west", "east"), d.rng.IntN(3), d.rng.IntN(900))
+			d.at(at, "bound %s %s %d %d", id, d.pick("west", "east"), d.random.IntN(3), d.random.IntN(900))
 		}
 	}
-	for n := d.rng.IntN(12); n > 0; n-- {
-		at := time.Duration(d.rng.IntN(spread+3000)) * time.Millisecond
-		switch d.rng.IntN(9) {
+	for n := d.random.IntN(12); n > 0; n-- {
+		at := time.Duration(d.random.IntN(spread+3000)) * time.Millisecond
+		switch d.random.IntN(9) {
 		case 0:
-			d.at(at, "invalidated 1 %016x - %d", 1+d.rng.IntN(objects), d.rng.IntN(900))
+			d.at(at, "invalidated 1 %016x - %d", 1+d.random.IntN(objects), d.random.IntN(900))
 		case 1:
-			d.at(at, "invalidated 1 - %d %d", d.rng.IntN(3), d.rng.IntN(900))
+			d.at(at, "invalidated 1 - %d %d", d.random.IntN(3), d.random.IntN(900))
 		case 2:
-			d.at(at, "peers %d %d", d.rng.IntN(9), 1+d.rng.IntN(300))
+			d.at(at, "peers %d %d", d.random.IntN(9), 1+d.random.IntN(300))
 		case 3:
-			d.at(at, "quota %d %v", 1+d.rng.IntN(12), d.rng.Float64())
+			d.at(at, "quota %d %v", 1+d.random.IntN(12), d.random.Float64())
 		case 4:
-			d.at(at, "health %d %v", d.pickHost(), d.rng.Float64())
+			d.at(at, "health %d %v", d.pickHost(), d.random.Float64())
 		case 5:
 			d.at(at, "evidence")
 		case 6:
@@ -284,7 +284,7 @@
 
 func (d *digestDay) pickHost() int {
 	var number int
-	_, _ = fmt.Sscan(d.members[d.rng.IntN(len(d.members))], &number)
+	_, _ = fmt.Sscan(d.endpoints[d.random.IntN(len(d.endpoints))], &number)
 	return number
 }
 
@@ -357,13 +357,13 @@
 		return
 	}
 	var lines []string
-	for _, m := range d.members {
+	for _, m := range d.endpoints {
 		if kind == "changes" && d.chance(0.7) || d.chance(0.05) {
 			continue
 		}
 		started := "-"
 		if d.chance(0.3) {
-			started = fmt.Sprint(max(1, (d.server.now - time.Duration(d.rng.IntN(3000))*time.Millisecond).Milliseconds()))
+			started = fmt.Sprint(max(1, (d.server.now - time.Duration(d.random.IntN(3000))*time.Millisecond).Milliseconds()))
 		}
 		lines = append(lines, "item "+fmt.Sprintf(m, d.pick("IN", "IN", "IN", "IN", "IN", "LAME", "OUT"), started))
 	}
@@ -433,17 +433,19 @@
 	if d.chance(0.03) {
 		return // no answer comes
 	}
-	took := time.Duration(d.rng.Int64N(int64(2 * d.slow)))
-	status, note := "ok", d.pick("0", "1", "1", "2", "3", "4", "5")
+	took := time.Duration(d.random.Int64N(int64(2 * d.slow)))
+	status := "ok"
+	cacheStatus := d.pick("0", "1", "1", "2", "3", "4", "5")
 	if d.chance(d.faulty) {
 		status = d.pick("error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot", "miss")
-		note = d.pick("0", "0", "0", "6", "7", "8", "9", "10")
+		cacheStatus = d.pick("0", "0", "0", "6", "7", "8", "9", "10")
 	} else if d.chance(0.1) {
-		status, note = "miss", "0"
+		status = "miss"
+		cacheStatus = "0"
 	}
 	report := "-"
 	if d.chance(0.4) {
-		report = fmt.Sprintf("cpu_share:%.2f,x1:%.2f", d.rng.Float64()*1.1, d.rng.Float64()*3)
+		report = fmt.Sprintf("cpu_share:%.2f,x1:%.2f", d.random.Float64()*1.1, d.random.Float64()*3)
 		d.seen["load report"]++
 	}
 	firstByte := "-"
@@ -454,8 +456,9 @@
 		}
 	}
 	d.seen["status "+status]++
-	d.seen["note "+note]++
-	d.at(d.server.now+took, "answer 1 %s 0 %s %s %d %s %s %d %s", id, firstByte, host, number, note, status, took.Milliseconds(), report)
+	d.seen["note "+cacheStatus]++
+	d.at(d.server.now+took, "answer 1 %s 0 %s %s %d %s %s %d %s",
+		id, firstByte, host, number, cacheStatus, status, took.Milliseconds(), report)
 }
 
 // cancelled schedules the result of a cancelled attempt.
