--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -2,9 +2,16 @@
 
 import "time"
 
-// Admission: a request that no host can take, or that may have no further attempt, gets its final
-// answer at once instead of waiting for its deadline. It is rejected if it has not run or may run
-// again, so that the client can retry it; else it fails.
+// Admission: a request gets its final answer at once, instead of waiting for its deadline, when
+//   - no cache can take it: none is ready, has capacity under its concurrency limit and its slow
+//     start, has not failed the request, and may run it (pickCache),
+//   - it needs a fill, and the limits of fills and fetches have no capacity, or its deadline is too
+//     short for a fill (chooseDepth),
+//   - the cache whose fill it has waited for is full (endCoalescing), or
+//   - an attempt has failed and there is no other left (handleFailure).
+//
+// It is rejected if it has not run or may run again, so that the client can retry it; else it
+// fails.
 //
 // Retry-After is half of the time that is left until the request must be sent to meet its
 // objective, so that a client that obeys it can still be served in time. It is at least
--- a/internal/decision/doc.go
+++ b/internal/decision/doc.go
@@ -2,6 +2,13 @@
 // behind thin links, which cache answers each request, where a missing object is filled from, what
 // is cached, and when a request waits, is retried or is rejected.
 //
+// # Terms
+//
+// A director is an instance of the load balancer. Its zone has caches; a request that misses at a cache is a fill from a source: a
+// parent cache or the origin. A parent that does not have the object either fetches it from the origin. The sending time of a request
+// is how long its answer takes to send to the client at the usual pace (Settings.FlowKBPerS); loads, limits and capacities are
+// measured in sending time, so that one large request counts as many small ones. The overhead of an answer is the rest of its time.
+//
 // # Events in, actions out
 //
 // A Router is the state of one director. NewRouter makes it and Start begins its work. From then on
@@ -18,6 +25,8 @@
 //     order of their StartAttempt actions; the Router has at most one of them out at a time.
 //   - The caller serves the client from a successful attempt and sets AttemptResult.Terminal. The Router ends the request by Reject
 //     or Fail, or the client by ClientGone; each request ends once.
+//   - The Router does not limit the number of open requests, and opens no connections: Settings.MaxOpen, DialTimeout, DrainGrace,
+//     PurgeGrace, HedgedRequests and Class.StaleFor are for the caller.
 //   - Endpoints come as EndpointUpdate events. Until the first one, every request is rejected.
 //
 // # Concurrency, time and randomness
--- a/internal/decision/outliers.go
+++ b/internal/decision/outliers.go
@@ -11,9 +11,11 @@
 // ejecting it would help nobody.
 //
 // Inputs are the results of attempts at the host, attempts that are overdue, and the failures that
-// all directors together have seen. An ejection lasts longer each time in a row. After it the host
-// is on trial: it gets one attempt at a time, a failure ejects it again, and a success while its
-// share of failures is low ends the trial. The origin is never ejected.
+// all directors together have seen. An ejection lasts for the shortest deadline of all classes,
+// times the number of ejections in a row, up to maxEjectionSteps. After it the host is on trial: it
+// gets one attempt at a time, a failure ejects it again, and a success while its share of failures
+// is low ends the trial. The origin is never ejected. An ejected cache still gets a request that no
+// other cache can take.
 
 const (
 	outlierFailureShare = 0.4 // share of failures that ejects a host, if most of its peers have under half of its share
--- a/internal/decision/settings.go
+++ b/internal/decision/settings.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Settings is the configuration of a Router. It is fixed while the Router lives, but for the
-// numbers of directors, which PeerCounts events replace.
+// Settings is the configuration of a Router and of the director that calls it. It is fixed while
+// the Router lives, but for the numbers of directors, which PeerCounts events replace.
 type Settings struct {
 	Zone       string   // own zone; its caches answer the requests
 	Zones      []string // all zones, in the order of the lists by zone below
@@ -23,16 +23,16 @@
 	NotifiedAfter time.Duration // discovery counts a director that has not polled for this long as notified
 
 	Cancel         bool          // attempts can be cancelled
-	HedgedRequests bool          // a request may have two attempts out
-	RetryAfter     bool          // a rejected client obeys Retry-After
+	HedgedRequests bool          // a request may have two attempts out; for the caller
+	RetryAfter     bool          // a rejected client obeys Retry-After; not used
 	MaxAttempts    int           // attempts of one request
-	MaxOpen        int           // requests open at once; 0: no limit
+	MaxOpen        int           // requests open at once; 0: no limit; for the caller
 	MaxRetryAfter  time.Duration // longest Retry-After
-	DialTimeout    time.Duration // connecting to a host
+	DialTimeout    time.Duration // connecting to a host; for the caller
 
 	AnswerGrace time.Duration // an attempt that timed out this close to the deadline has no time for a retry
-	DrainGrace  time.Duration // a draining host finishes what it was sent within this
-	PurgeGrace  time.Duration // a purge is notified to all within this
+	DrainGrace  time.Duration // a draining host finishes what it was sent within this; for the caller
+	PurgeGrace  time.Duration // a purge is notified to all within this; for the caller
 	PurgeDone   time.Duration // a purge is carried out by all caches within this
 
 	CacheSlowStart  SlowStart
@@ -45,12 +45,12 @@
 	LatencyObjective time.Duration // a request answered within this has its full weight
 	ObjectiveStretch float64       // the objective grows by this many times the request's sending time
 	Deadline         time.Duration // how long a client waits in all
-	PriorityWeight   float64       // weight of a request served in time
+	PriorityWeight   float64       // weight of a request served in time; not used
 	Idempotency      Idempotency
 	DedupScope       DedupScope    // hosts that drop repeats of a request with an idempotency key
 	DedupWindow      time.Duration // for this long after the first attempt
 	FreshFor         time.Duration // how long a cached object is fresh; 0: until it is purged
-	StaleFor         time.Duration // how much older than that a cached object may be served
+	StaleFor         time.Duration // how much older than that a cached object may be served; for the caller
 	Uncacheable      bool          // answers are never cached; the origin makes each
 }
 
--- a/internal/decision/slowstart.go
+++ b/internal/decision/slowstart.go
@@ -11,8 +11,8 @@
 // seconds of sending time.
 //
 // A host's capacity is its listed weight where that is nominal; then all directors divide it,
-// evenly or by the shares that QuotaShare gives. Elsewhere this director's own load stands for its
-// share of the capacity, divided by the number of such hosts.
+// evenly or by the shares that QuotaShare events give. Elsewhere this director's own load stands
+// for its share of the capacity, divided by the number of such hosts.
 
 const (
 	slowStartSafety     = 0.5  // share of the budget that is planned with
