--- a/internal/controlplane/replica/lease.go
+++ b/internal/controlplane/replica/lease.go
@@ -6,35 +6,35 @@
 // leader knows that the holder may be behind. Times are monotonic, each on its owner's clock, and never compared with another's.
 type Lease struct {
 	Length time.Duration
-	Drift  float64 // by which a clock may run apart from another, as a share; 0.02: by 2 %
+	Drift  float64 // share by which two clocks may run apart; 0.02: by 2 %
 }
 
-// Waits is how long a lessor waits until a lease that it gave, or that a leader before it may have given, is over.
-func (l Lease) Waits() time.Duration {
+// maxValidity returns how long a lessor must wait until a lease that it granted, or that a leader before it may have granted, is over.
+// Both clocks may drift, in opposite directions.
+func (l Lease) maxValidity() time.Duration {
 	return time.Duration(float64(l.Length) * (1 + 2*l.Drift))
 }
 
-// Holder is the side of the one that serves watchers. The zero Holder has no lease.
+// Holder is the side of the one that serves watchers under a lease. The zero Holder has no lease.
 type Holder struct{ until time.Duration }
 
-// Got records a lease that was requested at a moment: it counts from before the request.
-func (h *Holder) Got(l Lease, asked time.Duration) { h.until = max(h.until, asked+l.Length) }
+// Got records a lease that was granted on a request sent at a moment: it counts from that moment on.
+func (h *Holder) Got(l Lease, requestedAt time.Duration) {
+	h.until = max(h.until, requestedAt+l.Length)
+}
 
 // End gives up the lease.
 func (h *Holder) End() { h.until = 0 }
 
-// Until is when the lease is over.
-func (h *Holder) Until() time.Duration { return h.until }
-
 // Holds reports whether the lease is in force.
 func (h *Holder) Holds(now time.Duration) bool { return now < h.until }
 
-// Lessor is the leader's side: who holds a lease, and what their watchers have acknowledged.
+// Lessor is the leader's side: it records who holds a lease, and what the holders' watchers have acknowledged.
 type Lessor struct {
-	lease  Lease
-	led    time.Duration // since when the copy leads
-	leads  bool
-	grants map[uint64]*grant
+	lease       Lease
+	isLeader    bool
+	leaderSince time.Duration
+	grants      map[uint64]*grant // by the disk of a replica or the session of a relay
 }
 
 // grant is what a holder reported last, and until when it may serve watchers.
@@ -47,50 +47,51 @@
 func NewLessor(l Lease) *Lessor { return &Lessor{lease: l, grants: map[uint64]*grant{}} }
 
 // Lead begins or ends a time of leadership.
-func (g *Lessor) Lead(leads bool, now time.Duration) {
-	if leads && !g.leads {
-		g.led = now
-		clear(g.grants)
+func (l *Lessor) Lead(isLeader bool, now time.Duration) {
+	if isLeader && !l.isLeader {
+		l.leaderSince = now
+		clear(l.grants)
 	}
-	g.leads = leads
+	l.isLeader = isLeader
 }
 
-// Give records a lease once it is granted: it counts from after that. acknowledged is the lowest revision that the holder's
-// watchers have acknowledged.
-func (g *Lessor) Give(disk uint64, acknowledged int64, now time.Duration) {
-	g.grants[disk] = &grant{acknowledged: acknowledged, until: now + g.lease.Waits()}
+// Give records a lease after it was granted. holder is the disk of a replica or the session of a relay; acknowledged is the lowest
+// revision that the holder's watchers have acknowledged.
+func (l *Lessor) Give(holder uint64, acknowledged int64, now time.Duration) {
+	l.grants[holder] = &grant{acknowledged: acknowledged, until: now + l.lease.maxValidity()}
 }
 
-// Acknowledged is the lowest revision that all watchers have acknowledged, given that of the leader's own watchers. Watchers of a
-// holder whose lease has ended reconnect elsewhere; after a further time, within, they count as having acknowledged, as any do
-// that left. In a leader's first moments nothing counts as acknowledged: it does not know the leases of the leader before it.
-func (g *Lessor) Acknowledged(own int64, now, within time.Duration) int64 {
-	if !g.leads || now < g.led+g.lease.Waits() {
+// Acknowledged returns the lowest revision that all watchers have acknowledged, given that of the leader's own watchers. Watchers of
+// a holder whose lease has ended reconnect elsewhere; after a further time, departedAfter, they count as having acknowledged, as any
+// do that left. A new leader returns 0 until the leases that the leader before it may have granted are over.
+func (l *Lessor) Acknowledged(own int64, now, departedAfter time.Duration) int64 {
+	if !l.isLeader || now < l.leaderSince+l.lease.maxValidity() {
 		return 0
 	}
-	for disk, h := range g.grants {
-		if now >= h.until+within {
-			delete(g.grants, disk)
+	lowest := own
+	for holder, g := range l.grants {
+		if now >= g.until+departedAfter {
+			delete(l.grants, holder)
 			continue
 		}
-		own = min(own, h.acknowledged)
+		lowest = min(lowest, g.acknowledged)
 	}
-	return own
+	return lowest
 }
 
-// Held lists the leases in force, by the disk of a replica or the session of a relay.
-func (g *Lessor) Held(now time.Duration) map[uint64]Held {
-	out := map[uint64]Held{}
-	for disk, h := range g.grants {
-		if now < h.until {
-			out[disk] = Held{Acknowledged: h.acknowledged, Left: h.until - now}
-		}
-	}
-	return out
+// ActiveLease is a lease in force.
+type ActiveLease struct {
+	Acknowledged int64
+	Remaining    time.Duration
 }
 
-// Held is a lease in force.
-type Held struct {
-	Acknowledged int64
-	Left         time.Duration
+// ActiveLeases returns the leases in force, by the disk of a replica or the session of a relay.
+func (l *Lessor) ActiveLeases(now time.Duration) map[uint64]ActiveLease {
+	active := map[uint64]ActiveLease{}
+	for holder, g := range l.grants {
+		if now < g.until {
+			active[holder] = ActiveLease{Acknowledged: g.acknowledged, Remaining: g.until - now}
+		}
+	}
+	return active
 }
--- a/internal/controlplane/replicas/greeting.go
+++ b/internal/controlplane/replicas/greeting.go
@@ -20,17 +20,17 @@
 
 // Hello is how a copy presents its disk to the others.
 type Hello struct {
-	Name string       `json:"name"`
-	Says replica.Seen `json:"says"`
+	Name     string               `json:"name"`
+	Observed replica.ObservedDisk `json:"says"`
 }
 
 // Greeting is the answer: what was seen of the disk before, and whether it is in the group.
 type Greeting struct {
-	Seen   replica.Seen `json:"seen"`
-	Group  uint64       `json:"group"` // of the copy that answers
-	Leads  bool         `json:"leads"`
-	Member bool         `json:"member"`
-	Why    string       `json:"why,omitempty"` // it is not let in
+	Seen     replica.ObservedDisk `json:"seen"`
+	Group    uint64               `json:"group"` // of the copy that answers
+	IsLeader bool                 `json:"leads"`
+	IsMember bool                 `json:"member"`
+	Reason   string               `json:"why,omitempty"` // it is not let in
 }
 
 // greet presents this disk until it is in. Later it asks the others whether it was taken out, for as long as it has no lease: a
@@ -39,13 +39,13 @@
 	lastReason := ""
 	for {
 		switch Phase(g.status.Load().Phase) {
-		case Out:
+		case Excluded:
 			return
-		case Meeting, Waiting:
+		case Introducing, AwaitingAdmission:
 			for _, l := range g.links {
 				go g.greetOne(l, &lastReason)
 			}
-		case In:
+		case Active:
 			if !g.HasLease() {
 				for _, l := range g.links {
 					go l.askMember()
@@ -78,51 +78,51 @@
 		return
 	}
 	var answer Greeting
-	if err := g.ask(ctx, l.url("/v1/copies/hello"), Hello{Name: g.set.Self, Says: own}, &answer); err != nil {
+	if err := g.ask(ctx, l.url("/v1/copies/hello"), Hello{Name: g.set.Self, Observed: own}, &answer); err != nil {
 		return
 	}
 	g.post(func() { g.takeGreeting(l, own, answer, lastReason) })
 }
 
 // ownSeen has the loop read what this disk holds; ok is false if it can't be read or the group has ended.
-func (g *Group) ownSeen() (own replica.Seen, ok bool) {
+func (g *Group) ownSeen() (own replica.ObservedDisk, ok bool) {
 	done := make(chan struct{})
 	if !g.post(func() {
 		defer close(done)
 		p, err := g.store.PersistedState()
 		if ok = err == nil; ok {
-			own = replica.Seen{Term: p.Term, Vote: p.Vote, Last: p.Before.Index + uint64(len(p.Entries))}
+			own = replica.ObservedDisk{Term: p.Term, Vote: p.Vote, LastIndex: p.Compacted.Index + uint64(len(p.Entries))}
 		}
 	}) {
-		return replica.Seen{}, false
+		return replica.ObservedDisk{}, false
 	}
 	<-done
 	return own, ok
 }
 
 // takeGreeting acts on an answer to a hello. It runs on the loop.
-func (g *Group) takeGreeting(l *peer, own replica.Seen, answer Greeting, lastReason *string) {
+func (g *Group) takeGreeting(l *peer, own replica.ObservedDisk, answer Greeting, lastReason *string) {
 	identity, _ := g.store.Identity()
 	switch {
-	case g.phase == Meeting:
+	case g.phase == Introducing:
 		if answer.Group == identity.Group {
-			if err := own.Contradicts(answer.Seen); err != nil {
+			if err := own.CheckNotOlder(answer.Seen); err != nil {
 				g.out("the disk came back in an older state, as copy " + l.to.Name + " knows: " + err.Error())
 				return
 			}
 		}
 		g.met[l.to.Name] = true
-	case g.phase == Waiting && answer.Leads && answer.Member && answer.Group != 0:
+	case g.phase == AwaitingAdmission && answer.IsLeader && answer.IsMember && answer.Group != 0:
 		if err := g.store.JoinGroup(answer.Group); err != nil {
 			slog.Error("copies.not_joined", "err", err)
 			return
 		}
 		slog.Info("copies.let_in", "copy", g.set.Self, "by", l.to.Name)
 		g.begin()
-	case g.phase == Waiting && answer.Leads && answer.Why != "" && answer.Why != *lastReason:
-		*lastReason = answer.Why
-		slog.Warn("copies.not_let_in", "copy", g.set.Self, "why", answer.Why)
-		g.why = answer.Why
+	case g.phase == AwaitingAdmission && answer.IsLeader && answer.Reason != "" && answer.Reason != *lastReason:
+		*lastReason = answer.Reason
+		slog.Warn("copies.not_let_in", "copy", g.set.Self, "why", answer.Reason)
+		g.why = answer.Reason
 		g.publish()
 	}
 }
@@ -156,7 +156,7 @@
 	answer := Greeting{Group: identity.Group}
 	if identity.Group != 0 && group == identity.Group {
 		g.mu.Lock()
-		answer.Seen = g.witness.Greet(disk, run, hello.Says)
+		answer.Seen = g.witness.Introduce(disk, run, hello.Observed)
 		g.mu.Unlock()
 	}
 	done := make(chan struct{})
@@ -165,9 +165,9 @@
 		if g.driver == nil || !g.leads || group != 0 && group != identity.Group {
 			return
 		}
-		answer.Leads = true
+		answer.IsLeader = true
 		g.contacts.Received(disk)
-		answer.Member, answer.Why = g.admit(hello.Name, disk)
+		answer.IsMember, answer.Reason = g.admit(hello.Name, disk)
 	}) {
 		<-done
 	}
@@ -177,11 +177,11 @@
 
 // admit decides on a disk that asks to be let in.
 func (g *Group) admit(name string, disk uint64) (member bool, reason string) {
-	silence := map[uint64]int64{} // of each member, in milliseconds
+	silence := map[uint64]time.Duration{}
 	for other := range g.driver.Members() {
-		silence[other] = g.contacts.Silence(other).Milliseconds()
+		silence[other] = g.contacts.Silence(other)
 	}
-	c, err := g.view().Admit(name, disk, silence, g.set.ReplaceAfter.Milliseconds())
+	c, err := g.view().Admit(name, disk, silence, g.set.ReplaceAfter)
 	if err == nil && c == nil {
 		return true, ""
 	}
@@ -190,7 +190,7 @@
 		g.publish()
 	}
 	if err == nil {
-		if err = g.driver.Change(*c); err == nil {
+		if err = g.driver.ProposeChange(*c); err == nil {
 			slog.Info("copies.change", "change", describe(c))
 			return false, ""
 		}
--- a/internal/controlplane/replicas/group.go
+++ b/internal/controlplane/replicas/group.go
@@ -45,11 +45,11 @@
 
 // Phases.
 const (
-	Meeting Phase = "meeting" // it asks the others what they have seen of its disk
-	Waiting Phase = "waiting" // its disk is not let in
-	In      Phase = "in"
-	NoDisk  Phase = "no-disk" // its disk can't be written; it takes no part and tries again
-	Out     Phase = "out"     // it may not take part; Why tells what to do
+	Introducing       Phase = "meeting" // it asks the others what they have seen of its disk
+	AwaitingAdmission Phase = "waiting" // its disk is not let in
+	Active            Phase = "in"
+	DiskFailed        Phase = "no-disk" // its disk can't be written; it takes no part and tries again
+	Excluded          Phase = "out"     // it may not take part; Why tells what to do
 )
 
 // Settings of a copy.
@@ -81,7 +81,7 @@
 	status atomic.Pointer[status]
 
 	mu      sync.Mutex // of the witness and both sides of leases
-	witness *replica.Witness
+	witness *replica.RollbackDetector
 	holder  replica.Holder
 	granter *replica.Lessor
 
@@ -95,9 +95,9 @@
 	results   []error
 	inFlight  uint64
 	barriers  map[uint64][]func(error)
-	passed    []replica.Barrier // proven, and not taken over yet
-	candidate *store.Candidate
-	contacts  *replica.Contacts
+	passed    []replica.ReadState // proven, and not taken over yet
+	candidate *store.ReceivedSnapshot
+	contacts  *replica.ContactTracker
 	names     map[uint64]string // of disks that have sent messages
 	asks      map[string]uint64 // disks that wait to be let in, by name
 	revisions []revisionAt
@@ -136,8 +136,8 @@
 	lease := replica.Lease{Length: set.Lease, Drift: set.Drift}
 	g := &Group{
 		set: set, store: s, run: random64(), inbox: make(chan func(), 1024), stop: make(chan struct{}), ended: make(chan struct{}),
-		links: map[string]*peer{}, witness: replica.NewWitness(), granter: replica.NewLessor(lease), phase: Meeting, seeds: random64(),
-		barriers: map[uint64][]func(error){}, contacts: replica.NewContacts(set.Tick), names: map[uint64]string{}, asks: map[string]uint64{}, met: map[string]bool{},
+		links: map[string]*peer{}, witness: replica.NewRollbackDetector(), granter: replica.NewLessor(lease), phase: Introducing, seeds: random64(),
+		barriers: map[uint64][]func(error){}, contacts: replica.NewContactTracker(set.Tick), names: map[uint64]string{}, asks: map[string]uint64{}, met: map[string]bool{},
 		sending: map[uint64]bool{}, sentWhole: map[uint64]time.Duration{}, flush: time.NewTimer(time.Hour),
 	}
 	if g.set.Scheme == "" {
@@ -170,7 +170,7 @@
 	own := g.self()
 	switch {
 	case copied:
-		g.out(store.ErrCopiedStore.Error())
+		g.out(store.ErrClonedStore.Error())
 	case i.Disk != 0 && i.Name != g.set.Self:
 		return fmt.Errorf("the store is that of copy %s, and this is copy %s", i.Name, g.set.Self)
 	case i.Disk != 0 && g.set.FoundGroup:
@@ -178,7 +178,7 @@
 	case i.Disk != 0 && i.Group != 0:
 		g.metSince = Now()
 	case i.Disk != 0:
-		g.phase = Waiting
+		g.phase = AwaitingAdmission
 	case g.set.FoundGroup:
 		disk := random64()
 		members := map[uint64]replica.Member{disk: {Name: own.Name, Machine: own.Machine, Site: own.Site}}
@@ -196,7 +196,7 @@
 		if err := g.store.BecomeReplica(store.Identity{Disk: disk, Name: own.Name}, nil); err != nil {
 			return err
 		}
-		g.phase = Waiting
+		g.phase = AwaitingAdmission
 		slog.Info("copies.waits", "copy", own.Name, "disk", fmt.Sprintf("%x", disk))
 	}
 	return nil
@@ -205,7 +205,7 @@
 // taken is a place in the log with who is a member there, as it is stored.
 func taken(at replica.Position, conf *pb.ConfState, members map[uint64]replica.Member) (t store.AppliedState, err error) {
 	t.At = store.Position(at)
-	if t.Conf, err = proto.Marshal(conf); err != nil {
+	if t.ConfState, err = proto.Marshal(conf); err != nil {
 		return t, err
 	}
 	t.Members, err = cbor.Marshal(members)
@@ -214,7 +214,7 @@
 
 func untaken(t store.AppliedState) (conf *pb.ConfState, members map[uint64]replica.Member, err error) {
 	conf = &pb.ConfState{}
-	if err = proto.Unmarshal(t.Conf, conf); err != nil {
+	if err = proto.Unmarshal(t.ConfState, conf); err != nil {
 		return nil, nil, err
 	}
 	err = cbor.Unmarshal(t.Members, &members)
@@ -231,12 +231,12 @@
 	go g.lease()
 	ticker := time.NewTicker(g.set.Tick)
 	defer ticker.Stop()
-	if g.phase == Meeting && Now()-g.metSince >= meetFor {
+	if g.phase == Introducing && Now()-g.metSince >= meetFor {
 		g.begin()
 	}
 	for {
 		var requests <-chan *store.Request
-		if g.driver == nil || !g.driver.State().Leads || g.driver.Ready() && g.waiting == nil {
+		if g.driver == nil || !g.driver.Status().IsLeader || g.driver.CanPropose() && g.waiting == nil {
 			requests = g.store.Requests()
 		}
 		select {
@@ -260,7 +260,7 @@
 			g.propose(r)
 		case <-g.flush.C:
 			g.flushing = false
-			if g.driver != nil && g.store.Pending() {
+			if g.driver != nil && g.store.HasUnpersisted() {
 				if err := g.save(nil); err != nil {
 					g.lostDisk(err)
 				}
@@ -278,14 +278,14 @@
 
 // finish writes what was taken over and tells those who wait that nobody knows.
 func (g *Group) finish() {
-	if g.driver != nil && g.store.Pending() {
+	if g.driver != nil && g.store.HasUnpersisted() {
 		if err := g.save(nil); err != nil {
 			slog.Error("copies.not_written", "err", err)
 		}
 	}
 	g.fail(store.ErrOutcomeUnknown)
 	if g.candidate != nil {
-		g.candidate.Drop()
+		g.candidate.Discard()
 	}
 }
 
@@ -303,10 +303,10 @@
 func (g *Group) begin() {
 	p, err := g.store.PersistedState()
 	if err == nil {
-		var d replica.Durable
-		d = replica.Durable{Term: p.Term, Vote: p.Vote, Commit: p.Commit, Applied: replica.Position(p.Applied.At), Before: replica.Position(p.Before)}
-		if len(p.Applied.Conf) > 0 {
-			d.Conf, d.Members, err = untaken(p.Applied)
+		var d replica.PersistedState
+		d = replica.PersistedState{Term: p.Term, Vote: p.Vote, Commit: p.Commit, Applied: replica.Position(p.Applied.At), Compacted: replica.Position(p.Compacted)}
+		if len(p.Applied.ConfState) > 0 {
+			d.ConfState, d.Members, err = untaken(p.Applied)
 		}
 		for _, e := range p.Entries {
 			entry := &pb.Entry{}
@@ -324,11 +324,11 @@
 		g.out("the store can't be driven: " + err.Error())
 		return
 	}
-	g.phase, g.why = In, ""
-	if s := g.driver.State(); len(s.Voters) == 1 && s.Voters[0] == p.Disk {
+	g.phase, g.why = Active, ""
+	if s := g.driver.Status(); len(s.Voters) == 1 && s.Voters[0] == p.Disk {
 		g.driver.Campaign()
 	}
-	slog.Info("copies.in", "copy", g.set.Self, "term", p.Term, "log", g.driver.Last(), "revision", g.store.Fleet().Revision)
+	slog.Info("copies.in", "copy", g.set.Self, "term", p.Term, "log", g.driver.LastIndex(), "revision", g.store.Fleet().Revision)
 	g.publish()
 }
 
@@ -336,18 +336,18 @@
 func (g *Group) out(why string) {
 	g.lead(false)
 	g.fail(store.ErrOutcomeUnknown)
-	g.driver, g.phase, g.why = nil, Out, why
+	g.driver, g.phase, g.why = nil, Excluded, why
 	slog.Error("copies.out", "copy", g.set.Self, "why", why, "do", "start it with --new-disk, and have the new disk let in: stairvane copies replace "+g.set.Self)
 	g.publish()
 }
 
 // lostDisk gives the place in the group up until the disk can be written again. What the disk holds is as it was.
 func (g *Group) lostDisk(err error) {
-	if g.phase != NoDisk {
+	if g.phase != DiskFailed {
 		slog.Error("copies.disk_lost", "copy", g.set.Self, "led", g.leads, "err", err)
 	}
 	g.lead(false)
-	g.driver, g.phase, g.why, g.diskTried = nil, NoDisk, err.Error(), Now()
+	g.driver, g.phase, g.why, g.diskTried = nil, DiskFailed, err.Error(), Now()
 	g.fail(store.ErrOutcomeUnknown)
 	g.publish()
 }
@@ -373,7 +373,7 @@
 	}
 	g.leads = leads
 	if leads {
-		g.contacts.Lead()
+		g.contacts.Reset()
 	}
 	g.mu.Lock()
 	g.granter.Lead(leads, Now())
@@ -387,11 +387,11 @@
 	g.ticks++
 	g.contacts.Tick()
 	switch g.phase {
-	case Meeting:
+	case Introducing:
 		if now-g.metSince >= meetFor || len(g.met) == len(g.links) {
 			g.begin()
 		}
-	case NoDisk:
+	case DiskFailed:
 		if now-g.diskTried >= diskEvery {
 			g.diskTried = now
 			if err := g.store.Persist(nil, nil); err == nil {
@@ -425,7 +425,7 @@
 
 func (g *Group) promote() {
 	if c := g.view().Promote(learnerWithin); c != nil {
-		if err := g.driver.Change(*c); err == nil {
+		if err := g.driver.ProposeChange(*c); err == nil {
 			slog.Info("copies.change", "change", describe(c))
 		}
 	}
@@ -438,7 +438,7 @@
 			keep = logKeptWhole
 		}
 	}
-	if first := g.driver.First(); g.driver.Applied().Index-first < keep+logSlack {
+	if first := g.driver.FirstIndex(); g.driver.Applied().Index-first < keep+logSlack {
 		return
 	}
 	if before := g.driver.Compact(keep); before.Index > 0 {
@@ -447,12 +447,12 @@
 }
 
 func (g *Group) view() replica.View {
-	return replica.View{State: g.driver.State(), Members: g.driver.Members(), Places: g.set.Places()}
+	return replica.View{Status: g.driver.Status(), Members: g.driver.Members(), Places: g.set.Places()}
 }
 
 // propose puts those changes forward that wait, together with one that was taken.
 func (g *Group) propose(r *store.Request) {
-	if g.driver == nil || !g.driver.Ready() {
+	if g.driver == nil || !g.driver.CanPropose() {
 		r.Answer(store.ErrNotLeader)
 		return
 	}
@@ -484,7 +484,7 @@
 // work does what the driver asks for until it asks for nothing.
 func (g *Group) work() {
 	for g.driver != nil {
-		w := g.driver.Work()
+		w := g.driver.Ready()
 		if w == nil {
 			break
 		}
@@ -496,7 +496,7 @@
 			}
 			break
 		}
-		if g.driver.InFlight() == 0 && g.driver.Ready() && g.waiting == nil { // at once, so that it shares the next sync
+		if g.driver.InFlight() == 0 && g.driver.CanPropose() && g.waiting == nil { // at once, so that it shares the next sync
 			select {
 			case r := <-g.store.Requests():
 				g.propose(r)
@@ -504,11 +504,11 @@
 			}
 		}
 	}
-	if g.candidate != nil && g.phase == In { // it was not wanted
-		g.candidate.Drop()
+	if g.candidate != nil && g.phase == Active { // it was not wanted
+		g.candidate.Discard()
 		g.candidate = nil
 	}
-	if g.driver != nil && g.store.Pending() && !g.flushing {
+	if g.driver != nil && g.store.HasUnpersisted() && !g.flushing {
 		g.flushing = true
 		g.flush.Reset(flushAfter)
 	}
@@ -528,42 +528,42 @@
 }
 
 // carry does one piece of work. What it sends late rests on what it has written before.
-func (g *Group) carry(w *replica.Work) error {
-	g.send(w.Early)
-	if w.Install != nil {
+func (g *Group) carry(w *replica.Ready) error {
+	g.send(w.EarlyMessages)
+	if w.Snapshot != nil {
 		if err := g.install(w); err != nil {
 			return err
 		}
 	}
-	if len(w.Entries) > 0 || w.Must && w.Install == nil {
+	if len(w.Entries) > 0 || w.MustSync && w.Snapshot == nil {
 		if err := g.save(w.Entries); err != nil {
 			return err
 		}
 	}
-	if err := g.driver.Durable(w); err != nil {
+	if err := g.driver.Persisted(w); err != nil {
 		return fmt.Errorf("%w: %w", store.ErrDamaged, err)
 	}
-	g.send(w.Late)
-	s := g.driver.State()
-	if !s.Leads {
+	g.send(w.Messages)
+	s := g.driver.Status()
+	if !s.IsLeader {
 		g.lead(false)
 		if g.waiting != nil || len(g.barriers) > 0 {
 			g.fail(store.ErrOutcomeUnknown)
 		}
 	}
-	for i, b := range w.Committed {
-		changed, err := g.driver.Taken(w, i)
+	for i, b := range w.CommittedEntries {
+		changed, err := g.driver.ApplyEntry(w, i)
 		if err != nil {
 			return fmt.Errorf("%w: %w", store.ErrDamaged, err)
 		}
 		var t store.AppliedState
 		if changed {
-			if t, err = taken(b.At, g.driver.Conf(), g.driver.Members()); err != nil {
+			if t, err = taken(b.At, g.driver.ConfState(), g.driver.Members()); err != nil {
 				return err
 			}
 			g.changed()
 		}
-		if err := g.store.Apply(store.Position(b.At), b.Data, t.Conf, t.Members); err != nil {
+		if err := g.store.Apply(store.Position(b.At), b.Data, t.ConfState, t.Members); err != nil {
 			return err
 		}
 		if b.Tag != 0 && b.Tag == g.inFlight {
@@ -574,11 +574,11 @@
 			}
 		}
 	}
-	g.driver.Done(w)
-	if g.driver.Ready() {
+	g.driver.Advance(w)
+	if g.driver.CanPropose() {
 		g.lead(true)
 	}
-	g.passed = append(g.passed, w.Barriers...)
+	g.passed = append(g.passed, w.ReadStates...)
 	left := g.passed[:0]
 	for _, b := range g.passed {
 		if b.Index > g.driver.Applied().Index {
@@ -591,27 +591,27 @@
 		delete(g.barriers, b.Tag)
 	}
 	g.passed = left
-	if s.Leader != g.status.Load().leader || len(w.Committed) > 0 {
+	if s.Leader != g.status.Load().leader || len(w.CommittedEntries) > 0 {
 		g.publish()
 	}
 	return nil
 }
 
-func (g *Group) install(w *replica.Work) error {
+func (g *Group) install(w *replica.Ready) error {
 	c := g.candidate
 	g.candidate = nil
-	if c == nil || c.Taken.At.Index != w.Install.GetIndex() {
+	if c == nil || c.Applied.At.Index != w.Snapshot.GetIndex() {
 		return fmt.Errorf("%w: the state as a whole is not there", store.ErrDamaged)
 	}
-	_, members, err := untaken(c.Taken)
+	_, members, err := untaken(c.Applied)
 	if err != nil {
 		return fmt.Errorf("%w: %w", store.ErrDamaged, err)
 	}
-	if err := g.store.Adopt(c, store.HardState(g.driver.HardState())); err != nil {
-		c.Drop()
+	if err := g.store.InstallSnapshot(c, store.HardState(g.driver.HardState())); err != nil {
+		c.Discard()
 		return err
 	}
-	g.driver.Installed(replica.Position(c.Taken.At), members)
+	g.driver.SnapshotInstalled(replica.Position(c.Applied.At), members)
 	slog.Info("copies.whole_taken_over", "copy", g.set.Self, "revision", g.store.Fleet().Revision)
 	g.set.SnapshotInstalled()
 	return nil
@@ -642,7 +642,7 @@
 			done <- store.ErrNotLeader
 			return
 		}
-		tag, err := g.driver.Barrier()
+		tag, err := g.driver.ReadIndex()
 		if err != nil {
 			done <- store.ErrNotLeader
 			return
--- a/internal/controlplane/replicas/links.go
+++ b/internal/controlplane/replicas/links.go
@@ -23,13 +23,13 @@
 )
 
 const (
-	callWithin   = 500 * time.Millisecond
-	linkQueue    = 4096
-	linkTogether = 4 << 20 // bytes in one call
-	linkPause    = 25 * time.Millisecond
-	wholeEvery   = 250 * time.Millisecond // to one copy, at most
-	wholeStuck   = 10 * time.Second       // for a whole state that does not move
-	wholeChecked = 4 << 20                // bytes a second that a copy checks at least of a whole state that it has
+	callWithin           = 500 * time.Millisecond
+	linkQueue            = 4096
+	linkTogether         = 4 << 20 // bytes in one call
+	linkPause            = 25 * time.Millisecond
+	wholeEvery           = 250 * time.Millisecond // to one copy, at most
+	snapshotStallTimeout = 10 * time.Second       // for a whole state that does not move
+	snapshotVerifyRate   = 4 << 20                // bytes a second that a copy checks at least of a whole state that it has
 )
 
 // Headers of a call between copies.
@@ -79,7 +79,7 @@
 		select {
 		case l.queue <- m:
 		default:
-			g.driver.Unreachable(m.GetTo())
+			g.driver.ReportUnreachable(m.GetTo())
 		}
 	}
 }
@@ -133,7 +133,7 @@
 	case err != nil || status >= 500:
 		g.post(func() {
 			if g.driver != nil {
-				g.driver.Unreachable(to)
+				g.driver.ReportUnreachable(to)
 			}
 		})
 		select {
@@ -143,7 +143,7 @@
 	case status == http.StatusConflict:
 		reason := string(bytes.TrimSpace(answer))
 		g.post(func() {
-			if g.phase == In {
+			if g.phase == Active {
 				g.out(reason)
 			}
 		})
@@ -178,7 +178,7 @@
 	answer, err = io.ReadAll(io.LimitReader(res.Body, 1<<20))
 	if res.StatusCode == http.StatusGone {
 		g.post(func() {
-			if g.phase != Out {
+			if g.phase != Excluded {
 				g.out(string(bytes.TrimSpace(answer)))
 			}
 		})
@@ -207,13 +207,13 @@
 	to := m.GetTo()
 	now := Now()
 	if l == nil || g.sending[to] || now-g.sentWhole[to] < wholeEvery && g.sentWhole[to] > 0 {
-		g.driver.Sent(to, false) // it is asked for again
+		g.driver.ReportSnapshot(to, false) // it is asked for again
 		return
 	}
 	g.sentWhole[to] = now
-	if g.store.Pending() { // the file is to hold what the message says
+	if g.store.HasUnpersisted() { // the file is to hold what the message says
 		if err := g.save(nil); err != nil {
-			g.driver.Sent(to, false)
+			g.driver.ReportSnapshot(to, false)
 			return
 		}
 	}
@@ -230,20 +230,20 @@
 			delete(g.sending, to)
 			g.sentWhole[to] = Now()
 			if g.driver != nil {
-				g.driver.Sent(to, err == nil)
+				g.driver.ReportSnapshot(to, err == nil)
 			}
 		})
 	}()
 }
 
-// moving ends a call whose body is not taken for a while. Once it is taken whole, the other copy has the time to check it.
-type moving struct {
+// stallReader ends a call whose body is not taken for a while. Once it is taken whole, the other copy has the time to check it.
+type stallReader struct {
 	r            io.Reader
 	stuck, check time.Duration
 	timer        *time.Timer
 }
 
-func (m moving) Read(b []byte) (n int, err error) {
+func (m stallReader) Read(b []byte) (n int, err error) {
 	m.timer.Reset(m.stuck)
 	if n, err = m.r.Read(b); err == io.EOF {
 		m.timer.Reset(m.check)
@@ -251,22 +251,22 @@
 	return n, err
 }
 
-// checkWithin is how long a copy may take to check a whole state of a size in bytes: every value of it, and the chain.
-func checkWithin(size int64) time.Duration {
-	return wholeStuck + time.Duration(size/wholeChecked)*time.Second
+// verifyTimeout is how long a copy may take to check a whole state of a size in bytes: every value of it, and the chain.
+func verifyTimeout(size int64) time.Duration {
+	return snapshotStallTimeout + time.Duration(size/snapshotVerifyRate)*time.Second
 }
 
 func (g *Group) stream(l *peer, m *pb.Message) (length int64, err error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	stuck := time.AfterFunc(wholeStuck, cancel)
+	stuck := time.AfterFunc(snapshotStallTimeout, cancel)
 	defer stuck.Stop()
-	err = g.store.Export(func(t store.AppliedState, size int64, write func(io.Writer) error) error {
+	err = g.store.ExportSnapshot(func(t store.AppliedState, size int64, write func(io.Writer) error) error {
 		length = size
 		r, w := io.Pipe()
 		go func() { w.CloseWithError(write(w)) }()
 		defer r.Close()
-		status, answer, err := g.call(ctx, l.url("/v1/copies/whole"), "application/octet-stream", moving{r, wholeStuck, checkWithin(size), stuck}, map[string]string{
+		status, answer, err := g.call(ctx, l.url("/v1/copies/whole"), "application/octet-stream", stallReader{r, snapshotStallTimeout, verifyTimeout(size), stuck}, map[string]string{
 			takenHeader: fmt.Sprintf("%d %d", m.GetTerm(), m.GetTo()), "Stairvane-Length": strconv.FormatInt(size, 10),
 		})
 		if err != nil {
@@ -297,9 +297,9 @@
 
 // LeaseRequest is what a holder says when it asks for its lease.
 type LeaseRequest struct {
-	Told     int64          `json:"told"`
-	Revision int64          `json:"revision"`
-	Signs    api.Heartbeats `json:"signs"`
+	Acknowledged int64          `json:"told"`
+	Revision     int64          `json:"revision"`
+	Heartbeats   api.Heartbeats `json:"signs"`
 }
 
 func (g *Group) renew() error {
--- a/internal/controlplane/replicas/recover.go
+++ b/internal/controlplane/replicas/recover.go
@@ -50,7 +50,7 @@
 			r.Undecided++
 			continue
 		}
-		at, data, err := replica.Decode(e.Data)
+		at, data, err := replica.DecodeEntry(e.Data)
 		if err != nil {
 			return r, err
 		}
--- a/internal/controlplane/replicas/removed_test.go
+++ b/internal/controlplane/replicas/removed_test.go
@@ -56,7 +56,7 @@
 	s, err := store.Open(filepath.Join(t.TempDir(), "store.db"), store.Options{Group: true, NoSync: true, KillPoint: at})
 	check(t, err)
 	first := store.AppliedState{At: store.Position{Index: index, Term: index}}
-	first.Conf, err = proto.Marshal(conf)
+	first.ConfState, err = proto.Marshal(conf)
 	check(t, err)
 	first.Members, err = cbor.Marshal(members)
 	check(t, err)
@@ -120,13 +120,13 @@
 			members := map[uint64]replica.Member{1: {Name: "a"}, 2: {Name: "b"}, 3: {Name: "c"}}
 			after := map[uint64]replica.Member{1: {Name: "a"}, 2: {Name: "b", Left: true}, 3: {Name: "c"}}
 			from := startReplica(t, settings("a", a), nil, 1, 2, c.other, after)
-			awaitPhase(t, from, replicas.In)
+			awaitPhase(t, from, replicas.Active)
 			other = from.calls
 			close(ready)
 			back := startReplica(t, settings("b", a, b), nil, 2, 1, c.own, members)
-			want := replicas.Out
+			want := replicas.Excluded
 			if c.stays {
-				want = replicas.In
+				want = replicas.Active
 			}
 			for end := time.Now().Add(patience / 3); replicas.Phase(back.Status().Phase) != want || c.stays && asked.Load() < 3; time.Sleep(5 * time.Millisecond) {
 				if time.Now().After(end) {
--- a/internal/controlplane/replicas/serve.go
+++ b/internal/controlplane/replicas/serve.go
@@ -56,21 +56,21 @@
 
 // publishMembers fills in what the driver knows of the group.
 func (g *Group) publishMembers(s *status) {
-	state := g.driver.State()
+	state := g.driver.Status()
 	s.members, s.removed, s.leader = g.driver.Members(), map[uint64]bool{}, state.Leader
 	s.leaderName = g.nameOf(state.Leader)
-	s.Leader, s.IsLeader, s.Term, s.Applied, s.Joint, s.ToleratedFailures = s.leaderName, g.leads && state.Leads, state.Term, state.Applied, state.Joint, replica.ToleratedFailures(len(state.Voters))
+	s.Leader, s.IsLeader, s.Term, s.Applied, s.Joint, s.ToleratedFailures = s.leaderName, g.leads && state.IsLeader, state.Term, state.Applied, state.IsJoint, replica.ToleratedFailures(len(state.Voters))
 	g.mu.Lock()
-	leases := g.granter.Held(Now())
+	leases := g.granter.ActiveLeases(Now())
 	g.mu.Unlock()
 	for disk, member := range s.members {
 		if member.Left {
-			s.removed[disk] = g.driver.Removed(disk)
+			s.removed[disk] = g.driver.IsRemoved(disk)
 			continue
 		}
 		c := api.ReplicaStatus{Name: member.Name, Machine: member.Machine, Site: member.Site, Disk: hex(disk), IsVoter: slices.Contains(state.Voters, disk), Replaces: s.members[member.Replaces].Name}
 		if progress, known := state.Progress[disk]; known {
-			c.Alive = progress.Active
+			c.Alive = progress.IsActive
 			if progress.Match < state.Commit {
 				c.Behind = state.Commit - progress.Match
 			}
@@ -79,7 +79,7 @@
 			}
 		}
 		if lease, held := leases[disk]; held {
-			c.Acknowledged, c.LeaseMS = lease.Acknowledged, lease.Left.Milliseconds()
+			c.Acknowledged, c.LeaseMS = lease.Acknowledged, lease.Remaining.Milliseconds()
 		}
 		s.Replicas = append(s.Replicas, c)
 	}
@@ -106,7 +106,7 @@
 		return 0, 0, false
 	}
 	g.mu.Lock()
-	speaks := g.witness.Speaks(disk, run)
+	speaks := g.witness.AcceptIncarnation(disk, run)
 	g.mu.Unlock()
 	if !speaks {
 		http.Error(w, "another start of the program has presented itself with this disk: this one counts no more", http.StatusConflict)
@@ -185,7 +185,7 @@
 			vote = m.GetTo()
 		}
 		if m.GetType() != pb.MsgPreVote && m.GetType() != pb.MsgPreVoteResp { // those speak of terms that may never be
-			g.witness.Shown(disk, m.GetTerm(), last, vote)
+			g.witness.Observe(disk, m.GetTerm(), last, vote)
 		}
 	}
 	g.mu.Unlock()
@@ -220,21 +220,21 @@
 		return
 	}
 	begin := time.Now()
-	c, err := g.store.Receive(r.Body)
+	c, err := g.store.ReceiveSnapshot(r.Body)
 	if err != nil {
 		slog.Warn("copies.whole_not_received", "err", err)
 		http.Error(w, err.Error(), http.StatusInsufficientStorage)
 		return
 	}
 	slog.Info("copies.whole_received", "took_ms", time.Since(begin).Milliseconds())
-	conf, _, err := untaken(c.Taken)
+	conf, _, err := untaken(c.Applied)
 	if err != nil {
-		c.Drop()
+		c.Discard()
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	m := &pb.Message{Type: pb.MsgSnap.Enum(), From: proto.Uint64(disk), To: proto.Uint64(to), Term: proto.Uint64(term), Snapshot: &pb.Snapshot{Metadata: &pb.SnapshotMetadata{
-		Index: proto.Uint64(c.Taken.At.Index), Term: proto.Uint64(c.Taken.At.Term), ConfState: pb.EnsureConfState(conf),
+		Index: proto.Uint64(c.Applied.At.Index), Term: proto.Uint64(c.Applied.At.Term), ConfState: pb.EnsureConfState(conf),
 	}}}
 	done := make(chan bool, 1)
 	if !g.post(func() {
@@ -244,15 +244,15 @@
 		}
 		g.candidate = c
 		done <- true
-		if err := g.driver.Whole(m); err != nil {
+		if err := g.driver.StepSnapshot(m); err != nil {
 			slog.Debug("copies.message", "err", err)
 		}
 	}) {
-		c.Drop()
+		c.Discard()
 		return
 	}
 	if !<-done {
-		c.Drop()
+		c.Discard()
 		http.Error(w, "this copy can't take a state over now", http.StatusServiceUnavailable)
 	}
 }
@@ -260,7 +260,7 @@
 func describe(c *replica.Change) string {
 	var all []string
 	for _, s := range c.Steps {
-		all = append(all, fmt.Sprintf("%s disk %x %s", map[replica.StepKind]string{replica.Learn: "learns", replica.Vote: "votes", replica.Leave: "leaves"}[s.Kind], s.Disk, s.Member.Name))
+		all = append(all, fmt.Sprintf("%s disk %x %s", map[replica.StepKind]string{replica.AddLearner: "learns", replica.AddVoter: "votes", replica.RemoveMember: "leaves"}[s.Kind], s.Disk, s.Member.Name))
 	}
 	return strings.Join(all, ", ")
 }
@@ -276,7 +276,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	g.set.TakeHeartbeats(asks.Signs)
+	g.set.TakeHeartbeats(asks.Heartbeats)
 	ctx, cancel := context.WithTimeout(r.Context(), g.set.Lease)
 	defer cancel()
 	if err := g.Barrier(ctx); err != nil {
@@ -292,10 +292,10 @@
 		return
 	}
 	g.mu.Lock()
-	g.granter.Give(disk, asks.Told, Now())
+	g.granter.Give(disk, asks.Acknowledged, Now())
 	g.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(g.set.Grant(asks.Signs.QuotaRenewals))
+	_ = json.NewEncoder(w).Encode(g.set.Grant(asks.Heartbeats.QuotaRenewals))
 }
 
 // ChangeMembers carries out an order, if this copy leads. A refusal is a *replica.Refusal.
@@ -328,7 +328,7 @@
 		var to uint64
 		if to, err = v.Successor(o.Name); err == nil {
 			slog.Info("copies.hand_over", "to", v.Members[to].Name)
-			g.driver.HandOver(to)
+			g.driver.TransferLeadership(to)
 		}
 		return err
 	default:
@@ -337,7 +337,7 @@
 	if err != nil || c == nil {
 		return err
 	}
-	if err = g.driver.Change(*c); err == nil {
+	if err = g.driver.ProposeChange(*c); err == nil {
 		slog.Info("copies.change", "change", describe(c))
 	}
 	return err
--- a/internal/controlplane/replicas/silence_test.go
+++ b/internal/controlplane/replicas/silence_test.go
@@ -112,7 +112,7 @@
 // c's place once c is silent while the leader is there.
 func TestSilenceCountsOnlyWhileTheLeaderIsThere(t *testing.T) {
 	s := newSilenceTest(t)
-	awaitPhase(t, s.a, replicas.In)
+	awaitPhase(t, s.a, replicas.Active)
 	s.contact(t)
 	time.Sleep(replaceAfter + replaceAfter/4) // c's silence towards a follower
 	s.hold.Store(atLead)
--- a/internal/controlplane/replicas/whole_test.go
+++ b/internal/controlplane/replicas/whole_test.go
@@ -12,7 +12,7 @@
 func TestWholeStateMayBeChecked(t *testing.T) {
 	ended := make(chan struct{})
 	timer := time.AfterFunc(time.Hour, func() { close(ended) })
-	if _, err := io.ReadAll(moving{strings.NewReader("state"), 20 * time.Millisecond, time.Hour, timer}); err != nil {
+	if _, err := io.ReadAll(stallReader{strings.NewReader("state"), 20 * time.Millisecond, time.Hour, timer}); err != nil {
 		t.Fatal(err)
 	}
 	select {
@@ -21,7 +21,7 @@
 	case <-time.After(100 * time.Millisecond):
 	}
 	timer.Reset(time.Hour)
-	if _, err := (moving{strings.NewReader("state"), 20 * time.Millisecond, time.Hour, timer}).Read(make([]byte, 2)); err != nil {
+	if _, err := (stallReader{strings.NewReader("state"), 20 * time.Millisecond, time.Hour, timer}).Read(make([]byte, 2)); err != nil {
 		t.Fatal(err)
 	}
 	select {
@@ -29,7 +29,7 @@
 	case <-time.After(10 * time.Second):
 		t.Error("it waits for a line that stands still")
 	}
-	if d := checkWithin(1600 << 20); d < 6*time.Minute || d > 10*time.Minute {
+	if d := verifyTimeout(1600 << 20); d < 6*time.Minute || d > 10*time.Minute {
 		t.Errorf("%v to check 1.6 GB", d)
 	}
 }
--- a/internal/controlplane/store/compatibility_test.go
+++ b/internal/controlplane/store/compatibility_test.go
@@ -190,7 +190,7 @@
 	s, err := Open(path, opt)
 	check(t, err)
 	members := []byte("\xa1\x01\xa3\x64Name\x61a\x67Machine\x62ma\x64Site\x65north") // as the replica package encodes them
-	check(t, s.BecomeReplica(Identity{Group: 0xabc, Disk: 1, Name: "a"}, &AppliedState{At: Position{Index: 1, Term: 1}, Conf: []byte{8, 1}, Members: members}))
+	check(t, s.BecomeReplica(Identity{Group: 0xabc, Disk: 1, Name: "a"}, &AppliedState{At: Position{Index: 1, Term: 1}, ConfState: []byte{8, 1}, Members: members}))
 	index := uint64(1)
 	do := func(change func(*Tx) error) error {
 		r := &Request{do: change, done: make(chan error, 1)}
--- a/internal/controlplane/store/group.go
+++ b/internal/controlplane/store/group.go
@@ -25,7 +25,7 @@
 var (
 	ErrNotLeader      = errors.New("this copy does not lead")
 	ErrOutcomeUnknown = errors.New("nobody knows whether it was written: the leader changed meanwhile; repeat it under the same id")
-	ErrCopiedStore    = errors.New("the store is a copy of another disk's: it is not what it was when this disk last wrote it")
+	ErrClonedStore    = errors.New("the store is a copy of another disk's: it is not what it was when this disk last wrote it")
 	ErrInGroup        = errors.New("the store belongs to a group of copies")
 )
 
@@ -46,9 +46,9 @@
 
 // AppliedState is what the log has led to: a position, and who the members are there, in bytes of the caller's.
 type AppliedState struct {
-	At      Position `cbor:"At"`
-	Conf    []byte   `cbor:"Conf"`
-	Members []byte   `cbor:"Members"`
+	At        Position `cbor:"At"`
+	ConfState []byte   `cbor:"Conf"`
+	Members   []byte   `cbor:"Members"`
 }
 
 // HardState is what the copy has promised to the others.
@@ -68,9 +68,9 @@
 type PersistedState struct {
 	Identity
 	HardState
-	Applied AppliedState
-	Before  Position // of the entry before the first one kept
-	Entries []Entry
+	Applied   AppliedState
+	Compacted Position // of the entry before the first one kept
+	Entries   []Entry
 }
 
 // group is the copy's part of a store. It is used by the one who drives the group alone.
@@ -221,7 +221,7 @@
 func (s *Store) PersistedState() (p PersistedState, err error) {
 	p.Identity, p.Applied = *s.identity.Load(), s.group.taken
 	err = s.db.View(func(tx *bolt.Tx) error {
-		for key, to := range map[string]any{string(hardKey): &p.HardState, string(beforeKey): &p.Before} {
+		for key, to := range map[string]any{string(hardKey): &p.HardState, string(beforeKey): &p.Compacted} {
 			raw, err := get(tx, copyBucket, []byte(key))
 			if err != nil {
 				return err
@@ -235,7 +235,7 @@
 		c := tx.Bucket(logBucket).Cursor()
 		for k, _ := c.First(); k != nil; k, _ = c.Next() {
 			index := binary.BigEndian.Uint64(k)
-			if index <= p.Before.Index { // forgotten, and not yet deleted
+			if index <= p.Compacted.Index { // forgotten, and not yet deleted
 				continue
 			}
 			raw, err := get(tx, logBucket, k)
@@ -248,7 +248,7 @@
 	})
 	p.Commit = max(p.Commit, p.Applied.At.Index)
 	if err == nil { // a write that failed at its last sync may be in the file all the same
-		s.group.last = p.Before.Index
+		s.group.last = p.Compacted.Index
 		if n := len(p.Entries); n > 0 {
 			s.group.last = p.Entries[n-1].Index
 		}
@@ -303,7 +303,7 @@
 	taken := s.group.taken
 	taken.At = at
 	if conf != nil {
-		taken.Conf, taken.Members = conf, members
+		taken.ConfState, taken.Members = conf, members
 	}
 	s.group.moved = true
 	if data == nil {
@@ -353,8 +353,8 @@
 	return nil
 }
 
-// Pending tells whether anything was taken over that is not in the file: a batch, or no more than a place in the log.
-func (s *Store) Pending() bool { return s.group.moved || len(s.group.pending) > 0 }
+// HasUnpersisted tells whether anything was taken over that is not in the file: a batch, or no more than a place in the log.
+func (s *Store) HasUnpersisted() bool { return s.group.moved || len(s.group.pending) > 0 }
 
 // CompactLog has the entries up to a place deleted with the next Save.
 func (s *Store) CompactLog(before Position) {
--- a/internal/controlplane/store/store_test.go
+++ b/internal/controlplane/store/store_test.go
@@ -286,19 +286,19 @@
 	check(t, err)
 	defer to.Close()
 	check(t, to.BecomeReplica(Identity{Disk: 2, Name: "b"}, nil))
-	receive := func() (c *Candidate) {
+	receive := func() (c *ReceivedSnapshot) {
 		t.Helper()
-		check(t, from.Export(func(_ AppliedState, _ int64, write func(io.Writer) error) error {
+		check(t, from.ExportSnapshot(func(_ AppliedState, _ int64, write func(io.Writer) error) error {
 			r, w := io.Pipe()
 			go func() { w.CloseWithError(write(w)) }()
-			c, err = to.Receive(r)
+			c, err = to.ReceiveSnapshot(r)
 			return err
 		}))
 		return c
 	}
 	first := receive()
 	second := receive()
-	first.Drop()
+	first.Discard()
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
 		all, err := filepath.Glob(path + incoming + "*")
 		check(t, err)
@@ -309,7 +309,7 @@
 			t.Fatalf("%v are there, %s is wanted", all, second.store.path)
 		}
 	}
-	check(t, to.Adopt(second, HardState{Term: 1, Commit: 1}))
+	check(t, to.InstallSnapshot(second, HardState{Term: 1, Commit: 1}))
 	p, err := to.PersistedState()
 	check(t, err)
 	if i, _ := to.Identity(); p.Applied.At.Index != 1 || i.Disk != 2 {
--- a/internal/controlplane/store/transfer.go
+++ b/internal/controlplane/store/transfer.go
@@ -10,9 +10,9 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// Export hands out the whole store as it is at this moment, while writes go on: what it has taken over, its length in
+// ExportSnapshot hands out the whole store as it is at this moment, while writes go on: what it has taken over, its length in
 // bytes, and what writes it.
-func (s *Store) Export(f func(t AppliedState, length int64, write func(io.Writer) error) error) error {
+func (s *Store) ExportSnapshot(f func(t AppliedState, length int64, write func(io.Writer) error) error) error {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.db.View(func(tx *bolt.Tx) error {
@@ -31,14 +31,14 @@
 	})
 }
 
-// Candidate is a whole store that came from another copy and was checked. It is to be adopted or dropped.
-type Candidate struct {
-	store *Store
-	Taken AppliedState
+// ReceivedSnapshot is a whole store that came from another copy and was checked. It is to be adopted or dropped.
+type ReceivedSnapshot struct {
+	store   *Store
+	Applied AppliedState
 }
 
-// Receive keeps a whole store beside this one and checks every value of it.
-func (s *Store) Receive(r io.Reader) (c *Candidate, err error) {
+// ReceiveSnapshot keeps a whole store beside this one and checks every value of it.
+func (s *Store) ReceiveSnapshot(r io.Reader) (c *ReceivedSnapshot, err error) {
 	if !s.receiving.TryLock() {
 		return nil, errors.New("store: another whole state is on its way")
 	}
@@ -71,11 +71,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Candidate{in, in.group.taken}, nil
+	return &ReceivedSnapshot{in, in.group.taken}, nil
 }
 
-// Drop gives a candidate up.
-func (c *Candidate) Drop() {
+// Discard gives a candidate up.
+func (c *ReceivedSnapshot) Discard() {
 	_ = c.store.Close()
 	go os.Remove(c.store.path)
 }
@@ -95,9 +95,9 @@
 	}()
 }
 
-// Adopt puts a candidate in this store's place, under this disk's identity and promises. After an error the store is what
+// InstallSnapshot puts a candidate in this store's place, under this disk's identity and promises. After an error the store is what
 // it was.
-func (s *Store) Adopt(c *Candidate, hard HardState) error {
+func (s *Store) InstallSnapshot(c *ReceivedSnapshot, hard HardState) error {
 	in := c.store
 	i := *s.identity.Load()
 	var err error
