--- a/internal/controlplane/replicas/faults_test.go
+++ b/internal/controlplane/replicas/faults_test.go
@@ -190,7 +190,7 @@
 	case "unlink": // the folder goes while the process writes to it
 		check(n.t, os.RemoveAll(b.Folder))
 		check(n.t, os.MkdirAll(b.Folder, 0o700))
-		if _, _, err := b.Event("copies.out", 0, patience); err != nil {
+		if _, _, err := b.Event("replica.excluded", 0, patience); err != nil {
 			n.t.Errorf("a store that is gone was not told: %v", err)
 		}
 		b.Kill()
@@ -208,7 +208,7 @@
 		b.Kill()
 		check(n.t, testharness.CopyFolder(image, b.Folder))
 		check(n.t, b.Start())
-		if _, _, err := b.Event("copies.out", 0, patience); err != nil {
+		if _, _, err := b.Event("replica.excluded", 0, patience); err != nil {
 			n.t.Errorf("an old disk was not told: %v", err)
 		}
 		b.Kill()
@@ -225,7 +225,7 @@
 		check(n.t, os.RemoveAll(b.Folder))
 		check(n.t, testharness.CopyFolder(image, b.Folder))
 		check(n.t, b.Start())
-		if _, _, err := b.Event("copies.out", 0, patience); err != nil {
+		if _, _, err := b.Event("replica.excluded", 0, patience); err != nil {
 			n.t.Errorf("an old disk was not told: %v", err)
 		}
 		b.Kill()
--- /dev/null
+++ b/internal/controlplane/replicas/leases.go
@@ -0,0 +1,170 @@
+package replicas
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"log/slog"
+	"net/http"
+	"sync"
+	"time"
+
+	"stairvane.org/stairvane/internal/controlplane/api"
+	"stairvane.org/stairvane/internal/controlplane/replica"
+	"stairvane.org/stairvane/internal/controlplane/store"
+)
+
+// renewalsPerLease is how often a lease is renewed within its length, so that a lost renewal does not end it.
+const renewalsPerLease = 4
+
+// leases is the lease under which this replica serves watchers, and, at the leader, those that it granted. It is safe for concurrent
+// use.
+type leases struct {
+	terms  replica.Lease // not changed
+	mu     sync.Mutex
+	holder replica.Holder  // guarded by mu
+	lessor *replica.Lessor // guarded by mu
+}
+
+func newLeases(terms replica.Lease) leases {
+	return leases{terms: terms, lessor: replica.NewLessor(terms)}
+}
+
+func (l *leases) setLeader(isLeader bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.lessor.Lead(isLeader, Now())
+}
+
+func (l *leases) isHeld() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.holder.Holds(Now())
+}
+
+func (l *leases) renewed(requestedAt time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.holder.Got(l.terms, requestedAt)
+}
+
+func (l *leases) grant(holder uint64, acknowledged int64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.lessor.Give(holder, acknowledged, Now())
+}
+
+func (l *leases) granted() map[uint64]replica.ActiveLease {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.lessor.ActiveLeases(Now())
+}
+
+func (l *leases) acknowledged(own int64, departedAfter time.Duration) int64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.lessor.Acknowledged(own, Now(), departedAfter)
+}
+
+// HasLease reports whether this replica may serve watchers at this moment.
+func (g *Group) HasLease() bool { return g.leases.isHeld() }
+
+// Acknowledged returns the revision up to which the watchers of all replicas and relays have every event, at the leader; 0 elsewhere.
+func (g *Group) Acknowledged() int64 {
+	own := g.settings.Acknowledged()
+	departedAfter := g.settings.NotifiedAfter()
+	return g.leases.acknowledged(own, departedAfter)
+}
+
+// GiveSession records the lease of a relay's session, beside those of replicas: Acknowledged waits for its directors too. The leader
+// calls it once a Barrier has passed, and before it sends the lease to the relay.
+func (g *Group) GiveSession(session uint64, acknowledged int64) {
+	g.leases.grant(session, acknowledged)
+}
+
+// LeaseRequest asks the leader for a lease, and reports on this replica's watchers.
+type LeaseRequest struct {
+	Acknowledged int64          `json:"told"`
+	Revision     int64          `json:"revision"`
+	Heartbeats   api.Heartbeats `json:"signs"`
+}
+
+// keepLease renews this replica's lease until it stops.
+func (g *Group) keepLease() {
+	interval := g.settings.Lease / renewalsPerLease
+	for {
+		select {
+		case <-g.stop:
+			return
+		case <-time.After(interval):
+		}
+		if err := g.renewLease(); err != nil && !errors.Is(err, store.ErrNotLeader) {
+			slog.Debug("replica.lease_not_renewed", "err", err)
+		}
+	}
+}
+
+// renewLease renews this replica's lease. The leader proves its leadership instead of asking. The lease counts from before the request.
+func (g *Group) renewLease() error {
+	s := g.published.Load()
+	requestedAt := Now()
+	ctx, cancel := context.WithTimeout(context.Background(), g.settings.Lease)
+	defer cancel()
+	if s.IsLeader {
+		if err := g.Barrier(ctx); err != nil {
+			return err
+		}
+	} else if err := g.requestLease(ctx, s.leaderName); err != nil {
+		return err
+	}
+	g.leases.renewed(requestedAt)
+	return nil
+}
+
+func (g *Group) requestLease(ctx context.Context, leader string) error {
+	p := g.peers[leader]
+	if p == nil { // no leader is known, or it is not in this replica's file
+		return store.ErrNotLeader
+	}
+	lease := LeaseRequest{
+		Acknowledged: g.settings.Acknowledged(),
+		Revision:     g.store.Fleet().Revision,
+		Heartbeats:   g.settings.Heartbeats(),
+	}
+	var answer api.LeaseAnswer
+	if err := p.callJSON(ctx, leasePath, lease, &answer); err != nil {
+		return err
+	}
+	g.settings.TakeLeaseAnswer(answer)
+	return nil
+}
+
+// serveLease grants a lease to another replica, if it is proven that this one leads and if the other one is not behind.
+func (g *Group) serveLease(w http.ResponseWriter, r *http.Request) {
+	from, ok := g.authorize(w, r)
+	if !ok {
+		return
+	}
+	var lease LeaseRequest
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxJSONBytes)).Decode(&lease); err != nil {
+		http.Error(w, err.Error(), http.StatusBadRequest)
+		return
+	}
+	g.settings.TakeHeartbeats(lease.Heartbeats)
+	ctx, cancel := context.WithTimeout(r.Context(), g.settings.Lease)
+	defer cancel()
+	if err := g.Barrier(ctx); err != nil {
+		http.Error(w, err.Error(), http.StatusServiceUnavailable)
+		return
+	}
+	isCurrent := false
+	if !g.callLoop(func() { isCurrent = g.isLeader && lease.Revision >= g.revisions.oldest() }) {
+		return
+	}
+	if !isCurrent {
+		http.Error(w, "the copy is behind", http.StatusServiceUnavailable)
+		return
+	}
+	g.leases.grant(from.disk, lease.Acknowledged)
+	writeJSON(w, g.settings.Grant(lease.Heartbeats.QuotaRenewals))
+}
--- /dev/null
+++ b/internal/controlplane/replicas/observations.go
@@ -0,0 +1,49 @@
+package replicas
+
+import (
+	"sync"
+
+	pb "go.etcd.io/raft/v3/raftpb"
+
+	"stairvane.org/stairvane/internal/controlplane/replica"
+)
+
+// diskObservations is what this replica has observed of other disks. It is safe for concurrent use.
+type diskObservations struct {
+	mu       sync.Mutex
+	detector *replica.RollbackDetector // guarded by mu
+}
+
+func (d *diskObservations) acceptIncarnation(disk, incarnation uint64) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.detector.AcceptIncarnation(disk, incarnation)
+}
+
+func (d *diskObservations) introduce(disk, incarnation uint64, state replica.ObservedDisk) replica.ObservedDisk {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.detector.Introduce(disk, incarnation, state)
+}
+
+// observe records what a disk's messages show of it: its term, the log that it acknowledges, and its vote.
+func (d *diskObservations) observe(disk uint64, messages []*pb.Message) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, m := range messages {
+		var lastIndex, vote uint64
+		switch m.GetType() {
+		case pb.MsgPreVote, pb.MsgPreVoteResp: // their term may never come
+			continue
+		case pb.MsgAppResp:
+			if !m.GetReject() {
+				lastIndex = m.GetIndex()
+			}
+		case pb.MsgVoteResp:
+			if !m.GetReject() {
+				vote = m.GetTo()
+			}
+		}
+		d.detector.Observe(disk, m.GetTerm(), lastIndex, vote)
+	}
+}
--- a/internal/controlplane/replicas/processes_test.go
+++ b/internal/controlplane/replicas/processes_test.go
@@ -263,7 +263,7 @@
 		}
 	}
 	check(t, lost.Start()) // the old disk is no member any more
-	if _, _, err := lost.Event("copies.out", 0, patience); err != nil {
+	if _, _, err := lost.Event("replica.excluded", 0, patience); err != nil {
 		t.Errorf("a disk that was replaced is not told: %v", err)
 	}
 	l.Kill() // with the spare's vote the group goes on
@@ -321,7 +321,7 @@
 		if took := time.Since(begin); took > within(time.Second) {
 			t.Errorf("syncs alone %v: the next write was accepted after %v", syncs, took)
 		}
-		_, lost, err := l.Event("copies.disk_lost", lines, patience)
+		_, lost, err := l.Event("replica.disk_failed", lines, patience)
 		check(t, err)
 		if k, err := l.Status(); err != nil || k.Phase != "no-disk" || k.IsLeader {
 			t.Errorf("the copy with the broken disk says %+v %v", k, err)
@@ -330,7 +330,7 @@
 			t.Errorf("it tells %d events of the %d that it had", n, p.Revision-1)
 		}
 		check(t, <-mended)
-		_, _, err = l.Event("copies.disk_back", lost, patience)
+		_, _, err = l.Event("replica.disk_recovered", lost, patience)
 		check(t, err)
 		check(t, s.Whole(patience))
 		if n := len(historyOf(t, l)); n < int(p.Revision) {
@@ -480,11 +480,11 @@
 			t.Fatal("the lead is not handed over")
 		}
 	}
-	if lost.Count("copies.whole_received") > 0 {
+	if lost.Count("replica.snapshot_received") > 0 {
 		t.Fatal("the state came before the lead was handed over: the test shows nothing")
 	}
 	check(t, s.Whole(patience))
-	if came, took := lost.Count("copies.whole_received"), lost.Count("copies.whole_taken_over"); came != 1 || took != 1 {
+	if came, took := lost.Count("replica.snapshot_received"), lost.Count("replica.snapshot_installed"); came != 1 || took != 1 {
 		t.Errorf("the state came %d times and was taken over %d times", came, took)
 	}
 	if n := len(historyOf(t, lost)); n != 6400 {
