--- a/internal/controlplane/replicas/barrier.go
+++ b/internal/controlplane/replicas/barrier.go
@@ -9,7 +9,7 @@
 
 // barriers are the callers of Barrier who wait for a proof of leadership. They are owned by the loop.
 type barriers struct {
-	waiting map[uint64]chan<- error // by the tag of their ReadIndex; each channel has room for its answer
+	waiting map[uint64]chan<- error // by the tag of their ReadIndex; each channel is buffered
 	proven  []replica.ReadState     // whose index is not applied yet
 }
 
--- a/internal/controlplane/replicas/claims_test.go
+++ b/internal/controlplane/replicas/claims_test.go
@@ -2,10 +2,7 @@
 
 import (
 	"fmt"
-	"math"
 	"math/rand/v2"
-	"sync"
-	"syscall"
 	"testing"
 	"time"
 
@@ -14,304 +11,218 @@
 	"stairvane.org/stairvane/internal/tools/testharness"
 )
 
-// depots are two locations with two caches each, and what they are filled from.
-type depots struct {
-	boxes map[string][]*fakes.Cache // by location
+// twoLocations is two locations with two caches each, and the origin that they are filled from.
+type twoLocations struct {
+	caches map[string][]*fakes.Cache // by location
 }
 
-func startDepots(t *testing.T, s *testharness.Cluster) *depots {
+func startTwoLocations(t *testing.T, cluster *testharness.Cluster) *twoLocations {
 	t.Helper()
-	d := &depots{boxes: map[string][]*fakes.Cache{}}
+	l := &twoLocations{caches: map[string][]*fakes.Cache{}}
 	rules := fleet.DefaultRules()
-	rules.Cache.WarmUpMS, rules.Parent.WarmUpMS = 0, 0
-	w := fleet.DesiredState{Rules: rules}
-	box := func(role fleet.Role, name, site, class string, share float64) {
-		c, err := fakes.NewCache("127.0.0.1:0")
+	rules.Cache.WarmUpMS = 0
+	rules.Parent.WarmUpMS = 0
+	desired := fleet.DesiredState{Rules: rules}
+	start := func(host fleet.HostSpec) {
+		cache, err := fakes.NewCache("127.0.0.1:0")
 		check(t, err)
-		t.Cleanup(c.Close)
-		d.boxes[site] = append(d.boxes[site], c)
-		w.Hosts = append(w.Hosts, fleet.HostSpec{Name: name, Role: role, Address: c.Addr(), Site: site, Class: class, Share: share, Running: role == fleet.Cache})
+		t.Cleanup(cache.Close)
+		l.caches[host.Site] = append(l.caches[host.Site], cache)
+		host.Address = cache.Addr()
+		desired.Hosts = append(desired.Hosts, host)
 	}
-	box(fleet.Origin, "store", "hub", "origin", 40)
+	start(fleet.HostSpec{Name: "store", Role: fleet.Origin, Site: "hub", Class: "origin", Share: 40})
 	for _, site := range []string{"west", "east"} {
 		for i := range 2 {
-			box(fleet.Cache, fmt.Sprintf("%s-%d", site, i), site, "std", 4)
+			name := fmt.Sprintf("%s-%d", site, i)
+			start(fleet.HostSpec{Name: name, Role: fleet.Cache, Site: site, Class: "std", Share: 4, Running: true})
 		}
-		w.Locations = append(w.Locations, fleet.Location{Name: site, Floor: 1, Load: 1, Sources: []string{"store"}})
+		desired.Locations = append(desired.Locations, fleet.Location{Name: site, Floor: 1, Load: 1, Sources: []string{"store"}})
 	}
-	w.Normalize()
-	applied(t, s, carryOut(t, s, w))
-	return d
+	desired.Normalize()
+	awaitApply(t, cluster, submitPlan(t, cluster, desired))
+	return l
+}
+
+// executions is where the orders of lost directors were executed.
+type executions struct {
+	tokens int
+	inBoth int      // tokens that were executed in both locations within the window
+	which  []string // those tokens, with the times of both
 }
 
-// twice counts the tokens that ran in both locations within their window, as the stand-ins have noted.
-// For each of them it says when, so that a failing seed tells more than that it fails.
-func (d *depots) twice(window time.Duration) (tokens, both int, which []string) {
-	at := map[string]map[string]time.Time{}
+// executions reads what the fake caches have recorded.
+func (l *twoLocations) executions(window time.Duration) (e executions) {
+	firstAt := map[string]map[string]time.Time{} // by token and location
 	for _, site := range []string{"west", "east"} {
-		for _, b := range d.boxes[site] {
-			for _, o := range b.Attempts() {
-				if o.Token == "" {
+		for _, cache := range l.caches[site] {
+			for _, attempt := range cache.Attempts() {
+				if attempt.Token == "" {
 					continue
 				}
-				if at[o.Token] == nil {
-					at[o.Token] = map[string]time.Time{}
+				if firstAt[attempt.Token] == nil {
+					firstAt[attempt.Token] = map[string]time.Time{}
 				}
-				if first, is := at[o.Token][site]; !is || o.At.Before(first) {
-					at[o.Token][site] = o.At
+				if first, is := firstAt[attempt.Token][site]; !is || attempt.At.Before(first) {
+					firstAt[attempt.Token][site] = attempt.At
 				}
 			}
 		}
 	}
-	for token, sites := range at {
-		if w, e := sites["west"], sites["east"]; !w.IsZero() && !e.IsZero() && w.Sub(e).Abs() < window {
-			both++
-			which = append(which, fmt.Sprintf("%s west %s, east %v later", token, w.Format("15:04:05.000"), e.Sub(w)))
+	e.tokens = len(firstAt)
+	for token, sites := range firstAt {
+		west, east := sites["west"], sites["east"]
+		if !west.IsZero() && !east.IsZero() && west.Sub(east).Abs() < window {
+			e.inBoth++
+			e.which = append(e.which, fmt.Sprintf("%s west %s, east %v later", token, west.Format("15:04:05.000"), east.Sub(west)))
 		}
 	}
-	return len(at), both, which
+	return e
+}
+
+// directorLoss kills directors with orders under way, and has their clients repeat the orders with the same tokens elsewhere.
+type directorLoss struct {
+	t         *testing.T
+	cluster   *testharness.Cluster
+	claims    string // the directors' settings of claims; empty: without
+	rng       *rand.Rand
+	directors map[string][]*testharness.Director // by location
 }
 
-// lose has clients ask a director for orders, kills it in the middle, and has the clients come again with the same tokens at a
-// director of the other location, so often.
-func lose(t *testing.T, s *testharness.Cluster, d *depots, claims string, losses int, rng *rand.Rand) (tokens, both int, which []string, answers fakes.Tally) {
+func startDirectorLoss(t *testing.T, cluster *testharness.Cluster, locations *twoLocations, claims string, rng *rand.Rand) *directorLoss {
 	t.Helper()
-	directors := map[string][]*testharness.Director{}
-	begin := func(site string, n int) *testharness.Director {
-		dir, err := s.StartDirector(fmt.Sprintf("%s%d", site, n), site, rng.IntN(len(s.Replicas)), claims)
-		check(t, err)
-		t.Cleanup(dir.Kill)
-		return dir
-	}
-	served := func(dir *testharness.Director) {
-		for end := time.Now().Add(patience); ; {
-			c, err := fakes.Connect(dir.Addr)
-			check(t, err)
-			check(t, c.Ask("orders", 1, time.Second, "token", fmt.Sprintf("warm%x", rng.Uint64())))
-			if c.Finish(2*time.Second).Served == 1 {
-				return
-			}
-			if time.Now().After(end) {
-				t.Fatalf("%s serves no order:\n%s", dir.Name, dir.Log())
-			}
-			time.Sleep(20 * time.Millisecond)
-		}
-	}
+	l := &directorLoss{t: t, cluster: cluster, claims: claims, rng: rng, directors: map[string][]*testharness.Director{}}
 	for _, site := range []string{"west", "east"} {
 		for n := range 3 {
-			directors[site] = append(directors[site], begin(site, n))
+			l.directors[site] = append(l.directors[site], l.start(site, n))
 		}
 	}
 	for _, site := range []string{"west", "east"} {
-		for _, dir := range directors[site] {
-			served(dir)
+		for _, d := range l.directors[site] {
+			l.awaitServing(d)
 		}
-		for _, b := range d.boxes[site] {
-			b.Slow(30 * time.Millisecond)
+		for _, cache := range locations.caches[site] {
+			cache.Slow(30 * time.Millisecond)
 		}
 	}
-	for n := range losses {
-		site, other := "west", "east"
-		if rng.IntN(2) == 0 {
-			site, other = other, site
-		}
-		i := rng.IntN(3)
-		lost := directors[site][i]
-		c, err := fakes.Connect(lost.Addr)
-		check(t, err)
-		asked := map[string]uint64{} // object by token
-		for k := range 8 {
-			token := fmt.Sprintf("t%dx%dx%x", n, k, rng.Uint32())
-			asked[token] = rng.Uint64()
-			if c.Ask("orders", asked[token], 5*time.Second, "token", token) != nil {
-				break
-			}
-			time.Sleep(time.Duration(rng.IntN(4)) * time.Millisecond)
-		}
-		lost.Kill()
-		c.Finish(time.Second)
-		// They come to a director of the other location first, then to another one of the same.
-		again, err := fakes.Connect(directors[other][rng.IntN(3)].Addr)
-		check(t, err)
-		for token, object := range asked {
-			check(t, again.Ask("orders", object, 1500*time.Millisecond, "token", token))
-		}
-		one := again.Finish(patience)
-		again, err = fakes.Connect(directors[site][(i+1)%3].Addr)
-		check(t, err)
-		for token, object := range asked {
-			check(t, again.Ask("orders", object, 1500*time.Millisecond, "token", token))
+	return l
+}
+
+func (l *directorLoss) start(site string, n int) *testharness.Director {
+	l.t.Helper()
+	d, err := l.cluster.StartDirector(fmt.Sprintf("%s%d", site, n), site, l.rng.IntN(len(l.cluster.Replicas)), l.claims)
+	check(l.t, err)
+	l.t.Cleanup(d.Kill)
+	return d
+}
+
+func (l *directorLoss) awaitServing(d *testharness.Director) {
+	l.t.Helper()
+	for end := time.Now().Add(patience); ; {
+		c, err := fakes.Connect(d.Addr)
+		check(l.t, err)
+		check(l.t, c.Ask("orders", 1, time.Second, "token", fmt.Sprintf("warm%x", l.rng.Uint64())))
+		if c.Finish(2*time.Second).Served == 1 {
+			return
 		}
-		home := again.Finish(patience)
-		if one.Served += home.Served; claims != "" && home.Served < len(asked) {
-			t.Logf("%d of %d are not served where they had been sent: %+v", len(asked)-home.Served, len(asked), home)
+		if time.Now().After(end) {
+			l.t.Fatalf("%s serves no order:\n%s", d.Name, d.Log())
 		}
-		one.Sent, one.Refused, one.Failed, one.Lost, one.Doubled = one.Sent+home.Sent, one.Refused+home.Refused, one.Failed+home.Failed, one.Lost+home.Lost, one.Doubled+home.Doubled
-		answers.Sent, answers.Served, answers.Refused, answers.Failed = answers.Sent+one.Sent, answers.Served+one.Served, answers.Refused+one.Refused, answers.Failed+one.Failed
-		answers.Lost, answers.Doubled = answers.Lost+one.Lost, answers.Doubled+one.Doubled
-		directors[site][i] = begin(site, i)
-		served(directors[site][i])
+		time.Sleep(20 * time.Millisecond)
 	}
-	if claims != "" { // a token that comes with another object is no repeat
-		c, err := fakes.Connect(directors["west"][0].Addr)
-		check(t, err)
-		for object := range uint64(2) {
-			check(t, c.Ask("orders", object+1, 1500*time.Millisecond, "token", "twofold"))
-			time.Sleep(100 * time.Millisecond)
-		}
-		if one := c.Finish(patience); one.Served != 1 || one.Failed != 1 {
-			t.Errorf("one token for two objects: %+v", one)
-		}
+}
+
+// lose kills a director with orders under way, and returns how the repeated orders were answered: first by a director of the other
+// location, then by another one of the same location.
+func (l *directorLoss) lose(n int) fakes.Tally {
+	l.t.Helper()
+	site, other := "west", "east"
+	if l.rng.IntN(2) == 0 {
+		site, other = other, site
+	}
+	i := l.rng.IntN(3)
+	lost := l.directors[site][i]
+	c, err := fakes.Connect(lost.Addr)
+	check(l.t, err)
+	orders := map[string]uint64{} // object by token
+	for k := range 8 {
+		token := fmt.Sprintf("t%dx%dx%x", n, k, l.rng.Uint32())
+		orders[token] = l.rng.Uint64()
+		if c.Ask("orders", orders[token], 5*time.Second, "token", token) != nil {
+			break
+		}
+		time.Sleep(time.Duration(l.rng.IntN(4)) * time.Millisecond)
+	}
+	lost.Kill()
+	c.Finish(time.Second)
+	atOther := l.repeat(l.directors[other][l.rng.IntN(3)], orders)
+	atSame := l.repeat(l.directors[site][(i+1)%3], orders)
+	if l.claims != "" && atSame.Served < len(orders) {
+		l.t.Logf("%d of %d are not served where they had been sent: %+v", len(orders)-atSame.Served, len(orders), atSame)
+	}
+	l.directors[site][i] = l.start(site, i)
+	l.awaitServing(l.directors[site][i])
+	return addTallies(atOther, atSame)
+}
+
+// repeat sends orders again.
+func (l *directorLoss) repeat(to *testharness.Director, orders map[string]uint64) fakes.Tally {
+	l.t.Helper()
+	c, err := fakes.Connect(to.Addr)
+	check(l.t, err)
+	for token, object := range orders {
+		check(l.t, c.Ask("orders", object, 1500*time.Millisecond, "token", token))
+	}
+	return c.Finish(patience)
+}
+
+// checkReusedToken checks that a token which comes with another object is rejected: it is no repeat.
+func (l *directorLoss) checkReusedToken() {
+	l.t.Helper()
+	c, err := fakes.Connect(l.directors["west"][0].Addr)
+	check(l.t, err)
+	for object := range uint64(2) {
+		check(l.t, c.Ask("orders", object+1, 1500*time.Millisecond, "token", "twofold"))
+		time.Sleep(100 * time.Millisecond)
+	}
+	if tally := c.Finish(patience); tally.Served != 1 || tally.Failed != 1 {
+		l.t.Errorf("one token for two objects: %+v", tally)
 	}
-	tokens, both, which = d.twice(4 * time.Second)
-	return tokens, both, which, answers
 }
 
-// A director is killed with orders on their way; its clients come again, with their tokens, at a director of another location.
-// Without claims some orders run in both; with claims none does, and each request gets one final answer.
+// Guards against an order that is executed in two locations: a director is killed with orders under way, and its clients repeat them
+// with their tokens at a director of another location. Without claims some orders are executed in both; with claims none is, and each
+// request gets one final answer.
 func TestNoOrderRunsInTwoLocations(t *testing.T) {
 	seed := uint64(fromEnv(seedVar, 1))
 	losses := fromEnv("STAIRVANE_LOSSES", 4)
 	t.Logf("%s=%d STAIRVANE_LOSSES=%d", seedVar, seed, losses)
 	for _, claims := range []string{"", "(claims (listen 127.0.0.1:0) (unreached wait))"} {
-		s := group(t, 3, 0)
-		tokens, both, which, answers := lose(t, s, startDepots(t, s), claims, losses, rand.New(rand.NewPCG(seed, 9)))
-		t.Logf("claims %q: %d of %d tokens ran in both locations; those who came again: %+v", claims, both, tokens, answers)
+		cluster := startGroup(t, 3, 0)
+		locations := startTwoLocations(t, cluster)
+		loss := startDirectorLoss(t, cluster, locations, claims, rand.New(rand.NewPCG(seed, 9)))
+		var answers fakes.Tally
+		for n := range losses {
+			answers = addTallies(answers, loss.lose(n))
+		}
+		if claims != "" {
+			loss.checkReusedToken()
+		}
+		executed := locations.executions(4 * time.Second)
+		t.Logf("claims %q: %d of %d tokens ran in both locations; the repeated orders: %+v",
+			claims, executed.inBoth, executed.tokens, answers)
 		if answers.Lost+answers.Doubled > 0 {
 			t.Errorf("claims %q: not each request got one answer: %+v", claims, answers)
 		}
-		if claims == "" && both == 0 {
+		if claims == "" && executed.inBoth == 0 {
 			t.Error("without claims none ran in both locations: the test shows nothing")
 		}
 		if claims != "" && answers.Served < answers.Sent/3 {
-			t.Errorf("with claims hardly any are served that come again: %+v", answers)
-		}
-		if claims != "" && both > 0 {
-			t.Errorf("%d tokens ran in two groups of caches: %v", both, which)
+			t.Errorf("with claims hardly any repeated order is served: %+v", answers)
 		}
-		s.Close()
-	}
-}
-
-// carried counts what came to a box in each window since a moment, in requests.
-func carried(b *fakes.Cache, since time.Time, window time.Duration, windows int) []int {
-	all := make([]int, windows)
-	for _, o := range b.Attempts() {
-		if n := int(o.At.Sub(since) / window); !o.At.Before(since) && n < windows {
-			all[n]++
+		if claims != "" && executed.inBoth > 0 {
+			t.Errorf("%d tokens ran in two locations: %v", executed.inBoth, executed.which)
 		}
-	}
-	return all
-}
-
-// coldest looks at each window of 3 s of a cold box by the rule itself: it bears 4 times what a box of its share can do, of which it
-// has 0.17 at its first request and all 16 s later, with 3 roots of that and 3 more by chance. It gives the window that came
-// nearest to that.
-func coldest(b *fakes.Cache, share float64, work time.Duration) (got int, may float64) {
-	orders := b.Attempts()
-	near := -1.0
-	for i, o := range orders {
-		age := min(1, o.At.Sub(orders[0].At).Seconds()/16)
-		n := 4 * (0.17 + 0.83*age) * share * 3 / work.Seconds()
-		bears, in := n+3*math.Sqrt(n)+3, 0
-		for _, p := range orders[i:] {
-			if p.At.Sub(o.At) < 3*time.Second {
-				in++
-			}
-		}
-		if float64(in)/bears > near {
-			near, got, may = float64(in)/bears, in, bears
-		}
-	}
-	return got, may
-}
-
-// A cold box is added under a load of which one director of six has nine tenths, by processes. By turns it gets what it may
-// have, for the one director uses what the others leave; by even parts most of it stays unused. Never is it sent more than
-// what was planned for all together, though a director is paused and another is killed.
-func TestTurnsShareAColdBoxByDemand(t *testing.T) {
-	seed := uint64(fromEnv(seedVar, 1))
-	t.Logf("%s=%d", seedVar, seed)
-	s := group(t, 3, 0)
-	boxes := startBoxes(t, 5)
-	now, _ := depot(boxes)
-	applied(t, s, carryOut(t, s, now))
-	rng := rand.New(rand.NewPCG(seed, 11))
-	stop := make(chan struct{})
-	var load sync.WaitGroup
-	var directors []*testharness.Director
-	var clients []*fakes.Client
-	for i := range 6 {
-		d, err := s.StartDirector(fmt.Sprintf("d-%d", i), "west", i%3, "")
-		check(t, err)
-		t.Cleanup(d.Kill)
-		directors = append(directors, d)
-		served(t, d)
-		c, err := fakes.Connect(d.Addr)
-		check(t, err)
-		clients = append(clients, c)
-		every := 200 * time.Millisecond
-		if i == 0 {
-			every = 2 * time.Millisecond
-		}
-		load.Go(func() {
-			for {
-				select {
-				case <-stop:
-					return
-				case <-time.After(every):
-					object := rand.Uint64N(200)
-					if c.Ask("clips", 1+object, 5*time.Second, "group", fmt.Sprint(object), "mem", "1000") != nil {
-						return
-					}
-				}
-			}
-		})
-	}
-	time.Sleep(time.Second)
-	c, err := s.Client()
-	check(t, err)
-	r, err := c.Members()
-	check(t, err)
-	if len(r.Directors) != 6 {
-		t.Fatalf("%d directors are on the roll", len(r.Directors))
-	}
-	// The box enters cold: 0.17 of its share of 4, all of it after 16 s.
-	next := now
-	next.Rules.Cache.WarmUpMS = 16000
-	next.Hosts = append(append([]fleet.HostSpec(nil), now.Hosts...), fleet.HostSpec{Name: "c-3", Role: fleet.Cache, Address: boxes[3].Addr(), Site: "west", Class: "std", Share: 4})
-	next.Normalize()
-	begin := time.Now()
-	carryOut(t, s, next)
-	time.Sleep(4 * time.Second)
-	held, err := c.Quotas()
-	check(t, err)
-	sum, first := 0.0, 0.0
-	for _, h := range held {
-		sum += h.Part
-		if h.Holder[:3] == "d-0" {
-			first = h.Part
-		}
-	}
-	t.Logf("%d parts add up to %.2f; the busy director has %.2f of it", len(held), sum, first)
-	if len(held) != 6 || sum > 1 || first < 0.4 {
-		t.Errorf("parts: %+v", held)
-	}
-	victim := 1 + rng.IntN(4)
-	directors[victim].Signal(syscall.SIGSTOP)
-	directors[victim+1].Kill()
-	time.Sleep(2 * time.Second)
-	directors[victim].Signal(syscall.SIGCONT)
-	time.Sleep(2 * time.Second)
-	close(stop)
-	load.Wait()
-	for _, c := range clients {
-		c.Finish(2 * time.Second)
-	}
-	t.Logf("requests at the cold box, second by second: %v", carried(boxes[3], begin, time.Second, 8))
-	got, may := coldest(boxes[3], 4, 200*time.Millisecond)
-	t.Logf("its fullest window of 3 s had %d requests, it falls at more than %.0f", got, may)
-	if got < 10 || float64(got) > may {
-		t.Errorf("a window of 3 s had %d requests, at %.0f the box falls", got, may)
+		cluster.Close()
 	}
 }
--- a/internal/controlplane/replicas/introduction.go
+++ b/internal/controlplane/replicas/introduction.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// confirmMembership asks another replica whether this disk was removed; the transport acts on the answer.
+// confirmMembership asks another replica whether this disk was removed; call excludes it if it was.
 func (p *peer) confirmMembership() {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
@@ -119,7 +119,7 @@
 	return state, err
 }
 
-// handleGreeting acts on the answer to a hello, on the loop.
+// handleGreeting handles the answer to a hello, on the loop.
 func (g *Group) handleGreeting(p *peer, own replica.ObservedDisk, answer Greeting) {
 	switch {
 	case g.phase == Introducing:
--- a/internal/controlplane/replicas/measure_test.go
+++ b/internal/controlplane/replicas/measure_test.go
@@ -19,14 +19,15 @@
 	"stairvane.org/stairvane/internal/tools/testharness"
 )
 
-// Measurements run by command alone: STAIRVANE_MEASURE=1 go test -run TestMeasure -v ./internal/controlplane/replicas. Every process is the
-// built program; all stores are on one disk.
-func measuring(t *testing.T) {
+// skipUnlessMeasuring skips a measurement unless it is asked for: STAIRVANE_MEASURE=1 go test -run TestMeasure -v
+// ./internal/controlplane/replicas. Every process is the built program; all stores are on one disk.
+func skipUnlessMeasuring(t *testing.T) {
 	if os.Getenv("STAIRVANE_MEASURE") == "" {
 		t.Skip("a measurement, by command: STAIRVANE_MEASURE=1")
 	}
 }
 
+// quantile sorts durations and returns one of their quantiles.
 func quantile(d []time.Duration, q float64) time.Duration {
 	if len(d) == 0 {
 		return 0
@@ -35,7 +36,7 @@
 	return d[min(len(d)-1, int(q*float64(len(d))))]
 }
 
-// writeFor has writers purge as fast as they are answered for a time, each over a connection of its own.
+// writeFor has writers purge for a time as fast as they are answered, each over a connection of its own.
 func writeFor(t *testing.T, addresses string, writers int, length time.Duration) (perSecond float64, p50, p99 time.Duration) {
 	t.Helper()
 	var mu sync.Mutex
@@ -64,12 +65,13 @@
 	return float64(len(all)) / length.Seconds(), quantile(all, 0.5), quantile(all, 0.99)
 }
 
-// alone starts a board that is no copy.
-func alone(t *testing.T) (address string) {
+// startSingle starts a control plane without replicas.
+func startSingle(t *testing.T) (address string) {
 	t.Helper()
 	folder := t.TempDir()
 	path := filepath.Join(folder, "alone.scm")
-	check(t, os.WriteFile(path, []byte("(board (listen 127.0.0.1:0) (store "+filepath.Join(folder, "board.db")+") (write (tcp 127.0.0.1:0)))\n"), 0o600))
+	settings := "(board (listen 127.0.0.1:0) (store " + filepath.Join(folder, "board.db") + ") (write (tcp 127.0.0.1:0)))\n"
+	check(t, os.WriteFile(path, []byte(settings), 0o600))
 	p, err := testharness.Start("alone", program, []string{"board", path}, nil)
 	check(t, err)
 	t.Cleanup(p.Kill)
@@ -79,75 +81,77 @@
 	return address
 }
 
+// Durable writes a second of 1, 3 and 5 replicas against a control plane without replicas.
 func TestMeasureWrites(t *testing.T) {
-	measuring(t)
-	base := map[int][]float64{}
+	skipUnlessMeasuring(t)
+	single := map[int][]float64{} // writes a second without replicas, by writers and round
 	for round := range 3 {
-		for _, copies := range []int{0, 1, 3, 5} {
+		for _, replicas := range []int{0, 1, 3, 5} {
 			for _, writers := range []int{1, 64} {
-				address := ""
-				var s *testharness.Cluster
-				if copies == 0 {
-					address = alone(t)
-				} else {
-					s = group(t, copies, 0)
-					address = s.Leader(patience).Write.Addr()
+				perSecond, p50, p99 := measureWrites(t, replicas, writers)
+				if replicas == 0 {
+					single[writers] = append(single[writers], perSecond)
 				}
-				perSecond, p50, p99 := writeFor(t, address, writers, 3*time.Second)
-				what := "alone"
-				if copies == 0 {
-					base[writers] = append(base[writers], perSecond)
-				} else {
-					what = fmt.Sprintf("%d copies", copies)
-					s.Close()
-				}
-				t.Logf("round %d: %s, %2d writers: %.2f of alone, %.0f/s, p50 %v, p99 %v", round, what, writers, perSecond/base[writers][round], perSecond, p50, p99)
+				t.Logf("round %d: %d replicas, %2d writers: %.2f of a single one, %.0f/s, p50 %v, p99 %v",
+					round, replicas, writers, perSecond/single[writers][round], perSecond, p50, p99)
 			}
 		}
 	}
 }
 
-// The hole is the time from a fault of the leader to the first write that is accepted afterwards.
-func TestMeasureHoles(t *testing.T) {
-	measuring(t)
+func measureWrites(t *testing.T, replicas, writers int) (perSecond float64, p50, p99 time.Duration) {
+	t.Helper()
+	const length = 3 * time.Second
+	if replicas == 0 {
+		return writeFor(t, startSingle(t), writers, length)
+	}
+	cluster := startGroup(t, replicas, 0)
+	defer cluster.Close()
+	return writeFor(t, cluster.Leader(patience).Write.Addr(), writers, length)
+}
+
+// The time from a fault of the leader to the first write that is accepted afterwards.
+func TestMeasureUnavailability(t *testing.T) {
+	skipUnlessMeasuring(t)
 	for _, kind := range []string{"killed", "paused", "cut off", "disk full", "disk broken"} {
 		if only := os.Getenv(kindVar); only != "" && only != kind {
 			continue
 		}
-		s := group(t, 3, 0)
-		clients := map[string]*api.Client{} // one for each copy: each opens a connection of its own
-		for _, b := range s.Replicas {
-			c, err := api.NewClient(b.Write.Addr(), "measure", api.Credentials{})
+		cluster := startGroup(t, 3, 0)
+		clients := map[string]*api.Client{} // one for each replica: each opens a connection of its own
+		for _, r := range cluster.Replicas {
+			c, err := api.NewClient(r.Write.Addr(), "measure", api.Credentials{})
 			check(t, err)
-			clients[b.Write.Addr()] = c
+			clients[r.Write.Addr()] = c
 		}
-		var holes []time.Duration
+		var outages []time.Duration
 		for n := range fromEnv("STAIRVANE_TIMES", 50) {
-			l := s.Leader(patience)
+			leader := cluster.Leader(patience)
 			var others []string
-			for _, b := range s.Replicas {
-				if b != l || kind == "disk full" || kind == "disk broken" {
-					others = append(others, b.Write.Addr())
+			for _, r := range cluster.Replicas {
+				if r != leader || kind == "disk full" || kind == "disk broken" {
+					others = append(others, r.Write.Addr())
 				}
 			}
 			if kind == "disk full" {
-				check(t, l.LimitFiles(4096))
+				check(t, leader.LimitFiles(4096))
 			}
-			begin, mended := time.Now(), make(chan error, 1)
+			begin := time.Now()
+			repaired := make(chan error, 1)
 			switch kind {
 			case "disk broken":
 				go func() {
-					_, err := l.FailDisk(syscall.EIO, false, 1500*time.Millisecond)
-					mended <- err
+					_, err := leader.FailDisk(syscall.EIO, false, 1500*time.Millisecond)
+					repaired <- err
 				}()
-				time.Sleep(20 * time.Millisecond) // all its threads are held before the first write comes
+				time.Sleep(20 * time.Millisecond) // until all its threads are stopped, before the first write
 				begin = time.Now()
 			case "killed":
-				l.Kill()
+				leader.Kill()
 			case "paused":
-				l.Signal(syscall.SIGSTOP)
+				leader.Signal(syscall.SIGSTOP)
 			case "cut off":
-				l.Cut(false, false)
+				leader.Cut(false, false)
 			}
 			for i := 0; ; i++ {
 				c := clients[others[i%len(others)]]
@@ -156,128 +160,133 @@
 				}
 				time.Sleep(2 * time.Millisecond)
 			}
-			holes = append(holes, time.Since(begin))
+			outages = append(outages, time.Since(begin))
 			switch kind {
 			case "killed":
-				check(t, l.Start())
+				check(t, leader.Start())
 			case "paused":
-				l.Signal(syscall.SIGCONT)
+				leader.Signal(syscall.SIGCONT)
 			case "cut off":
-				l.Cut(true, true)
+				leader.Cut(true, true)
 			case "disk full":
-				check(t, l.LimitFiles(-1))
+				check(t, leader.LimitFiles(-1))
 			case "disk broken":
-				check(t, <-mended)
+				check(t, <-repaired)
 			}
-			check(t, s.Whole(patience))
+			check(t, cluster.Whole(patience))
 		}
-		t.Logf("leader %s: %d times, hole p50 %v, p90 %v, max %v", kind, len(holes), quantile(holes, 0.5), quantile(holes, 0.9), holes[len(holes)-1])
-		s.Close()
+		t.Logf("leader %s: %d times, no write for p50 %v, p90 %v, max %v",
+			kind, len(outages), quantile(outages, 0.5), quantile(outages, 0.9), outages[len(outages)-1])
+		cluster.Close()
 	}
 }
 
-// follow follows a copy's bulletin as a director does, and tells when it had each event.
-func follow(t *testing.T, address string, had func(no int64, at time.Time)) (stop func()) {
+// watch watches a replica as a director does, and calls a function with each event's number.
+func watch(t *testing.T, address string, received func(no int64, at time.Time)) (stop func()) {
 	conn, err := net.Dial("tcp", address)
 	check(t, err)
 	go func() {
 		var in []byte
-		buf, last := make([]byte, 64<<10), int64(0)
+		buffer := make([]byte, 64<<10)
+		last := int64(0)
 		for {
 			if _, err := conn.Write(discovery.AppendRequest(nil, address, last, 1000, nil)); err != nil {
 				return
 			}
 			for {
-				r, used, _, err := discovery.ParseResponse(in)
+				response, used, _, err := discovery.ParseResponse(in)
 				if err != nil {
 					t.Error(err)
 					return
 				}
 				if used == 0 {
-					n, err := conn.Read(buf)
+					n, err := conn.Read(buffer)
 					if err != nil {
 						return
 					}
-					in = append(in, buf[:n]...)
+					in = append(in, buffer[:n]...)
 					continue
 				}
-				news, err := discovery.Decode(r.Body)
+				events, err := discovery.Decode(response.Body)
 				if err != nil {
 					t.Error(err)
 					return
 				}
 				in = in[:copy(in, in[used:])]
-				for last < news.LastRevision {
+				for last < events.LastRevision {
 					last++
-					had(last, time.Now())
+					received(last, time.Now())
 				}
 				break
 			}
 		}
 	}()
-	return func() { conn.Close() }
+	return func() { _ = conn.Close() } // the watch ends by that
 }
 
-// From the answer that an event is accepted to each of 100 followers having it, spread over three copies.
-func TestMeasureTold(t *testing.T) {
-	measuring(t)
-	s := group(t, 3, 0)
-	const followers, rounds = 100, 200
-	type one struct {
+// The time from the answer that an event is accepted until each of 100 watchers has it, spread over three replicas.
+func TestMeasureNotification(t *testing.T) {
+	skipUnlessMeasuring(t)
+	cluster := startGroup(t, 3, 0)
+	const watchers, rounds = 100, 200
+	type receipt struct {
 		no int64
 		at time.Time
 	}
-	came := make(chan one, followers*rounds*2)
-	for i := range followers {
-		defer follow(t, s.Replicas[i%3].Follow.Addr(), func(no int64, at time.Time) { came <- one{no, at} })()
+	receipts := make(chan receipt, watchers*rounds*2)
+	for i := range watchers {
+		defer watch(t, cluster.Replicas[i%3].Follow.Addr(), func(no int64, at time.Time) { receipts <- receipt{no, at} })()
 	}
 	time.Sleep(time.Second)
-	c, err := api.NewClient(s.Leader(patience).Write.Addr(), "measure", api.Credentials{})
+	c, err := api.NewClient(cluster.Leader(patience).Write.Addr(), "measure", api.Credentials{})
 	check(t, err)
 	var each, last []time.Duration
 	for n := range rounds {
 		p, err := c.Purge(fleet.Purge{Object: fmt.Sprintf("%016x", n+1)})
 		check(t, err)
-		accepted, latest := time.Now(), time.Duration(0)
-		for got := 0; got < followers; {
+		accepted := time.Now()
+		latest := time.Duration(0)
+		for received := 0; received < watchers; {
 			select {
-			case x := <-came:
-				if x.no != p.Revision {
+			case r := <-receipts:
+				if r.no != p.Revision {
 					continue
 				}
-				took := max(0, x.at.Sub(accepted))
-				got, each, latest = got+1, append(each, took), max(latest, took)
+				took := max(0, r.at.Sub(accepted))
+				received++
+				each = append(each, took)
+				latest = max(latest, took)
 			case <-time.After(patience):
-				t.Fatalf("event %d came to %d of %d", p.Revision, got, followers)
+				t.Fatalf("event %d came to %d of %d", p.Revision, received, watchers)
 			}
 		}
 		last = append(last, latest)
 	}
-	t.Logf("%d events to %d followers at 3 copies: each p50 %v, p99 %v; the last of them p50 %v, p99 %v, max %v", rounds, followers, quantile(each, 0.5), quantile(each, 0.99),
-		quantile(last, 0.5), quantile(last, 0.99), last[len(last)-1])
+	t.Logf("%d events to %d watchers at 3 replicas: each p50 %v, p99 %v; the last of them p50 %v, p99 %v, max %v",
+		rounds, watchers, quantile(each, 0.5), quantile(each, 0.99), quantile(last, 0.5), quantile(last, 0.99), last[len(last)-1])
 }
 
-// A machine is lost when the history has many events; a new one takes its place while writes go on.
+// The time until a new disk replaces a lost one when the history has many events, and the latency of writes meanwhile.
 func TestMeasureReplacement(t *testing.T) {
-	measuring(t)
-	s := group(t, 3, 0)
+	skipUnlessMeasuring(t)
+	cluster := startGroup(t, 3, 0)
 	events := fromEnv("STAIRVANE_EVENTS", 100_000)
-	c, err := s.Client()
+	c, err := cluster.Client()
 	check(t, err)
-	at := s.Leader(patience).Write.Addr()
+	address := cluster.Leader(patience).Write.Addr()
 	for done := int64(0); done < int64(events); {
-		writeFor(t, at, 256, 5*time.Second)
-		w, err := c.State()
+		writeFor(t, address, 256, 5*time.Second)
+		state, err := c.State()
 		check(t, err)
-		done = w.Fleet.Revision
+		done = state.Fleet.Revision
 	}
-	check(t, s.Whole(patience))
-	_, p50, p99 := writeFor(t, at, 8, 5*time.Second)
+	check(t, cluster.Whole(patience))
+	_, p50, p99 := writeFor(t, address, 8, 5*time.Second)
 	t.Logf("before: p50 %v, p99 %v", p50, p99)
 	var lost *testharness.Replica
-	for _, b := range s.Replicas {
-		if b.Write.Addr() != at {
-			lost = b
+	for _, r := range cluster.Replicas {
+		if r.Write.Addr() != address {
+			lost = r
 		}
 	}
 	lost.Kill()
@@ -285,30 +294,30 @@
 	check(t, os.MkdirAll(lost.Folder, 0o700))
 	check(t, lost.Start())
 	begin := time.Now()
-	(&nemesis{t: t, group: s}).replace(lost)
-	var whole time.Duration
+	(&nemesis{t: t, cluster: cluster}).replace(lost)
+	var took time.Duration
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		if s.Whole(10*time.Minute) == nil {
-			whole = time.Since(begin)
+		if cluster.Whole(10*time.Minute) == nil {
+			took = time.Since(begin)
 		}
 	}()
-	_, p50, p99 = writeFor(t, at, 8, 5*time.Second)
+	_, p50, p99 = writeFor(t, address, 8, 5*time.Second)
 	<-done
-	t.Logf("%d events: the new disk counts after %v; meanwhile p50 %v, p99 %v", events, whole, p50, p99)
+	t.Logf("%d events: the new disk votes after %v; meanwhile p50 %v, p99 %v", events, took, p50, p99)
 }
 
-// What a claim adds to a keyed request, one after the other and under load, and what it costs in messages and memory.
+// What a claim adds to the latency of a request with an idempotency key, and to the memory of a director.
 func TestMeasureClaims(t *testing.T) {
-	measuring(t)
+	skipUnlessMeasuring(t)
 	for round := range 3 {
 		for _, claims := range []string{"", "(claims (listen 127.0.0.1:0) (unreached wait))"} {
-			s := group(t, 3, 0)
-			startDepots(t, s)
+			cluster := startGroup(t, 3, 0)
+			startTwoLocations(t, cluster)
 			var directors []*testharness.Director
 			for i := range 6 {
-				d, err := s.StartDirector(fmt.Sprintf("d-%d", i), []string{"west", "east"}[i%2], i%3, claims)
+				d, err := cluster.StartDirector(fmt.Sprintf("d-%d", i), []string{"west", "east"}[i%2], i%3, claims)
 				check(t, err)
 				directors = append(directors, d)
 			}
@@ -330,16 +339,18 @@
 			}
 			tally := c.Finish(patience)
 			took := c.Took()
-			t.Logf("round %d, claims %q: %d served of %d, p50 %v, p99 %v, resident %d kB before, %d kB after", round, claims, tally.Served, tally.Sent,
-				quantile(took, 0.5), quantile(took, 0.99), before, residentKB(directors[0].Pid()))
+			after := residentKB(directors[0].Pid())
+			t.Logf("round %d, claims %q: %d served of %d, p50 %v, p99 %v, resident %d kB before, %d kB after",
+				round, claims, tally.Served, tally.Sent, quantile(took, 0.5), quantile(took, 0.99), before, after)
 			for _, d := range directors {
 				d.Kill()
 			}
-			s.Close()
+			cluster.Close()
 		}
 	}
 }
 
+// residentKB returns the memory of a process.
 func residentKB(pid int) (kb int) {
 	b, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	for line := range strings.Lines(string(b)) {
--- a/internal/controlplane/replicas/region_test.go
+++ b/internal/controlplane/replicas/relays_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"math/rand/v2"
 	"slices"
 	"strings"
 	"sync"
@@ -16,45 +15,45 @@
 	"stairvane.org/stairvane/internal/tools/testharness"
 )
 
-// region is a group of replicas with relays, and directors that know the relays alone.
+// region is a cluster of replicas with relays, and directors that know only the relays.
 type region struct {
 	t         *testing.T
-	replicas  *testharness.Cluster
+	cluster   *testharness.Cluster
 	relays    []*testharness.Relay
 	directors []*testharness.Director
 	client    *api.Client
 	ids       []string // of the directors
 }
 
-// withRelays has a group let relays in.
-func withRelays(s *testharness.Cluster) { s.Relays = true }
+// withRelays lets a cluster admit relays.
+func withRelays(cluster *testharness.Cluster) { cluster.Relays = true }
 
 // startRegion starts replicas, relays and directors, which are spread over the relays, and waits until all directors are members.
 func startRegion(t *testing.T, relays, directors int, forms string) *region {
 	t.Helper()
-	r := &region{t: t, replicas: group(t, 3, 0, withRelays)}
+	r := &region{t: t, cluster: startGroup(t, 3, 0, withRelays)}
 	for i := range relays {
-		relay, err := r.replicas.NewRelay(fmt.Sprintf("r%d", i+1), "west", "")
+		relay, err := r.cluster.NewRelay(fmt.Sprintf("r%d", i+1), "west", "")
 		check(t, err)
 		check(t, relay.Start())
 		t.Cleanup(relay.Close)
 		r.relays = append(r.relays, relay)
 	}
 	for i := range directors {
-		d, err := r.replicas.StartDirectorAt(fmt.Sprintf("d-%d", i), "west", r.relays, i, forms)
+		d, err := r.cluster.StartDirectorAt(fmt.Sprintf("d-%d", i), "west", r.relays, i, forms)
 		check(t, err)
 		t.Cleanup(d.Kill)
 		r.directors = append(r.directors, d)
 	}
 	var err error
-	r.client, err = r.replicas.Client()
+	r.client, err = r.cluster.Client()
 	check(t, err)
 	t.Cleanup(func() {
 		if t.Failed() {
 			r.printLogs()
 		}
 	})
-	r.until("all directors are members", func(roll api.Members) bool { return len(roll.Directors) == directors })
+	r.until("all directors are members", func(members api.Members) bool { return len(members.Directors) == directors })
 	r.ids = r.members()
 	return r
 }
@@ -68,19 +67,19 @@
 	}
 }
 
-// members are the IDs of the directors that are announced to all.
+// members returns the IDs of the directors that are announced to all.
 func (r *region) members() (ids []string) {
 	r.t.Helper()
-	roll, err := r.client.Members()
+	members, err := r.client.Members()
 	check(r.t, err)
-	for _, d := range roll.Directors {
+	for _, d := range members.Directors {
 		ids = append(ids, d.ID())
 	}
 	slices.Sort(ids)
 	return ids
 }
 
-// purge purges a group and gives the event's number.
+// purge purges a group of objects and returns the event's number.
 func (r *region) purge() int64 {
 	r.t.Helper()
 	number := 1
@@ -89,7 +88,7 @@
 	return p.Revision
 }
 
-// arrived waits until all directors have an event, from a line of their logs on, and tells when the last of them had it.
+// arrived waits until all directors have an event, from a line of their logs on, and returns when the last of them had it.
 func (r *region) arrived(no int64, from []int) (last time.Time) {
 	r.t.Helper()
 	for i, d := range r.directors {
@@ -114,8 +113,8 @@
 	return last
 }
 
-// purgesInTime purges so many times with a pause between two, and tells how long the slowest took to reach all directors.
-func (r *region) purgesInTime(count int, pause time.Duration) (slowest time.Duration) {
+// slowestPurge purges several times with a pause between two, and returns how long the slowest took to reach all directors.
+func (r *region) slowestPurge(count int, pause time.Duration) (slowest time.Duration) {
 	r.t.Helper()
 	from := r.lines()
 	begun := map[int64]time.Time{}
@@ -130,7 +129,7 @@
 	return slowest
 }
 
-// lines are the lengths of the directors' logs.
+// lines returns the lengths of the directors' logs.
 func (r *region) lines() (all []int) {
 	for _, d := range r.directors {
 		all = append(all, d.Lines())
@@ -138,7 +137,7 @@
 	return all
 }
 
-// during makes a fault and purges all the while until every director is served by one of some relays again. All purges must
+// during makes a fault, and purges all the while until every director is served by one of the given relays again. All purges must
 // arrive, and all directors stay members.
 func (r *region) during(what string, fault func(), by ...*testharness.Relay) {
 	r.t.Helper()
@@ -162,13 +161,13 @@
 	}
 }
 
-// servedBy tells whether the leader counts all directors as those of some relays.
+// servedBy reports whether the leader counts all directors as those of the given relays.
 func (r *region) servedBy(by []*testharness.Relay) bool {
 	r.t.Helper()
-	roll, err := r.client.Members()
+	members, err := r.client.Members()
 	check(r.t, err)
 	served := 0
-	for _, relay := range roll.Relays {
+	for _, relay := range members.Relays {
 		if slices.ContainsFunc(by, func(b *testharness.Relay) bool { return b.Name == relay.Name }) {
 			served += relay.Directors
 		}
@@ -176,8 +175,8 @@
 	return served == len(r.directors)
 }
 
-// gone are the directors that were ever announced as gone.
-func (r *region) gone() (ids []string) {
+// departed returns the directors that were ever announced as having left.
+func (r *region) departed() (ids []string) {
 	r.t.Helper()
 	h, err := r.client.History(0)
 	check(r.t, err)
@@ -193,23 +192,46 @@
 func (r *region) until(what string, is func(api.Members) bool) {
 	r.t.Helper()
 	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
-		roll, err := r.client.Members()
+		members, err := r.client.Members()
 		check(r.t, err)
-		if is(roll) {
+		if is(members) {
 			return
 		}
 		if time.Now().After(end) {
-			r.t.Fatalf("%s: never; %+v", what, roll)
+			r.t.Fatalf("%s: never; %+v", what, members)
 		}
 	}
 }
 
-// Directors know two relays alone. Purges reach all of them in time; while a relay is killed, the leader is killed, and a relay
-// is cut off, purges go on and all of them arrive, and no director is ever announced as gone.
+// awaitAllocations waits until the given holders and no others have allocations of a quota that add up to most of it. At no moment
+// may they add up to more than all of it.
+func (r *region) awaitAllocations(when string, holders ...string) {
+	r.t.Helper()
+	var allocations []quota.Allocation
+	sum := 0.0
+	r.until("allocations "+when, func(api.Members) bool {
+		var err error
+		allocations, err = r.client.Quotas()
+		check(r.t, err)
+		sum = 0
+		for _, a := range allocations {
+			sum += a.Part
+		}
+		if sum > 1.000001 {
+			r.t.Errorf("%s: the allocations add up to %f: %+v", when, sum, allocations)
+		}
+		isOther := func(a quota.Allocation) bool { return !slices.Contains(holders, a.Holder[:3]) }
+		return sum > 0.5 && len(allocations) == len(holders) && !slices.ContainsFunc(allocations, isOther)
+	})
+	r.t.Logf("%s: %d allocations add up to %.2f", when, len(allocations), sum)
+}
+
+// Directors know only two relays. Purges reach all of them in time. While a relay is killed, the leader is killed, and a relay is cut
+// off, all purges arrive, and no director is ever announced as having left.
 func TestDirectorsBehindRelays(t *testing.T) {
 	r := startRegion(t, 2, 4, "")
 	first, second := r.relays[0], r.relays[1]
-	slowest := r.purgesInTime(21, time.Second/21)
+	slowest := r.slowestPurge(21, time.Second/21)
 	t.Logf("the slowest of 21 purges in a second reached all directors after %v", slowest.Round(time.Millisecond))
 	if slowest > within(300*time.Millisecond) {
 		t.Errorf("a purge took %v to reach all directors", slowest)
@@ -217,13 +239,13 @@
 	r.during("a relay is killed", first.Kill, second)
 	check(t, first.Start())
 	r.during("the leader is killed", func() {
-		leader := r.replicas.Leader(patience)
+		leader := r.cluster.Leader(patience)
 		leader.Kill()
 		t.Cleanup(func() { _ = leader.Wait(patience) })
 	}, first, second)
 	r.during("a relay is cut off", func() { second.Cut(true) }, first)
 	if second.Count("relay.lease_lost") == 0 || second.Count("followers.let_go") == 0 {
-		t.Error("the relay that was cut off has let nobody go")
+		t.Error("the relay that was cut off has closed no watch")
 	}
 	cutUntil := second.Lines()
 	second.Cut(false)
@@ -231,91 +253,41 @@
 		t.Error(err)
 	}
 	r.during("a relay leaves", func() { check(t, first.Leave(patience)) }, second)
-	r.until("the leader has dropped the session of the relay that left", func(roll api.Members) bool { return len(roll.Relays) == 1 })
-	if gone := r.gone(); len(gone) > 0 {
-		t.Errorf("announced as gone: %v", gone)
+	r.until("the leader has dropped the session of the relay that left", func(members api.Members) bool { return len(members.Relays) == 1 })
+	if departed := r.departed(); len(departed) > 0 {
+		t.Errorf("announced as having left: %v", departed)
 	}
 	r.directors[0].Kill()
-	r.until("a director that was killed is gone", func(roll api.Members) bool { return len(roll.Directors) == len(r.directors)-1 })
-	if gone := r.gone(); len(gone) != 1 || gone[0][:3] != "d-0" {
-		t.Errorf("d-0 was killed; announced as gone: %v", gone)
+	r.until("a director that was killed has left", func(members api.Members) bool { return len(members.Directors) == len(r.directors)-1 })
+	if departed := r.departed(); len(departed) != 1 || departed[0][:3] != "d-0" {
+		t.Errorf("d-0 was killed; announced as having left: %v", departed)
 	}
 }
 
-// A cold cache is added under a load of which one director of four has most. Its quota goes through relays to the directors: the
-// leader's list names the relays alone, and their parts add up to at most all of it, also once one relay is killed and its
-// directors are at the other one. The cache is never sent more than what was planned for all together.
-func TestRelaysDivideTheQuotaOfAColdCache(t *testing.T) {
+// Guards the division of a quota through relays. A cache that is warming up is added under a load of which one director of four has
+// most. The leader allocates its capacity to the relays only, and the allocations add up to at most all of it, also once a relay is
+// killed and its directors are at the other one. The cache is never sent more than it can bear.
+func TestRelaysDivideTheQuotaOfAWarmingCache(t *testing.T) {
 	r := startRegion(t, 2, 4, "")
-	caches := startBoxes(t, 5)
-	now, _ := depot(caches)
-	applied(t, r.replicas, carryOut(t, r.replicas, now))
+	caches := startCaches(t, 5)
+	before, _ := desiredStates(caches)
+	awaitApply(t, r.cluster, submitPlan(t, r.cluster, before))
 	stop := make(chan struct{})
 	var load sync.WaitGroup
 	for i, d := range r.directors {
-		served(t, d)
+		awaitServing(t, d)
 		c, err := fakes.Connect(d.Addr)
 		check(t, err)
-		pause := 200 * time.Millisecond
-		if i == 0 {
-			pause = 2 * time.Millisecond
-		}
-		load.Go(func() { ask(c, pause, stop) })
+		load.Go(func() { requestClips(c, unevenPause(i), stop) })
 		t.Cleanup(func() { c.Finish(2 * time.Second) })
 	}
-	next := now
-	next.Rules.Cache.WarmUpMS = 16000 // it begins with 0.17 of its share
-	next.Hosts = append(slices.Clone(now.Hosts), fleet.HostSpec{Name: "c-3", Role: fleet.Cache, Address: caches[3].Addr(), Site: "west", Class: "std", Share: 4})
-	next.Normalize()
-	carryOut(t, r.replicas, next)
-	r.parts("with both relays", "r1/", "r2/")
+	submitPlan(t, r.cluster, withWarmingCache(before, caches[3]))
+	r.awaitAllocations("with both relays", "r1/", "r2/")
 	sent := len(caches[3].Attempts())
 	r.relays[0].Kill()
-	r.parts("with one relay", "r2/")
+	r.awaitAllocations("with one relay", "r2/")
 	r.until("the cache is sent more", func(api.Members) bool { return len(caches[3].Attempts()) > sent+20 })
 	close(stop)
 	load.Wait()
-	got, may := coldest(caches[3], 4, 200*time.Millisecond)
-	t.Logf("the fullest window of 3 s had %d requests, the cache falls at more than %.0f", got, may)
-	if got < 10 || float64(got) > may {
-		t.Errorf("a window of 3 s had %d requests, at %.0f the cache falls", got, may)
-	}
-}
-
-// ask asks for random objects with a pause between two until it is stopped.
-func ask(c *fakes.Client, pause time.Duration, stop <-chan struct{}) {
-	for {
-		select {
-		case <-stop:
-			return
-		case <-time.After(pause):
-			object := rand.Uint64N(200)
-			if c.Ask("clips", 1+object, 5*time.Second, "group", fmt.Sprint(object), "mem", "1000") != nil {
-				return
-			}
-		}
-	}
-}
-
-// parts waits until some holders and no other have parts of a quota that add up to most of it, and checks that at no look they
-// add up to more than all of it.
-func (r *region) parts(when string, holders ...string) {
-	r.t.Helper()
-	var held []quota.Allocation
-	sum := 0.0
-	r.until("parts "+when, func(api.Members) bool {
-		var err error
-		held, err = r.client.Quotas()
-		check(r.t, err)
-		sum = 0
-		for _, h := range held {
-			sum += h.Part
-		}
-		if sum > 1.000001 {
-			r.t.Errorf("%s: the parts add up to %f: %+v", when, sum, held)
-		}
-		strange := func(h quota.Allocation) bool { return !slices.Contains(holders, h.Holder[:3]) }
-		return sum > 0.5 && len(held) == len(holders) && !slices.ContainsFunc(held, strange)
-	})
-	r.t.Logf("%s: %d parts add up to %.2f", when, len(held), sum)
+	checkFullestWindow(t, caches[3])
 }
--- a/internal/controlplane/replicas/silence_test.go
+++ b/internal/controlplane/replicas/silence_test.go
@@ -18,7 +18,7 @@
 	"stairvane.org/stairvane/internal/operatorconfig"
 )
 
-// callAs makes a call as a disk of a group does; 0 stands for none yet.
+// callAs makes a call as a disk does. group is 0 for a disk that was never a member.
 func callAs(to http.Handler, path string, disk, group uint64, body string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(http.MethodPost, path, strings.NewReader(body))
 	for header, value := range map[string]uint64{"Stairvane-Group": group, "Stairvane-Disk": disk, "Stairvane-Run": 1} {
@@ -29,37 +29,38 @@
 	return w
 }
 
-// silenceTest is a leader a whose loop can be held up, a follower b behind a door, a member c and a spare d that the test speaks for.
-type silenceTest struct {
-	a, b   *localReplica
-	shut   atomic.Bool  // nothing comes to a or b, but what the test calls itself
-	hold   atomic.Value // point at which the loop of a is held up next
-	held   chan struct{}
-	resume chan struct{}
+// stallTest is a leader a whose loop can be stalled, a follower b behind a proxy, a member c and a standby d that the test speaks for.
+type stallTest struct {
+	a, b    *localReplica
+	isCut   atomic.Bool  // no call reaches a or b, but those that the test makes itself
+	stallAt atomic.Value // point at which the loop of a is stalled next
+	stalled chan struct{}
+	resume  chan struct{}
 }
 
+// replaceAfter is the silence after which a standby replaces a replica.
 const replaceAfter = time.Second
 
-// Points at which a loop can be held up.
+// Points at which a loop can be stalled.
 const (
-	nowhere = "nowhere"
-	atLead  = "when it takes the lead"
-	atWrite = store.BeforeCommit
+	nowhere    = "nowhere"
+	atElection = "when it becomes the leader"
+	atWrite    = store.BeforeCommit
 )
 
-// pass holds a's loop up if that is to be at a point.
-func (s *silenceTest) pass(point string) {
-	if s.hold.CompareAndSwap(point, nowhere) {
-		s.shut.Store(true)
-		s.held <- struct{}{}
+// pass stalls a's loop if that is to happen at this point.
+func (s *stallTest) pass(point string) {
+	if s.stallAt.CompareAndSwap(point, nowhere) {
+		s.isCut.Store(true)
+		s.stalled <- struct{}{}
 		<-s.resume
 	}
 }
 
-// serve is a place whose calls the replica at to answers.
-func (s *silenceTest) serve(t *testing.T, to **localReplica) operatorconfig.Replica {
+// serve returns a place whose calls a replica answers.
+func (s *stallTest) serve(t *testing.T, to **localReplica) operatorconfig.Replica {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if s.shut.Load() {
+		if s.isCut.Load() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
@@ -69,9 +70,9 @@
 	return operatorconfig.Replica{Address: netip.MustParseAddrPort(server.Listener.Addr().String())}
 }
 
-func newSilenceTest(t *testing.T) *silenceTest {
-	s := &silenceTest{held: make(chan struct{}), resume: make(chan struct{})}
-	s.shut.Store(true)
+func newStallTest(t *testing.T) *stallTest {
+	s := &stallTest{stalled: make(chan struct{}), resume: make(chan struct{})}
+	s.isCut.Store(true)
 	list := []operatorconfig.Replica{s.serve(t, &s.a), s.serve(t, &s.b), {}, {}}
 	members := map[uint64]replica.Member{}
 	for i, name := range []string{"a", "b", "c", "d"} {
@@ -81,58 +82,59 @@
 		}
 	}
 	voters := &pb.ConfState{Voters: []uint64{1, 2, 3}}
-	set := settings("b", list...)
-	set.ReplaceAfter = replaceAfter
-	s.b = startReplica(t, set, nil, 2, 1, voters, members)
-	set.Self = "a"
-	set.LeadershipChanged = func(bool) { s.pass(atLead) }
-	s.a = startReplica(t, set, s.pass, 1, 2, voters, members) // its log is longer: b does not win
+	settings := localSettings("b", list...)
+	settings.ReplaceAfter = replaceAfter
+	s.b = startReplica(t, settings, nil, storedState{disk: 2, position: 1, confState: voters, members: members})
+	settings.Self = "a"
+	settings.LeadershipChanged = func(bool) { s.pass(atElection) }
+	// The log of a is longer, so that b does not win an election.
+	s.a = startReplica(t, settings, s.pass, storedState{disk: 1, position: 2, confState: voters, members: members})
 	return s
 }
 
-// spareAfter has the spare call while the loop of a is held up for so long, and returns what it is answered then.
-func (s *silenceTest) spareAfter(holdUp time.Duration) string {
-	<-s.held
+// helloDuringStall sends the hello of the standby while the loop of a is stalled for a time, and returns the answer after that.
+func (s *stallTest) helloDuringStall(stall time.Duration) string {
+	<-s.stalled
 	answer := make(chan string, 1)
 	go func() { answer <- callAs(s.a.calls, helloPath, 4, 0, `{"name":"d"}`).Body.String() }()
-	time.Sleep(holdUp)
+	time.Sleep(stall)
 	s.resume <- struct{}{}
 	return <-answer
 }
 
-// contact has c call a, so that it counts as there.
-func (s *silenceTest) contact(t *testing.T) {
+// contact has c call a, so that it counts as alive.
+func (s *stallTest) contact(t *testing.T) {
 	t.Helper()
 	if w := callAs(s.a.calls, "/v1/copies/messages", 3, groupNumber, ""); w.Code != http.StatusNoContent {
 		t.Fatalf("c is answered %d: %s", w.Code, w.Body)
 	}
 }
 
-// That nothing came from c before a took the lead, or while a's own disk held it up, does not count: the spare is refused. It gets
-// c's place once c is silent while the leader is there.
-func TestSilenceCountsOnlyWhileTheLeaderIsThere(t *testing.T) {
-	s := newSilenceTest(t)
+// Guards against a standby that replaces a live replica: silence before the leader's election, or while the leader's own disk stalled
+// it, does not count. The standby gets c's place once c is silent while the leader runs.
+func TestSilenceCountsOnlyWhileTheLeaderRuns(t *testing.T) {
+	s := newStallTest(t)
 	awaitPhase(t, s.a, replicas.Active)
 	s.contact(t)
 	time.Sleep(replaceAfter + replaceAfter/4) // c's silence towards a follower
-	s.hold.Store(atLead)
-	s.shut.Store(false)
-	if answer := s.spareAfter(0); !strings.Contains(answer, "no copy is gone") {
-		t.Errorf("at a new leader the spare is answered %s", answer)
+	s.stallAt.Store(atElection)
+	s.isCut.Store(false)
+	if answer := s.helloDuringStall(0); !strings.Contains(answer, "no copy is gone") {
+		t.Errorf("a new leader answers the standby %s", answer)
 	}
-	s.shut.Store(false)
+	s.isCut.Store(false)
 	for end := time.Now().Add(patience); !s.a.IsLeader(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("a does not lead")
 		}
 	}
 	s.contact(t)
-	s.hold.Store(atWrite)
+	s.stallAt.Store(atWrite)
 	go func() { _ = s.a.store.Do(func(*store.Tx) error { return nil }) }() // a change that writes
-	if answer := s.spareAfter(replaceAfter + replaceAfter/4); !strings.Contains(answer, "no copy is gone") {
-		t.Errorf("after a hold-up the spare is answered %s", answer)
+	if answer := s.helloDuringStall(replaceAfter + replaceAfter/4); !strings.Contains(answer, "no copy is gone") {
+		t.Errorf("after a stall the standby is answered %s", answer)
 	}
-	s.shut.Store(false)
+	s.isCut.Store(false)
 	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
 		for _, g := range []*localReplica{s.a, s.b} {
 			callAs(g.calls, helloPath, 4, 0, `{"name":"d"}`)
@@ -141,7 +143,7 @@
 			}
 		}
 		if time.Now().After(end) {
-			t.Fatalf("the spare gets no place: %+v", s.a.Status())
+			t.Fatalf("the standby gets no place: %+v", s.a.Status())
 		}
 	}
 }
--- a/internal/controlplane/replicas/snapshot_send.go
+++ b/internal/controlplane/replicas/snapshot_send.go
@@ -92,7 +92,7 @@
 		length = size
 		r, w := io.Pipe()
 		go func() { w.CloseWithError(write(w)) }() // it ends when r is closed
-		defer func() { _ = r.Close() }() // a pipe's Close never fails
+		defer func() { _ = r.Close() }()           // a pipe's Close never fails
 		answer, err := p.call(ctx, snapshotPath, request{
 			contentType: binaryType,
 			body:        stallReader{r: r, stallTimeout: snapshotStallTimeout, verifyTimeout: verifyTimeout(size), timer: stalled},
--- /dev/null
+++ b/internal/controlplane/replicas/snapshot_test.go
@@ -0,0 +1,72 @@
+package replicas_test
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"sync"
+	"testing"
+	"time"
+
+	"stairvane.org/stairvane/internal/controlplane/api"
+	"stairvane.org/stairvane/internal/fleet"
+)
+
+// Guards against a snapshot that is sent again because the leader changed during the transfer.
+func TestSnapshotSurvivesALeadershipTransfer(t *testing.T) {
+	cluster := startGroup(t, 3, 0)
+	leader := cluster.Leader(patience)
+	writers := sync.WaitGroup{}
+	for w := range 16 {
+		c, err := api.NewClient(leader.Write.Addr(), "test", api.Credentials{})
+		check(t, err)
+		writers.Go(func() {
+			for n := range 400 {
+				if _, err := c.Purge(fleet.Purge{Object: fmt.Sprintf("%08x%08x", w+1, n)}); err != nil {
+					t.Error(err)
+					return
+				}
+			}
+		})
+	}
+	writers.Wait()
+	check(t, cluster.Whole(patience))
+	lost := cluster.Replicas[0]
+	if lost == leader {
+		lost = cluster.Replicas[1]
+	}
+	lost.Kill()
+	check(t, os.RemoveAll(lost.Folder))
+	check(t, os.MkdirAll(lost.Folder, 0o700))
+	leader.Links[lost.Name].Slow(20 * time.Millisecond) // each piece: the transfer takes some seconds
+	check(t, lost.Start())
+	(&nemesis{t: t, cluster: cluster}).replace(lost)
+	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+		if all, _ := filepath.Glob(filepath.Join(lost.Folder, "board.db.incoming-*")); len(all) > 0 {
+			break
+		}
+		if time.Now().After(end) {
+			t.Fatal("no snapshot is being received")
+		}
+	}
+	c, err := cluster.Client()
+	check(t, err)
+	_, err = c.ChangeReplicas(api.ReplicaChange{Action: "hand-over"})
+	check(t, err)
+	for end := time.Now().Add(patience); cluster.Leader(patience) == leader; time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatal("the leadership is not transferred")
+		}
+	}
+	if lost.Count("replica.snapshot_received") > 0 {
+		t.Fatal("the snapshot was received before the leadership was transferred: the test shows nothing")
+	}
+	check(t, cluster.Whole(patience))
+	received, installed := lost.Count("replica.snapshot_received"), lost.Count("replica.snapshot_installed")
+	if received != 1 || installed != 1 {
+		t.Errorf("the snapshot was received %d times and installed %d times", received, installed)
+	}
+	if n := len(historyOf(t, lost)); n != 6400 {
+		t.Errorf("%d of 6400 events are on the new disk", n)
+	}
+}
--- /dev/null
+++ b/internal/controlplane/replicas/stale_director_test.go
@@ -0,0 +1,104 @@
+package replicas_test
+
+import (
+	"encoding/json"
+	"fmt"
+	"os/exec"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"stairvane.org/stairvane/internal/controlplane/adoption"
+	"stairvane.org/stairvane/internal/fleet"
+	"stairvane.org/stairvane/internal/tools/fakes"
+)
+
+// Guards against a stale director. A director is paused for longer than its endpoint list may be old, and wakes with requests in its
+// sockets. Meanwhile a cache was drained. Without the bound it sends these requests to the cache before it reads the watch events;
+// with the bound it rejects them with a Retry-After. The audit names the director while it is behind.
+func TestPausedDirectorSendsNothingByAStaleEndpointList(t *testing.T) {
+	late := map[string]int{} // attempts at the drained cache after the bound, by setting
+	for _, forms := range []string{"", "(stragglers (behind-most 500ms))"} {
+		cluster := startGroup(t, 3, 0)
+		caches := startCaches(t, 5)
+		before, after := desiredStates(caches)
+		awaitApply(t, cluster, submitPlan(t, cluster, before))
+		d, err := cluster.StartDirector("d-0", "west", 0, forms)
+		check(t, err)
+		t.Cleanup(d.Kill)
+		awaitServing(t, d)
+		c, err := fakes.Connect(d.Addr)
+		check(t, err)
+		d.Signal(syscall.SIGSTOP)
+		submitPlan(t, cluster, after)
+		client, err := cluster.Client()
+		check(t, err)
+		var drained time.Time
+		for end := time.Now().Add(patience); drained.IsZero() && time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+			state, err := client.State()
+			if err != nil {
+				continue
+			}
+			for _, host := range state.Fleet.Hosts {
+				if host.Name == "c-1" && host.State == fleet.Terminating {
+					drained = time.Now()
+				}
+			}
+		}
+		if drained.IsZero() {
+			t.Fatal("the cache is not drained")
+		}
+		for range 20 { // fewer than a connection may have in flight
+			check(t, c.Send(200, 5*time.Second))
+		}
+		time.Sleep(1500 * time.Millisecond)
+		state, err := client.State()
+		check(t, err)
+		last := fmt.Sprint(state.Fleet.Revision)
+		audit := func(arguments ...string) *exec.Cmd {
+			return exec.Command(program, append(append([]string{"audit"}, arguments...), "--board", cluster.Addresses())...)
+		}
+		if out, err := audit("event", last).CombinedOutput(); err == nil || !strings.Contains(string(out), "not heard of since") {
+			t.Errorf("the paused director is said to have applied event %s: %v\n%s", last, err, out)
+		}
+		var reported struct {
+			Odd []struct{ Director, Why string }
+		}
+		out, err := audit("versions", "--within", "500ms", "-o", "json").Output()
+		if err == nil || json.Unmarshal(out, &reported) != nil {
+			t.Errorf("a director that is behind is not reported: %s", out)
+		}
+		d.Signal(syscall.SIGCONT)
+		tally := c.Finish(patience)
+		time.Sleep(300 * time.Millisecond)
+		var event adoption.Event
+		out, err = audit("event", last, "-o", "json").Output()
+		if err != nil || json.Unmarshal(out, &event) != nil || len(event.Taken) != 1 || event.LastMS < 500 {
+			t.Errorf("the director that woke applied event %s: %v\n%s", last, err, out)
+		}
+		if out, err := audit("event", "99999").CombinedOutput(); err == nil || !strings.Contains(string(out), "is not recorded") {
+			t.Errorf("an event that does not exist: %v\n%s", err, out)
+		}
+		for _, attempt := range caches[1].Attempts() {
+			if attempt.At.After(drained.Add(500 * time.Millisecond)) {
+				late[forms]++
+			}
+		}
+		t.Logf("%q: %d attempts at the drained cache after it woke; its requests: %+v; the audit reported %v",
+			forms, late[forms], tally, reported.Odd)
+		if tally.Lost+tally.Doubled > 0 || tally.Served+tally.Refused+tally.Failed != tally.Sent {
+			t.Errorf("not one answer for each: %+v", tally)
+		}
+		if forms != "" && (tally.Refused == 0 || !strings.Contains(strings.Join(d.Log(), " "), "straggler.shut")) {
+			t.Errorf("it did not reject requests: %+v", tally)
+		}
+		cluster.Close()
+	}
+	if late[""] == 0 {
+		t.Error("without the bound nothing came to the drained cache: the test shows nothing")
+	}
+	if n := late["(stragglers (behind-most 500ms))"]; n > 0 {
+		t.Error(fmt.Sprint(n), "attempts came to the drained cache by a stale endpoint list")
+	}
+}
--- a/internal/controlplane/replicas/tick.go
+++ b/internal/controlplane/replicas/tick.go
@@ -12,7 +12,7 @@
 	ticksPerMaintenance  = 40                     // the log is compacted and the store's file looked for every so many ticks
 	logEntriesKept       = 10_000                 // for replicas that were away; those that lack more are sent a snapshot
 	logCompactionSlack   = 2_000                  // entries beyond those before the log is compacted
-	logEntriesInSnapshot = 300_000                // kept while a snapshot is sent, after which the log must go on
+	logEntriesInSnapshot = 300_000                // while a snapshot is sent, so that the log goes on from it
 	snapshotSettleTime   = 30 * time.Second       // after which the receiver has the entries that followed a snapshot
 )
 
