--- /dev/null
+++ b/internal/controlplane/store/batch.go
@@ -0,0 +1,172 @@
+package store
+
+import (
+	"bytes"
+	"fmt"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"stairvane.org/stairvane/internal/fleet"
+)
+
+// Request is a change that waits for the group.
+type Request = request
+
+// Requests returns the changes that wait.
+func (s *Store) Requests() <-chan *Request { return s.requests }
+
+// Answer ends a request. It may be called once.
+func (r *Request) Answer(err error) { r.done <- err }
+
+// batch is what the group agrees on. Its form is stored.
+type batch struct {
+	Base int64      `cbor:"Base"` // the revision that it builds on
+	Puts []batchPut `cbor:"Puts"`
+}
+
+type batchPut struct {
+	_      struct{} `cbor:",toarray"`
+	Bucket uint8    // index in replicatedBuckets
+	Key    []byte
+	Value  []byte // nil: deleted
+}
+
+// replicatedBuckets are the buckets that batches may write to. Their order is part of the form of a
+// batch.
+var replicatedBuckets = [][]byte{
+	metaBucket, eventBucket, applyBucket, planBucket, desiredBucket, stepBucket, planIDBucket, writeBucket, writeAtBucket,
+}
+
+func bucketNumber(name []byte) (uint8, error) {
+	for i, b := range replicatedBuckets {
+		if bytes.Equal(b, name) {
+			return uint8(i), nil
+		}
+	}
+	return 0, fmt.Errorf("store: %s is not shared with other copies", name)
+}
+
+// Evaluate runs changes one after the other on what is committed, and returns the batch that they
+// make together. results holds what each returned; they count once the batch is committed.
+func (s *Store) Evaluate(requests []*Request) (data []byte, results []error, err error) {
+	next := *s.state.Load()
+	b := batch{Base: next.fleet.Revision}
+	results = make([]error, len(requests))
+	err = s.View(func(v *View) error {
+		local := &overlay{puts: map[string][]byte{}, next: v.overlay} // each change reads those before it
+		for i, r := range requests {
+			t := s.newTx(View{tx: v.tx, overlay: local}, next)
+			if results[i] = r.change(t); results[i] != nil {
+				continue
+			}
+			if err := b.add(t.puts, local); err != nil {
+				return err
+			}
+			next = t.state
+		}
+		return nil
+	})
+	if err != nil {
+		return nil, nil, err
+	}
+	data, err = cbor.Marshal(b)
+	return data, results, err
+}
+
+// add adds a change's puts to the batch and to an overlay.
+func (b *batch) add(puts []put, local *overlay) error {
+	for _, p := range puts {
+		bucket, err := bucketNumber(p.bucket)
+		if err != nil {
+			return err
+		}
+		local.set(p)
+		b.Puts = append(b.Puts, batchPut{Bucket: bucket, Key: p.key, Value: p.value})
+	}
+	return nil
+}
+
+// Apply applies a committed batch in memory; Persist writes it. Nil data stands for an entry
+// without a batch. confState and members are nil unless the entry changed them. An error means that
+// this replica's state is not that of the others.
+func (s *Store) Apply(at Position, data, confState, members []byte) error {
+	applied := s.replica.applied
+	applied.At = at
+	if confState != nil {
+		applied.ConfState = confState
+		applied.Members = members
+	}
+	s.replica.appliedChanged = true
+	if data == nil {
+		s.replica.applied = applied
+		return nil
+	}
+	a, err := s.applyBatch(at, data)
+	if err != nil {
+		return err
+	}
+	s.replica.applied = applied
+	s.replica.unpersisted = append(s.replica.unpersisted, a.puts...)
+	s.overlay.Store(a.overlay)
+	s.state.Store(&a.next)
+	if len(a.events) > 0 {
+		s.options.Committed(a.events)
+	}
+	return nil
+}
+
+// appliedBatch is what a committed batch leads to.
+type appliedBatch struct {
+	next    state
+	events  []fleet.Event
+	puts    []put
+	overlay *overlay
+}
+
+func (s *Store) applyBatch(at Position, data []byte) (*appliedBatch, error) {
+	var b batch
+	if err := decoder.Unmarshal(data, &b); err != nil {
+		return nil, fmt.Errorf("%w: entry %d: %w", ErrDamaged, at.Index, err)
+	}
+	a := &appliedBatch{
+		next:    *s.state.Load(),
+		puts:    make([]put, 0, len(b.Puts)),
+		overlay: &overlay{puts: make(map[string][]byte, len(b.Puts)), next: s.overlay.Load()},
+	}
+	if revision := a.next.fleet.Revision; b.Base != revision {
+		return nil, fmt.Errorf("%w: entry %d builds on event %d, the history ends at %d", ErrDamaged, at.Index, b.Base, revision)
+	}
+	for _, w := range b.Puts {
+		if int(w.Bucket) >= len(replicatedBuckets) {
+			return nil, fmt.Errorf("%w: entry %d is of a newer program", ErrNewer, at.Index)
+		}
+		p := put{bucket: replicatedBuckets[w.Bucket], key: w.Key, value: w.Value}
+		a.puts = append(a.puts, p)
+		a.overlay.set(p)
+		if !bytes.Equal(p.bucket, eventBucket) {
+			continue
+		}
+		if err := a.addEvent(at, p.value); err != nil {
+			return nil, err
+		}
+	}
+	return a, nil
+}
+
+// addEvent verifies that an event follows on the log, and applies it.
+func (a *appliedBatch) addEvent(at Position, raw []byte) error {
+	event, stored, err := readEvent(raw)
+	if err != nil {
+		return err
+	}
+	if a.next.fleet, err = a.next.fleet.Apply(event); err != nil {
+		return fmt.Errorf("%w: entry %d: %w", ErrDamaged, at.Index, err)
+	}
+	a.next.chain = chainHash(a.next.chain, stored.Event)
+	if !bytes.Equal(stored.Chain, a.next.chain[:]) {
+		return fmt.Errorf("%w: event %d does not follow the history before it", ErrDamaged, event.No)
+	}
+	a.next.atMS = max(a.next.atMS, event.AtMS)
+	a.events = append(a.events, event)
+	return nil
+}
--- a/internal/controlplane/store/compatibility_test.go
+++ b/internal/controlplane/store/compatibility_test.go
@@ -18,9 +18,9 @@
 	"stairvane.org/stairvane/internal/tools/golden"
 )
 
-// TestLandedForms guards the stored values: a later version reads what an older one wrote.
+// Guards the form of stored values: this version reads what an older one wrote.
 func TestLandedForms(t *testing.T) {
-	golden.Check[chained](t, "event.cbor", fleet.Encode, cbor.Unmarshal)
+	golden.Check[chainedEvent](t, "event.cbor", fleet.Encode, cbor.Unmarshal)
 	golden.Check[snapshot](t, "snapshot.cbor", fleet.Encode, cbor.Unmarshal)
 	golden.Check[outcome](t, "outcome.cbor", fleet.Encode, cbor.Unmarshal)
 	golden.Check[batch](t, "batch.cbor", cbor.Marshal, cbor.Unmarshal)
@@ -30,7 +30,7 @@
 	golden.Check[HardState](t, "hard-state.cbor", cbor.Marshal, cbor.Unmarshal)
 }
 
-// landedPlan is the plan file that the plan package keeps.
+// landedPlan returns the plan file of the plan package's golden files.
 func landedPlan(t *testing.T) (*plan.Plan, []byte) {
 	t.Helper()
 	file, err := os.ReadFile("../../fleet/plan/testdata/golden/landed.plan")
@@ -42,7 +42,8 @@
 
 var landedOptions = Options{SnapshotEvery: 4, KeepEvents: 2, Clock: func() int64 { return 1_700_000_000_000 }}
 
-// landedHistory makes events of every kind, an apply that has ended, one under way, and a remembered write.
+// landedHistory makes events of every kind, an apply that has ended, one under way, and a
+// remembered write.
 func landedHistory(t *testing.T, do func(func(*Tx) error) error) {
 	t.Helper()
 	p, file := landedPlan(t)
@@ -53,12 +54,23 @@
 	for i, e := range []fleet.Event{
 		{Rules: &rules},
 		{Location: &fleet.Location{Name: "west", Floor: 1, Load: 2, Sources: []string{"store"}}},
-		{Host: &fleet.Host{HostSpec: fleet.HostSpec{Name: "store", Role: fleet.Origin, Address: "10.0.0.1:1", Site: "mid", Class: "o", Share: 40}, State: fleet.InService, Serving: 40}},
-		{Host: &fleet.Host{HostSpec: fleet.HostSpec{Name: "c-1", Role: fleet.Cache, Address: "10.0.0.2:1", Site: "west", Class: "c", Block: 2, Share: 4}, State: fleet.InService, Serving: 2, BornMS: 7}},
+		{Host: &fleet.Host{
+			HostSpec: fleet.HostSpec{Name: "store", Role: fleet.Origin, Address: "10.0.0.1:1", Site: "mid", Class: "o", Share: 40},
+			State:    fleet.InService,
+			Serving:  40,
+		}},
+		{Host: &fleet.Host{
+			HostSpec: fleet.HostSpec{Name: "c-1", Role: fleet.Cache, Address: "10.0.0.2:1", Site: "west", Class: "c", Block: 2, Share: 4},
+			State:    fleet.InService,
+			Serving:  2,
+			BornMS:   7,
+		}},
 		{Purge: &fleet.Purge{Object: "00000000000000ab", IssuedMS: 1_699_999_999_000}},
 		{Purge: &fleet.Purge{Group: &group, IssuedMS: 1_699_999_999_500}},
 		{Membership: &fleet.MembershipChange{
-			Joined: []fleet.Director{{Name: "d1", Incarnation: "i1", Location: "west", Machine: "m", Site: "s", Version: "v", Claims: "a:1"}},
+			Joined: []fleet.Director{{
+				Name: "d1", Incarnation: "i1", Location: "west", Machine: "m", Site: "s", Version: "v", Claims: "a:1",
+			}},
 			Shards: []fleet.ShardChange{{Shard: 5, Replicas: []string{"d1/i1"}, PreviousReplicas: []string{"d0/i0"}}},
 		}},
 	} {
@@ -81,13 +93,15 @@
 				r.Status = apply.Done
 				return t.SetRecord(r)
 			}
-			r.Steps, r.StepsDone = len(p.Steps), 1
-			return errors.Join(t.SetRecord(r), t.SetStep(r.ID, 1, apply.StepState{Phase: apply.Completed, EventNo: 3, EffectMS: 4, DoneMS: 5}))
+			r.Steps = len(p.Steps)
+			r.StepsDone = 1
+			completed := apply.StepState{Phase: apply.Completed, EventNo: 3, EffectMS: 4, DoneMS: 5}
+			return errors.Join(t.SetRecord(r), t.SetStep(r.ID, 1, completed))
 		}))
 	}
 }
 
-// landedContent is all that a store tells, by value and not by the names of fields.
+// landedContent returns all that can be read from a store, as text.
 func landedContent(t *testing.T, s *Store) string {
 	t.Helper()
 	var b strings.Builder
@@ -126,20 +140,20 @@
 	return b.String()
 }
 
-// openLanded opens a copy of a landed store; make writes it anew when golden files are updated.
-func openLanded(t *testing.T, name string, opt Options, make func(path string)) *Store {
+// openLanded opens a copy of a landed store; create writes it anew when golden files are updated.
+func openLanded(t *testing.T, name string, options Options, create func(path string)) *Store {
 	t.Helper()
 	var made []byte
 	path := filepath.Join(t.TempDir(), "store")
 	if golden.Updating() {
-		make(path)
+		create(path)
 		var err error
 		made, err = os.ReadFile(path)
 		check(t, err)
 		check(t, os.Remove(path))
 	}
 	check(t, os.WriteFile(path, golden.Bytes(t, name, made), 0o600))
-	s, err := Open(path, opt)
+	s, err := Open(path, options)
 	check(t, err)
 	t.Cleanup(func() { _ = s.Close() })
 	return s
@@ -156,7 +170,7 @@
 	check(t, errors.Join(to.Close(), from.Close(), os.Rename(path+".small", path)))
 }
 
-// TestLandedStoreOfOneIsRead opens a store that the landed version wrote for a control plane that is alone.
+// Guards the file of a control plane without replicas: this version opens what an older one wrote.
 func TestLandedStoreOfOneIsRead(t *testing.T) {
 	s := openLanded(t, "alone.db", landedOptions, func(path string) {
 		s, err := Open(path, landedOptions)
@@ -169,37 +183,41 @@
 	check(t, add(s, purge(9)))
 }
 
-// TestLandedStoreOfAReplicaIsRead opens a store that the landed version wrote for one replica of three: log, snapshot and members.
+// Guards the file of one replica of three, with log, snapshot and members: this version opens what
+// an older one wrote.
 func TestLandedStoreOfAReplicaIsRead(t *testing.T) {
-	opt := landedOptions
-	opt.Group = true
-	s := openLanded(t, "replica.db", opt, func(path string) { writeReplica(t, path, opt) })
+	options := landedOptions
+	options.Group = true
+	s := openLanded(t, "replica.db", options, func(path string) { writeReplica(t, path, options) })
 	golden.Text(t, "replica.txt", landedContent(t, s))
 	persisted, err := s.PersistedState()
 	check(t, err)
-	persisted.Identity.Inode, persisted.Identity.BornNS = 0, 0
+	persisted.Inode = 0
+	persisted.BornNS = 0
 	golden.Text(t, "replica-raft.txt", golden.Values(persisted))
-	if _, copied := s.Identity(); !copied {
-		t.Error("the file was made on another disk, and is not told to be a copy")
+	if _, isCloned := s.Identity(); !isCloned {
+		t.Error("the file was made on another disk, and is not reported as a copy")
 	}
 }
 
-// writeReplica makes a replica's store: what the log led to, and entries that follow.
-func writeReplica(t *testing.T, path string, opt Options) {
+// writeReplica makes a replica's store: what the log has led to, and entries that follow.
+func writeReplica(t *testing.T, path string, options Options) {
 	t.Helper()
-	s, err := Open(path, opt)
+	s, err := Open(path, options)
 	check(t, err)
 	members := []byte("\xa1\x01\xa3\x64Name\x61a\x67Machine\x62ma\x64Site\x65north") // as the replica package encodes them
-	check(t, s.BecomeReplica(Identity{Group: 0xabc, Disk: 1, Name: "a"}, &AppliedState{At: Position{Index: 1, Term: 1}, ConfState: []byte{8, 1}, Members: members}))
+	first := AppliedState{At: Position{Index: 1, Term: 1}, ConfState: []byte{8, 1}, Members: members}
+	check(t, s.BecomeReplica(Identity{Group: 0xabc, Disk: 1, Name: "a"}, &first))
 	index := uint64(1)
 	do := func(change func(*Tx) error) error {
-		r := &Request{do: change, done: make(chan error, 1)}
+		r := &Request{change: change, done: make(chan error, 1)}
 		data, results, err := s.Evaluate([]*Request{r})
 		if err = errors.Join(append(results, err)...); err != nil {
 			return err
 		}
 		index++
-		if err := s.Persist([]Entry{{Index: index, Data: fmt.Appendf(nil, "entry %d", index)}}, &HardState{Term: 2, Vote: 1, Commit: index}); err != nil {
+		entry := Entry{Index: index, Data: fmt.Appendf(nil, "entry %d", index)}
+		if err := s.Persist([]Entry{entry}, &HardState{Term: 2, Vote: 1, Commit: index}); err != nil {
 			return err
 		}
 		return s.Apply(Position{Index: index, Term: 2}, data, nil, nil)
--- /dev/null
+++ b/internal/controlplane/store/replica.go
@@ -0,0 +1,261 @@
+package store
+
+import (
+	"errors"
+	"fmt"
+	"os"
+
+	"github.com/fxamacker/cbor/v2"
+	bolt "go.etcd.io/bbolt"
+	"golang.org/x/sys/unix"
+)
+
+// Errors of a replica's store.
+var (
+	ErrNotLeader      = errors.New("this copy does not lead")
+	ErrOutcomeUnknown = errors.New("nobody knows whether it was written: the leader changed meanwhile; repeat it under the same id")
+	ErrClonedStore    = errors.New("the store is a copy of another disk's: it is not what it was when this disk last wrote it")
+	ErrInGroup        = errors.New("the store belongs to a group of copies")
+	ErrHasHistory     = errors.New("the store holds a history of its own")
+)
+
+// Identity is what a disk is. Inode and BornNS identify the file that it was made in: a copy of the
+// file has others.
+type Identity struct {
+	Group  uint64 `cbor:"Group"` // 0: the disk waits to be admitted
+	Disk   uint64 `cbor:"Disk"`
+	Name   string `cbor:"Name"`
+	Inode  uint64 `cbor:"Inode"`
+	BornNS int64  `cbor:"BornNS"` // Unix nanoseconds; 0 where the file system has no birth times
+}
+
+// Position is a position in the group's log.
+type Position struct {
+	Index uint64 `cbor:"Index"`
+	Term  uint64 `cbor:"Term"`
+}
+
+// AppliedState is what the log has led to: a position, and the members there, encoded by the
+// caller.
+type AppliedState struct {
+	At        Position `cbor:"At"`
+	ConfState []byte   `cbor:"Conf"`
+	Members   []byte   `cbor:"Members"`
+}
+
+// HardState is raft's hard state.
+type HardState struct {
+	Term   uint64 `cbor:"Term"`
+	Vote   uint64 `cbor:"Vote"`
+	Commit uint64 `cbor:"Commit"`
+}
+
+// Entry is an entry of the log, encoded by the caller.
+type Entry struct {
+	Index uint64
+	Data  []byte
+}
+
+// PersistedState is all that a replica's part of the file holds.
+type PersistedState struct {
+	Identity
+	HardState
+	Applied   AppliedState
+	Compacted Position // of the last entry that was dropped from the log
+	Entries   []Entry  // those after Compacted
+}
+
+// replicaState is what a replica has in memory beside the file.
+type replicaState struct {
+	applied         AppliedState
+	appliedChanged  bool   // applied is not what the file holds
+	unpersisted     []put  // applied and not in the file
+	lastIndex       uint64 // of the last entry in the file
+	compactedToDrop uint64 // entries up to this index are deleted with the next Persist
+}
+
+// Keys of the replica's bucket. They are stored.
+var (
+	identityKey  = []byte("identity")
+	hardStateKey = []byte("hard")
+	appliedKey   = []byte("taken")
+	compactedKey = []byte("before")
+)
+
+// loadReplica reads what the replica is.
+func (s *Store) loadReplica(tx *bolt.Tx) error {
+	var identity Identity
+	isReplica, err := readReplicaValue(tx, identityKey, &identity)
+	if err != nil || !isReplica {
+		return err
+	}
+	s.identity.Store(&identity)
+	if _, err := readReplicaValue(tx, appliedKey, &s.replica.applied); err != nil {
+		return err
+	}
+	if k, _ := tx.Bucket(logBucket).Cursor().Last(); k != nil {
+		s.replica.lastIndex = uint64(decodeNumber(k))
+	}
+	inode, bornNS, err := fileIdentity(s.path)
+	if err != nil {
+		return err
+	}
+	isOtherBirth := identity.BornNS != 0 && bornNS != 0 && identity.BornNS != bornNS
+	s.isCloned.Store(identity.Inode != inode || isOtherBirth)
+	return nil
+}
+
+// readReplicaValue reads a value of the replica's bucket; false if there is none.
+func readReplicaValue(tx *bolt.Tx, key []byte, value any) (bool, error) {
+	raw, err := get(tx, replicaBucket, key)
+	if err != nil || raw == nil {
+		return false, err
+	}
+	return true, decode(raw, value)
+}
+
+func writeReplicaValue(tx *bolt.Tx, key []byte, value any) error {
+	raw, err := cbor.Marshal(value)
+	if err != nil {
+		return fmt.Errorf("store: encode %s: %w", key, err)
+	}
+	return write(tx, replicaBucket, key, raw)
+}
+
+// fileIdentity returns what differs between a file and a copy of it.
+func fileIdentity(path string) (inode uint64, bornNS int64, err error) {
+	var st unix.Statx_t
+	if err := unix.Statx(unix.AT_FDCWD, path, 0, unix.STATX_INO|unix.STATX_BTIME, &st); err != nil {
+		return 0, 0, fmt.Errorf("store: look at %s: %w", path, err)
+	}
+	if st.Mask&unix.STATX_BTIME != 0 {
+		bornNS = st.Btime.Sec*1e9 + int64(st.Btime.Nsec)
+	}
+	return st.Ino, bornNS, nil
+}
+
+// Identity returns what the disk is; the zero Identity for a store that never was a replica's.
+// isCloned reports that the file is not the one that the disk's program made.
+func (s *Store) Identity() (identity Identity, isCloned bool) {
+	return *s.identity.Load(), s.isCloned.Load()
+}
+
+// FileMissing reports that the file is no longer at its path, or is another one: what is written
+// then is lost with the process.
+func (s *Store) FileMissing() bool {
+	identity := s.identity.Load()
+	if identity.Disk == 0 {
+		return false
+	}
+	inode, _, err := fileIdentity(s.path)
+	if err != nil {
+		return errors.Is(err, os.ErrNotExist)
+	}
+	return inode != identity.Inode
+}
+
+// BecomeReplica makes the store a replica's: the first of a group, with the events that the store
+// has, if first is not nil, or else that of a disk which waits to be admitted. The error wraps
+// ErrInGroup or ErrHasHistory where it is one of them.
+func (s *Store) BecomeReplica(identity Identity, first *AppliedState) (err error) {
+	if own := s.identity.Load(); own.Disk != 0 {
+		return fmt.Errorf("%w already: disk %x", ErrInGroup, own.Disk)
+	}
+	if revision := s.Fleet().Revision; first == nil && revision > 0 {
+		return fmt.Errorf("%w, up to event %d: found a group with it, or give another path", ErrHasHistory, revision)
+	}
+	if identity.Inode, identity.BornNS, err = fileIdentity(s.path); err != nil {
+		return err
+	}
+	err = s.db.Update(func(tx *bolt.Tx) error {
+		if err := writeVersion(tx, replicaVersion); err != nil {
+			return err
+		}
+		if first != nil {
+			if err := writeFirstState(tx, *first); err != nil {
+				return err
+			}
+		}
+		return writeReplicaValue(tx, identityKey, identity)
+	})
+	if err != nil {
+		return err
+	}
+	s.identity.Store(&identity)
+	if first != nil {
+		s.replica.applied = *first
+	}
+	return nil
+}
+
+// writeFirstState writes the state of a group's first replica, whose log begins after it.
+func writeFirstState(tx *bolt.Tx, first AppliedState) error {
+	if err := writeReplicaValue(tx, appliedKey, first); err != nil {
+		return err
+	}
+	if err := writeReplicaValue(tx, compactedKey, first.At); err != nil {
+		return err
+	}
+	return writeReplicaValue(tx, hardStateKey, HardState{Term: first.At.Term, Commit: first.At.Index})
+}
+
+// JoinGroup stores the group that admitted the disk.
+func (s *Store) JoinGroup(group uint64) error {
+	identity := *s.identity.Load()
+	identity.Group = group
+	return s.writeIdentity(identity)
+}
+
+// ChangeDiskID gives the disk another number: its file is a copy of another disk's, and is to go on
+// as one of its own.
+func (s *Store) ChangeDiskID(disk uint64) (err error) {
+	identity := *s.identity.Load()
+	identity.Disk = disk
+	if identity.Inode, identity.BornNS, err = fileIdentity(s.path); err != nil {
+		return err
+	}
+	if err := s.writeIdentity(identity); err != nil {
+		return err
+	}
+	s.isCloned.Store(false)
+	return nil
+}
+
+func (s *Store) writeIdentity(identity Identity) error {
+	if err := s.db.Update(func(tx *bolt.Tx) error { return writeReplicaValue(tx, identityKey, identity) }); err != nil {
+		return fmt.Errorf("store: write identity: %w", err)
+	}
+	s.identity.Store(&identity)
+	return nil
+}
+
+// StartNewGroup makes a replica of a group whose majority is lost the first of a new group, with
+// what it has.
+func (s *Store) StartNewGroup(group uint64, first AppliedState) error {
+	identity := *s.identity.Load()
+	identity.Group = group
+	err := s.db.Update(func(tx *bolt.Tx) error {
+		if err := writeFirstState(tx, first); err != nil {
+			return err
+		}
+		if err := writeReplicaValue(tx, identityKey, identity); err != nil {
+			return err
+		}
+		return emptyLog(tx)
+	})
+	if err != nil {
+		return err
+	}
+	s.replica.applied = first
+	s.replica.lastIndex = 0
+	s.identity.Store(&identity)
+	return nil
+}
+
+func emptyLog(tx *bolt.Tx) error {
+	if err := tx.DeleteBucket(logBucket); err != nil {
+		return err
+	}
+	_, err := tx.CreateBucket(logBucket)
+	return err
+}
--- a/internal/controlplane/store/transfer.go
+++ b/internal/controlplane/store/transfer.go
@@ -10,135 +10,161 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// ExportSnapshot hands out the whole store as it is at this moment, while writes go on: what it has taken over, its length in
-// bytes, and what writes it.
-func (s *Store) ExportSnapshot(f func(t AppliedState, length int64, write func(io.Writer) error) error) error {
+const (
+	receivedInfix      = ".incoming-" // between a store's path and a random end: a snapshot that is received
+	receivedBytesASync = 16 << 20     // bytes from one sync to the next: that of a large file would hold up all who write to the disk
+)
+
+var errReceiving = errors.New("store: another snapshot is being received")
+
+// ExportSnapshot passes on the complete store as it is at this moment, while writes go on: its
+// applied state, its length in bytes, and a function that writes it.
+func (s *Store) ExportSnapshot(export func(applied AppliedState, length int64, write func(io.Writer) error) error) error {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.db.View(func(tx *bolt.Tx) error {
-		raw, err := get(tx, copyBucket, takenKey)
+		raw, err := get(tx, replicaBucket, appliedKey)
 		if err != nil {
 			return err
 		}
-		var t AppliedState
-		if err := decode(raw, &t); err != nil {
+		var applied AppliedState
+		if err := decode(raw, &applied); err != nil {
 			return err
 		}
-		return f(t, tx.Size(), func(w io.Writer) error {
+		return export(applied, tx.Size(), func(w io.Writer) error {
 			_, err := tx.WriteTo(w)
 			return err
 		})
 	})
 }
 
-// ReceivedSnapshot is a whole store that came from another copy and was checked. It is to be adopted or dropped.
+// ReceivedSnapshot is a complete store of another replica that was received and verified. It must
+// be installed or discarded.
 type ReceivedSnapshot struct {
 	store   *Store
 	Applied AppliedState
 }
 
-// ReceiveSnapshot keeps a whole store beside this one and checks every value of it.
-func (s *Store) ReceiveSnapshot(r io.Reader) (c *ReceivedSnapshot, err error) {
+// ReceiveSnapshot stores a snapshot beside this store and verifies every value of it.
+func (s *Store) ReceiveSnapshot(r io.Reader) (*ReceivedSnapshot, error) {
 	if !s.receiving.TryLock() {
-		return nil, errors.New("store: another whole state is on its way")
+		return nil, errReceiving
 	}
 	defer s.receiving.Unlock()
-	// Each has a file of its own: one that is given up is removed beside, which takes a disk long, and nobody waits for that.
-	f, err := os.CreateTemp(filepath.Dir(s.path), filepath.Base(s.path)+incoming+"*")
+	// Each snapshot has a file of its own: a discarded one is removed in the background, which may
+	// take a disk long.
+	f, err := os.CreateTemp(filepath.Dir(s.path), filepath.Base(s.path)+receivedInfix+"*")
 	if err != nil {
-		return nil, fmt.Errorf("store: %w", err)
+		return nil, fmt.Errorf("store: receive snapshot: %w", err)
 	}
 	path := f.Name()
-	defer func() {
-		if err != nil {
-			go os.Remove(path)
-		}
-	}()
-	for err == nil { // in pieces: the sync of a large file would hold up whoever else writes to the disk
-		if _, err = io.CopyN(f, r, receivePiece); err == nil {
-			err = f.Sync()
-		}
-	}
-	if errors.Is(err, io.EOF) {
-		err = nil
+	received, err := s.receiveInto(f, r)
+	if err != nil {
+		removeInBackground(path)
+		return nil, fmt.Errorf("store: receive snapshot into %s: %w", path, err)
 	}
-	if err = errors.Join(err, f.Sync(), f.Close()); err != nil {
-		return nil, fmt.Errorf("store: %s: %w", path, err)
+	return received, nil
+}
+
+func (s *Store) receiveInto(f *os.File, r io.Reader) (*ReceivedSnapshot, error) {
+	if err := errors.Join(copySynced(f, r), f.Sync(), f.Close()); err != nil {
+		return nil, err
 	}
-	opt := s.opt
-	opt.KillPoint, opt.Committed = nil, nil
-	in, err := Open(path, opt)
+	options := s.options
+	options.KillPoint = nil
+	options.Committed = nil
+	received, err := Open(f.Name(), options)
 	if err != nil {
 		return nil, err
 	}
-	return &ReceivedSnapshot{in, in.group.taken}, nil
+	return &ReceivedSnapshot{store: received, Applied: received.replica.applied}, nil
 }
 
-// Discard gives a candidate up.
-func (c *ReceivedSnapshot) Discard() {
-	_ = c.store.Close()
-	go os.Remove(c.store.path)
+// copySynced copies into a file in pieces, each of which it syncs.
+func copySynced(f *os.File, r io.Reader) error {
+	for {
+		if _, err := io.CopyN(f, r, receivedBytesASync); err != nil {
+			if errors.Is(err, io.EOF) {
+				return nil
+			}
+			return err
+		}
+		if err := f.Sync(); err != nil {
+			return err
+		}
+	}
 }
 
-const (
-	incoming     = ".incoming-"
-	receivePiece = 16 << 20 // bytes from one sync to the next
-)
+// Discard gives up a received snapshot.
+func (r *ReceivedSnapshot) Discard() {
+	_ = r.store.Close() // its file is removed
+	removeInBackground(r.store.path)
+}
 
-// sweepIncoming removes what a start before this one has received and not taken over.
-func sweepIncoming(path string) {
-	left, _ := filepath.Glob(path + incoming + "*")
+// removeReceivedSnapshots removes what an earlier start of the program has received and not
+// installed.
+func removeReceivedSnapshots(path string) {
+	paths, _ := filepath.Glob(path + receivedInfix + "*") // the pattern is valid
 	go func() {
-		for _, p := range left {
-			os.Remove(p)
+		for _, p := range paths {
+			_ = os.Remove(p) // the next start tries again
 		}
 	}()
 }
 
-// InstallSnapshot puts a candidate in this store's place, under this disk's identity and promises. After an error the store is what
-// it was.
-func (s *Store) InstallSnapshot(c *ReceivedSnapshot, hard HardState) error {
-	in := c.store
-	i := *s.identity.Load()
+func removeInBackground(path string) {
+	go func() { _ = os.Remove(path) }() // the next start tries again
+}
+
+// InstallSnapshot puts a received snapshot in this store's place, under this disk's identity and
+// hard state. After an error the store is what it was.
+func (s *Store) InstallSnapshot(r *ReceivedSnapshot, hardState HardState) error {
+	received := r.store
+	identity := *s.identity.Load()
 	var err error
-	if i.Inode, i.BornNS, err = mark(in.path); err != nil {
+	if identity.Inode, identity.BornNS, err = fileIdentity(received.path); err != nil {
 		return err
 	}
-	err = in.db.Update(func(tx *bolt.Tx) error {
-		if err := tx.DeleteBucket(logBucket); err != nil {
-			return err
-		}
-		if _, err := tx.CreateBucket(logBucket); err != nil {
+	err = received.db.Update(func(tx *bolt.Tx) error {
+		if err := emptyLog(tx); err != nil {
 			return err
 		}
-		if err := putValue(tx, beforeKey, in.group.taken.At); err != nil {
+		if err := writeReplicaValue(tx, compactedKey, received.replica.applied.At); err != nil {
 			return err
 		}
-		if err := putValue(tx, hardKey, hard); err != nil {
+		if err := writeReplicaValue(tx, hardStateKey, hardState); err != nil {
 			return err
 		}
-		return putValue(tx, identityKey, i)
+		return writeReplicaValue(tx, identityKey, identity)
 	})
 	if err == nil {
-		err = os.Rename(in.path, s.path)
+		err = os.Rename(received.path, s.path)
 	}
 	if err == nil {
 		err = syncFolder(filepath.Dir(s.path))
 	}
 	if err != nil {
-		return fmt.Errorf("store: not taken over: %w", err)
+		return fmt.Errorf("store: install snapshot: %w", err)
 	}
+	s.replaceBy(received, identity)
+	return nil
+}
+
+// replaceBy goes on with the file of a received store.
+func (s *Store) replaceBy(received *Store, identity Identity) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old := s.db
-	s.db, s.snapped, s.first, s.tail = in.db, in.snapped, in.first, in.tail
-	s.group = group{taken: in.group.taken}
-	s.copied.Store(false)
-	s.identity.Store(&i)
-	s.over.Store(nil)
-	s.state.Store(in.state.Load())
-	go old.Close() // the last that holds the old file: a disk may take long to free it
-	return nil
+	s.db = received.db
+	s.snapshotRevision = received.snapshotRevision
+	s.firstEvent = received.firstEvent
+	s.tail = received.tail
+	s.replica = replicaState{applied: received.replica.applied}
+	s.isCloned.Store(false)
+	s.identity.Store(&identity)
+	s.overlay.Store(nil)
+	s.state.Store(received.state.Load())
+	go func() { _ = old.Close() }() // a disk may take long to free the replaced file
 }
 
 func syncFolder(path string) error {
