--- a/internal/controlplane/replica/admission.go
+++ b/internal/controlplane/replica/admission.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// Admit decides on a disk that asks to join under a name. Without an operator's order a disk is admitted only if its name never had
-// another one, or if it is a standby and a replica was silent for replaceAfter; 0 forbids that. silence is how long nothing came
-// from each other disk. A nil change without an error means that the disk is a member already. An error is a *RejectedError.
+// Admit decides on a disk that asks to join under a name. Without an operator's order a disk is
+// admitted only if its name never had another one, or if it is a standby and a replica was silent
+// for replaceAfter; 0 forbids that. silence is how long nothing came from each other disk. A nil
+// change without an error means that the disk is a member already. An error is a *RejectedError.
 func (v View) Admit(name string, disk uint64, silence map[uint64]time.Duration, replaceAfter time.Duration) (*Change, error) {
 	if err := v.rejectRemoved(disk); err != nil {
 		return nil, err
@@ -38,7 +39,8 @@
 	return joinAsLearner(*p, disk, 0), nil
 }
 
-// admitStandby lets a standby replace the voter that was silent for longest, if that is long enough.
+// admitStandby lets a standby replace the voter that was silent for longest, if that is long
+// enough.
 func (v View) admitStandby(p Place, disk uint64, silence map[uint64]time.Duration, replaceAfter time.Duration) (*Change, error) {
 	if replaceAfter <= 0 {
 		return nil, rejectf("copy %s is a spare: it is let in by hand, with: stairvane copies replace NAME --by %s", p.Name, p.Name)
@@ -60,8 +62,8 @@
 	return v.replace(p, disk, lost)
 }
 
-// Add decides on an operator's order that a waiting disk joins beside the present members. disk is 0 if none waits under the name.
-// An error is a *RejectedError.
+// Add decides on an operator's order that a waiting disk joins beside the present members. disk is
+// 0 if none waits under the name. An error is a *RejectedError.
 func (v View) Add(name string, disk uint64) (*Change, error) {
 	p := v.place(name)
 	switch {
@@ -83,8 +85,9 @@
 	return joinAsLearner(*p, disk, 0), nil
 }
 
-// Replace decides on an operator's order that a waiting disk takes the place of a replica. disk is 0 if none waits under the name of
-// the replacement. A nil change without an error means that it was ordered before. An error is a *RejectedError.
+// Replace decides on an operator's order that a waiting disk takes the place of a replica. disk is
+// 0 if none waits under the name of the replacement. A nil change without an error means that it
+// was ordered before. An error is a *RejectedError.
 func (v View) Replace(name, replacement string, disk uint64) (*Change, error) {
 	old := v.Disk(name)
 	if old == 0 {
@@ -103,8 +106,8 @@
 	return v.replace(*p, disk, old)
 }
 
-// replace lets a disk join as a learner which takes the old one's place once it is promoted; nil if it joined already. Its machine
-// must differ from those of all other members.
+// replace lets a disk join as a learner which takes the old one's place once it is promoted; nil if
+// it joined already. Its machine must differ from those of all other members.
 func (v View) replace(p Place, disk, old uint64) (*Change, error) {
 	if err := v.rejectRemoved(disk); err != nil {
 		return nil, err
--- a/internal/controlplane/replica/cluster_test.go
+++ b/internal/controlplane/replica/cluster_test.go
@@ -8,8 +8,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// cluster is a simulated group of drivers with their disks, and the messages in flight between them. Everything that may happen next
-// is a choice, so that a list of choices is a run.
+// cluster is a simulated group of drivers with their disks, and the messages in flight between
+// them. Everything that may happen next is a choice, so that a list of choices is a run.
 type cluster struct {
 	replicas        []*simulatedReplica
 	inFlight        []*pb.Message
@@ -66,7 +66,8 @@
 	clear(r.proposals)
 }
 
-// serve does what a Ready asks for, until the replica dies. It reports whether the replica survives.
+// serve does what a Ready asks for, until the replica dies. It reports whether the replica
+// survives.
 func (c *cluster) serve(r *simulatedReplica, rd *Ready, dies int) bool {
 	c.inFlight = append(c.inFlight, rd.EarlyMessages...)
 	if dies == diesBeforePersist {
@@ -145,7 +146,8 @@
 // choicesOfReplica are: campaign, propose, restart, die before persisting, die after it.
 const choicesOfReplica = 5
 
-// choices returns how many things may happen next: each message is delivered or lost, and each replica has its own choices.
+// choices returns how many things may happen next: each message is delivered or lost, and each
+// replica has its own choices.
 func (c *cluster) choices() int { return 2*len(c.inFlight) + choicesOfReplica*len(c.replicas) }
 
 // do makes one of them happen, and describes it.
--- a/internal/controlplane/replica/driver.go
+++ b/internal/controlplane/replica/driver.go
@@ -89,7 +89,8 @@
 // Tick lets one tick pass.
 func (d *Driver) Tick() { d.node.Tick() }
 
-// Step takes in a message of another replica. A message that raft has no use for is dropped without an error.
+// Step takes in a message of another replica. A message that raft has no use for is dropped without
+// an error.
 func (d *Driver) Step(m *pb.Message) error {
 	if m.GetTo() != d.config.Disk || raft.IsLocalMsg(m.GetType()) {
 		return fmt.Errorf("replica: a message of kind %v to %x came to %x", m.GetType(), m.GetTo(), d.config.Disk)
@@ -101,8 +102,9 @@
 	return nil
 }
 
-// StepSnapshot takes in the message of a snapshot that was received. The leader may have changed during the transfer. A snapshot
-// holds committed entries only, which every later leader has too, so it counts as the present leader's and need not be resent.
+// StepSnapshot takes in the message of a snapshot that was received. The leader may have changed
+// during the transfer. A snapshot holds committed entries only, which every later leader has too,
+// so it counts as the present leader's and need not be resent.
 func (d *Driver) StepSnapshot(m *pb.Message) error {
 	if s := d.node.BasicStatus(); s.GetTerm() > m.GetTerm() && s.Lead != 0 {
 		m.Term = proto.Uint64(s.GetTerm())
@@ -131,15 +133,16 @@
 	d.node.ReportSnapshot(disk, status)
 }
 
-// CanPropose reports whether this replica leads and has applied everything that earlier leaders committed. Only then a batch can
-// be evaluated on its state.
+// CanPropose reports whether this replica leads and has applied everything that earlier leaders
+// committed. Only then a batch can be evaluated on its state.
 func (d *Driver) CanPropose() bool {
 	s := d.node.BasicStatus()
 	return s.RaftState == raft.StateLeader && d.appliedOwnTerm == s.GetTerm()
 }
 
-// Propose proposes a batch. A batch is evaluated on the state that the one before it leads to, so only one can be in flight. The
-// tag identifies it among the committed entries. The error is ErrNotLeader, ErrBusy, or wraps one of raft's.
+// Propose proposes a batch. A batch is evaluated on the state that the one before it leads to, so
+// only one can be in flight. The tag identifies it among the committed entries. The error is
+// ErrNotLeader, ErrBusy, or wraps one of raft's.
 func (d *Driver) Propose(data []byte) (tag uint64, err error) {
 	if !d.CanPropose() {
 		return 0, ErrNotLeader
@@ -158,8 +161,8 @@
 	return d.lastTag, nil
 }
 
-// InFlight returns the tag of the batch that was proposed and is not decided. It is 0 if there is none, and also once this replica
-// no longer leads, for then the outcome is unknown.
+// InFlight returns the tag of the batch that was proposed and is not decided. It is 0 if there is
+// none, and also once this replica no longer leads, for then the outcome is unknown.
 func (d *Driver) InFlight() uint64 {
 	if d.inFlight != 0 && d.node.BasicStatus().RaftState != raft.StateLeader {
 		d.inFlight = 0
@@ -167,8 +170,8 @@
 	return d.inFlight
 }
 
-// ReadIndex asks the group for a proof that this replica leads at this moment. The proof comes as a ReadState with the tag. The
-// error is ErrNotLeader while CanPropose is false.
+// ReadIndex asks the group for a proof that this replica leads at this moment. The proof comes as a
+// ReadState with the tag. The error is ErrNotLeader while CanPropose is false.
 func (d *Driver) ReadIndex() (tag uint64, err error) {
 	if !d.CanPropose() {
 		return 0, ErrNotLeader
@@ -178,7 +181,8 @@
 	return d.lastTag, nil
 }
 
-// ProposeChange proposes a change of members, one at a time. The error is ErrNotLeader, ErrBusy, or wraps one of raft's.
+// ProposeChange proposes a change of members, one at a time. The error is ErrNotLeader, ErrBusy, or
+// wraps one of raft's.
 func (d *Driver) ProposeChange(c Change) error {
 	if !d.CanPropose() {
 		return ErrNotLeader
@@ -218,7 +222,8 @@
 			after[step.Disk] = step.Member
 			continue
 		}
-		// The member is remembered as removed: neither the disk nor another one of its name joins again by itself.
+		// The member is remembered as removed: neither the disk nor another one of its name joins
+		// again by itself.
 		removed := after[step.Disk]
 		removed.Left = true
 		removed.Replaces = 0
--- a/internal/controlplane/replica/driver_test.go
+++ b/internal/controlplane/replica/driver_test.go
@@ -38,7 +38,8 @@
 	return otherwise
 }
 
-// Random orders of delivery, loss, death at each point of persisting, and restart, from printed seeds. STAIRVANE_SEEDS sets how many.
+// Random orders of delivery, loss, death at each point of persisting, and restart, from printed
+// seeds. STAIRVANE_SEEDS sets how many.
 func TestDriversAgreeInAnyOrder(t *testing.T) {
 	first := uint64(fromEnv("STAIRVANE_SEED", 1))
 	n := fromEnv("STAIRVANE_SEEDS", 300)
@@ -58,7 +59,8 @@
 	t.Logf("%d batches were accepted in %d runs", accepted, n)
 }
 
-// Every list of STAIRVANE_DEPTH choices, for two replicas and for three, from the moment at which the first one campaigns.
+// Every list of STAIRVANE_DEPTH choices, for two replicas and for three, from the moment at which
+// the first one campaigns.
 func TestDriversAgreeInEveryOrder(t *testing.T) {
 	depth := fromEnv("STAIRVANE_DEPTH", 3)
 	for _, replicas := range []int{2, 3} {
--- a/internal/controlplane/replica/lease.go
+++ b/internal/controlplane/replica/lease.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// Lease allows a replica or a relay to serve watchers: within it the holder's events are no older than the lease, or else the
-// leader knows that the holder may be behind. Times are monotonic, each on its owner's clock, and never compared with another's.
+// Lease allows a replica or a relay to serve watchers: within it the holder's events are no older
+// than the lease, or else the leader knows that the holder may be behind. Times are monotonic, each
+// on its owner's clock, and never compared with another's.
 type Lease struct {
 	Length time.Duration
 	Drift  float64 // share by which two clocks may run apart; 0.02: by 2 %
 }
 
-// maxValidity returns how long a lessor must wait until a lease that it granted, or that a leader before it may have granted, is over.
-// Both clocks may drift, in opposite directions.
+// maxValidity returns how long a lessor must wait until a lease that it granted, or that a leader
+// before it may have granted, is over. Both clocks may drift, in opposite directions.
 func (l Lease) maxValidity() time.Duration {
 	return time.Duration(float64(l.Length) * (1 + 2*l.Drift))
 }
@@ -18,7 +19,8 @@
 // Holder is the side of the one that serves watchers under a lease. The zero Holder has no lease.
 type Holder struct{ until time.Duration }
 
-// Got records a lease that was granted on a request sent at a moment: it counts from that moment on.
+// Got records a lease that was granted on a request sent at a moment: it counts from that moment
+// on.
 func (h *Holder) Got(l Lease, requestedAt time.Duration) {
 	h.until = max(h.until, requestedAt+l.Length)
 }
@@ -29,7 +31,8 @@
 // Holds reports whether the lease is in force.
 func (h *Holder) Holds(now time.Duration) bool { return now < h.until }
 
-// Lessor is the leader's side: it records who holds a lease, and what the holders' watchers have acknowledged.
+// Lessor is the leader's side: it records who holds a lease, and what the holders' watchers have
+// acknowledged.
 type Lessor struct {
 	lease       Lease
 	isLeader    bool
@@ -55,15 +58,16 @@
 	l.isLeader = isLeader
 }
 
-// Give records a lease after it was granted. holder is the disk of a replica or the session of a relay; acknowledged is the lowest
-// revision that the holder's watchers have acknowledged.
+// Give records a lease after it was granted. holder is the disk of a replica or the session of a
+// relay; acknowledged is the lowest revision that the holder's watchers have acknowledged.
 func (l *Lessor) Give(holder uint64, acknowledged int64, now time.Duration) {
 	l.grants[holder] = &grant{acknowledged: acknowledged, until: now + l.lease.maxValidity()}
 }
 
-// Acknowledged returns the lowest revision that all watchers have acknowledged, given that of the leader's own watchers. Watchers of
-// a holder whose lease has ended reconnect elsewhere; after a further time, departedAfter, they count as having acknowledged, as any
-// do that left. A new leader returns 0 until the leases that the leader before it may have granted are over.
+// Acknowledged returns the lowest revision that all watchers have acknowledged, given that of the
+// leader's own watchers. Watchers of a holder whose lease has ended reconnect elsewhere; after a
+// further time, departedAfter, they count as having acknowledged, as any do that left. A new leader
+// returns 0 until the leases that the leader before it may have granted are over.
 func (l *Lessor) Acknowledged(own int64, now, departedAfter time.Duration) int64 {
 	if !l.isLeader || now < l.leaderSince+l.lease.maxValidity() {
 		return 0
--- a/internal/controlplane/replica/lease_test.go
+++ b/internal/controlplane/replica/lease_test.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// leaseRun simulates two replicas that may lead and one that serves watchers under a lease, each with a clock that drifts, and
-// messages that take any time. The leader appends events. It must never count an event as acknowledged while the holder may serve
-// watchers that lack it. Each field disables a rule, without which some seed must fail.
+// leaseRun simulates two replicas that may lead and one that serves watchers under a lease, each
+// with a clock that drifts, and messages that take any time. The leader appends events. It must
+// never count an event as acknowledged while the holder may serve watchers that lack it. Each field
+// disables a rule, without which some seed must fail.
 type leaseRun struct {
 	countFromReceipt bool // the holder's lease counts from the answer, instead of from before the request
 	noWaitAtElection bool // a new leader does not wait for the leases of the one before it
@@ -76,7 +77,8 @@
 	return false
 }
 
-// Guards against an event that counts as acknowledged while a lease holder serves watchers that lack it.
+// Guards against an event that counts as acknowledged while a lease holder serves watchers that
+// lack it.
 func TestNothingIsAcknowledgedWhileAHolderMayBeBehind(t *testing.T) {
 	first := uint64(fromEnv("STAIRVANE_SEED", 1))
 	t.Logf("seeds from %d on", first)
@@ -99,8 +101,8 @@
 	}
 }
 
-// Guards against a lost lease holder that holds up acknowledgements for longer than its lease and the time for its watchers to
-// reconnect.
+// Guards against a lost lease holder that holds up acknowledgements for longer than its lease and
+// the time for its watchers to reconnect.
 func TestALostHolderIsWaitedForOnce(t *testing.T) {
 	lessor := NewLessor(Lease{Length: 200 * time.Millisecond, Drift: 0.02})
 	lessor.Lead(true, 0)
--- a/internal/controlplane/replica/logger.go
+++ b/internal/controlplane/replica/logger.go
@@ -5,8 +5,9 @@
 	"log/slog"
 )
 
-// raftLogger passes raft's log to slog, a level lower than raft has it: its warnings report ordinary elections. What raft calls
-// fatal is a broken invariant, on which the program must not go on.
+// raftLogger passes raft's log to slog, a level lower than raft has it: its warnings report
+// ordinary elections. What raft calls fatal is a broken invariant, on which the program must not go
+// on.
 type raftLogger struct{}
 
 const raftEvent = "replica.raft"
--- a/internal/controlplane/replica/membership.go
+++ b/internal/controlplane/replica/membership.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// Member is a replica of the group. A name may pass from one disk to another; a disk is a member once.
+// Member is a replica of the group. A name may pass from one disk to another; a disk is a member
+// once.
 type Member struct {
 	Name     string `cbor:"Name"`
 	Machine  string `cbor:"Machine"`
@@ -69,7 +70,8 @@
 
 func (v View) isAlive(disk uint64) bool { return disk == v.Status.Disk || v.Progress[disk].IsActive }
 
-// rejectRemoved rejects a disk that was removed. That is final: replicas that are behind have answered the disk so too.
+// rejectRemoved rejects a disk that was removed. That is final: replicas that are behind have
+// answered the disk so too.
 func (v View) rejectRemoved(disk uint64) error {
 	if m := v.Members[disk]; m.Left {
 		return rejectf("disk %x was taken out of the group: start copy %s with --new-disk, and have that let in", disk, m.Name)
@@ -77,8 +79,9 @@
 	return nil
 }
 
-// Promote returns the change that makes a voter of a learner which lacks at most so many entries; nil if there is none. The disk
-// that it replaces is removed in the same change, so that the group never tolerates fewer failures than before.
+// Promote returns the change that makes a voter of a learner which lacks at most so many entries;
+// nil if there is none. The disk that it replaces is removed in the same change, so that the group
+// never tolerates fewer failures than before.
 func (v View) Promote(maxMissing uint64) *Change {
 	if v.IsJoint {
 		return nil
@@ -107,8 +110,8 @@
 	return v.Members[learner].Name != "" && p.IsActive && !p.InSnapshot && p.Match != 0 && p.Match+maxMissing >= v.Commit
 }
 
-// Remove returns the change that removes a replica by an operator's order. allowLowerTolerance permits that the group tolerates
-// fewer failures afterwards. An error is a *RejectedError.
+// Remove returns the change that removes a replica by an operator's order. allowLowerTolerance
+// permits that the group tolerates fewer failures afterwards. An error is a *RejectedError.
 func (v View) Remove(name string, allowLowerTolerance bool) (*Change, error) {
 	disk := v.Disk(name)
 	if disk == 0 {
@@ -125,7 +128,8 @@
 	return &Change{[]Step{{Kind: RemoveMember, Disk: disk}}}, nil
 }
 
-// rejectUnsafeRemoval rejects the removal of a voter without which the group has no majority, or tolerates fewer failures.
+// rejectUnsafeRemoval rejects the removal of a voter without which the group has no majority, or
+// tolerates fewer failures.
 func (v View) rejectUnsafeRemoval(name string, disk uint64, allowLowerTolerance bool) error {
 	remaining := len(v.Voters) - 1
 	alive := 0
@@ -148,8 +152,8 @@
 	return nil
 }
 
-// Successor returns the disk that the leadership can be transferred to: that of a name, or the one whose log is longest if the name
-// is empty. An error is a *RejectedError.
+// Successor returns the disk that the leadership can be transferred to: that of a name, or the one
+// whose log is longest if the name is empty. An error is a *RejectedError.
 func (v View) Successor(name string) (disk uint64, err error) {
 	for _, d := range v.Voters {
 		if d == v.Status.Disk || !v.isAlive(d) || name != "" && v.Members[d].Name != name {
--- a/internal/controlplane/replica/membership_test.go
+++ b/internal/controlplane/replica/membership_test.go
@@ -11,7 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against accepting places of which one machine, or one of three sites, takes the majority away.
+// Guards against accepting places of which one machine, or one of three sites, takes the majority
+// away.
 func TestValidPlacesSurviveTheLossOfAnyOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 9).Draw(t, "copies")
@@ -104,7 +105,8 @@
 	return v
 }
 
-// Guards the rules by which a disk is admitted, replaced and removed, and the reasons of a rejection.
+// Guards the rules by which a disk is admitted, replaced and removed, and the reasons of a
+// rejection.
 func TestMembershipChanges(t *testing.T) {
 	rejected := func(what string, err error, why string) {
 		t.Helper()
@@ -168,8 +170,9 @@
 	}
 }
 
-// Guards against a promotion that lowers the number of tolerated failures: the replaced voter is removed in the same change. A
-// learner that lacks many entries, or was never active, is not promoted.
+// Guards against a promotion that lowers the number of tolerated failures: the replaced voter is
+// removed in the same change. A learner that lacks many entries, or was never active, is not
+// promoted.
 func TestPromotionKeepsToleratedFailures(t *testing.T) {
 	v := groupOfThree()
 	v.Members[9] = Member{Name: "b", Machine: "mb", Site: "sb", Replaces: 2}
--- a/internal/controlplane/replica/place.go
+++ b/internal/controlplane/replica/place.go
@@ -13,8 +13,9 @@
 	Spare   bool // it is a standby, which replaces a replica that is lost
 }
 
-// ValidatePlaces returns what is wrong with a list of places; nil if nothing. The group must survive the loss of any one machine,
-// and of any one site if there are three or more, without losing the majority.
+// ValidatePlaces returns what is wrong with a list of places; nil if nothing. The group must
+// survive the loss of any one machine, and of any one site if there are three or more, without
+// losing the majority.
 func ValidatePlaces(places []Place) (faults []string) {
 	listed := map[string]bool{}
 	nameByMachine := map[string]string{}
@@ -47,5 +48,6 @@
 	return faults
 }
 
-// ToleratedFailures returns how many replicas a group of so many voters can lose and still have a majority.
+// ToleratedFailures returns how many replicas a group of so many voters can lose and still have a
+// majority.
 func ToleratedFailures(voters int) int { return max(0, (voters-1)/2) }
--- a/internal/controlplane/replica/ready.go
+++ b/internal/controlplane/replica/ready.go
@@ -10,8 +10,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Ready is what the caller has to do next, in this order: send EarlyMessages; install Snapshot, persist Entries and HardState and
-// call Persisted; send Messages; apply CommittedEntries, each after ApplyEntry; call Advance.
+// Ready is what the caller has to do next, in this order: send EarlyMessages; install Snapshot,
+// persist Entries and HardState and call Persisted; send Messages; apply CommittedEntries, each
+// after ApplyEntry; call Advance.
 type Ready struct {
 	EarlyMessages    []*pb.Message        // a leader's, which need not wait for its own disk
 	Entries          []*pb.Entry          // they replace the log from the index of the first one on
@@ -24,7 +25,8 @@
 	ready            raft.Ready
 }
 
-// CommittedEntry is a committed batch, or a committed change of members, which has neither data nor tag.
+// CommittedEntry is a committed batch, or a committed change of members, which has neither data nor
+// tag.
 type CommittedEntry struct {
 	At   Position
 	Tag  uint64 // of the proposal; 0: none
@@ -37,7 +39,8 @@
 	Index uint64
 }
 
-// Ready returns what is to be done next; nil if there is nothing, or if the one before was not advanced.
+// Ready returns what is to be done next; nil if there is nothing, or if the one before was not
+// advanced.
 func (d *Driver) Ready() *Ready {
 	if d.readyPending || !d.node.HasReady() {
 		return nil
@@ -65,8 +68,8 @@
 	return rd
 }
 
-// splitMessages sorts messages by whether they must wait for the disk. A leader's appends and heartbeats need not: it counts its
-// own log only once that is durable.
+// splitMessages sorts messages by whether they must wait for the disk. A leader's appends and
+// heartbeats need not: it counts its own log only once that is durable.
 func (d *Driver) splitMessages(rd *Ready, messages []*pb.Message) {
 	isLeader := d.node.BasicStatus().RaftState == raft.StateLeader
 	for _, m := range messages {
@@ -95,7 +98,8 @@
 	return nil
 }
 
-// ApplyEntry follows the committed entry with index i in a Ready, and reports whether it changed the members.
+// ApplyEntry follows the committed entry with index i in a Ready, and reports whether it changed
+// the members.
 func (d *Driver) ApplyEntry(rd *Ready, i int) (membersChanged bool, err error) {
 	entry := rd.ready.CommittedEntries[i]
 	d.storage.applied = positionOf(entry)
@@ -135,7 +139,8 @@
 	return nil
 }
 
-// SnapshotInstalled follows the installation of a snapshot, with the position and the members that it holds.
+// SnapshotInstalled follows the installation of a snapshot, with the position and the members that
+// it holds.
 func (d *Driver) SnapshotInstalled(at Position, members map[uint64]Member) {
 	d.storage.applied = at
 	d.members = members
--- a/internal/controlplane/replica/rollback.go
+++ b/internal/controlplane/replica/rollback.go
@@ -2,9 +2,10 @@
 
 import "fmt"
 
-// RollbackDetector remembers the newest state that other disks have shown, so that a disk which comes back in an older state, as
-// from a backup, is excluded: it may have voted or acknowledged what it no longer knows. The memory lasts as long as the process.
-// It is not safe for concurrent use.
+// RollbackDetector remembers the newest state that other disks have shown, so that a disk which
+// comes back in an older state, as from a backup, is excluded: it may have voted or acknowledged
+// what it no longer knows. The memory lasts as long as the process. It is not safe for concurrent
+// use.
 type RollbackDetector struct{ observed map[uint64]*ObservedDisk }
 
 // ObservedDisk is the newest state that a disk has shown.
@@ -29,8 +30,8 @@
 	return o
 }
 
-// AcceptIncarnation reports whether an incarnation of the program may send messages for a disk. It may not once another incarnation
-// has introduced itself for the same disk.
+// AcceptIncarnation reports whether an incarnation of the program may send messages for a disk. It
+// may not once another incarnation has introduced itself for the same disk.
 func (r *RollbackDetector) AcceptIncarnation(disk, incarnation uint64) bool {
 	o := r.disk(disk)
 	if o.Incarnation == 0 {
@@ -39,8 +40,8 @@
 	return o.Incarnation == incarnation
 }
 
-// Observe records the term of a disk's message, the index up to which the message acknowledges the log, and the disk that it votes
-// for; 0 if the message says nothing of that.
+// Observe records the term of a disk's message, the index up to which the message acknowledges the
+// log, and the disk that it votes for; 0 if the message says nothing of that.
 func (r *RollbackDetector) Observe(disk, term, lastIndex, vote uint64) {
 	o := r.disk(disk)
 	if term > o.Term {
@@ -55,8 +56,9 @@
 	}
 }
 
-// Introduce records a new incarnation with the state that it says its disk is in, and returns what was observed of the disk before.
-// An incarnation whose disk is older than that does not get the right to send messages.
+// Introduce records a new incarnation with the state that it says its disk is in, and returns what
+// was observed of the disk before. An incarnation whose disk is older than that does not get the
+// right to send messages.
 func (r *RollbackDetector) Introduce(disk, incarnation uint64, state ObservedDisk) ObservedDisk {
 	o := r.disk(disk)
 	before := *o
--- a/internal/controlplane/replica/status.go
+++ b/internal/controlplane/replica/status.go
@@ -60,8 +60,8 @@
 // Members returns the members by disk, and those that were removed. The map must not be changed.
 func (d *Driver) Members() map[uint64]Member { return d.members }
 
-// IsRemoved reports whether a disk was removed from the group, which is final. While the change that removes it is half way, the
-// disk's votes still count, and it is not removed.
+// IsRemoved reports whether a disk was removed from the group, which is final. While the change
+// that removes it is half way, the disk's votes still count, and it is not removed.
 func (d *Driver) IsRemoved(disk uint64) bool {
 	return d.members[disk].Left && !slices.Contains(d.storage.confState.GetVotersOutgoing(), disk)
 }
--- a/internal/controlplane/replica/storage.go
+++ b/internal/controlplane/replica/storage.go
@@ -97,8 +97,9 @@
 	}}
 }
 
-// Compact drops applied entries from the log in memory, but for the last ones, as many as keep says. It returns the position of the
-// last dropped entry, or the zero Position if none was dropped.
+// Compact drops applied entries from the log in memory, but for the last ones, as many as keep
+// says. It returns the position of the last dropped entry, or the zero Position if none was
+// dropped.
 func (d *Driver) Compact(keep uint64) Position {
 	first := d.FirstIndex()
 	to := d.storage.applied.Index
--- a/internal/controlplane/replicas/barrier.go
+++ b/internal/controlplane/replicas/barrier.go
@@ -7,7 +7,8 @@
 	"stairvane.org/stairvane/internal/controlplane/store"
 )
 
-// barriers are the callers of Barrier who wait for a proof of leadership. They are owned by the loop.
+// barriers are the callers of Barrier who wait for a proof of leadership. They are owned by the
+// loop.
 type barriers struct {
 	waiting map[uint64]chan<- error // by the tag of their ReadIndex; each channel is buffered
 	proven  []replica.ReadState     // whose index is not applied yet
@@ -43,8 +44,8 @@
 	}
 }
 
-// Barrier waits until it is proven that this replica leads, and until all that was committed before is applied. The error is
-// store.ErrNotLeader, store.ErrClosed, or that of the context.
+// Barrier waits until it is proven that this replica leads, and until all that was committed before
+// is applied. The error is store.ErrNotLeader, store.ErrClosed, or that of the context.
 func (g *Group) Barrier(ctx context.Context) error {
 	answer := make(chan error, 1)
 	if !g.runOnLoop(func() { g.startBarrier(answer) }) {
--- a/internal/controlplane/replicas/call_history_test.go
+++ b/internal/controlplane/replicas/call_history_test.go
@@ -101,8 +101,8 @@
 	h.clients.Wait()
 }
 
-// checkLinearizable checks that the calls can have happened one after the other. Applies append events too, so a revision may be
-// higher than the one after the last; never lower or the same.
+// checkLinearizable checks that the calls can have happened one after the other. Applies append
+// events too, so a revision may be higher than the one after the last; never lower or the same.
 func (h *callHistory) checkLinearizable(t *testing.T) {
 	t.Helper()
 	for i, op := range h.ops {
@@ -154,8 +154,9 @@
 	}
 }
 
-// checkHistories compares the replicas' events with each other and with the answers of the calls: they are equal byte for byte, every
-// answered purge is there once and under its number, every unanswered one at most once.
+// checkHistories compares the replicas' events with each other and with the answers of the calls:
+// they are equal byte for byte, every answered purge is there once and under its number, every
+// unanswered one at most once.
 func (h *callHistory) checkHistories(t *testing.T, cluster *testharness.Cluster) {
 	t.Helper()
 	var longest []json.RawMessage
--- a/internal/controlplane/replicas/claims_test.go
+++ b/internal/controlplane/replicas/claims_test.go
@@ -80,7 +80,8 @@
 	return e
 }
 
-// directorLoss kills directors with orders under way, and has their clients repeat the orders with the same tokens elsewhere.
+// directorLoss kills directors with orders under way, and has their clients repeat the orders with
+// the same tokens elsewhere.
 type directorLoss struct {
 	t         *testing.T
 	cluster   *testharness.Cluster
@@ -132,8 +133,8 @@
 	}
 }
 
-// lose kills a director with orders under way, and returns how the repeated orders were answered: first by a director of the other
-// location, then by another one of the same location.
+// lose kills a director with orders under way, and returns how the repeated orders were answered:
+// first by a director of the other location, then by another one of the same location.
 func (l *directorLoss) lose(n int) fakes.Tally {
 	l.t.Helper()
 	site, other := "west", "east"
@@ -176,7 +177,8 @@
 	return c.Finish(patience)
 }
 
-// checkReusedToken checks that a token which comes with another object is rejected: it is no repeat.
+// checkReusedToken checks that a token which comes with another object is rejected: it is no
+// repeat.
 func (l *directorLoss) checkReusedToken() {
 	l.t.Helper()
 	c, err := fakes.Connect(l.directors["west"][0].Addr)
@@ -190,9 +192,10 @@
 	}
 }
 
-// Guards against an order that is executed in two locations: a director is killed with orders under way, and its clients repeat them
-// with their tokens at a director of another location. Without claims some orders are executed in both; with claims none is, and each
-// request gets one final answer.
+// Guards against an order that is executed in two locations: a director is killed with orders under
+// way, and its clients repeat them with their tokens at a director of another location. Without
+// claims some orders are executed in both; with claims none is, and each request gets one final
+// answer.
 func TestNoOrderRunsInTwoLocations(t *testing.T) {
 	seed := uint64(fromEnv(seedVar, 1))
 	losses := fromEnv("STAIRVANE_LOSSES", 4)
--- a/internal/controlplane/replicas/clock.go
+++ b/internal/controlplane/replicas/clock.go
@@ -8,7 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now returns the time since the machine started. It includes the time that the machine was suspended, during which leases end too.
+// Now returns the time since the machine started. It includes the time that the machine was
+// suspended, during which leases end too.
 func Now() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
--- a/internal/controlplane/replicas/faults_test.go
+++ b/internal/controlplane/replicas/faults_test.go
@@ -14,11 +14,12 @@
 	kindVar     = "STAIRVANE_KIND" // every fault is of this kind
 )
 
-// Replicas, six directors, fake caches and clients are processes of their own, and a schedule of faults from a printed seed goes over the
-// replicas: killed, paused, cut off, cut off in one direction, slowed, connections broken, disks full, lost and restored from an old
-// state. Meanwhile purges and reads go on, and an apply drains a cache. The calls must be linearizable, no accepted write may be lost
-// or repeated, all replicas must have one history, each request must get one final answer, and the drained cache no request once the
-// apply is done.
+// Replicas, six directors, fake caches and clients are processes of their own, and a schedule of
+// faults from a printed seed goes over the replicas: killed, paused, cut off, cut off in one
+// direction, slowed, connections broken, disks full, lost and restored from an old state. Meanwhile
+// purges and reads go on, and an apply drains a cache. The calls must be linearizable, no accepted
+// write may be lost or repeated, all replicas must have one history, each request must get one
+// final answer, and the drained cache no request once the apply is done.
 func TestFaults(t *testing.T) {
 	replicas := fromEnv(replicasVar, 3)
 	faults := fromEnv(faultsVar, 4) // one short schedule in CI; others by command
--- a/internal/controlplane/replicas/group.go
+++ b/internal/controlplane/replicas/group.go
@@ -80,8 +80,9 @@
 	ticks        int
 }
 
-// New makes the replica of a store that was opened for a group. A store that belongs to no group becomes the first of a new group
-// if the settings say so, and else that of a disk which waits to be admitted.
+// New makes the replica of a store that was opened for a group. A store that belongs to no group
+// becomes the first of a new group if the settings say so, and else that of a disk which waits to
+// be admitted.
 func New(s *store.Store, settings Settings) (*Group, error) {
 	if settings.Scheme == "" {
 		settings.Scheme = "http"
--- a/internal/controlplane/replicas/handlers.go
+++ b/internal/controlplane/replicas/handlers.go
@@ -18,7 +18,8 @@
 	name        string
 }
 
-// authenticate reads which disk and which incarnation of the program call, and rejects those of another group.
+// authenticate reads which disk and which incarnation of the program call, and rejects those of
+// another group.
 func (g *Group) authenticate(w http.ResponseWriter, r *http.Request) (from sender, ok bool) {
 	for _, field := range []struct {
 		header string
@@ -43,7 +44,8 @@
 	return from, true
 }
 
-// authorize reads who calls, and rejects a disk that is no member and an incarnation that another one has superseded.
+// authorize reads who calls, and rejects a disk that is no member and an incarnation that another
+// one has superseded.
 func (g *Group) authorize(w http.ResponseWriter, r *http.Request) (from sender, ok bool) {
 	if from, ok = g.authenticate(w, r); !ok {
 		return sender{}, false
@@ -55,8 +57,8 @@
 	return from, g.checkMember(w, from.disk)
 }
 
-// checkMember answers 410 to a disk that is no member. Any replica knows that a disk was removed, for that is final; of a disk that it
-// has never seen only the leader knows that it is no member.
+// checkMember answers 410 to a disk that is no member. Any replica knows that a disk was removed,
+// for that is final; of a disk that it has never seen only the leader knows that it is no member.
 func (g *Group) checkMember(w http.ResponseWriter, disk uint64) (ok bool) {
 	s := g.published.Load()
 	_, isKnown := s.members[disk]
--- a/internal/controlplane/replicas/harness_test.go
+++ b/internal/controlplane/replicas/harness_test.go
@@ -82,8 +82,8 @@
 	return cluster
 }
 
-// within relaxes a bound that holds on an idle machine. CI, where other tests run at the same time, allows four times as much, which
-// still tells a fault; STAIRVANE_TIMES demands the bound itself.
+// within relaxes a bound that holds on an idle machine. CI, where other tests run at the same time,
+// allows four times as much, which still tells a fault; STAIRVANE_TIMES demands the bound itself.
 func within(d time.Duration) time.Duration {
 	if os.Getenv("STAIRVANE_TIMES") == "" {
 		return 4 * d
@@ -115,7 +115,8 @@
 	}
 }
 
-// desiredStates returns a fleet of three caches, and the one that it becomes: the second cache is drained, and a fourth is added.
+// desiredStates returns a fleet of three caches, and the one that it becomes: the second cache is
+// drained, and a fourth is added.
 func desiredStates(caches []*fakes.Cache) (before, after fleet.DesiredState) {
 	rules := fleet.DefaultRules()
 	rules.Cache.WarmUpMS = 0
@@ -145,7 +146,8 @@
 	}
 }
 
-// submitPlan plans the way to a desired state, submits the plan, and returns the number of the apply.
+// submitPlan plans the way to a desired state, submits the plan, and returns the number of the
+// apply.
 func submitPlan(t *testing.T, cluster *testharness.Cluster, desired fleet.DesiredState) int64 {
 	t.Helper()
 	c, err := cluster.Client()
--- a/internal/controlplane/replicas/health_test.go
+++ b/internal/controlplane/replicas/health_test.go
@@ -15,8 +15,8 @@
 	"stairvane.org/stairvane/internal/tools/testharness"
 )
 
-// startFleetWithParents starts replicas, two caches that are filled from four parent caches, and directors of one location that each
-// send few requests.
+// startFleetWithParents starts replicas, two caches that are filled from four parent caches, and
+// directors of one location that each send few requests.
 func startFleetWithParents(
 	t *testing.T, directors int, pause time.Duration, forms string,
 ) (cluster *testharness.Cluster, caches []*fakes.Cache, f *loadedFleet) {
@@ -65,9 +65,10 @@
 	return sum, each
 }
 
-// Guards the exchange of health reports. One of four parent caches rejects two thirds of the fills. Eight directors with few requests
-// each learn that alone, or by the reports of all: then far fewer fills are rejected until all avoid it. A replica is killed and a
-// director is paused meanwhile. Once the parent cache is healthy it gets requests again.
+// Guards the exchange of health reports. One of four parent caches rejects two thirds of the fills.
+// Eight directors with few requests each learn that alone, or by the reports of all: then far fewer
+// fills are rejected until all avoid it. A replica is killed and a director is paused meanwhile.
+// Once the parent cache is healthy it gets requests again.
 func TestHealthReportsSpareAFaultyParentCache(t *testing.T) {
 	seconds := fromEnv("STAIRVANE_SECONDS", 6)
 	sums := map[string]int{}
--- a/internal/controlplane/replicas/identity.go
+++ b/internal/controlplane/replicas/identity.go
@@ -19,7 +19,8 @@
 	errAlreadyInGroup = errors.New("the store belongs to a group already: start it without --found")
 )
 
-// identifyDisk sets the phase by what the store says of the disk, and gives the disk a number if it has none.
+// identifyDisk sets the phase by what the store says of the disk, and gives the disk a number if it
+// has none.
 func (g *Group) identifyDisk() error {
 	identity, isCloned := g.store.Identity()
 	switch {
@@ -70,7 +71,8 @@
 	return nil
 }
 
-// encodeAppliedState encodes a position in the log, and who the members are there, as the store has it.
+// encodeAppliedState encodes a position in the log, and who the members are there, as the store has
+// it.
 func encodeAppliedState(at replica.Position, confState *pb.ConfState, members map[uint64]replica.Member) (store.AppliedState, error) {
 	rawConfState, err := proto.Marshal(confState)
 	if err != nil {
--- a/internal/controlplane/replicas/introduction.go
+++ b/internal/controlplane/replicas/introduction.go
@@ -36,7 +36,8 @@
 	Reason   string               `json:"why,omitempty"` // why the disk is not admitted
 }
 
-// introduction is the state of a disk that was a member before and asks the others what they have observed of it.
+// introduction is the state of a disk that was a member before and asks the others what they have
+// observed of it.
 type introduction struct {
 	startedAt       time.Duration
 	answered        map[string]bool // replicas that have nothing against the disk
@@ -48,8 +49,9 @@
 // isOver reports whether all others have answered, or have had the time to.
 func (i *introduction) isOver(peers int) bool { return i.timedOut() || len(i.answered) == peers }
 
-// introduceDisk introduces this disk until it is active. Afterwards it asks the others whether the disk was removed, for as long as
-// it has no lease: a disk that was removed is sent nothing, and may neither campaign nor know who leads.
+// introduceDisk introduces this disk until it is active. Afterwards it asks the others whether the
+// disk was removed, for as long as it has no lease: a disk that was removed is sent nothing, and
+// may neither campaign nor know who leads.
 func (g *Group) introduceDisk() {
 	for {
 		switch Phase(g.published.Load().Phase) {
@@ -140,7 +142,8 @@
 	}
 }
 
-// checkObservation excludes this disk if another replica of the group has observed it in a newer state.
+// checkObservation excludes this disk if another replica of the group has observed it in a newer
+// state.
 func (g *Group) checkObservation(p *peer, own replica.ObservedDisk, answer Greeting) {
 	identity, _ := g.store.Identity()
 	if answer.Group == identity.Group {
@@ -152,14 +155,16 @@
 	g.introduction.answered[p.to.Name] = true
 }
 
-// serveMember answers a disk that asks whether it was removed: 204 if this replica does not know of that, else 410.
+// serveMember answers a disk that asks whether it was removed: 204 if this replica does not know of
+// that, else 410.
 func (g *Group) serveMember(w http.ResponseWriter, r *http.Request) {
 	if from, ok := g.authenticate(w, r); ok && g.checkMember(w, from.disk) {
 		w.WriteHeader(http.StatusNoContent)
 	}
 }
 
-// serveHello answers a disk that introduces itself, and admits it if this replica leads and the disk may join.
+// serveHello answers a disk that introduces itself, and admits it if this replica leads and the
+// disk may join.
 func (g *Group) serveHello(w http.ResponseWriter, r *http.Request) {
 	var hello Hello
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxJSONBytes)).Decode(&hello); err != nil {
--- a/internal/controlplane/replicas/leader_test.go
+++ b/internal/controlplane/replicas/leader_test.go
@@ -34,8 +34,9 @@
 	check(t, cluster.Whole(patience))
 }
 
-// Guards against a leader that keeps its leadership while its disk fails all writes: within a second another replica accepts writes,
-// the one with the failed disk still serves reads, and once the disk can be written it takes part again by itself.
+// Guards against a leader that keeps its leadership while its disk fails all writes: within a
+// second another replica accepts writes, the one with the failed disk still serves reads, and once
+// the disk can be written it takes part again by itself.
 func TestLeaderWithAFailedDisk(t *testing.T) {
 	cluster := startGroup(t, 3, 0)
 	c, err := cluster.Client()
--- a/internal/controlplane/replicas/leases.go
+++ b/internal/controlplane/replicas/leases.go
@@ -14,11 +14,12 @@
 	"stairvane.org/stairvane/internal/controlplane/store"
 )
 
-// renewalsPerLease is how often a lease is renewed within its length, so that a lost renewal does not end it.
+// renewalsPerLease is how often a lease is renewed within its length, so that a lost renewal does
+// not end it.
 const renewalsPerLease = 4
 
-// leases is the lease under which this replica serves watchers, and, at the leader, those that it granted. It is safe for concurrent
-// use.
+// leases is the lease under which this replica serves watchers, and, at the leader, those that it
+// granted. It is safe for concurrent use.
 type leases struct {
 	terms  replica.Lease // not changed
 	mu     sync.Mutex
@@ -69,15 +70,17 @@
 // HasLease reports whether this replica may serve watchers at this moment.
 func (g *Group) HasLease() bool { return g.leases.isHeld() }
 
-// Acknowledged returns the revision up to which the watchers of all replicas and relays have every event, at the leader; 0 elsewhere.
+// Acknowledged returns the revision up to which the watchers of all replicas and relays have every
+// event, at the leader; 0 elsewhere.
 func (g *Group) Acknowledged() int64 {
 	own := g.settings.Acknowledged()
 	departedAfter := g.settings.NotifiedAfter()
 	return g.leases.acknowledged(own, departedAfter)
 }
 
-// GiveSession records the lease of a relay's session, beside those of replicas: Acknowledged waits for its directors too. The leader
-// calls it once a Barrier has passed, and before it sends the lease to the relay.
+// GiveSession records the lease of a relay's session, beside those of replicas: Acknowledged waits
+// for its directors too. The leader calls it once a Barrier has passed, and before it sends the
+// lease to the relay.
 func (g *Group) GiveSession(session uint64, acknowledged int64) {
 	g.leases.grant(session, acknowledged)
 }
@@ -104,7 +107,8 @@
 	}
 }
 
-// renewLease renews this replica's lease. The leader proves its leadership instead of asking. The lease counts from before the request.
+// renewLease renews this replica's lease. The leader proves its leadership instead of asking. The
+// lease counts from before the request.
 func (g *Group) renewLease() error {
 	s := g.published.Load()
 	requestedAt := Now()
@@ -139,7 +143,8 @@
 	return nil
 }
 
-// serveLease grants a lease to another replica, if it is proven that this one leads and if the other one is not behind.
+// serveLease grants a lease to another replica, if it is proven that this one leads and if the
+// other one is not behind.
 func (g *Group) serveLease(w http.ResponseWriter, r *http.Request) {
 	from, ok := g.authorize(w, r)
 	if !ok {
--- a/internal/controlplane/replicas/lifecycle.go
+++ b/internal/controlplane/replicas/lifecycle.go
@@ -17,7 +17,8 @@
 	heartbeatTicks = 2
 )
 
-// startDriver makes the driver from what the store holds; the replica is Active then. If that can't be, it is excluded.
+// startDriver makes the driver from what the store holds; the replica is Active then. If that can't
+// be, it is excluded.
 func (g *Group) startDriver() {
 	persisted, err := g.store.PersistedState()
 	if err == nil {
@@ -79,7 +80,8 @@
 	g.publish()
 }
 
-// failDisk gives up this disk's part in the group until it can be written again. What the disk holds is as it was.
+// failDisk gives up this disk's part in the group until it can be written again. What the disk
+// holds is as it was.
 func (g *Group) failDisk(err error) {
 	if g.phase != DiskFailed {
 		slog.Error("replica.disk_failed", "replica", g.settings.Self, "was_leader", g.isLeader, "err", err)
@@ -103,7 +105,8 @@
 	g.startDriver()
 }
 
-// failPending answers all who wait for a proposal with an error, and all who wait for a barrier with store.ErrNotLeader.
+// failPending answers all who wait for a proposal with an error, and all who wait for a barrier
+// with store.ErrNotLeader.
 func (g *Group) failPending(err error) {
 	if g.proposal != nil {
 		g.proposal.fail(err)
--- a/internal/controlplane/replicas/load_test.go
+++ b/internal/controlplane/replicas/load_test.go
@@ -19,8 +19,9 @@
 	load      sync.WaitGroup
 }
 
-// startLoadedFleet starts directors that watch the replicas, spread over them, waits until each serves, and has a client request random
-// objects from each, with random pauses. objects is how many objects there are, pause the mean pause.
+// startLoadedFleet starts directors that watch the replicas, spread over them, waits until each
+// serves, and has a client request random objects from each, with random pauses. objects is how
+// many objects there are, pause the mean pause.
 func startLoadedFleet(t *testing.T, cluster *testharness.Cluster, n int, forms string, objects int, pause time.Duration) *loadedFleet {
 	t.Helper()
 	f := &loadedFleet{stop: make(chan struct{})}
--- a/internal/controlplane/replicas/local_replica_test.go
+++ b/internal/controlplane/replicas/local_replica_test.go
@@ -62,7 +62,8 @@
 	members   map[uint64]replica.Member
 }
 
-// startReplica runs a replica from a stored state. Its store calls killPoint at each point of a write.
+// startReplica runs a replica from a stored state. Its store calls killPoint at each point of a
+// write.
 func startReplica(t *testing.T, settings replicas.Settings, killPoint func(string), stored storedState) *localReplica {
 	t.Helper()
 	s, err := store.Open(filepath.Join(t.TempDir(), "store.db"), store.Options{Group: true, NoSync: true, KillPoint: killPoint})
--- a/internal/controlplane/replicas/loop.go
+++ b/internal/controlplane/replicas/loop.go
@@ -60,7 +60,8 @@
 	return true
 }
 
-// runQueuedCalls runs the functions that have come meanwhile, so that the driver is served once for all of them.
+// runQueuedCalls runs the functions that have come meanwhile, so that the driver is served once for
+// all of them.
 func (g *Group) runQueuedCalls() {
 	for range maxCallsAtOnce {
 		select {
@@ -85,7 +86,8 @@
 	}
 }
 
-// runOnLoop has the loop run a function, and does not wait for it; false if the replica has stopped.
+// runOnLoop has the loop run a function, and does not wait for it; false if the replica has
+// stopped.
 func (g *Group) runOnLoop(f func()) bool {
 	select {
 	case g.calls <- f:
--- a/internal/controlplane/replicas/measure_test.go
+++ b/internal/controlplane/replicas/measure_test.go
@@ -19,8 +19,9 @@
 	"stairvane.org/stairvane/internal/tools/testharness"
 )
 
-// skipUnlessMeasuring skips a measurement unless it is asked for: STAIRVANE_MEASURE=1 go test -run TestMeasure -v
-// ./internal/controlplane/replicas. Every process is the built program; all stores are on one disk.
+// skipUnlessMeasuring skips a measurement unless it is asked for: STAIRVANE_MEASURE=1 go test -run
+// TestMeasure -v ./internal/controlplane/replicas. Every process is the built program; all stores
+// are on one disk.
 func skipUnlessMeasuring(t *testing.T) {
 	if os.Getenv("STAIRVANE_MEASURE") == "" {
 		t.Skip("a measurement, by command: STAIRVANE_MEASURE=1")
@@ -36,7 +37,8 @@
 	return d[min(len(d)-1, int(q*float64(len(d))))]
 }
 
-// writeFor has writers purge for a time as fast as they are answered, each over a connection of its own.
+// writeFor has writers purge for a time as fast as they are answered, each over a connection of its
+// own.
 func writeFor(t *testing.T, addresses string, writers int, length time.Duration) (perSecond float64, p50, p99 time.Duration) {
 	t.Helper()
 	var mu sync.Mutex
@@ -224,7 +226,8 @@
 	return func() { _ = conn.Close() } // the watch ends by that
 }
 
-// The time from the answer that an event is accepted until each of 100 watchers has it, spread over three replicas.
+// The time from the answer that an event is accepted until each of 100 watchers has it, spread over
+// three replicas.
 func TestMeasureNotification(t *testing.T) {
 	skipUnlessMeasuring(t)
 	cluster := startGroup(t, 3, 0)
@@ -266,7 +269,8 @@
 		rounds, watchers, quantile(each, 0.5), quantile(each, 0.99), quantile(last, 0.5), quantile(last, 0.99), last[len(last)-1])
 }
 
-// The time until a new disk replaces a lost one when the history has many events, and the latency of writes meanwhile.
+// The time until a new disk replaces a lost one when the history has many events, and the latency
+// of writes meanwhile.
 func TestMeasureReplacement(t *testing.T) {
 	skipUnlessMeasuring(t)
 	cluster := startGroup(t, 3, 0)
@@ -308,7 +312,8 @@
 	t.Logf("%d events: the new disk votes after %v; meanwhile p50 %v, p99 %v", events, took, p50, p99)
 }
 
-// What a claim adds to the latency of a request with an idempotency key, and to the memory of a director.
+// What a claim adds to the latency of a request with an idempotency key, and to the memory of a
+// director.
 func TestMeasureClaims(t *testing.T) {
 	skipUnlessMeasuring(t)
 	for round := range 3 {
--- a/internal/controlplane/replicas/membership.go
+++ b/internal/controlplane/replicas/membership.go
@@ -23,8 +23,8 @@
 	actionTransferLeadership = "hand-over"
 )
 
-// ChangeMembers carries out an operator's order if this replica leads. The error is store.ErrNotLeader, store.ErrClosed,
-// replica.ErrBusy, or a *replica.RejectedError.
+// ChangeMembers carries out an operator's order if this replica leads. The error is
+// store.ErrNotLeader, store.ErrClosed, replica.ErrBusy, or a *replica.RejectedError.
 func (g *Group) ChangeMembers(order api.ReplicaChange) error {
 	result := make(chan error, 1)
 	if !g.runOnLoop(func() { result <- g.changeMembers(order) }) {
@@ -104,7 +104,8 @@
 	}
 }
 
-// admit decides on a disk that asks to join, at the leader. reason is why it may not, or empty if it will.
+// admit decides on a disk that asks to join, at the leader. reason is why it may not, or empty if
+// it will.
 func (g *Group) admit(name string, disk uint64) (isMember bool, reason string) {
 	silence := map[uint64]time.Duration{}
 	for other := range g.driver.Members() {
@@ -144,8 +145,8 @@
 	slog.Info("replica.members_changed", "replicas", names)
 }
 
-// nameOf returns the name of a disk's replica: by the members, or, at a learner that does not know them yet, by what the disk's
-// messages say.
+// nameOf returns the name of a disk's replica: by the members, or, at a learner that does not know
+// them yet, by what the disk's messages say.
 func (g *Group) nameOf(disk uint64) string {
 	if m, is := g.driver.Members()[disk]; is {
 		return m.Name
--- a/internal/controlplane/replicas/nemesis_test.go
+++ b/internal/controlplane/replicas/nemesis_test.go
@@ -229,7 +229,8 @@
 	n.startNewDisk(victim)
 }
 
-// restoreImage replaces the files of a replica by older ones, copied once while they were written to, as a machine's image is.
+// restoreImage replaces the files of a replica by older ones, copied once while they were written
+// to, as a machine's image is.
 func (n *nemesis) restoreImage(f fault, victim *testharness.Replica) {
 	image := n.t.TempDir()
 	check(n.t, testharness.CopyFolder(victim.Folder, image))
--- a/internal/controlplane/replicas/observations.go
+++ b/internal/controlplane/replicas/observations.go
@@ -26,7 +26,8 @@
 	return d.detector.Introduce(disk, incarnation, state)
 }
 
-// observe records what a disk's messages show of it: its term, the log that it acknowledges, and its vote.
+// observe records what a disk's messages show of it: its term, the log that it acknowledges, and
+// its vote.
 func (d *diskObservations) observe(disk uint64, messages []*pb.Message) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/controlplane/replicas/peer.go
+++ b/internal/controlplane/replicas/peer.go
@@ -60,7 +60,8 @@
 	}
 }
 
-// collect encodes a message and those that wait behind it, up to the size of a call. to is the receiver of the last one.
+// collect encodes a message and those that wait behind it, up to the size of a call. to is the
+// receiver of the last one.
 func (p *peer) collect(first *pb.Message) (body []byte, to uint64) {
 	for m := first; m != nil; {
 		var err error
@@ -79,8 +80,8 @@
 	return body, to
 }
 
-// deliver sends messages in one call. It reports to the driver that they were lost. An answer that another incarnation has this disk
-// excludes the replica.
+// deliver sends messages in one call. It reports to the driver that they were lost. An answer that
+// another incarnation has this disk excludes the replica.
 func (p *peer) deliver(body []byte, to uint64) {
 	g := p.group
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
--- a/internal/controlplane/replicas/propagation_test.go
+++ b/internal/controlplane/replicas/propagation_test.go
@@ -10,9 +10,10 @@
 	"stairvane.org/stairvane/internal/tools/testharness"
 )
 
-// Guards against events that reach directors late because these watch a replica which is cut off: a purge reaches all within 300 ms,
-// by the directors' own logs, and a drained cache gets no request after 500 ms, by its own record. Under a far longer lease they are
-// late, which shows that the test can fail.
+// Guards against events that reach directors late because these watch a replica which is cut off: a
+// purge reaches all within 300 ms, by the directors' own logs, and a drained cache gets no request
+// after 500 ms, by its own record. Under a far longer lease they are late, which shows that the
+// test can fail.
 func TestEventsReachAllWhileAReplicaIsCutOff(t *testing.T) {
 	seed := uint64(fromEnv(seedVar, 1))
 	t.Logf("%s=%d", seedVar, seed)
--- a/internal/controlplane/replicas/proposal.go
+++ b/internal/controlplane/replicas/proposal.go
@@ -26,8 +26,9 @@
 	}
 }
 
-// takesRequests reports whether the loop takes writes now: while it does not lead it rejects them, and while it leads it takes them
-// one batch at a time, and not before it has applied what earlier leaders committed.
+// takesRequests reports whether the loop takes writes now: while it does not lead it rejects them,
+// and while it leads it takes them one batch at a time, and not before it has applied what earlier
+// leaders committed.
 func (g *Group) takesRequests() bool {
 	if g.driver == nil || !g.driver.Status().IsLeader {
 		return true
@@ -71,7 +72,8 @@
 	return batch
 }
 
-// proposeWaiting proposes the next batch at once, so that its entries share the next sync of the disk.
+// proposeWaiting proposes the next batch at once, so that its entries share the next sync of the
+// disk.
 func (g *Group) proposeWaiting() {
 	if g.driver.InFlight() != 0 || !g.driver.CanPropose() || g.proposal != nil {
 		return
--- a/internal/controlplane/replicas/quota_test.go
+++ b/internal/controlplane/replicas/quota_test.go
@@ -27,9 +27,10 @@
 	return counts
 }
 
-// fullestWindow returns the requests in the window of 3 s that came nearest to what a cache which is warming up can bear, and that
-// bound. A cache bears 4 times the requests that its share allows, of which it has 0.17 at its first request and all 16 s later, and
-// 3 standard deviations and 3 more by chance.
+// fullestWindow returns the requests in the window of 3 s that came nearest to what a cache which
+// is warming up can bear, and that bound. A cache bears 4 times the requests that its share allows,
+// of which it has 0.17 at its first request and all 16 s later, and 3 standard deviations and 3
+// more by chance.
 func fullestWindow(cache *fakes.Cache, share float64, work time.Duration) (requests int, bound float64) {
 	const window = 3 * time.Second
 	attempts := cache.Attempts()
@@ -53,7 +54,8 @@
 	return requests, bound
 }
 
-// checkFullestWindow checks that a cache which is warming up was never sent more than it can bear, and that it was sent requests.
+// checkFullestWindow checks that a cache which is warming up was never sent more than it can bear,
+// and that it was sent requests.
 func checkFullestWindow(t *testing.T, cache *fakes.Cache) {
 	t.Helper()
 	requests, bound := fullestWindow(cache, 4, 200*time.Millisecond)
@@ -63,7 +65,8 @@
 	}
 }
 
-// withWarmingCache returns a desired state with one more cache, which begins with 0.17 of its share and has all of it 16 s later.
+// withWarmingCache returns a desired state with one more cache, which begins with 0.17 of its share
+// and has all of it 16 s later.
 func withWarmingCache(desired fleet.DesiredState, cache *fakes.Cache) fleet.DesiredState {
 	desired.Rules.Cache.WarmUpMS = 16000
 	desired.Hosts = append(slices.Clone(desired.Hosts), cacheSpec(3, cache.Addr(), false))
@@ -94,9 +97,10 @@
 	return 200 * time.Millisecond
 }
 
-// Guards the division of a quota by demand. A cache that is warming up is added under a load of which one director of six has nine
-// tenths, by processes. That director gets what the others leave of the cache's capacity. Never is the cache sent more than it can
-// bear, though a director is paused and another is killed.
+// Guards the division of a quota by demand. A cache that is warming up is added under a load of
+// which one director of six has nine tenths, by processes. That director gets what the others leave
+// of the cache's capacity. Never is the cache sent more than it can bear, though a director is
+// paused and another is killed.
 func TestQuotaOfAWarmingCacheFollowsDemand(t *testing.T) {
 	seed := uint64(fromEnv(seedVar, 1))
 	t.Logf("%s=%d", seedVar, seed)
@@ -147,8 +151,8 @@
 	checkFullestWindow(t, caches[3])
 }
 
-// checkAllocations checks that six directors have allocations which add up to at most all of the quota, and that the busy director
-// d-0 has much of it.
+// checkAllocations checks that six directors have allocations which add up to at most all of the
+// quota, and that the busy director d-0 has much of it.
 func checkAllocations(t *testing.T, c *api.Client) {
 	t.Helper()
 	allocations, err := c.Quotas()
--- a/internal/controlplane/replicas/ready.go
+++ b/internal/controlplane/replicas/ready.go
@@ -31,7 +31,8 @@
 	g.scheduleFlush()
 }
 
-// handleStoreError excludes a disk whose content is wrong, and gives up one that can't be written for now.
+// handleStoreError excludes a disk whose content is wrong, and gives up one that can't be written
+// for now.
 func (g *Group) handleStoreError(err error) {
 	if errors.Is(err, store.ErrDamaged) || errors.Is(err, store.ErrNewer) {
 		g.exclude(err.Error())
@@ -40,7 +41,8 @@
 	}
 }
 
-// processReady does what one Ready asks for. The order matters: Messages rest on what was persisted before.
+// processReady does what one Ready asks for. The order matters: Messages rest on what was persisted
+// before.
 func (g *Group) processReady(rd *replica.Ready) error {
 	g.send(rd.EarlyMessages)
 	if err := g.persistReady(rd); err != nil {
--- a/internal/controlplane/replicas/recovery.go
+++ b/internal/controlplane/replicas/recovery.go
@@ -23,8 +23,9 @@
 	Undecided   int    `json:"undecided"` // entries of which the replica does not know whether they were committed
 }
 
-// Recover reads the store of a replica whose process is stopped, and makes it the first of a new group if isConfirmed. It is for a
-// group that has lost its majority for good. The replicas of the old group can't take part in the new one, which has another number.
+// Recover reads the store of a replica whose process is stopped, and makes it the first of a new
+// group if isConfirmed. It is for a group that has lost its majority for good. The replicas of the
+// old group can't take part in the new one, which has another number.
 func Recover(settings operatorconfig.ControlPlane, isConfirmed bool) (r Recovery, err error) {
 	s, err := store.Open(settings.Store, store.Options{
 		Group:         true,
@@ -63,7 +64,8 @@
 	return r, startNewGroup(s, settings.Replicas, persisted.Applied, last)
 }
 
-// applyCommitted applies the entries that the replica knows to be committed, counts the others, and returns the last position.
+// applyCommitted applies the entries that the replica knows to be committed, counts the others, and
+// returns the last position.
 func applyCommitted(s *store.Store, persisted store.PersistedState, r *Recovery) (last store.Position, err error) {
 	last = persisted.Applied.At
 	for _, entry := range persisted.Entries {
@@ -89,7 +91,8 @@
 	return last, nil
 }
 
-// lastEventTime returns the time of the last event in Unix milliseconds; 0 if the event was compacted.
+// lastEventTime returns the time of the last event in Unix milliseconds; 0 if the event was
+// compacted.
 func lastEventTime(s *store.Store) (ms int64, err error) {
 	err = s.View(func(v *store.View) error {
 		events, err := v.Events(s.Fleet().Revision-1, 1)
@@ -101,7 +104,8 @@
 	return ms, err
 }
 
-// startNewGroup makes the store the only member of a new group, under its own name and its place in the operator's file.
+// startNewGroup makes the store the only member of a new group, under its own name and its place in
+// the operator's file.
 func startNewGroup(s *store.Store, group operatorconfig.ReplicaGroup, applied store.AppliedState, last store.Position) error {
 	if err := s.Persist(nil, nil); err != nil {
 		return err
--- a/internal/controlplane/replicas/recovery_test.go
+++ b/internal/controlplane/replicas/recovery_test.go
@@ -11,8 +11,9 @@
 	"stairvane.org/stairvane/internal/tools/testharness"
 )
 
-// Guards the recovery of a group that has lost its majority with the disks: no write is accepted, the remaining history can be read,
-// and an operator makes the remaining replica the first of a new group, in which disks of the old one can't take part.
+// Guards the recovery of a group that has lost its majority with the disks: no write is accepted,
+// the remaining history can be read, and an operator makes the remaining replica the first of a new
+// group, in which disks of the old one can't take part.
 func TestRecoveryFromALostMajority(t *testing.T) {
 	cluster := startGroup(t, 3, 0)
 	c, err := cluster.Client()
--- a/internal/controlplane/replicas/relays_test.go
+++ b/internal/controlplane/replicas/relays_test.go
@@ -28,7 +28,8 @@
 // withRelays lets a cluster admit relays.
 func withRelays(cluster *testharness.Cluster) { cluster.Relays = true }
 
-// startRegion starts replicas, relays and directors, which are spread over the relays, and waits until all directors are members.
+// startRegion starts replicas, relays and directors, which are spread over the relays, and waits
+// until all directors are members.
 func startRegion(t *testing.T, relays, directors int, forms string) *region {
 	t.Helper()
 	r := &region{t: t, cluster: startGroup(t, 3, 0, withRelays)}
@@ -88,7 +89,8 @@
 	return p.Revision
 }
 
-// arrived waits until all directors have an event, from a line of their logs on, and returns when the last of them had it.
+// arrived waits until all directors have an event, from a line of their logs on, and returns when
+// the last of them had it.
 func (r *region) arrived(no int64, from []int) (last time.Time) {
 	r.t.Helper()
 	for i, d := range r.directors {
@@ -113,7 +115,8 @@
 	return last
 }
 
-// slowestPurge purges several times with a pause between two, and returns how long the slowest took to reach all directors.
+// slowestPurge purges several times with a pause between two, and returns how long the slowest took
+// to reach all directors.
 func (r *region) slowestPurge(count int, pause time.Duration) (slowest time.Duration) {
 	r.t.Helper()
 	from := r.lines()
@@ -137,8 +140,8 @@
 	return all
 }
 
-// during makes a fault, and purges all the while until every director is served by one of the given relays again. All purges must
-// arrive, and all directors stay members.
+// during makes a fault, and purges all the while until every director is served by one of the given
+// relays again. All purges must arrive, and all directors stay members.
 func (r *region) during(what string, fault func(), by ...*testharness.Relay) {
 	r.t.Helper()
 	from := r.lines()
@@ -203,8 +206,8 @@
 	}
 }
 
-// awaitAllocations waits until the given holders and no others have allocations of a quota that add up to most of it. At no moment
-// may they add up to more than all of it.
+// awaitAllocations waits until the given holders and no others have allocations of a quota that add
+// up to most of it. At no moment may they add up to more than all of it.
 func (r *region) awaitAllocations(when string, holders ...string) {
 	r.t.Helper()
 	var allocations []quota.Allocation
@@ -226,8 +229,9 @@
 	r.t.Logf("%s: %d allocations add up to %.2f", when, len(allocations), sum)
 }
 
-// Directors know only two relays. Purges reach all of them in time. While a relay is killed, the leader is killed, and a relay is cut
-// off, all purges arrive, and no director is ever announced as having left.
+// Directors know only two relays. Purges reach all of them in time. While a relay is killed, the
+// leader is killed, and a relay is cut off, all purges arrive, and no director is ever announced as
+// having left.
 func TestDirectorsBehindRelays(t *testing.T) {
 	r := startRegion(t, 2, 4, "")
 	first, second := r.relays[0], r.relays[1]
@@ -264,9 +268,10 @@
 	}
 }
 
-// Guards the division of a quota through relays. A cache that is warming up is added under a load of which one director of four has
-// most. The leader allocates its capacity to the relays only, and the allocations add up to at most all of it, also once a relay is
-// killed and its directors are at the other one. The cache is never sent more than it can bear.
+// Guards the division of a quota through relays. A cache that is warming up is added under a load
+// of which one director of four has most. The leader allocates its capacity to the relays only, and
+// the allocations add up to at most all of it, also once a relay is killed and its directors are at
+// the other one. The cache is never sent more than it can bear.
 func TestRelaysDivideTheQuotaOfAWarmingCache(t *testing.T) {
 	r := startRegion(t, 2, 4, "")
 	caches := startCaches(t, 5)
--- a/internal/controlplane/replicas/removed_test.go
+++ b/internal/controlplane/replicas/removed_test.go
@@ -15,9 +15,10 @@
 	"stairvane.org/stairvane/internal/operatorconfig"
 )
 
-// Guards against a removed disk that is never answered. Disk 2 comes back after it was removed. The other replica that it reaches
-// knows of that, and is the leader or a follower; the disk itself can campaign or, as a learner, can't; and its hello is answered, or
-// only its later calls. It always learns that it was removed, but not before the change that removes it is complete.
+// Guards against a removed disk that is never answered. Disk 2 comes back after it was removed. The
+// other replica that it reaches knows of that, and is the leader or a follower; the disk itself can
+// campaign or, as a learner, can't; and its hello is answered, or only its later calls. It always
+// learns that it was removed, but not before the change that removes it is complete.
 func TestRemovedDiskIsAlwaysAnswered(t *testing.T) {
 	voters := func(disks ...uint64) *pb.ConfState { return &pb.ConfState{Voters: disks} }
 	for name, c := range map[string]struct {
--- a/internal/controlplane/replicas/silence_test.go
+++ b/internal/controlplane/replicas/silence_test.go
@@ -29,7 +29,8 @@
 	return w
 }
 
-// stallTest is a leader a whose loop can be stalled, a follower b behind a proxy, a member c and a standby d that the test speaks for.
+// stallTest is a leader a whose loop can be stalled, a follower b behind a proxy, a member c and a
+// standby d that the test speaks for.
 type stallTest struct {
 	a, b    *localReplica
 	isCut   atomic.Bool  // no call reaches a or b, but those that the test makes itself
@@ -92,7 +93,8 @@
 	return s
 }
 
-// helloDuringStall sends the hello of the standby while the loop of a is stalled for a time, and returns the answer after that.
+// helloDuringStall sends the hello of the standby while the loop of a is stalled for a time, and
+// returns the answer after that.
 func (s *stallTest) helloDuringStall(stall time.Duration) string {
 	<-s.stalled
 	answer := make(chan string, 1)
@@ -110,8 +112,9 @@
 	}
 }
 
-// Guards against a standby that replaces a live replica: silence before the leader's election, or while the leader's own disk stalled
-// it, does not count. The standby gets c's place once c is silent while the leader runs.
+// Guards against a standby that replaces a live replica: silence before the leader's election, or
+// while the leader's own disk stalled it, does not count. The standby gets c's place once c is
+// silent while the leader runs.
 func TestSilenceCountsOnlyWhileTheLeaderRuns(t *testing.T) {
 	s := newStallTest(t)
 	awaitPhase(t, s.a, replicas.Active)
--- a/internal/controlplane/replicas/snapshot_receive.go
+++ b/internal/controlplane/replicas/snapshot_receive.go
@@ -16,7 +16,8 @@
 
 var errNoSnapshot = errors.New("the snapshot that raft installs was not received")
 
-// serveSnapshot receives a snapshot beside the store, verifies it, and passes its message to the driver.
+// serveSnapshot receives a snapshot beside the store, verifies it, and passes its message to the
+// driver.
 func (g *Group) serveSnapshot(w http.ResponseWriter, r *http.Request) {
 	from, ok := g.authorize(w, r)
 	if !ok {
@@ -72,8 +73,8 @@
 	}, nil
 }
 
-// stepSnapshot passes a received snapshot to the driver, on the loop; false if it can't be used now. The loop discards it if raft has
-// no use for it.
+// stepSnapshot passes a received snapshot to the driver, on the loop; false if it can't be used
+// now. The loop discards it if raft has no use for it.
 func (g *Group) stepSnapshot(received *store.ReceivedSnapshot, m *pb.Message) bool {
 	if g.driver == nil || g.received != nil {
 		return false
--- a/internal/controlplane/replicas/snapshot_send.go
+++ b/internal/controlplane/replicas/snapshot_send.go
@@ -41,8 +41,9 @@
 	return false
 }
 
-// sendSnapshot sends the store to a replica that is new or lacks more than the log holds. It is called on the loop; the transfer has
-// a goroutine of its own. p is nil if the receiver is not in this replica's file. raft asks again for what was not sent.
+// sendSnapshot sends the store to a replica that is new or lacks more than the log holds. It is
+// called on the loop; the transfer has a goroutine of its own. p is nil if the receiver is not in
+// this replica's file. raft asks again for what was not sent.
 func (g *Group) sendSnapshot(p *peer, m *pb.Message) {
 	to := m.GetTo()
 	now := Now()
@@ -109,8 +110,8 @@
 	return length, err
 }
 
-// stallReader is a call's body that resets a timer whenever the receiver reads on. At the end of the body the receiver gets the time
-// to verify it.
+// stallReader is a call's body that resets a timer whenever the receiver reads on. At the end of
+// the body the receiver gets the time to verify it.
 type stallReader struct {
 	r             io.Reader
 	stallTimeout  time.Duration
@@ -126,8 +127,8 @@
 	return n, err
 }
 
-// verifyTimeout is how long a replica may take to verify a snapshot of a size in bytes: each value's checksum, and the hash chain of
-// the events.
+// verifyTimeout is how long a replica may take to verify a snapshot of a size in bytes: each
+// value's checksum, and the hash chain of the events.
 func verifyTimeout(size int64) time.Duration {
 	return snapshotStallTimeout + time.Duration(size/snapshotVerifyRate)*time.Second
 }
--- a/internal/controlplane/replicas/snapshot_stall_test.go
+++ b/internal/controlplane/replicas/snapshot_stall_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Guards against a call that is ended while the receiver verifies the snapshot, which takes it longer than a connection may stall: the
-// snapshot was then sent again and again.
+// Guards against a call that is ended while the receiver verifies the snapshot, which takes it
+// longer than a connection may stall: the snapshot was then sent again and again.
 func TestSnapshotReceiverHasTimeToVerify(t *testing.T) {
 	ended := make(chan struct{})
 	timer := time.AfterFunc(time.Hour, func() { close(ended) })
--- a/internal/controlplane/replicas/stale_director_test.go
+++ b/internal/controlplane/replicas/stale_director_test.go
@@ -14,9 +14,10 @@
 	"stairvane.org/stairvane/internal/tools/fakes"
 )
 
-// Guards against a stale director. A director is paused for longer than its endpoint list may be old, and wakes with requests in its
-// sockets. Meanwhile a cache was drained. Without the bound it sends these requests to the cache before it reads the watch events;
-// with the bound it rejects them with a Retry-After. The audit names the director while it is behind.
+// Guards against a stale director. A director is paused for longer than its endpoint list may be
+// old, and wakes with requests in its sockets. Meanwhile a cache was drained. Without the bound it
+// sends these requests to the cache before it reads the watch events; with the bound it rejects
+// them with a Retry-After. The audit names the director while it is behind.
 func TestPausedDirectorSendsNothingByAStaleEndpointList(t *testing.T) {
 	late := map[string]int{} // attempts at the drained cache after the bound, by setting
 	for _, forms := range []string{"", "(stragglers (behind-most 500ms))"} {
--- a/internal/controlplane/replicas/standby_test.go
+++ b/internal/controlplane/replicas/standby_test.go
@@ -11,7 +11,8 @@
 	"stairvane.org/stairvane/internal/tools/testharness"
 )
 
-// Guards the replacement of a lost replica by a standby, and against a removal after which the group tolerates fewer failures.
+// Guards the replacement of a lost replica by a standby, and against a removal after which the
+// group tolerates fewer failures.
 func TestStandbyReplacesALostReplica(t *testing.T) {
 	cluster, err := testharness.NewCluster(program, t.TempDir(), 3, 1)
 	check(t, err)
--- a/internal/controlplane/replicas/status.go
+++ b/internal/controlplane/replicas/status.go
@@ -8,7 +8,8 @@
 	"stairvane.org/stairvane/internal/controlplane/replica"
 )
 
-// status is what this replica knows of the group. The loop publishes it for others, who must not change it.
+// status is what this replica knows of the group. The loop publishes it for others, who must not
+// change it.
 type status struct {
 	api.GroupStatus
 	leader     uint64 // disk
--- a/internal/controlplane/replicas/tick.go
+++ b/internal/controlplane/replicas/tick.go
@@ -46,7 +46,8 @@
 	g.publish()
 }
 
-// compactLog drops old entries from the log, but for those that replicas which were away for a short time need.
+// compactLog drops old entries from the log, but for those that replicas which were away for a
+// short time need.
 func (g *Group) compactLog() {
 	keep := uint64(logEntriesKept)
 	if g.sends.anyUnsettled() {
--- a/internal/controlplane/replicas/transport.go
+++ b/internal/controlplane/replicas/transport.go
@@ -19,7 +19,8 @@
 	memberPath   = "/v1/copies/member"
 )
 
-// Headers of a call between replicas. Numbers are hexadecimal but for those of the snapshot's headers.
+// Headers of a call between replicas. Numbers are hexadecimal but for those of the snapshot's
+// headers.
 const (
 	groupHeader          = "Stairvane-Group"
 	diskHeader           = "Stairvane-Disk"
@@ -68,8 +69,9 @@
 
 func (r response) text() string { return string(bytes.TrimSpace(r.body)) }
 
-// call makes a call as this replica. An error means that there is no complete answer. Whatever the call was for, an answer with
-// status 410 says that this disk was removed from the group, which excludes it.
+// call makes a call as this replica. An error means that there is no complete answer. Whatever the
+// call was for, an answer with status 410 says that this disk was removed from the group, which
+// excludes it.
 func (p *peer) call(ctx context.Context, path string, r request) (response, error) {
 	g := p.group
 	url := g.settings.Scheme + "://" + p.to.Address.String() + path
