--- a/internal/controlplane/replicas/group.go
+++ b/internal/controlplane/replicas/group.go
@@ -56,7 +56,7 @@
 	published   atomic.Pointer[status]
 	disks       diskObservations
 	leases      leases
-	loopState
+	loopState   // owned by the loop
 }
 
 // loopState is owned by the loop: no other goroutine touches it once Run is called.
--- a/internal/controlplane/store/replica.go
+++ b/internal/controlplane/store/replica.go
@@ -16,7 +16,7 @@
 	ErrOutcomeUnknown = errors.New("nobody knows whether it was written: the leader changed meanwhile; repeat it under the same id")
 	ErrClonedStore    = errors.New("the store is a copy of another disk's: it is not what it was when this disk last wrote it")
 	ErrInGroup        = errors.New("the store belongs to a group of copies")
-	ErrHasHistory     = errors.New("the store holds a history of its own")
+	errHasHistory     = errors.New("the store holds a history of its own")
 )
 
 // Identity is what a disk is. Inode and BornNS identify the file that it was made in: a copy of the
@@ -156,13 +156,13 @@
 
 // BecomeReplica makes the store a replica's: the first of a group, with the events that the store
 // has, if first is not nil, or else that of a disk which waits to be admitted. The error wraps
-// ErrInGroup or ErrHasHistory where it is one of them.
+// ErrInGroup if the store was a replica's before.
 func (s *Store) BecomeReplica(identity Identity, first *AppliedState) (err error) {
 	if own := s.identity.Load(); own.Disk != 0 {
 		return fmt.Errorf("%w already: disk %x", ErrInGroup, own.Disk)
 	}
 	if revision := s.Fleet().Revision; first == nil && revision > 0 {
-		return fmt.Errorf("%w, up to event %d: found a group with it, or give another path", ErrHasHistory, revision)
+		return fmt.Errorf("%w, up to event %d: found a group with it, or give another path", errHasHistory, revision)
 	}
 	if identity.Inode, identity.BornNS, err = fileIdentity(s.path); err != nil {
 		return err
