--- a/cmd/stairvane/process_linux_test.go
+++ b/cmd/stairvane/process_linux_test.go
@@ -360,7 +360,7 @@
 			t.Fatalf("discovery is not heard:\n%s", p.logged())
 		}
 	}
-	for _, bad := range []string{"accept.failed", "link.not_dialled", "link.no_room", "panic"} {
+	for _, bad := range []string{"accept.failed", "connection.dial_failed", "connection.limit_reached", "panic"} {
 		if strings.Contains(p.logged(), bad) {
 			t.Errorf("%s is logged", bad)
 		}
--- a/internal/director/caches.go
+++ b/internal/director/caches.go
@@ -23,7 +23,7 @@
 }
 
 // Dial implements routing.Dialer.
-func (c *caches) Dial(address string, timeout time.Duration, ev routing.LinkEvents) (routing.Link, error) {
+func (c *caches) Dial(address string, timeout time.Duration, ev routing.ConnHandler) (routing.Conn, error) {
 	addr, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, fmt.Errorf("address: %w", err)
@@ -39,21 +39,21 @@
 type cacheLink struct {
 	caches *caches
 	conn   *transport.Conn
-	events routing.LinkEvents
+	events routing.ConnHandler
 	name   string
 }
 
 // Opened implements transport.Handler.
-func (l *cacheLink) Opened() { l.events.Up() }
+func (l *cacheLink) Opened() { l.events.Connected() }
 
 // Closed implements transport.Handler.
-func (l *cacheLink) Closed(err error) { l.events.Down(err) }
+func (l *cacheLink) Closed(err error) { l.events.Closed(err) }
 
 // Flushed tells routing that the system has taken all that was written (transport.Handler).
 func (l *cacheLink) Flushed() { l.events.Flushed() }
 
-// Drained implements routing.Link.
-func (l *cacheLink) Drained() bool { return l.conn.Queued() == 0 }
+// IsFlushed implements routing.Link.
+func (l *cacheLink) IsFlushed() bool { return l.conn.Queued() == 0 }
 
 // Close implements routing.Link.
 func (l *cacheLink) Close() { l.conn.Close() }
@@ -84,7 +84,7 @@
 }
 
 // Send implements routing.Link.
-func (l *cacheLink) Send(o *routing.Order) {
+func (l *cacheLink) Send(o *routing.UpstreamRequest) {
 	c := l.caches
 	c.fields = appendOrder(c.fields[:0], o)
 	b := resp.AppendHead(c.buf[:0], 4)
@@ -96,20 +96,20 @@
 	c.buf = b
 }
 
-func appendOrder(b []byte, o *routing.Order) []byte {
+func appendOrder(b []byte, o *routing.UpstreamRequest) []byte {
 	field := func(name, value string) { b = resp.AppendField(b, 0, name, value) }
 	field("sort", o.Class)
 	field("asset", fmt.Sprintf("%016x", uint64(o.Object)))
 	field("slice", strconv.Itoa(o.Part))
-	field("patience", strconv.FormatInt(max(1, o.Patience.Milliseconds()), 10))
-	if o.Token != "" {
-		field("op", o.Token)
+	field("patience", strconv.FormatInt(max(1, o.Timeout.Milliseconds()), 10))
+	if o.IdempotencyKey != "" {
+		field("op", o.IdempotencyKey)
 	}
 	if o.Source != "" {
 		field("up", o.Source)
 	}
-	if o.Rank > 0 {
-		field("store", strconv.Itoa(o.Rank))
+	if o.CachePriority > 0 {
+		field("store", strconv.Itoa(o.CachePriority))
 	}
 	if o.MaxAge > 0 { // 0 would mean the class's fresh time
 		field("cap", strconv.FormatInt(max(1, o.MaxAge.Milliseconds()), 10))
@@ -126,8 +126,8 @@
 	if how != "" {
 		field("do", how)
 	}
-	if o.Have != "" {
-		field("inm", o.Have)
+	if o.ETag != "" {
+		field("inm", o.ETag)
 	}
 	return b
 }
@@ -155,7 +155,7 @@
 			slog.Warn("link.malformed", "addr", l.name, "err", err)
 			return used, 0, err
 		}
-		l.events.Reply(id, reply)
+		l.events.Received(id, reply)
 	}
 }
 
@@ -179,7 +179,7 @@
 }()
 
 // reply reads an answer: ID WORD FIELDS BODY.
-func (c *caches) reply(w resp.Words) (id []byte, r *routing.Reply, err error) {
+func (c *caches) reply(w resp.Words) (id []byte, r *routing.Response, err error) {
 	if len(w) < 2 || len(w) > 4 {
 		return nil, nil, fmt.Errorf("answer of %d words", len(w))
 	}
@@ -187,7 +187,7 @@
 	if !known {
 		return nil, nil, fmt.Errorf("unknown answer %q", w[1])
 	}
-	r = &routing.Reply{Status: status, Same: string(w[1]) == "SAME"}
+	r = &routing.Response{Status: status, NotModified: string(w[1]) == "SAME"}
 	if len(w) > 3 {
 		r.Body = w[3]
 	}
@@ -197,20 +197,20 @@
 	return w[0], r, err
 }
 
-func (c *caches) field(r *routing.Reply, name, value string) error {
+func (c *caches) field(r *routing.Response, name, value string) error {
 	switch name {
 	case "n":
-		r.Note = noteNumbers[value]
+		r.CacheStatus = noteNumbers[value]
 	case "rev":
-		r.Tag = value
+		r.ETag = value
 	case "since":
 		ms, err := strconv.ParseFloat(value, 64)
 		if err != nil || !(ms >= 0 && ms < 1e13) {
 			return fmt.Errorf("field since: bad value %q", value)
 		}
-		r.Since = time.Duration(ms * float64(time.Millisecond))
+		r.GeneratedAt = time.Duration(ms * float64(time.Millisecond))
 	case "l":
-		r.Report = c.load(value)
+		r.Load = c.load(value)
 	}
 	return nil
 }
--- a/internal/director/claims.go
+++ b/internal/director/claims.go
@@ -66,7 +66,7 @@
 	x.own = own
 	x.own.Claims = addr.String()
 	x.node = claims.New(x.own.ID(), claims.Settings{
-		Shards: claimsSlots, Slack: routing.SendWithin + 200*time.Millisecond, MaxWindow: longest,
+		Shards: claimsSlots, Slack: routing.ClaimSendTimeout + 200*time.Millisecond, MaxWindow: longest,
 		MaxClaims: c.Claims.MaxClaims, Again: claimsAgain,
 	})
 	x.tick.Fire = x.due
@@ -109,38 +109,38 @@
 	x.prog.loop.Set(&x.tick, x.prog.loop.Now()+claimsTick)
 }
 
-// Want implements routing.Claims.
-func (x *claimer) Want(c routing.Claim, done func(routing.Claimed)) {
+// Claim implements routing.Claims.
+func (x *claimer) Claim(c routing.ClaimRequest, done func(routing.ClaimOutcome)) {
 	now, loopNow := bootTime(), x.prog.loop.Now()
 	policy := x.set.PolicyOf(c.Class)
-	until := c.Until
+	until := c.Deadline
 	if policy != config.ClaimsWait {
 		until = min(until, loopNow+unreached)
 	}
 	x.key++
 	x.asks[x.key] = func(o claims.Outcome) {
-		r := routing.Claimed{Group: o.Group, Age: o.Age, Asked: x.prog.loop.Now() - (bootTime() - o.RequestedAt)}
+		r := routing.ClaimOutcome{Group: o.Group, Age: o.Age, RequestedAt: x.prog.loop.Now() - (bootTime() - o.RequestedAt)}
 		switch o.Verdict {
 		case claims.Granted:
-			r.End = routing.ClaimHeld
+			r.Verdict = routing.ClaimGranted
 		case claims.HeldElsewhere:
-			r.End = routing.ClaimBound
+			r.Verdict = routing.ClaimHeldElsewhere
 		case claims.Reused:
-			r.End = routing.ClaimReused
+			r.Verdict = routing.ClaimKeyReused
 		default:
-			r.End = routing.ClaimRefused
+			r.Verdict = routing.ClaimUnavailable
 			if policy == config.ClaimsProceed {
-				r.End = routing.ClaimSkipped
+				r.Verdict = routing.ClaimNotRequired
 			}
 		}
 		done(r)
 	}
-	x.node.Request(x.key, claims.Claim{Token: c.Token, Object: uint64(c.Object), Group: c.Group, Request: c.ID, Window: c.Window}, c.Moves, now+(until-loopNow), now)
+	x.node.Request(x.key, claims.Claim{Token: c.IdempotencyKey, Object: uint64(c.Object), Group: c.Group, Request: c.RequestID, Window: c.Window}, c.Movable, now+(until-loopNow), now)
 	x.work()
 }
 
-// GiveUp implements routing.Claims.
-func (x *claimer) GiveUp(token, id string) {
+// Release implements routing.Claims.
+func (x *claimer) Release(token, id string) {
 	x.node.Release(token, id)
 	x.work()
 }
--- a/internal/director/client.go
+++ b/internal/director/client.go
@@ -59,7 +59,7 @@
 func (c *client) giveUp() {
 	for _, r := range slices.Collect(maps.Values(c.open)) {
 		c.answered(r)
-		c.front.director.Revoke(r)
+		c.front.director.Cancel(r)
 	}
 }
 
@@ -131,12 +131,12 @@
 	case thrift.Revoke:
 		if r := c.open[call.Target]; r != nil {
 			c.answered(r)
-			c.front.director.Revoke(r)
+			c.front.director.Cancel(r)
 			c.closeIfDone()
 		}
 	case thrift.Heartbeat:
 		c.front.Counts.Heartbeats++
-		good := !c.front.leaving && c.front.director.Ready() && (c.front.well == nil || c.front.well())
+		good := !c.front.leaving && c.front.director.HasReadyCache() && (c.front.well == nil || c.front.well())
 		head, tail := thrift.AppendAnswer(c.front.head[:0], c.front.tail[:0], thrift.Heartbeat, call.Seq, 0, good)
 		c.conn.Write(head, tail)
 		c.front.head, c.front.tail = head, tail
@@ -176,7 +176,7 @@
 		c.conn.Write(thrift.AppendException(nil, call.Name, call.Seq, thrift.ProtocolError, err.Error()))
 		return nil
 	}
-	r.Caller, r.Ref = c, call.Seq
+	r.Responder, r.SequenceNumber = c, call.Seq
 	c.open[call.Seq] = r
 	c.front.bodies += len(r.Body)
 	c.front.director.Submit(r)
@@ -185,34 +185,34 @@
 
 // answered forgets a request that gets its answer now, or is owed none any more.
 func (c *client) answered(r *routing.Request) {
-	delete(c.open, r.Ref)
+	delete(c.open, r.SequenceNumber)
 	c.front.bodies -= len(r.Body)
 }
 
-// Serve implements routing.Caller.
-func (c *client) Serve(r *routing.Request, body []byte) { c.answer(r, body) }
+// Respond implements routing.Caller.
+func (c *client) Respond(r *routing.Request, body []byte) { c.answer(r, body) }
 
-// ServeSame implements routing.Caller.
-func (c *client) ServeSame(r *routing.Request) {
+// RespondNotModified implements routing.Caller.
+func (c *client) RespondNotModified(r *routing.Request) {
 	c.answer(r, nil, thrift.Pair{Name: "same", Value: "1"})
 }
 
 func (c *client) answer(r *routing.Request, body []byte, fields ...thrift.Pair) {
 	c.answered(r)
 	f := c.front
-	f.head, f.tail = thrift.AppendAnswer(f.head[:0], f.tail[:0], thrift.Submit, r.Ref, len(body), true, fields...)
+	f.head, f.tail = thrift.AppendAnswer(f.head[:0], f.tail[:0], thrift.Submit, r.SequenceNumber, len(body), true, fields...)
 	c.conn.Write(f.head, body, f.tail)
 	c.afterAnswer()
 }
 
-// Refuse implements routing.Caller.
-func (c *client) Refuse(r *routing.Request, holdOff time.Duration) {
+// Reject implements routing.Caller.
+func (c *client) Reject(r *routing.Request, holdOff time.Duration) {
 	c.answered(r)
 	var fields []thrift.Pair
 	if ms := (holdOff + time.Millisecond - 1) / time.Millisecond; ms > 0 {
 		fields = append(fields, thrift.Pair{Name: "backoff", Value: strconv.FormatInt(int64(ms), 10)})
 	}
-	c.front.head = thrift.AppendRefused(c.front.head[:0], r.Ref, fields...)
+	c.front.head = thrift.AppendRefused(c.front.head[:0], r.SequenceNumber, fields...)
 	c.conn.Write(c.front.head)
 	c.afterAnswer()
 }
@@ -220,7 +220,7 @@
 // Fail implements routing.Caller.
 func (c *client) Fail(r *routing.Request) {
 	c.answered(r)
-	c.front.head = thrift.AppendFailed(c.front.head[:0], r.Ref)
+	c.front.head = thrift.AppendFailed(c.front.head[:0], r.SequenceNumber)
 	c.conn.Write(c.front.head)
 	c.afterAnswer()
 }
--- a/internal/director/cores.go
+++ b/internal/director/cores.go
@@ -112,13 +112,13 @@
 }
 
 // join sets what a core's director asks of the others.
-func (c *core) join(p *Program, limits *routing.Limits) {
+func (c *core) join(p *Program, hooks *routing.Hooks) {
 	p.loop.Share()
-	limits.Claim = func(id string) bool { return c.group.owners.Claim(id, c.index) }
-	limits.Cold = c.group.cold.Part
-	limits.Release = func(id string) { c.group.owners.Release(id, c.index) }
+	hooks.AcquireID = func(id string) bool { return c.group.owners.Claim(id, c.index) }
+	hooks.SlowStartShare = c.group.cold.Part
+	hooks.ReleaseID = func(id string) { c.group.owners.Release(id, c.index) }
 	if c.index > 0 {
-		limits.Refresh = func() { c.catchUp(p) }
+		hooks.BeforeSend = func() { c.catchUp(p) }
 		p.loop.OnWake = func() { c.catchUp(p) }
 	}
 }
@@ -128,7 +128,7 @@
 	p.front.well = c.group.healthy.Load
 	c.beat.Fire = func() {
 		c.beats.Add(1)
-		now, best := p.director.Carried()
+		now, best := p.director.ServedRate()
 		c.group.cold.Publish(c.index, now, best, p.loop.Now())
 		p.loop.Set(&c.beat, p.loop.Now()+beatEvery)
 	}
@@ -152,9 +152,9 @@
 		return
 	}
 	for f, ok := c.cursor.Next(); ok; f, ok = c.cursor.Next() {
-		p.director.Told(f.at)
+		p.director.SetNotifiedAt(f.at)
 		p.watch.apply(f.WatchResponse)
-		p.director.Told(0)
+		p.director.SetNotifiedAt(0)
 	}
 }
 
@@ -242,13 +242,13 @@
 	}
 	var mu sync.Mutex
 	var front FrontCounts
-	var director routing.Counts
+	var director routing.Counters
 	left := len(g.cores)
 	g.post(func(p *Program) {
 		mu.Lock()
 		defer mu.Unlock()
 		addUp(&front, p.front.Counts)
-		addUp(&director, p.director.Counts)
+		addUp(&director, p.director.Counters)
 		if left--; left == 0 {
 			slog.Info("counts", "front", front, "director", director, "cores", len(g.cores), "ids_open", g.owners.Len())
 		}
--- a/internal/director/cores_test.go
+++ b/internal/director/cores_test.go
@@ -145,7 +145,7 @@
 			}
 			t.Logf("last sent to the drained box %v after it was told", latest)
 			counts := make(chan int64, cores)
-			c.g.post(func(p *Program) { counts <- p.director.Counts.Taken })
+			c.g.post(func(p *Program) { counts <- p.director.Counters.Accepted })
 			for range cores {
 				if <-counts > 0 {
 					busy++
--- a/internal/director/crossings_test.go
+++ b/internal/director/crossings_test.go
@@ -266,7 +266,7 @@
 	body := strings.Repeat("x", 200_000)
 	box.answer(ridA, "OK", "n=local", body)
 	for open := 1; open > 0; {
-		w.on(func() { open = w.p.director.Open() })
+		w.on(func() { open = w.p.director.InFlight() })
 	}
 	client.write(strings.Repeat("rubbish ", 2_000))
 	for seen := int64(0); seen == 0; {
@@ -349,8 +349,8 @@
 			release(nil)
 			w.nothing(box, ridB)
 			w.on(func() {
-				if w.p.director.Counts.Revoked != 1 || w.p.director.Open() != 0 {
-					t.Errorf("%+v, %d open", w.p.director.Counts, w.p.director.Open())
+				if w.p.director.Counters.Cancelled != 1 || w.p.director.InFlight() != 0 {
+					t.Errorf("%+v, %d open", w.p.director.Counters, w.p.director.InFlight())
 				}
 			})
 		})
@@ -384,7 +384,7 @@
 			w.tell(4, `"roster":{"seq":4,"whole":false,"hosts":[`+c.host("s-1", "terminating")+`]}`)
 			w.nothing(second, ridB)
 			w.on(func() {
-				if n := w.p.director.Counts.Attempts; n != 3 {
+				if n := w.p.director.Counters.Attempts; n != 3 {
 					t.Errorf("%d attempts, of three requests", n)
 				}
 			})
@@ -407,7 +407,7 @@
 		box.answer(rid, "OK", "n=local", body)
 		for before := true; before; { // until it has been passed on
 			w.on(func() {
-				before = w.p.director.Open() > others
+				before = w.p.director.InFlight() > others
 				for f := range w.p.front.clients {
 					queued = max(queued, f.conn.Queued())
 				}
@@ -527,7 +527,7 @@
 	arrived(t, box.conn)
 	w.round()
 	w.on(func() {
-		if n := w.p.director.Counts.Attempts; n != 3 {
+		if n := w.p.director.Counters.Attempts; n != 3 {
 			t.Errorf("%d attempts", n)
 		}
 	})
@@ -590,7 +590,7 @@
 			box.answer(id, "OK", "n=local", "x")
 			client.want(2, 0, "x")
 			w.on(func() {
-				if n := w.p.director.Counts.Reset; n != 0 {
+				if n := w.p.director.Counters.Reset; n != 0 {
 					t.Errorf("%d attempts were reset", n)
 				}
 			})
@@ -641,7 +641,7 @@
 	box.answer(ridA, "OK", "n=local", body)
 	for queued := -1; queued != 0; {
 		w.on(func() {
-			queued = int(1 - w.p.director.Counts.OK/2)
+			queued = int(1 - w.p.director.Counters.OK/2)
 			for f := range w.p.front.clients {
 				queued += f.conn.Queued()
 			}
@@ -691,7 +691,7 @@
 	client.submit(ridB, objA, "mem", "9000") // the same object: it waits for the first
 	client.beat()
 	w.on(func() {
-		if n, open := w.p.director.Counts.Attempts, w.p.director.Open(); n != 2 || open != 2 {
+		if n, open := w.p.director.Counters.Attempts, w.p.director.InFlight(); n != 2 || open != 2 {
 			t.Errorf("%d attempts, %d open", n, open)
 		}
 		w.lastTaking()
--- a/internal/director/events.go
+++ b/internal/director/events.go
@@ -221,14 +221,14 @@
 }
 
 func (f *watchClient) applyHosts(r *discovery.EndpointList) {
-	members := make([]routing.Member, 0, len(r.Endpoints))
+	members := make([]routing.Endpoint, 0, len(r.Endpoints))
 	for _, h := range r.Endpoints {
 		state, known := states[h.Health]
 		if !known {
 			slog.Warn("bulletin.unknown_state", "host", h.Name, "state", h.Health)
 			state = decision.Draining
 		}
-		members = append(members, routing.Member{
+		members = append(members, routing.Endpoint{
 			Name: h.Name, Address: h.Address,
 			Endpoint: decision.Endpoint{
 				Zone: h.Site, Kind: h.Class, Cell: h.Block, Readiness: state, Weight: h.Share,
@@ -236,7 +236,7 @@
 			},
 		})
 	}
-	f.director.UpdateHosts(r.Sequence, r.Snapshot, members)
+	f.director.UpdateEndpoints(r.Sequence, r.Snapshot, members)
 }
 
 func (f *watchClient) applyPurge(r *discovery.Purge) {
--- a/internal/director/floods_test.go
+++ b/internal/director/floods_test.go
@@ -43,7 +43,7 @@
 		w.on(func() { left = len(w.p.front.clients) })
 	}
 	w.on(func() {
-		if n := w.p.director.Open(); n != 0 {
+		if n := w.p.director.InFlight(); n != 0 {
 			t.Errorf("%d requests are open", n)
 		}
 		if w.p.front.bodies != 0 || w.p.loop.Queued() != 0 {
@@ -136,7 +136,7 @@
 		t.Errorf("it took %v; a connection may take 0.4 s", took)
 	}
 	w.on(func() {
-		if w.p.director.Counts.NoCon == 0 {
+		if w.p.director.Counters.ConnectFailed == 0 {
 			t.Error("none of them met the cache that takes no connection")
 		}
 	})
--- a/internal/director/health.go
+++ b/internal/director/health.go
@@ -30,7 +30,7 @@
 
 // report is the health report that goes with a watch request, as JSON.
 func (s *healthReporter) report(now time.Duration) json.RawMessage {
-	s.prog.director.Evidence(s.witness.Record)
+	s.prog.director.HostOutcomes(s.witness.Record)
 	b, err := json.Marshal(s.witness.Report(now))
 	if err != nil {
 		panic(err) // texts and numbers
@@ -56,6 +56,6 @@
 		if c.FailureShare == 0 || c.Previous == 0 {
 			slog.Info("signals.doubted", "box", c.Cache, "bad", math.Round(100*c.FailureShare)/100)
 		}
-		s.prog.director.Opinion(c.Cache, c.FailureShare)
+		s.prog.director.SetAggregatedHealth(c.Cache, c.FailureShare)
 	}
 }
--- a/internal/director/membership.go
+++ b/internal/director/membership.go
@@ -139,7 +139,7 @@
 // updateDemands updates what this director would send to cold caches.
 func (r *membershipClient) updateDemands() {
 	wanted := map[string]bool{}
-	r.prog.director.ColdWants(func(host string, demand float64) {
+	r.prog.director.SlowStartDemand(func(host string, demand float64) {
 		wanted[host] = true
 		r.quota.Want(quota.Want{Limit: coldLimitPrefix + host, Kind: quota.Rate, Demand: max(demand, 0.001)})
 		if _, told := r.shares[host]; !told {
@@ -149,7 +149,7 @@
 	for host := range r.shares {
 		if !wanted[host] { // it is warm, or gone
 			r.quota.Want(quota.Want{Limit: coldLimitPrefix + host})
-			r.prog.director.Part(host, -1)
+			r.prog.director.SetQuotaShare(host, -1)
 			delete(r.shares, host)
 		}
 	}
@@ -172,7 +172,7 @@
 	for host, told := range r.shares {
 		if part := r.quota.Part(coldLimitPrefix+host, now); part != told {
 			r.shares[host] = part
-			r.prog.director.Part(host, part)
+			r.prog.director.SetQuotaShare(host, part)
 		}
 	}
 	r.prog.loop.Set(&r.publishTimer, r.prog.loop.Now()+sharesInterval)
@@ -215,12 +215,12 @@
 	told := decision.PeerCounts{InZone: max(f.InZone, r.counted.InZone), Total: max(f.Total, r.counted.Total)}
 	if told != r.counted {
 		r.counted = told
-		r.prog.director.Fellows(told)
+		r.prog.director.SetPeerCounts(told)
 	}
 	if r.shrinkTimer.Stop(); f != told {
 		r.shrinkTimer.Fire = func() {
 			r.counted = f
-			r.prog.director.Fellows(f)
+			r.prog.director.SetPeerCounts(f)
 		}
 		r.prog.loop.Set(&r.shrinkTimer, r.prog.loop.Now()+shrinkDelay)
 	}
--- a/internal/director/request.go
+++ b/internal/director/request.go
@@ -57,7 +57,7 @@
 	case !word(have):
 		return nil, bad("have")
 	}
-	r := &routing.Request{ID: string(id), Class: string(class), Token: string(token), Have: string(have)}
+	r := &routing.Request{ID: string(id), Class: string(class), IdempotencyKey: string(token), ETag: string(have)}
 	number, err := strconv.ParseUint(string(object), 16, 64)
 	if err != nil {
 		return nil, bad("obj")
@@ -66,7 +66,7 @@
 	if r.Part, err = small(call.Field("part")); err != nil {
 		return nil, bad("part")
 	}
-	if r.Group, err = small(call.Field("group")); err != nil || r.Group > mostGroup {
+	if r.PurgeGroup, err = small(call.Field("group")); err != nil || r.PurgeGroup > mostGroup {
 		return nil, bad("group")
 	}
 	if v := call.Field("mem"); len(v) > 0 {
@@ -78,7 +78,7 @@
 	if err != nil || !(ms >= 0 && ms < 1e7) {
 		return nil, bad("budget")
 	}
-	r.Budget = time.Duration(ms * float64(time.Millisecond))
+	r.Timeout = time.Duration(ms * float64(time.Millisecond))
 	if len(call.Body) > 0 {
 		r.Body = append([]byte(nil), call.Body...)
 	}
--- a/internal/director/routing/claims.go
+++ b/internal/director/routing/claims.go
@@ -3,154 +3,188 @@
 import (
 	"log/slog"
 	"strconv"
+	"strings"
 	"time"
 
 	"stairvane.org/stairvane/internal/decision"
 )
 
-// Claims keeps what directors have promised for the tokens of keyed requests. What done is told may come at once or later;
-// it comes once.
-type Claims interface {
-	Want(c Claim, done func(Claimed))
-	GiveUp(token, id string) // nothing of the request has run
+// ClaimService reserves idempotency keys among all directors.
+type ClaimService interface {
+	// Claim calls done once, at once or later, with the outcome.
+	Claim(c ClaimRequest, done func(ClaimOutcome))
+	// Release gives a claim back. Nothing of the request has run.
+	Release(idempotencyKey, requestID string)
 }
 
-// Claim is what a request wants before its first attempt that could run is sent.
-type Claim struct {
-	Token  string
-	ID     string
-	Class  string
-	Object decision.ObjectID
-	Group  string // of the caches that would drop its repeats; see groupOf
-	Window time.Duration
-	Moves  bool          // nothing of it has run, so that an earlier claim of its own may go to another group
-	Until  time.Duration // the answer must be there, on the loop's clock
+// ClaimRequest asks for an idempotency key, before the first attempt of a request is sent.
+type ClaimRequest struct {
+	IdempotencyKey string
+	RequestID      string
+	Class          string
+	Object         decision.ObjectID
+	Group          string        // the caches that would drop repeats of the request; see dedupGroup
+	Window         time.Duration // in which they drop them
+	Movable        bool          // nothing has run, so an earlier claim of the request may move to another group
+	Deadline       time.Duration // by which the outcome is needed, on the loop's clock
 }
 
-// ClaimEnd is what became of a claim.
-type ClaimEnd int
+// ClaimVerdict is the result of a claim.
+type ClaimVerdict int
 
-// The ends of a claim.
+// The verdicts.
 const (
-	ClaimHeld    ClaimEnd = iota // it is this request's
-	ClaimBound                   // the token runs in Group since Age
-	ClaimReused                  // the token is another object's
-	ClaimRefused                 // nobody could be asked, and the class is not to go on without
-	ClaimSkipped                 // nobody could be asked, and the class goes on without
+	ClaimGranted       ClaimVerdict = iota // the key is this request's
+	ClaimHeldElsewhere                     // the key is in use in Group since Age
+	ClaimKeyReused                         // the key was used for another object
+	ClaimUnavailable                       // no holder could be reached, and the class may not go on without a claim
+	ClaimNotRequired                       // no holder could be reached, and the class goes on without a claim
 )
 
-// Claimed is the answer to a claim.
-type Claimed struct {
-	End   ClaimEnd
-	Group string
-	Age   time.Duration
-	Asked time.Duration // on the loop's clock: the claim counts from no earlier
+// ClaimOutcome answers a ClaimRequest.
+type ClaimOutcome struct {
+	Verdict     ClaimVerdict
+	Group       string
+	Age         time.Duration
+	RequestedAt time.Duration // on the loop's clock; the claim counts from no earlier
 }
 
 const (
-	sendWithin   = time.Second            // of the asking, the attempt must be sent: the holders count the window from the asking
-	claimReserve = 50 * time.Millisecond  // of a request's time that is left to answer it when no claim can be had
-	claimHoldOff = 500 * time.Millisecond // for its client to stay away then
-	everywhere   = "*"
-	zoneMark     = "z:"
-	cellMark     = "c:"
-	SendWithin   = sendWithin // how long after the asking an attempt may be sent
+	// ClaimSendTimeout is how long after the request for a claim its attempt may be sent: holders count the window from
+	// the request.
+	ClaimSendTimeout = time.Second
+	// claimReserve is the part of a request's time that is left for its answer when no claim is granted.
+	claimReserve = 50 * time.Millisecond
+	// claimRetryAfter is the Retry-After of a request that got no claim.
+	claimRetryAfter = 500 * time.Millisecond
 )
 
-// groupOf names the caches that drop repeats of a request that ran at a host.
-func groupOf(scope decision.DedupScope, h *host) string {
+// The names of dedup groups. They are part of the claims protocol.
+const (
+	allCachesGroup = "*"
+	zonePrefix     = "z:"
+	cellPrefix     = "c:"
+)
+
+// dedupGroup names the caches that drop repeats of a request that ran at a host.
+func dedupGroup(scope decision.DedupScope, h *host) string {
 	switch scope {
 	case decision.ScopeZone:
-		return zoneMark + h.Zone
+		return zonePrefix + h.Zone
 	case decision.ScopeCell:
-		return cellMark + strconv.Itoa(h.Cell)
+		return cellPrefix + strconv.Itoa(h.Cell)
 	}
-	return everywhere
+	return allCachesGroup
 }
 
-// place of a group, as far as it names one.
-func placeOf(group string) (zone string, cell int) {
-	if len(group) > len(zoneMark) && group[:len(zoneMark)] == zoneMark {
-		return group[len(zoneMark):], 0
+// parseDedupGroup gives the zone or the cell that a group names, if any.
+func parseDedupGroup(group string) (zone string, cell int) {
+	if name, found := strings.CutPrefix(group, zonePrefix); found {
+		return name, 0
 	}
-	if len(group) > len(cellMark) && group[:len(cellMark)] == cellMark {
-		cell, _ = strconv.Atoi(group[len(cellMark):])
+	if number, found := strings.CutPrefix(group, cellPrefix); found {
+		cell, _ = strconv.Atoi(number) // a malformed number names no cell
 	}
 	return "", cell
 }
 
-// claims asks for the claim that an attempt needs, and tells whether it must wait for it.
-func (d *Director) claims(a *attempt) bool {
-	q, k := a.req, d.classes[a.req.Class]
-	if d.limits.Claims == nil || q.Token == "" || k.resendWithin == 0 {
+// requestClaim requests the claim that an attempt needs, and reports whether the attempt must wait for it.
+func (d *Director) requestClaim(a *attempt) bool {
+	q := a.request
+	rules := d.classes[q.Class]
+	if d.hooks.Claims == nil || q.IdempotencyKey == "" || rules.dedupWindow == 0 {
 		return false
 	}
-	group, now := groupOf(k.scope, a.host), d.loop.Now()
-	if q.claimed == group && (q.ranAt > 0 || q.out > 1 || now-q.claimedAt <= sendWithin/2) {
+	group := dedupGroup(rules.dedupScope, a.host)
+	now := d.loop.Now()
+	hedged := q.attemptsInFlight > 1
+	recent := now-q.claimedAt <= ClaimSendTimeout/2
+	if q.claimGroup == group && (q.firstRunAt > 0 || hedged || recent) {
 		return false
 	}
-	a.uncleared++
-	d.limits.Claims.Want(Claim{
-		Token: q.Token, ID: q.ID, Class: q.Class, Object: q.Object, Group: group, Window: k.resendWithin,
-		Moves: q.ranAt == 0 && q.out == 1, Until: max(now, q.deadline-claimReserve),
-	}, func(c Claimed) { d.claimed(a, group, c) })
+	a.pendingConfirmations++
+	request := ClaimRequest{
+		IdempotencyKey: q.IdempotencyKey,
+		RequestID:      q.ID,
+		Class:          q.Class,
+		Object:         q.Object,
+		Group:          group,
+		Window:         rules.dedupWindow,
+		Movable:        q.firstRunAt == 0 && !hedged,
+		Deadline:       max(now, q.deadline-claimReserve),
+	}
+	d.hooks.Claims.Claim(request, func(o ClaimOutcome) { d.claimDecided(a, group, o) })
 	d.loop.Set(&a.timer, q.deadline) // its time to connect begins when it has the claim
 	return true
 }
 
-// claimed goes on with an attempt whose claim is decided.
-func (d *Director) claimed(a *attempt, group string, c Claimed) {
-	q, now := a.req, d.loop.Now()
+// claimDecided continues with an attempt whose claim is decided.
+func (d *Director) claimDecided(a *attempt, group string, o ClaimOutcome) {
+	q := a.request
+	now := d.loop.Now()
 	if a.ended || q.answered {
-		if c.End == ClaimHeld && q.ranAt == 0 && q.out == 0 {
-			d.limits.Claims.GiveUp(q.Token, q.ID)
+		if o.Verdict == ClaimGranted && q.firstRunAt == 0 && q.attemptsInFlight == 0 {
+			d.hooks.Claims.Release(q.IdempotencyKey, q.ID)
 		}
 		return
 	}
-	switch c.End {
-	case ClaimHeld:
-		d.Counts.Claimed++
-		q.claimed, q.claimedAt, q.claimOwn = group, c.Asked, true
-	case ClaimSkipped:
-		d.Counts.Unclaimed++
-		q.claimed, q.claimedAt = group, now
-	case ClaimBound:
-		d.Counts.Bound++
-		q.claimed, q.claimOwn = c.Group, false
-		if at := now - c.Age; q.ranAt == 0 || at < q.ranAt {
-			q.ranAt = at
-		}
-		zone, cell := placeOf(c.Group)
-		d.feed(decision.PriorAttempt{Request: q.key, Zone: zone, Cell: cell, Age: c.Age})
-		if a.ended {
-			return
-		}
-		if c.Group != group {
-			d.end(a, &Reply{Status: decision.NotSent}) // the module decides anew, with what it knows now
+	switch o.Verdict {
+	case ClaimGranted:
+		d.Counters.ClaimsGranted++
+		q.claimGroup = group
+		q.claimedAt = o.RequestedAt
+		q.ownsClaim = true
+	case ClaimNotRequired:
+		d.Counters.ClaimsUnavailable++
+		q.claimGroup = group
+		q.claimedAt = now
+	case ClaimHeldElsewhere:
+		d.Counters.ClaimsHeldElsewhere++
+		if !d.followClaim(a, group, o, now) {
 			return
 		}
-	case ClaimReused:
-		d.Counts.Reused++
-		slog.Info("request.token_reused", "id", q.ID, "token", q.Token)
-		d.endUnclaimed(q, func() { d.Counts.Failed++; q.Caller.Fail(q.Request) })
+	case ClaimKeyReused:
+		d.Counters.KeysReused++
+		slog.Info("request.idempotency_key_reused", "id", q.ID, "token", q.IdempotencyKey)
+		d.fail(q)
+		d.endUnclaimed(q)
 		return
-	case ClaimRefused:
-		d.Counts.Unclaimed++
-		d.endUnclaimed(q, func() { d.Counts.Refused++; q.Caller.Refuse(q.Request, claimHoldOff) })
+	case ClaimUnavailable:
+		d.Counters.ClaimsUnavailable++
+		d.reject(q, claimRetryAfter)
+		d.endUnclaimed(q)
 		return
 	}
 	d.loop.Set(&a.timer, min(now+d.limits.DialTimeout, q.deadline))
-	d.cleared(a)
+	d.confirmed(a)
+}
+
+// followClaim gives the module where a request ran under an earlier claim, and reports whether the attempt may go on.
+func (d *Director) followClaim(a *attempt, group string, o ClaimOutcome, now time.Duration) bool {
+	q := a.request
+	q.claimGroup = o.Group
+	q.ownsClaim = false
+	if ranAt := now - o.Age; q.firstRunAt == 0 || ranAt < q.firstRunAt {
+		q.firstRunAt = ranAt
+	}
+	zone, cell := parseDedupGroup(o.Group)
+	d.handle(decision.PriorAttempt{Request: q.key, Zone: zone, Cell: cell, Age: o.Age})
+	if a.ended {
+		return false
+	}
+	if o.Group != group {
+		d.endAttempt(a, &Response{Status: decision.NotSent}) // the module decides anew, with the earlier claim known
+		return false
+	}
+	return true
 }
 
-// endUnclaimed gives a request of which nothing has run its final answer.
-func (d *Director) endUnclaimed(q *request, answer func()) {
-	d.conclude(q)
-	answer()
-	d.feed(decision.ClientGone{Request: q.key})
+// endUnclaimed ends the attempts of a request that was answered without a claim. Nothing of it has run.
+func (d *Director) endUnclaimed(q *clientRequest) {
+	d.handle(decision.ClientGone{Request: q.key})
 	for _, a := range q.attempts {
 		if !a.ended {
-			d.end(a, &Reply{Status: decision.NotSent})
+			d.endAttempt(a, &Response{Status: decision.NotSent})
 		}
 	}
 }
--- /dev/null
+++ b/internal/director/routing/conn.go
@@ -0,0 +1,238 @@
+package routing
+
+import (
+	"log/slog"
+	"maps"
+	"slices"
+	"strconv"
+	"time"
+
+	"stairvane.org/stairvane/internal/decision"
+	"stairvane.org/stairvane/internal/transport"
+)
+
+// pooledConn is one connection of a host's pool. It implements ConnHandler.
+type pooledConn struct {
+	host             *host
+	conn             Conn
+	connected        bool
+	retired          bool // gets no new attempts
+	closed           bool
+	connectStartedAt time.Duration
+	idleSince        time.Duration
+	silentSince      time.Duration       // since when it owes a response and has sent nothing; 0: it owes none
+	lastReadAt       time.Duration       // when a response or pong came last
+	inFlight         map[string]*attempt // by request ID
+	partlyWritten    *attempt            // of which the system has not taken all yet
+
+	// pings has the attempts that wait until the cache has read what was sent before, by tag; nil for a keepalive.
+	pings          map[string]*attempt
+	pongTimer      transport.Timer // also ends the close delay of a lost connection
+	keepaliveTimer transport.Timer
+}
+
+func newPooledConn(h *host, now time.Duration) *pooledConn {
+	c := &pooledConn{
+		host:             h,
+		connectStartedAt: now,
+		idleSince:        now,
+		inFlight:         map[string]*attempt{},
+		pings:            map[string]*attempt{},
+	}
+	c.pongTimer.Fire = c.pongTimedOut
+	c.keepaliveTimer.Fire = c.keepalive
+	return c
+}
+
+func (c *pooledConn) beginAttempt(a *attempt, now time.Duration) {
+	c.inFlight[a.request.ID] = a
+	c.idleSince = now
+	if c.silentSince == 0 {
+		c.silentSince = now
+	}
+	if keepaliveAfter := c.host.director.limits.KeepaliveAfter; keepaliveAfter > 0 && !c.keepaliveTimer.Active() {
+		c.lastReadAt = now
+		c.host.director.loop.Set(&c.keepaliveTimer, now+keepaliveAfter)
+	}
+}
+
+func (c *pooledConn) endAttempt(a *attempt, now time.Duration) {
+	delete(c.inFlight, a.request.ID)
+	c.idleSince = now
+}
+
+// isSilent reports whether the machine behind the connection may be gone, which gives no sign. An attempt on such a
+// connection would be lost until its timeout, while a new connection that does not come up soon proves that nothing ran.
+func (c *pooledConn) isSilent() bool {
+	d := c.host.director
+	return c.silentSince > 0 && d.loop.Now()-c.silentSince >= d.limits.SilentTimeout
+}
+
+// isUnused reports whether nothing waits for an answer on the connection.
+func (c *pooledConn) isUnused() bool { return len(c.inFlight)+len(c.pings) == 0 }
+
+func (c *pooledConn) closeIfIdle() {
+	if c.isUnused() {
+		c.closeAndRemove()
+	}
+}
+
+func (c *pooledConn) closeAndRemove() {
+	c.conn.Close()
+	c.pings = nil
+	c.removeFromPool()
+}
+
+func (c *pooledConn) removeFromPool() {
+	c.pongTimer.Stop()
+	c.keepaliveTimer.Stop()
+	if slices.Contains(c.host.conns, c) {
+		c.host.director.conns--
+	}
+	c.host.conns = slices.DeleteFunc(c.host.conns, func(other *pooledConn) bool { return other == c })
+}
+
+// Connected implements ConnHandler.
+func (c *pooledConn) Connected() {
+	c.connected = true
+	c.host.scheduleRetry()
+}
+
+// Flushed implements ConnHandler.
+func (c *pooledConn) Flushed() {
+	if a := c.partlyWritten; a != nil {
+		a.fullyWritten = true
+		c.partlyWritten = nil
+		d := c.host.director
+		d.loop.Set(&a.timer, d.attemptDeadline(a, d.loop.Now()))
+	}
+	c.host.scheduleRetry()
+}
+
+// Received implements ConnHandler.
+func (c *pooledConn) Received(requestID []byte, r *Response) {
+	d := c.host.director
+	c.silentSince = 0
+	c.lastReadAt = d.loop.Now()
+	a := c.inFlight[string(requestID)]
+	if a == nil {
+		d.Counters.LateResponses++
+		return
+	}
+	c.endAttempt(a, d.loop.Now())
+	d.Counters.countStatus(r.Status)
+	d.endAttempt(a, r)
+	c.host.scheduleRetry()
+	if c.retired {
+		c.closeIfIdle()
+	}
+}
+
+// keepalive pings a connection that owes responses and has been silent. A hanging connection is found before its attempts
+// time out, so that they are retried in time and their delay is not taken for the cache's latency.
+func (c *pooledConn) keepalive() {
+	d := c.host.director
+	now := d.loop.Now()
+	if len(c.inFlight) == 0 {
+		return
+	}
+	if len(c.pings) == 0 && now-c.lastReadAt >= d.limits.KeepaliveAfter {
+		c.ping(nil)
+	}
+	d.loop.Set(&c.keepaliveTimer, max(c.lastReadAt, now)+d.limits.KeepaliveAfter)
+}
+
+// ping has an attempt, if any, wait until the cache has read what was sent before.
+func (c *pooledConn) ping(a *attempt) {
+	d := c.host.director
+	d.pingsSent++
+	tag := "p" + strconv.FormatInt(d.pingsSent, 36) // differs from every request ID, which has hex digits only
+	c.pings[tag] = a
+	if c.closed {
+		return
+	}
+	c.conn.Ping(tag)
+	if !c.pongTimer.Active() {
+		c.startPongTimer()
+	}
+}
+
+func (c *pooledConn) startPongTimer() {
+	d := c.host.director
+	d.loop.Set(&c.pongTimer, d.loop.Now()+d.limits.KeepaliveTimeout)
+}
+
+// Pong implements ConnHandler.
+func (c *pooledConn) Pong(tag []byte) {
+	a, known := c.pings[string(tag)]
+	if !known {
+		return
+	}
+	c.lastReadAt = c.host.director.loop.Now()
+	c.pongTimer.Stop()
+	delete(c.pings, string(tag))
+	if len(c.pings) > 0 {
+		c.startPongTimer()
+	}
+	if a != nil {
+		c.host.director.confirmed(a)
+	}
+}
+
+// pongTimedOut closes a connection that does not answer a ping.
+func (c *pooledConn) pongTimedOut() {
+	c.host.director.Counters.ConnsDead++
+	slog.Warn("connection.ping_timed_out", "host", c.host.Name, "attempts", len(c.inFlight))
+	c.conn.Close()
+	c.handleLoss()
+}
+
+// Closed implements ConnHandler.
+func (c *pooledConn) Closed(err error) {
+	if !c.connected {
+		slog.Warn("connection.failed", "host", c.host.Name, "addr", c.host.Address, "err", err)
+	} else if len(c.inFlight) > 0 {
+		c.host.director.Counters.ConnsLost++
+		slog.Warn("connection.lost", "host", c.host.Name, "attempts", len(c.inFlight), "err", err)
+	}
+	c.handleLoss()
+}
+
+// handleLoss removes a lost connection from the pool. Its attempts end after the close delay, when the cache has noticed
+// the loss: connections are read in any order, and a retry at once might run beside the lost attempt.
+func (c *pooledConn) handleLoss() {
+	c.removeFromPool()
+	c.closed = true
+	d := c.host.director
+	if d.limits.CloseDelay == 0 || c.isUnused() {
+		c.endInFlight()
+		return
+	}
+	c.pongTimer.Fire = c.endInFlight
+	d.loop.Set(&c.pongTimer, d.loop.Now()+d.limits.CloseDelay)
+}
+
+// endInFlight ends the attempts on a lost connection. Those that were fully written may have run, the others have not.
+func (c *pooledConn) endInFlight() {
+	d := c.host.director
+	attempts := slices.Collect(maps.Values(c.inFlight))
+	clear(c.inFlight)
+	slices.SortFunc(attempts, func(a, b *attempt) int { return int(a.sentAt - b.sentAt) })
+	for _, a := range attempts {
+		status := decision.Reset
+		if !a.fullyWritten {
+			status = decision.ConnectFailed
+		}
+		d.Counters.countStatus(status)
+		d.endAttempt(a, &Response{Status: status})
+	}
+	pings := c.pings
+	c.pings = nil
+	for _, tag := range slices.Sorted(maps.Keys(pings)) { // the close has cancelled what the pings were to confirm
+		if a := pings[tag]; a != nil {
+			d.confirmed(a)
+		}
+	}
+	c.host.failWaitingIfUnreachable()
+	c.host.scheduleRetry()
+}
--- a/internal/director/routing/director.go
+++ b/internal/director/routing/director.go
@@ -1,9 +1,7 @@
 package routing
 
 import (
-	"cmp"
 	"log/slog"
-	"strings"
 	"time"
 
 	"stairvane.org/stairvane/internal/decision"
@@ -12,247 +10,179 @@
 
 // Director drives one instance of the decision module.
 type Director struct {
-	Counts Counts
+	Counters Counters
 
 	loop    *transport.Loop
 	module  *decision.Router
 	dialer  Dialer
 	limits  Limits
-	classes map[string]class
-	serves  func(Member) bool // whether clients can be served from a host
-	hosts   map[decision.HostID]*host
-	byName  map[string]*host
-	known   map[decision.RequestID]*request
-	open    int
-	purges  purges
-	events  []decision.Event
-	feeding bool
-	outbox  []*attempt // to be sent when the round is over
-	woken   []*host    // with attempts that wait and may have a link now
-	sending bool       // sendOut is due
-	flush   func()     // sendOut
-	links   int        // to all hosts
-
-	former      map[decision.RequestID]*former
-	formerOrder []*former // the oldest first
-	spare       []*alarm
-	pings       int64 // made so far
-	upkeep      transport.Timer
-	told        time.Duration // see Told
-	version     int64         // of the last list taken in
+	hooks   Hooks
+	classes map[string]classRules
+
+	// isReadyCache reports whether clients can be served from an endpoint.
+	isReadyCache func(Endpoint) bool
+
+	hosts        map[decision.HostID]*host
+	byName       map[string]*host
+	conns        int           // to all hosts
+	pingsSent    int64         // makes the tags of pings unique
+	notifiedAt   time.Duration // see SetNotifiedAt
+	listVersion  int64         // of the newest endpoint list that was applied
+	purges       purgeLog
+	upkeepTimer  transport.Timer
+	freeTimers   []*moduleTimer
+	events       []decision.Event // that the module has not handled yet
+	handling     bool
+	requests     map[decision.RequestID]*clientRequest
+	inFlight     int        // requests that are owed an answer
+	toSend       []*attempt // at the end of the round
+	hostsToRetry []*host    // with waiting attempts that may get a connection now
+
+	sendScheduled bool
+	sendRoundFunc func() // sendRound, allocated once
+
+	cancelledByID        map[decision.RequestID]*cancelledRequest
+	cancelledOldestFirst []*cancelledRequest
 }
 
-// upkeepEvery paces the closing of idle links and the forgetting of purges.
-const upkeepEvery = 500 * time.Millisecond
-
-// class is what the guards need to know of a class.
-type class struct {
-	effect       decision.Idempotency
-	keeps        bool                // its answers are copies
-	oldest       time.Duration       // that a copy may be; 0: any age
-	resendWithin time.Duration       // of the first attempt that may have run; 0: the module's decision alone
-	scope        decision.DedupScope // of the caches that drop repeats within that
-}
+// upkeepInterval is the period in which idle connections are closed and old purges are forgotten.
+const upkeepInterval = 500 * time.Millisecond
 
-// New makes a director. Start begins its life.
+// New makes a Director. SetHooks may follow, then Start.
 func New(loop *transport.Loop, s decision.Settings, seed uint64, limits Limits, dialer Dialer) *Director {
 	d := &Director{
-		loop: loop, module: decision.NewRouter(s, seed), dialer: dialer, limits: limits,
-		classes: map[string]class{},
-		hosts:   map[decision.HostID]*host{}, byName: map[string]*host{},
-		known:  map[decision.RequestID]*request{},
-		former: map[decision.RequestID]*former{},
-		purges: newPurges(),
-	}
-	for _, c := range s.Classes {
-		k := class{effect: c.Idempotency, keeps: !c.Uncacheable}
-		if c.FreshFor > 0 {
-			k.oldest = c.FreshFor + c.StaleFor
-		}
-		if c.Idempotency == decision.IdempotentWithKey {
-			k.resendWithin, k.scope = c.DedupWindow, c.DedupScope
-		}
-		d.classes[c.Name] = k
-	}
-	d.serves = func(m Member) bool {
-		parent := s.ParentKind >= 0 && s.ParentKind < len(s.Kinds) && m.Kind == s.Kinds[s.ParentKind]
-		return m.Readiness == decision.Ready && m.Zone == s.Zone && !parent
-	}
-	if limits.Cold != nil {
-		d.module.SetSlowStartShare(limits.Cold)
-	}
-	d.upkeep.Fire, d.flush = d.tidy, d.sendOut
+		loop:          loop,
+		module:        decision.NewRouter(s, seed),
+		dialer:        dialer,
+		limits:        limits,
+		classes:       classRulesOf(s),
+		hosts:         map[decision.HostID]*host{},
+		byName:        map[string]*host{},
+		requests:      map[decision.RequestID]*clientRequest{},
+		cancelledByID: map[decision.RequestID]*cancelledRequest{},
+		purges:        newPurgeLog(),
+	}
+	d.isReadyCache = func(e Endpoint) bool {
+		parent := s.ParentKind >= 0 && s.ParentKind < len(s.Kinds) && e.Kind == s.Kinds[s.ParentKind]
+		return e.Readiness == decision.Ready && e.Zone == s.Zone && !parent
+	}
+	d.upkeepTimer.Fire = d.runUpkeep
+	d.sendRoundFunc = d.sendRound
 	return d
 }
 
-// Start begins the module's life.
-func (d *Director) Start() {
-	for _, a := range d.module.Start(d.loop.Now()) {
-		d.act(a)
-	}
-	d.loop.Set(&d.upkeep, d.loop.Now()+upkeepEvery)
-}
-
-// Told says that the lists and purges that follow were told at a time that has passed, until it is called with 0: the
-// graces of the rules count from there, also on a core that was stalled meanwhile.
-func (d *Director) Told(at time.Duration) { d.told = at }
-
-func (d *Director) toldAt() time.Duration {
-	if d.told > 0 {
-		return d.told
-	}
-	return d.loop.Now()
-}
-
-// Carried is what the module has carried, now and at its best of late, in seconds of sending per second.
-func (d *Director) Carried() (now, best float64) { return d.module.ServedRate() }
-
-// ColdWants tells of each cold host what of its budget this director would use.
-func (d *Director) ColdWants(f func(host string, demand float64)) {
-	d.module.SlowStartDemand(func(id decision.HostID, demand float64) {
-		if h := d.hosts[id]; h != nil {
-			f(h.Name, demand)
-		}
-	})
-}
-
-// leastPart stands for a part of nothing, which must not be taken for an even one.
-const leastPart = 1e-9
-
-// Part tells what part of a host's cold budget is this director's; below 0: an even one.
-func (d *Director) Part(host string, share float64) {
-	h := d.byName[host]
-	if h == nil {
-		return
-	}
-	if share < 0 {
-		share = 0
-	} else {
-		share = max(share, leastPart)
+// SetHooks sets the hooks. It must be called before Start.
+func (d *Director) SetHooks(hooks Hooks) {
+	d.hooks = hooks
+	if hooks.SlowStartShare != nil {
+		d.module.SetSlowStartShare(hooks.SlowStartShare)
 	}
-	d.feed(decision.QuotaShare{Host: h.Host, Share: share})
 }
 
-// Evidence tells what was seen of each host since it was asked last, by the host's name and birth: a process that was started
-// anew under the name is another.
-func (d *Director) Evidence(f func(box string, tried, failed, lag float64)) {
-	d.module.HostOutcomes(func(id decision.HostID, tried, failed, lag float64) {
-		if h := d.hosts[id]; h != nil {
-			f(h.born(), tried, failed, lag)
-		}
-	})
-}
-
-// Opinion tells what share of attempts at a box all directors see go wrong. One that is not there, or was started anew since, is
-// left alone.
-func (d *Director) Opinion(box string, bad float64) {
-	name := box
-	if i := strings.LastIndexByte(box, '@'); i >= 0 {
-		name = box[:i]
-	}
-	if h := cmp.Or(d.byName[name], d.byName[box]); h != nil && h.born() == box {
-		d.feed(decision.AggregatedHealth{Host: h.Host, FailureShare: bad})
+// Start starts the decision module.
+func (d *Director) Start() {
+	for _, action := range d.module.Start(d.loop.Now()) {
+		d.perform(action)
 	}
+	d.loop.Set(&d.upkeepTimer, d.loop.Now()+upkeepInterval)
 }
 
-// Fellows tells how many directors there are now, where that is known.
-func (d *Director) Fellows(f decision.PeerCounts) { d.feed(f) }
-
-// Open is how many requests are owed an answer.
-func (d *Director) Open() int { return d.open }
+// InFlight is the number of requests that are owed an answer.
+func (d *Director) InFlight() int { return d.inFlight }
 
-// Ready tells whether there is a cache that clients could be served from. Parents and the origin alone are none.
-func (d *Director) Ready() bool {
+// HasReadyCache reports whether clients can be served from any cache. Parent caches and the origin alone do not count.
+func (d *Director) HasReadyCache() bool {
 	for _, h := range d.hosts {
-		if d.serves(h.Member) {
+		if d.isReadyCache(h.Endpoint) {
 			return true
 		}
 	}
 	return false
 }
 
-// feed hands an event to the module and carries out what it calls for. What those actions bring about at once
-// waits its turn, so that the module never sees an event while its last actions are being carried out.
-func (d *Director) feed(ev decision.Event) {
-	d.events = append(d.events, ev)
-	if d.feeding {
+// handle hands an event to the module and performs the actions that it returns. Events that these actions cause are
+// queued, so that the module never sees an event while its last actions are performed.
+func (d *Director) handle(event decision.Event) {
+	d.events = append(d.events, event)
+	if d.handling {
 		return
 	}
-	d.feeding = true
+	d.handling = true
 	for i := 0; i < len(d.events); i++ {
-		for _, a := range d.module.Handle(d.loop.Now(), d.events[i]) {
-			d.act(a)
+		for _, action := range d.module.Handle(d.loop.Now(), d.events[i]) {
+			d.perform(action)
 		}
 	}
 	clear(d.events)
 	d.events = d.events[:0]
-	d.feeding = false
+	d.handling = false
 }
 
-// act carries out one action.
-func (d *Director) act(action decision.Action) {
+func (d *Director) perform(action decision.Action) {
 	switch a := action.(type) {
 	case decision.StartAttempt:
-		d.obtain(a)
+		d.startAttempt(a)
 	case decision.CancelAttempt:
-		d.abort(a)
+		d.cancelForModule(a)
 	case decision.Reject:
 		if q := d.unanswered(a.Request); q != nil {
-			d.Counts.Refused++
-			d.conclude(q)
-			q.Caller.Refuse(q.Request, a.RetryAfter)
+			d.reject(q, a.RetryAfter)
 		}
 	case decision.Fail:
 		if q := d.unanswered(a.Request); q != nil {
-			d.Counts.Failed++
-			d.conclude(q)
-			q.Caller.Fail(q.Request)
+			d.fail(q)
 		}
 	case decision.SetTimer:
-		d.after(a.Delay, a.Timer)
+		d.setTimer(a.Delay, a.Timer)
 	case decision.LogLine:
-		slog.Info("module.remark", "line", a.Text)
+		slog.Info("decision.logged", "line", a.Text)
 	case decision.WatchEndpoints, decision.PollEndpoints:
-		// The bulletin is followed from the start to the end.
+		// The event stream is watched from the start to the end anyway.
 	case decision.HealthCheck:
-		slog.Error("module.probe_asked", "host_number", a.Host)
+		slog.Error("health_check.unsupported", "host_number", a.Host)
 	}
 }
 
-// alarm is a timer of the module's; alarms are used again.
-type alarm struct {
+// moduleTimer is a timer of the module. Timers that have fired are reused.
+type moduleTimer struct {
 	transport.Timer
 	timer decision.Timer
 }
 
-func (d *Director) after(delay time.Duration, timer decision.Timer) {
-	var a *alarm
-	if n := len(d.spare); n > 0 {
-		a, d.spare = d.spare[n-1], d.spare[:n-1]
-	} else {
-		a = &alarm{}
-		a.Fire = func() {
-			timer := a.timer
-			d.spare = append(d.spare, a)
-			d.feed(decision.TimerFired{Timer: timer})
-		}
+func (d *Director) setTimer(delay time.Duration, timer decision.Timer) {
+	t := d.takeTimer()
+	t.timer = timer
+	d.loop.Set(&t.Timer, d.loop.Now()+delay)
+}
+
+func (d *Director) takeTimer() *moduleTimer {
+	if n := len(d.freeTimers); n > 0 {
+		t := d.freeTimers[n-1]
+		d.freeTimers = d.freeTimers[:n-1]
+		return t
+	}
+	t := &moduleTimer{}
+	t.Fire = func() {
+		timer := t.timer
+		d.freeTimers = append(d.freeTimers, t)
+		d.handle(decision.TimerFired{Timer: timer})
 	}
-	a.timer = timer
-	d.loop.Set(&a.Timer, d.loop.Now()+delay)
+	return t
 }
 
-// tidy closes what has been idle and forgets old purges.
-func (d *Director) tidy() {
+// runUpkeep closes idle connections and forgets hosts, cancelled requests and purges that do not matter any more.
+func (d *Director) runUpkeep() {
 	now := d.loop.Now()
-	d.loop.Set(&d.upkeep, now+upkeepEvery)
+	d.loop.Set(&d.upkeepTimer, now+upkeepInterval)
 	for id, h := range d.hosts {
-		h.closeIdle(now)
-		if h.Readiness == decision.Gone && len(h.links) == 0 && len(h.waiting) == 0 && now > h.told+d.limits.LongestAnswer {
+		h.closeIdleConns(now)
+		unused := len(h.conns) == 0 && len(h.waiting) == 0
+		if h.Readiness == decision.Gone && unused && now > h.readinessSince+d.limits.MaxDeadline {
 			delete(d.hosts, id)
 			delete(d.byName, h.Name)
 		}
 	}
-	d.tidyFormer(now)
-	// A fill may end late: a purge is held against answers for as long as one may be out, and more.
-	d.purges.forget(now - 2*d.limits.PurgeDone - d.limits.LongestAnswer)
+	d.expireCancelled(now)
+	// A fill may end late, so a purge is remembered for longer than an attempt may take.
+	d.purges.forget(now - 2*d.limits.PurgeTimeout - d.limits.MaxDeadline)
 }
--- /dev/null
+++ b/internal/director/routing/endpoints.go
@@ -0,0 +1,148 @@
+package routing
+
+import (
+	"context"
+	"hash/fnv"
+	"log/slog"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"stairvane.org/stairvane/internal/decision"
+)
+
+// host is an endpoint of the list, with the connections to it and the attempts that wait for one.
+type host struct {
+	Endpoint
+	director       *Director
+	readinessSince time.Duration // when its present readiness reached the process
+	conns          []*pooledConn
+	waiting        []*attempt
+	retryScheduled bool // its waiting attempts are retried at the end of the round
+}
+
+// incarnationName names the very process that serves as the host, as far as its start time is known.
+func (h *host) incarnationName() string {
+	if h.StartedAt <= 0 {
+		return h.Name
+	}
+	return h.Name + "@" + strconv.FormatInt(h.StartedAt.Milliseconds(), 10)
+}
+
+func (h *host) setReadiness(r decision.Readiness, now time.Duration) {
+	if h.Readiness != r {
+		h.Readiness = r
+		h.readinessSince = now
+	}
+}
+
+// isDraining reports whether nothing new may go to the host. The second half of the grace is left for the way to it.
+func (h *host) isDraining(now, grace time.Duration) bool {
+	return h.Readiness != decision.Ready && now >= h.readinessSince+grace/2
+}
+
+// UpdateEndpoints applies an endpoint list: a snapshot, or the entries that changed.
+func (d *Director) UpdateEndpoints(version int64, snapshot bool, endpoints []Endpoint) {
+	now := d.notificationTime()
+	d.Counters.EndpointUpdates++
+	list := endpointList{version: version, snapshot: snapshot, endpoints: endpoints}
+	accepted, anomalies := list.check(d.listVersion, d.readyAddresses())
+	for _, a := range anomalies {
+		slog.Log(context.Background(), a.level, a.event, append([]any{"version", version}, a.attrs...)...)
+	}
+	if snapshot || version > d.listVersion {
+		d.listVersion = version
+	}
+	update := decision.EndpointUpdate{Kind: decision.UpdateDelta, Version: version}
+	if snapshot {
+		update.Kind = decision.UpdateSnapshot
+		d.removeUnlisted(accepted, now)
+	}
+	for _, e := range accepted {
+		update.Endpoints = append(update.Endpoints, d.applyEndpoint(e, now))
+	}
+	d.handle(update)
+}
+
+// readyAddresses gives the addresses of the ready hosts by name.
+func (d *Director) readyAddresses() map[string]string {
+	addresses := map[string]string{}
+	for name, h := range d.byName {
+		if h.Readiness == decision.Ready {
+			addresses[name] = h.Address
+		}
+	}
+	return addresses
+}
+
+// removeUnlisted marks the hosts as gone that a snapshot does not name.
+func (d *Director) removeUnlisted(snapshot []Endpoint, now time.Duration) {
+	listed := map[string]bool{}
+	for _, e := range snapshot {
+		listed[e.Name] = true
+	}
+	for name, h := range d.byName {
+		if !listed[name] {
+			h.setReadiness(decision.Gone, now)
+		}
+	}
+}
+
+// applyEndpoint updates or adds a host, and returns the endpoint as the module gets it.
+func (d *Director) applyEndpoint(e Endpoint, now time.Duration) decision.Endpoint {
+	h := d.byName[e.Name]
+	if h == nil {
+		e.Host = d.assignHostID(e.Name)
+		h = &host{Endpoint: e, director: d, readinessSince: now}
+		d.byName[e.Name] = h
+		d.hosts[e.Host] = h
+	}
+	e.Host = h.Host
+	moved := h.Address != e.Address
+	if moved || h.StartedAt != e.StartedAt {
+		h.retireConns(e.StartedAt, moved)
+	}
+	h.setReadiness(e.Readiness, now)
+	h.Endpoint = e
+	return e.Endpoint
+}
+
+// assignHostID gives a host its number for the module. All directors must place objects on the same caches, so the number
+// depends on the name alone: the hex number that ends it, as in s-00c41f7a, or else a hash of it. The simulator calls the
+// same host by that hex number, so both place objects alike.
+func (d *Director) assignHostID(name string) decision.HostID {
+	if _, digits, found := strings.Cut(name, "-"); found && len(digits) == 8 {
+		if n, err := strconv.ParseUint(digits, 16, 32); err == nil && d.hosts[decision.HostID(n)] == nil {
+			return decision.HostID(n)
+		}
+	}
+	for salt := 0; ; salt++ {
+		id := hashHostName(name, salt)
+		other := d.hosts[id]
+		if other == nil {
+			return id
+		}
+		slog.Warn("host.id_collided", "host", name, "other", other.Name, "number", id)
+	}
+}
+
+func hashHostName(name string, salt int) decision.HostID {
+	sum := fnv.New32a()
+	_, _ = sum.Write([]byte(name)) // a hash returns no error
+	if salt > 0 {
+		_, _ = sum.Write([]byte(strconv.Itoa(salt)))
+	}
+	return decision.HostID(sum.Sum32())
+}
+
+// retireConns keeps new attempts off the connections to a process that has ended: all of them after a change of address,
+// else those older than the new process. The list may come late, so younger connections lead to the new process.
+func (h *host) retireConns(started time.Duration, moved bool) {
+	for _, c := range slices.Clone(h.conns) {
+		if moved || c.connectStartedAt < started {
+			c.retired = true
+			c.closeIfIdle()
+		}
+	}
+}
--- /dev/null
+++ b/internal/director/routing/fleet.go
@@ -0,0 +1,75 @@
+package routing
+
+import (
+	"cmp"
+	"strings"
+	"time"
+
+	"stairvane.org/stairvane/internal/decision"
+)
+
+// SetNotifiedAt sets when the endpoint lists and purges that follow reached the process, until it is called with 0. The
+// graces of the rules count from then, also on a core that was stalled meanwhile.
+func (d *Director) SetNotifiedAt(at time.Duration) { d.notifiedAt = at }
+
+func (d *Director) notificationTime() time.Duration {
+	if d.notifiedAt > 0 {
+		return d.notifiedAt
+	}
+	return d.loop.Now()
+}
+
+// ServedRate is the rate at which the module has served, now and at its recent best, in seconds of sending per second.
+func (d *Director) ServedRate() (now, best float64) { return d.module.ServedRate() }
+
+// SlowStartDemand calls f for each host that is warming up, with the share of its capacity that this director would use.
+func (d *Director) SlowStartDemand(f func(host string, demand float64)) {
+	d.module.SlowStartDemand(func(id decision.HostID, demand float64) {
+		if h := d.hosts[id]; h != nil {
+			f(h.Name, demand)
+		}
+	})
+}
+
+// minQuotaShare stands for a share of 0, which the module would take for an equal share.
+const minQuotaShare = 1e-9
+
+// SetQuotaShare sets this director's share of the capacity of a host that is warming up. A share below 0 is an equal share.
+func (d *Director) SetQuotaShare(host string, share float64) {
+	h := d.byName[host]
+	if h == nil {
+		return
+	}
+	if share < 0 {
+		share = 0
+	} else {
+		share = max(share, minQuotaShare)
+	}
+	d.handle(decision.QuotaShare{Host: h.Host, Share: share})
+}
+
+// HostOutcomes calls f for each host with the attempts, the failures and the latency overhead since the last call. The
+// incarnation is the host's name and start time: a process that was restarted under the name is another.
+func (d *Director) HostOutcomes(f func(incarnation string, attempts, failures, overhead float64)) {
+	d.module.HostOutcomes(func(id decision.HostID, attempts, failures, overhead float64) {
+		if h := d.hosts[id]; h != nil {
+			f(h.incarnationName(), attempts, failures, overhead)
+		}
+	})
+}
+
+// SetAggregatedHealth sets the share of attempts at a host that fail, as all directors together see it. A host that is
+// unknown or was restarted since is left alone.
+func (d *Director) SetAggregatedHealth(incarnation string, failureShare float64) {
+	name := incarnation
+	if i := strings.LastIndexByte(incarnation, '@'); i >= 0 {
+		name = incarnation[:i]
+	}
+	h := cmp.Or(d.byName[name], d.byName[incarnation])
+	if h != nil && h.incarnationName() == incarnation {
+		d.handle(decision.AggregatedHealth{Host: h.Host, FailureShare: failureShare})
+	}
+}
+
+// SetPeerCounts sets how many directors there are now.
+func (d *Director) SetPeerCounts(counts decision.PeerCounts) { d.handle(counts) }
--- a/internal/director/routing/purges.go
+++ b/internal/director/routing/purges.go
@@ -7,65 +7,71 @@
 	"stairvane.org/stairvane/internal/decision"
 )
 
-// purge is one purge: copies given out before issued are void; told is when the process heard of it, and heard when this
-// core did, which is later where it was stalled.
-type purge struct{ issued, told, heard time.Duration }
+// purge voids what was generated before it was issued.
+type purge struct {
+	issued     time.Duration // in Unix time
+	notifiedAt time.Duration // when it reached the process
+	receivedAt time.Duration // when it reached this core, which is later where the core was stalled
+}
 
-// purges holds those that may still matter, by object and by group.
-type purges struct {
+// purgeLog holds the purges that may still matter, by object and by purge group.
+type purgeLog struct {
 	objects map[decision.ObjectID][]purge
 	groups  map[int][]purge
 }
 
-func newPurges() purges {
-	return purges{objects: map[decision.ObjectID][]purge{}, groups: map[int][]purge{}}
+func newPurgeLog() purgeLog {
+	return purgeLog{objects: map[decision.ObjectID][]purge{}, groups: map[int][]purge{}}
 }
 
-// PurgeObject takes in a purge of one object.
+// PurgeObject applies a purge of one object. issued is in Unix time.
 func (d *Director) PurgeObject(object decision.ObjectID, issued time.Duration) {
-	now := d.loop.Now()
-	d.Counts.Purges++
-	d.purges.objects[object] = append(d.purges.objects[object], purge{issued, d.toldAt(), now})
-	d.feed(decision.Purge{Object: object, Age: max(0, now-issued)})
+	p := d.newPurge(issued)
+	d.purges.objects[object] = append(d.purges.objects[object], p)
+	d.handle(decision.Purge{Object: object, Age: max(0, p.receivedAt-issued)})
 }
 
-// PurgeGroup takes in a purge of a group of objects.
+// PurgeGroup applies a purge of a group of objects. issued is in Unix time.
 func (d *Director) PurgeGroup(group int, issued time.Duration) {
-	now := d.loop.Now()
-	d.Counts.Purges++
-	d.purges.groups[group] = append(d.purges.groups[group], purge{issued, d.toldAt(), now})
-	d.feed(decision.Purge{Group: group, ByGroup: true, Age: max(0, now-issued)})
+	p := d.newPurge(issued)
+	d.purges.groups[group] = append(d.purges.groups[group], p)
+	d.handle(decision.Purge{Group: group, ByGroup: true, Age: max(0, p.receivedAt-issued)})
+}
+
+func (d *Director) newPurge(issued time.Duration) purge {
+	d.Counters.Purges++
+	return purge{issued: issued, notifiedAt: d.notificationTime(), receivedAt: d.loop.Now()}
 }
 
-func (p *purges) any(q *request, f func(purge) bool) bool {
-	return slices.ContainsFunc(p.objects[q.Object], f) || slices.ContainsFunc(p.groups[q.Group], f)
+func (l *purgeLog) anyOf(q *clientRequest, f func(purge) bool) bool {
+	return slices.ContainsFunc(l.objects[q.Object], f) || slices.ContainsFunc(l.groups[q.PurgeGroup], f)
 }
 
-// bind tells whether a purge that was told before a time voids a copy given out at since. Every purge is held, not
-// just the last: one too new to bind must not hide one that does. Both times are whole milliseconds, so a copy of the
-// purge's own millisecond may be the older; the module's age cap asks for a later one, too.
-func (p *purges) bind(q *request, since, toldBefore time.Duration) bool {
-	return p.any(q, func(x purge) bool { return x.told < toldBefore && since <= x.issued })
+// voids reports whether a purge that reached the process before a time voids what was generated at another. All purges
+// are checked: one that is too new to hold must not hide an older one. Both times are rounded to milliseconds, so what was
+// generated in the purge's own millisecond may be older than the purge.
+func (l *purgeLog) voids(q *clientRequest, generatedAt, notifiedBefore time.Duration) bool {
+	return l.anyOf(q, func(p purge) bool { return p.notifiedAt < notifiedBefore && generatedAt <= p.issued })
 }
 
-// toldSince tells whether this core has heard of a purge of the request's object after a time.
-func (p *purges) toldSince(q *request, after time.Duration) bool {
-	return p.any(q, func(x purge) bool { return x.heard > after })
+// receivedSince reports whether this core received a purge of the request's object after a time.
+func (l *purgeLog) receivedSince(q *clientRequest, after time.Duration) bool {
+	return l.anyOf(q, func(p purge) bool { return p.receivedAt > after })
 }
 
-// forget drops the purges told before a time.
-func (p *purges) forget(before time.Duration) {
-	forgetIn(p.objects, before)
-	forgetIn(p.groups, before)
+// forget drops the purges that reached the process before a time.
+func (l *purgeLog) forget(before time.Duration) {
+	forgetIn(l.objects, before)
+	forgetIn(l.groups, before)
 }
 
 func forgetIn[K comparable](m map[K][]purge, before time.Duration) {
-	for k, list := range m {
-		list = slices.DeleteFunc(list, func(x purge) bool { return x.told < before })
+	for key, list := range m {
+		list = slices.DeleteFunc(list, func(p purge) bool { return p.notifiedAt < before })
 		if len(list) == 0 {
-			delete(m, k)
+			delete(m, key)
 		} else {
-			m[k] = list
+			m[key] = list
 		}
 	}
 }
--- a/internal/director/run.go
+++ b/internal/director/run.go
@@ -57,42 +57,44 @@
 	}
 	s := c.Settings
 	limits := routing.Limits{
-		MaxOpen: s.MaxOpen, Streams: c.Pools.Streams, SilentAfter: silentAfter, DialTimeout: s.DialTimeout,
-		KeepaliveAfter: keepaliveAfter, KeepaliveTimeout: keepaliveTimeout, Settle: settle, MaxAttempts: s.MaxAttempts,
-		DrainGrace: s.DrainGrace, PurgeGrace: s.PurgeGrace, PurgeDone: s.PurgeDone, SecondCopies: s.HedgedRequests,
+		MaxRequests: s.MaxOpen, StreamsPerConn: c.Pools.Streams, SilentTimeout: silentAfter, DialTimeout: s.DialTimeout,
+		KeepaliveAfter: keepaliveAfter, KeepaliveTimeout: keepaliveTimeout, CloseDelay: settle, MaxAttempts: s.MaxAttempts,
+		DrainGrace: s.DrainGrace, PurgeGrace: s.PurgeGrace, PurgeTimeout: s.PurgeDone, HedgedRequests: s.HedgedRequests,
 	}
 	for _, class := range s.Classes {
-		limits.LongestAnswer = max(limits.LongestAnswer, class.Deadline)
+		limits.MaxDeadline = max(limits.MaxDeadline, class.Deadline)
 	}
 	s.Directors = orDefault("settings.Balancers", s.Directors, 1)
-	limits.Streams = orDefault("settings.Limits.Multiplex", limits.Streams, defaultStreams)
+	limits.StreamsPerConn = orDefault("settings.Limits.Multiplex", limits.StreamsPerConn, defaultStreams)
 	limits.DialTimeout = orDefault("settings.Limits.DialTimeout", limits.DialTimeout, defaultDial)
 	idle := orDefault("settings.Limits.ConnIdle", c.Pools.ConnIdle, defaultIdle)
 	// The other end closes after the same time: an order sent into that close would be lost, so links go before.
-	limits.IdleAfter = idle * 4 / 5
+	limits.IdleTimeout = idle * 4 / 5
 	clients := c.Sockets/3 + c.Sockets/20
-	limits.Links = max(likelyHosts, c.Sockets-clients-clients/lingerShare-spareSockets)
-	limits.LinksPerHost = min(mostLinks, max(1, (c.Sockets-clients-spareSockets)/likelyHosts))
+	limits.MaxConns = max(likelyHosts, c.Sockets-clients-clients/lingerShare-spareSockets)
+	limits.ConnsPerHost = min(mostLinks, max(1, (c.Sockets-clients-spareSockets)/likelyHosts))
 
 	p := &Program{loop: loop, config: c, core: own}
+	var hooks routing.Hooks
 	if own != nil {
-		own.join(p, &limits)
+		own.join(p, &hooks)
 	}
 	if c.Membership != nil {
 		if p.membership, err = newMembershipClient(p, c); err != nil {
 			return nil, err
 		}
-		limits.Spent = p.membership.shareExpired
+		hooks.QuotaExpired = p.membership.shareExpired
 		if c.Membership.MaxStaleness > 0 {
-			limits.Behind = p.membership.stale
+			hooks.IsStale = p.membership.stale
 		}
 		if p.membership.claims != nil {
-			limits.Claims = p.membership.claims
+			hooks.Claims = p.membership.claims
 		}
 	}
 	links := &caches{loop: loop, report: reportMap(c.Pools.Reports)}
 	d := routing.New(loop, s, c.Seed, limits, links)
 	p.director = d
+	d.SetHooks(hooks)
 	d.Start()
 	crowd := s.Directors
 	if own != nil { // the bulletin is followed once for all cores
@@ -107,8 +109,8 @@
 	if p.front, err = newFront(loop, d, c.Listen, clients, idle, c.MemoryMB<<20); err != nil {
 		return nil, err
 	}
-	p.front.stuck = max(stuckAfter, limits.LongestAnswer)
-	if limits.Behind != nil {
+	p.front.stuck = max(stuckAfter, limits.MaxDeadline)
+	if hooks.IsStale != nil {
 		p.front.well = func() bool { return !p.membership.stale() }
 	}
 	if own == nil || own.index == 0 {
@@ -163,7 +165,7 @@
 	if p.front.leaving {
 		return
 	}
-	slog.Info("director.leaving", "open", p.director.Open())
+	slog.Info("director.leaving", "open", p.director.InFlight())
 	p.front.leaving = true
 	p.loop.Set(&p.leave, p.loop.Now()+stillTaking)
 }
@@ -173,7 +175,7 @@
 	if !p.front.shut {
 		p.front.finish()
 	}
-	if p.director.Open() > 0 {
+	if p.director.InFlight() > 0 {
 		p.emptyAt = 0
 	} else if p.emptyAt == 0 {
 		p.emptyAt = now
@@ -214,5 +216,5 @@
 
 // PrintCounts logs what was taken in, sent and answered.
 func (p *Program) PrintCounts() {
-	slog.Info("counts", "front", p.front.Counts, "director", p.director.Counts, "bulletin_unreadable", p.watch.unreadable)
+	slog.Info("counts", "front", p.front.Counts, "director", p.director.Counters, "bulletin_unreadable", p.watch.unreadable)
 }
--- a/internal/director/watch_test.go
+++ b/internal/director/watch_test.go
@@ -279,7 +279,7 @@
 	release(nil)
 	client.want(1, 1, "") // refused, with no other cache to go to
 	w.on(func() {
-		if n := w.p.director.Counts.Attempts; n != 0 {
+		if n := w.p.director.Counters.Attempts; n != 0 {
 			t.Errorf("%d attempts", n)
 		}
 	})
@@ -296,8 +296,8 @@
 	p.called(3)
 	w.serves(other)
 	w.on(func() {
-		if w.p.director.Counts.NoCon+w.p.director.Counts.Reset > 0 {
-			t.Errorf("%+v", w.p.director.Counts)
+		if w.p.director.Counters.ConnectFailed+w.p.director.Counters.Reset > 0 {
+			t.Errorf("%+v", w.p.director.Counters)
 		}
 	})
 }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -24,8 +24,8 @@
 	if l, err = New(&b, "", "debug", true); err != nil {
 		t.Fatal(err)
 	}
-	l.Debug("attempt.not_sent")
-	if s := b.String(); !strings.Contains(s, "attempt.not_sent") || strings.HasPrefix(s, "{") {
+	l.Debug("attempt.withheld")
+	if s := b.String(); !strings.Contains(s, "attempt.withheld") || strings.HasPrefix(s, "{") {
 		t.Errorf("%q", s)
 	}
 	if _, err = New(&b, "xml", "", false); err == nil || !strings.Contains(err.Error(), FormVar) {
--- a/internal/tools/capacity/measure/director.go
+++ b/internal/tools/capacity/measure/director.go
@@ -142,7 +142,7 @@
 // noDialer stands for caches that nobody dials.
 type noDialer struct{}
 
-func (noDialer) Dial(string, time.Duration, routing.LinkEvents) (routing.Link, error) {
+func (noDialer) Dial(string, time.Duration, routing.ConnHandler) (routing.Conn, error) {
 	return nil, fmt.Errorf("measure: no cache is dialled")
 }
 
@@ -152,20 +152,20 @@
 		return 0, err
 	}
 	defer loop.Release()
-	limits := routing.Limits{Streams: 32, LinksPerHost: 4, MaxAttempts: 6, LongestAnswer: 6 * time.Second, PurgeDone: 5300 * time.Millisecond}
+	limits := routing.Limits{StreamsPerConn: 32, ConnsPerHost: 4, MaxAttempts: 6, MaxDeadline: 6 * time.Second, PurgeTimeout: 5300 * time.Millisecond}
 	director := routing.New(loop, settings(usualDirectors), 1, limits, noDialer{})
 	director.Start()
-	var all []routing.Member
+	var all []routing.Endpoint
 	for _, host := range wireHosts(caches) {
-		m := routing.Member{Name: host.Name, Address: host.Address}
+		m := routing.Endpoint{Name: host.Name, Address: host.Address}
 		m.Zone, m.Kind, m.Cell, m.Readiness, m.Weight = host.Site, host.Class, host.Block, "IN", 1
 		all = append(all, m)
 	}
-	director.UpdateHosts(1, true, all)
+	director.UpdateEndpoints(1, true, all)
 	return timeOf(func(n int) {
 		changed := all[n%caches]
 		changed.Weight = 1 - 0.5*float64(n%2)
-		director.UpdateHosts(int64(n+2), false, []routing.Member{changed})
+		director.UpdateEndpoints(int64(n+2), false, []routing.Endpoint{changed})
 	}), nil
 }
 
