--- a/cmd/stairvane/main_test.go
+++ b/cmd/stairvane/main_test.go
@@ -74,13 +74,13 @@
 	wait(polls, "first after 7")
 	write(second, "no number")
 	hangUp()
-	wait(logged, `"reload.refused","err":"seed`)
+	wait(logged, `"reload.rejected","err":"seed`)
 	for said, fault := range map[string]func() error{
-		`"reload.refused","err":"configuration: unexpected end`: func() error { return os.WriteFile(path, nil, 0o600) },
-		`"reload.refused","err":"configuration: `: func() error {
+		`"reload.rejected","err":"configuration: unexpected end`: func() error { return os.WriteFile(path, nil, 0o600) },
+		`"reload.rejected","err":"configuration: `: func() error {
 			return os.WriteFile(path, []byte(`{"name":"n0","listen":"127.0.0.1:0","se`), 0o600)
 		},
-		`"reload.refused","err":"LB_CONFIG: `: func() error { return os.Remove(path) },
+		`"reload.rejected","err":"LB_CONFIG: `: func() error { return os.Remove(path) },
 	} {
 		if err := fault(); err != nil {
 			t.Fatal(err)
--- a/cmd/stairvane/platform_linux_amd64_test.go
+++ b/cmd/stairvane/platform_linux_amd64_test.go
@@ -243,7 +243,7 @@
 			}
 			_ = run.Process.Signal(syscall.SIGHUP)
 		}
-		if strings.Contains(lines.Text(), `"reload.done"`) {
+		if strings.Contains(lines.Text(), `"reload.applied"`) {
 			reloaded = true
 			_ = run.Process.Signal(syscall.SIGTERM)
 		}
--- /dev/null
+++ b/internal/director/cache_protocol.go
@@ -0,0 +1,142 @@
+package director
+
+import (
+	"fmt"
+	"strconv"
+	"time"
+
+	"stairvane.org/stairvane/internal/decision"
+	"stairvane.org/stairvane/internal/director/routing"
+	"stairvane.org/stairvane/internal/protocol/resp"
+)
+
+// The commands to caches, and the word that answers a ping.
+const (
+	commandRequest = "do"
+	commandCancel  = "undo"
+	commandPing    = "ping"
+	pong           = "UP"
+)
+
+// fetchOptionWords are the words of fetch options in the field do.
+var fetchOptionWords = []struct {
+	option decision.FetchOptions
+	word   string
+}{
+	{decision.JoinFill, "merge"},
+	{decision.SourceCachedOnly, "local"},
+	{decision.ParentNoStore, "skip"},
+	{decision.Revalidate, "revalidate"},
+}
+
+// notModifiedWord is the response that what the client has cached is current.
+const notModifiedWord = "SAME"
+
+var statusWords = map[string]decision.Status{
+	"OK":            decision.OK,
+	notModifiedWord: decision.OK,
+	"MISS":          decision.Miss,
+	"BUSY":          decision.Full,
+	"ERR":           decision.Failed,
+	"VOID":          decision.NotSent,
+}
+
+// cacheStatusWords are the words of the field n in the order of the module's numbers, which begin with 1.
+var cacheStatusWords = [...]string{
+	"local", "pulled", "pulled_far", "rode", "expired", "turned_away", "cut_off", "not_there",
+	"no_place", "far_fault",
+}
+
+var cacheStatusByWord = func() map[string]decision.CacheStatus {
+	m := map[string]decision.CacheStatus{}
+	for i, word := range cacheStatusWords {
+		m[word] = decision.CacheStatus(i + 1)
+	}
+	return m
+}()
+
+// maxGeneratedAtMS bounds when an object was generated, in milliseconds of Unix time.
+const maxGeneratedAtMS = 1e13
+
+// appendRequestFields appends the fields of a request, as name=value with commas between.
+func appendRequestFields(b []byte, r *routing.UpstreamRequest) []byte {
+	field := func(name, value string) { b = resp.AppendField(b, 0, name, value) }
+	field("sort", r.Class)
+	field("asset", fmt.Sprintf("%016x", uint64(r.Object)))
+	field("slice", strconv.Itoa(r.Part))
+	field("patience", atLeastOneMS(r.Timeout))
+	if r.IdempotencyKey != "" {
+		field("op", r.IdempotencyKey)
+	}
+	if r.Source != "" {
+		field("up", r.Source)
+	}
+	if r.CachePriority > 0 {
+		field("store", strconv.Itoa(r.CachePriority))
+	}
+	if r.MaxAge > 0 { // 0 on the wire would be the class's own limit
+		field("cap", atLeastOneMS(r.MaxAge))
+	}
+	if options := joinFetchOptions(r.Options); options != "" {
+		field("do", options)
+	}
+	if r.ETag != "" {
+		field("inm", r.ETag)
+	}
+	return b
+}
+
+func atLeastOneMS(d time.Duration) string { return strconv.FormatInt(max(1, d.Milliseconds()), 10) }
+
+func joinFetchOptions(options decision.FetchOptions) string {
+	joined := ""
+	for _, o := range fetchOptionWords {
+		if options&o.option == 0 {
+			continue
+		}
+		if joined != "" {
+			joined += "+"
+		}
+		joined += o.word
+	}
+	return joined
+}
+
+// parseResponse reads a response of the words ID, STATUS, FIELDS and BODY. The last two may be absent.
+func (d *cacheDialer) parseResponse(words resp.Words) (requestID []byte, r *routing.Response, err error) {
+	if len(words) < 2 || len(words) > 4 {
+		return nil, nil, fmt.Errorf("response of %d words", len(words))
+	}
+	status, known := statusWords[string(words[1])]
+	if !known {
+		return nil, nil, fmt.Errorf("unknown response %q", words[1])
+	}
+	r = &routing.Response{Status: status, NotModified: string(words[1]) == notModifiedWord}
+	if len(words) > 3 {
+		r.Body = words[3]
+	}
+	if len(words) > 2 {
+		err = resp.Fields(words[2], func(name, value []byte) error {
+			return d.parseResponseField(r, string(name), string(value))
+		})
+	}
+	return words[0], r, err
+}
+
+func (d *cacheDialer) parseResponseField(r *routing.Response, name, value string) error {
+	switch name {
+	case "n":
+		r.CacheStatus = cacheStatusByWord[value]
+	case "rev":
+		r.ETag = value
+	case "since":
+		ms, err := strconv.ParseFloat(value, 64)
+		if err != nil || !(ms >= 0 && ms < maxGeneratedAtMS) {
+			return fmt.Errorf("field since: bad value %q", value)
+		}
+		r.GeneratedAt = time.Duration(ms * float64(time.Millisecond))
+	case "l":
+		r.Load = d.loadNames.parse(value)
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/director/core.go
@@ -0,0 +1,77 @@
+package director
+
+import (
+	"sync/atomic"
+	"time"
+
+	"stairvane.org/stairvane/internal/director/cores/events"
+	"stairvane.org/stairvane/internal/director/routing"
+	"stairvane.org/stairvane/internal/protocol/discovery"
+	"stairvane.org/stairvane/internal/transport"
+)
+
+// heartbeatInterval is the period in which a core shows that its loop runs.
+const heartbeatInterval = 50 * time.Millisecond
+
+// core is one core of a Group. All but heartbeats belongs to the core's own loop.
+type core struct {
+	group          *Group
+	index          int
+	prog           *Program
+	cursor         *events.Cursor[publishedEvents]
+	heartbeats     atomic.Int64 // raised by the core's loop, read by the stall check
+	heartbeatTimer transport.Timer
+}
+
+// publishedEvents are events as the first core received them. The graces of the rules run from receivedAt on every core.
+type publishedEvents struct {
+	discovery.WatchResponse
+	receivedAt time.Duration
+}
+
+// setHooks sets the hooks that the other cores serve.
+func (c *core) setHooks(p *Program, hooks *routing.Hooks) {
+	p.loop.Share()
+	hooks.AcquireID = func(id string) bool { return c.group.owners.Acquire(id, c.index) }
+	hooks.ReleaseID = func(id string) { c.group.owners.Release(id, c.index) }
+	hooks.SlowStartShare = c.group.slowStartBudget.Share
+	if c.index > 0 {
+		hooks.BeforeSend = func() { c.applyPublished(p) }
+		p.loop.OnWake = func() { c.applyPublished(p) }
+	}
+}
+
+// start begins the heartbeats.
+func (c *core) start(p *Program) {
+	p.frontend.isHealthy = c.group.healthy.Load
+	c.heartbeatTimer.Fire = func() {
+		c.heartbeats.Add(1)
+		now, best := p.director.ServedRate()
+		c.group.slowStartBudget.Publish(c.index, now, best, p.loop.Now())
+		p.loop.Set(&c.heartbeatTimer, p.loop.Now()+heartbeatInterval)
+	}
+	p.loop.Set(&c.heartbeatTimer, p.loop.Now())
+}
+
+// publish hands events to the other cores and wakes them. It waits for none: a core that was stalled applies the events
+// itself before it writes an attempt.
+func (c *core) publish(response discovery.WatchResponse) {
+	c.group.events.Publish(publishedEvents{response, c.prog.loop.Now()})
+	for _, other := range c.group.cores {
+		if other != c && other.prog != nil {
+			other.prog.loop.Poke()
+		}
+	}
+}
+
+// applyPublished applies the events that were published. It costs one atomic load if there are none.
+func (c *core) applyPublished(p *Program) {
+	if !c.cursor.HasNext() || p.watch == nil {
+		return
+	}
+	for e, ok := c.cursor.Next(); ok; e, ok = c.cursor.Next() {
+		p.director.SetNotifiedAt(e.receivedAt)
+		p.watch.apply(e.WatchResponse)
+		p.director.SetNotifiedAt(0)
+	}
+}
--- a/internal/director/cores/events/news_test.go
+++ b/internal/director/cores/events/log_test.go
@@ -5,19 +5,19 @@
 	"testing"
 )
 
-// Every reader gets every value once and in order, whenever it looks; one that is not behind has all.
+// Guards against a reader that misses a value, reads one twice or out of order, or sees no value although there is one.
 func TestEveryReaderGetsAll(t *testing.T) {
 	const values, readers = 20_000, 4
 	l := New[int]()
 	var wg sync.WaitGroup
 	for range readers {
-		c := l.Follow()
+		c := l.NewCursor()
 		wg.Go(func() {
 			for want := 0; want < values; {
-				behind := c.Behind()
+				hasNext := c.HasNext()
 				v, ok := c.Next()
-				if behind && !ok {
-					t.Error("behind, and nothing there")
+				if hasNext && !ok {
+					t.Error("HasNext, but no value is there")
 					return
 				}
 				if !ok {
@@ -29,24 +29,24 @@
 				}
 				want++
 			}
-			if c.Behind() || c.Number() != values {
-				t.Errorf("at %d", c.Number())
+			if c.HasNext() || c.read != values {
+				t.Errorf("%d values read", c.read)
 			}
 		})
 	}
-	l.Start()
+	l.Seal()
 	for i := range values {
 		l.Publish(i)
 	}
 	wg.Wait()
 }
 
-func BenchmarkBehind(b *testing.B) {
+func BenchmarkHasNext(b *testing.B) {
 	l := New[int]()
-	c := l.Follow()
+	c := l.NewCursor()
 	b.ReportAllocs()
 	for b.Loop() {
-		if c.Behind() {
+		if c.HasNext() {
 			b.Fatal()
 		}
 	}
--- a/internal/director/cores/owners/owners.go
+++ b/internal/director/cores/owners/owners.go
@@ -1,30 +1,30 @@
-// Package owners decides which core a request id belongs to while it is open, so that no id has attempts out on two cores
-// at once. The table is shared by all cores; it knows ids and cores alone.
+// Package owners decides which core of a process owns a request ID while the request is in flight, so that no ID has
+// attempts in flight on two cores.
 package owners
 
 import "github.com/puzpuzpuz/xsync/v4"
 
-// Table holds open ids. Its methods are safe for concurrent use; look-ups take no lock.
-type Table struct{ ids *xsync.Map[string, int] }
+// Table has the owners of the IDs in flight. Its methods are safe for concurrent use; lookups take no lock.
+type Table struct{ owners *xsync.Map[string, int] }
 
 // New makes an empty table.
-func New() *Table { return &Table{ids: xsync.NewMap[string, int]()} }
+func New() *Table { return &Table{owners: xsync.NewMap[string, int]()} }
 
-// Claim takes an id for a core; false: another core, or the same, has it.
-func (t *Table) Claim(id string, core int) bool {
-	_, taken := t.ids.LoadOrStore(id, core)
-	return !taken
+// Acquire makes a core the owner of an ID, and reports false if the ID has an owner, even if it is the same core.
+func (t *Table) Acquire(id string, core int) bool {
+	_, owned := t.owners.LoadOrStore(id, core)
+	return !owned
 }
 
-// Release gives an id back; what the core does not hold stays.
+// Release ends the ownership of an ID. It does nothing if another core is the owner.
 func (t *Table) Release(id string, core int) {
-	t.ids.Compute(id, func(owner int, held bool) (int, xsync.ComputeOp) {
-		if held && owner == core {
+	t.owners.Compute(id, func(owner int, owned bool) (int, xsync.ComputeOp) {
+		if owned && owner == core {
 			return owner, xsync.DeleteOp
 		}
 		return owner, xsync.CancelOp
 	})
 }
 
-// Len is how many ids are open.
-func (t *Table) Len() int { return t.ids.Size() }
+// Len is the number of IDs that have an owner.
+func (t *Table) Len() int { return t.owners.Size() }
--- a/internal/director/cores/owners/owners_test.go
+++ b/internal/director/cores/owners/owners_test.go
@@ -10,14 +10,13 @@
 	"github.com/anishathalye/porcupine"
 )
 
-type op struct {
+type operation struct {
 	id, core int
 	release  bool
 }
 
-// Claims and releases by four cores at once are linearizable: an id has one owner at any moment, and only its owner
-// gives it back.
-func TestLinearizable(t *testing.T) {
+// Guards against an ID with two owners, or released by another core than its owner: the operations must be linearizable.
+func TestAcquireAndReleaseAreLinearizable(t *testing.T) {
 	seed := uint64(1)
 	t.Logf("seed %d", seed)
 	table, begin := New(), time.Now()
@@ -28,12 +27,12 @@
 		rng := rand.New(rand.NewPCG(seed, uint64(core)))
 		wg.Go(func() {
 			for range 300 {
-				in := op{id: rng.IntN(3), core: core, release: rng.IntN(2) == 0}
+				in := operation{id: rng.IntN(3), core: core, release: rng.IntN(2) == 0}
 				call, out := time.Since(begin).Nanoseconds(), true
 				if in.release {
 					table.Release(fmt.Sprint(in.id), core)
 				} else {
-					out = table.Claim(fmt.Sprint(in.id), core)
+					out = table.Acquire(fmt.Sprint(in.id), core)
 				}
 				end := time.Since(begin).Nanoseconds()
 				mu.Lock()
@@ -47,14 +46,14 @@
 		Partition: func(all []porcupine.Operation) [][]porcupine.Operation {
 			parts := make([][]porcupine.Operation, 3)
 			for _, o := range all {
-				id := o.Input.(op).id
+				id := o.Input.(operation).id
 				parts[id] = append(parts[id], o)
 			}
 			return parts
 		},
 		Init: func() any { return -1 },
 		Step: func(state, input, output any) (bool, any) {
-			owner, in := state.(int), input.(op)
+			owner, in := state.(int), input.(operation)
 			switch {
 			case in.release && owner == in.core:
 				return true, -1
--- a/internal/director/cores_test.go
+++ b/internal/director/cores_test.go
@@ -15,26 +15,26 @@
 	"stairvane.org/stairvane/internal/tools/fakes"
 )
 
-// cluster is a director on some cores between stand-in caches and a bulletin that tells what the test says.
-type cluster struct {
-	t     *testing.T
-	g     *Group
-	addr  string
-	boxes []*fakes.Cache
-	news  chan string
-	ended chan error
+// testGroup is a director on some cores between stand-in caches and a bulletin that tells what the test says.
+type testGroup struct {
+	t      *testing.T
+	group  *Group
+	addr   string
+	caches []*fakes.Cache
+	events chan string
+	exited chan error
 }
 
-func newCluster(t *testing.T, cores, boxes int) *cluster {
-	return newClusterWith(t, cores, boxes, settings)
+func newTestGroup(t *testing.T, cores, boxes int) *testGroup {
+	return newTestGroupWith(t, cores, boxes, testSettings)
 }
 
-func newClusterWith(t *testing.T, cores, boxes int, settings string) *cluster {
-	c := &cluster{t: t, news: make(chan string, 8), ended: make(chan error, 1)}
+func newTestGroupWith(t *testing.T, cores, boxes int, settings string) *testGroup {
+	c := &testGroup{t: t, events: make(chan string, 8), exited: make(chan error, 1)}
 	stop := make(chan struct{})
 	bulletin := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		select {
-		case text := <-c.news:
+		case text := <-c.events:
 			fmt.Fprint(w, text)
 		case <-stop:
 		}
@@ -43,37 +43,37 @@
 	var hosts []string
 	for i := range boxes {
 		b, err := fakes.NewCache("127.0.0.1:0")
-		check(t, err)
+		must(t, err)
 		t.Cleanup(b.Close)
-		c.boxes = append(c.boxes, b)
+		c.caches = append(c.caches, b)
 		hosts = append(hosts, c.host(i, "in_service"))
 	}
 	conf, err := config.Parse(fmt.Appendf(nil, `{"name":"n","listen":"127.0.0.1:0","seed":"1","bulletin":%q,"limits":{"memory_mb":192,"sockets":2048},
 		"known":{"no":1,"items":[{"no":1,"roster":{"seq":1,"whole":true,"hosts":[%s]}}]},"settings":%s}`,
 		bulletin.Listener.Addr(), strings.Join(hosts, ","), settings), "", "")
-	check(t, err)
-	c.g, err = NewGroup(conf, cores)
-	check(t, err)
-	addr, err := c.g.Addr()
-	check(t, err)
+	must(t, err)
+	c.group, err = NewGroup(conf, cores)
+	must(t, err)
+	addr, err := c.group.Addr()
+	must(t, err)
 	c.addr = addr.String()
-	go func() { c.ended <- c.g.Run() }()
+	go func() { c.exited <- c.group.Run() }()
 	t.Cleanup(func() {
-		c.g.Leave()
-		check(t, <-c.ended)
-		if n := c.g.owners.Len(); n > 0 {
+		c.group.Shutdown()
+		must(t, <-c.exited)
+		if n := c.group.owners.Len(); n > 0 {
 			t.Errorf("%d ids are open after the end", n)
 		}
 	})
 	return c
 }
 
-func (c *cluster) host(i int, health string) string {
-	return fmt.Sprintf(`{"host":"s-%d","dial":%q,"site":"west","class":"std","health":%q,"share":1}`, i, c.boxes[i].Addr(), health)
+func (c *testGroup) host(i int, health string) string {
+	return fmt.Sprintf(`{"host":"s-%d","dial":%q,"site":"west","class":"std","health":%q,"share":1}`, i, c.caches[i].Addr(), health)
 }
 
 // load has some clients send requests, and adds up what they got.
-func (c *cluster) load(clients, each int, pause time.Duration) (sum fakes.Tally) {
+func (c *testGroup) load(clients, each int, pause time.Duration) (sum fakes.Tally) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for range clients {
@@ -92,7 +92,7 @@
 					time.Sleep(pause)
 				}
 			}
-			t := client.Finish(patience)
+			t := client.Finish(testTimeout)
 			mu.Lock()
 			defer mu.Unlock()
 			addTally(&sum, t)
@@ -112,15 +112,15 @@
 func TestCoresAnswerOnceAndDrainInTime(t *testing.T) {
 	for _, cores := range []int{1, 2, 4} {
 		t.Run(fmt.Sprint(cores), func(t *testing.T) {
-			c := newCluster(t, cores, 4)
+			c := newTestGroup(t, cores, 4)
 			got := make(chan fakes.Tally, 1)
 			go func() { got <- c.load(24, 300, 80*time.Millisecond) }()
-			for end := time.Now().Add(patience); len(c.boxes[0].Attempts()) < 100; time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(testTimeout); len(c.caches[0].Attempts()) < 100; time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatal("no load")
 				}
 			}
-			last := c.g.cores[cores-1].prog
+			last := c.group.cores[cores-1].prog
 			stalled := make(chan struct{})
 			stall := 300 * time.Millisecond
 			if cores > 1 { // longer than the grace: on waking, requests that came before the news are read before it
@@ -129,7 +129,7 @@
 			last.Post(func() { close(stalled); time.Sleep(stall) })
 			<-stalled
 			time.Sleep(100 * time.Millisecond)
-			c.news <- fmt.Sprintf(`{"no":2,"items":[{"no":2,"roster":{"seq":2,"whole":false,"hosts":[%s]}}]}`, c.host(0, "terminating"))
+			c.events <- fmt.Sprintf(`{"no":2,"items":[{"no":2,"roster":{"seq":2,"whole":false,"hosts":[%s]}}]}`, c.host(0, "terminating"))
 			told := time.Now()
 			sum := <-got
 			t.Logf("%+v", sum)
@@ -137,7 +137,7 @@
 				t.Errorf("%+v", sum)
 			}
 			latest, busy := time.Duration(0), 0
-			for _, o := range c.boxes[0].Attempts() {
+			for _, o := range c.caches[0].Attempts() {
 				latest = max(latest, o.At.Sub(told))
 			}
 			if latest > 500*time.Millisecond {
@@ -145,7 +145,7 @@
 			}
 			t.Logf("last sent to the drained box %v after it was told", latest)
 			counts := make(chan int64, cores)
-			c.g.post(func(p *Program) { counts <- p.director.Counters.Accepted })
+			c.group.onAllCores(func(p *Program) { counts <- p.director.Counters.Accepted })
 			for range cores {
 				if <-counts > 0 {
 					busy++
@@ -160,12 +160,12 @@
 
 // The same id on connections of different cores at once: one is served, and the cache sees it once at any moment.
 func TestOneIDOnTwoCores(t *testing.T) {
-	silent := newCache(t) // answers when the test says so
-	c := newCluster(t, 4, 1)
-	c.news <- fmt.Sprintf(`{"no":2,"items":[{"no":2,"roster":{"seq":2,"whole":true,"hosts":[%s]}}]}`, silent.host("s-9", "in_service"))
+	silent := newScriptedCache(t) // answers when the test says so
+	c := newTestGroup(t, 4, 1)
+	c.events <- fmt.Sprintf(`{"no":2,"items":[{"no":2,"roster":{"seq":2,"whole":true,"hosts":[%s]}}]}`, silent.host("s-9", "in_service"))
 	seen := make(chan bool, 4)
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
-		c.g.post(func(p *Program) { seen <- p.watch.applied >= 2 })
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
+		c.group.onAllCores(func(p *Program) { seen <- p.watch.applied >= 2 })
 		all := true
 		for range 4 {
 			all = <-seen && all
@@ -177,16 +177,16 @@
 			t.Fatal("not told")
 		}
 	}
-	var peers []*peer
+	var peers []*scriptedConn
 	for range 16 {
 		conn, err := net.Dial("tcp", c.addr)
-		check(t, err)
-		p := newPeer(t, conn)
-		p.submit(ridA, objA)
+		must(t, err)
+		p := newScriptedConn(t, conn)
+		p.submit(requestA, objectA)
 		peers = append(peers, p)
 	}
 	box := silent.accept()
-	id, _ := box.order()
+	id, _ := box.request()
 	failed := make(chan reply, len(peers))
 	for _, p := range peers {
 		go func() { failed <- p.reply() }()
@@ -211,11 +211,11 @@
 // keep what the rule lets it have over every window; with a budget for each core they sent it 1.5 times that.
 func TestCoresTogetherKeepAColdBoxesBudget(t *testing.T) {
 	const window, send = time.Second, 2 * time.Millisecond // the size of a request over the pace of a transfer
-	nominal := strings.NewReplacer(`"Zone":"west"`, `"Zone":"west","Weights":"nominal"`, `"Fall":3000`, `"Fall":1000`).Replace(settings)
-	c := newClusterWith(t, 4, 2, nominal)
+	nominal := strings.NewReplacer(`"Zone":"west"`, `"Zone":"west","Weights":"nominal"`, `"Fall":3000`, `"Fall":1000`).Replace(testSettings)
+	c := newTestGroupWith(t, 4, 2, nominal)
 	got := make(chan fakes.Tally, 1)
 	go func() { got <- c.load(24, 112, 480*time.Millisecond) }()
-	for end := time.Now().Add(patience); len(c.boxes[0].Attempts())+len(c.boxes[1].Attempts()) < 200; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); len(c.caches[0].Attempts())+len(c.caches[1].Attempts()) < 200; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("no load")
 		}
@@ -223,16 +223,16 @@
 	started := time.Now()
 	line := func(i int, share float64, born int64) string {
 		return fmt.Sprintf(`{"host":"s-%d","dial":%q,"site":"west","class":"std","health":"in_service","share":%g,"born_ms":%d}`,
-			i, c.boxes[i].Addr(), share, born)
+			i, c.caches[i].Addr(), share, born)
 	}
-	c.news <- fmt.Sprintf(`{"no":2,"items":[{"no":2,"roster":{"seq":2,"whole":false,"hosts":[%s,%s]}}]}`,
+	c.events <- fmt.Sprintf(`{"no":2,"items":[{"no":2,"roster":{"seq":2,"whole":false,"hosts":[%s,%s]}}]}`,
 		line(0, 0.25, 0), line(1, 1, started.UnixMilli()))
 	sum := <-got
 	if sum.Served+sum.Refused+sum.Failed != sum.Sent || sum.Doubled+sum.Lost > 0 || sum.Served < sum.Sent/2 {
 		t.Errorf("%+v", sum)
 	}
 	var at []time.Duration // of the attempts at the cold box, since its start
-	for _, o := range c.boxes[1].Attempts() {
+	for _, o := range c.caches[1].Attempts() {
 		if since := o.At.Sub(started); since > 50*time.Millisecond { // until the news has reached all cores
 			at = append(at, since)
 		}
--- /dev/null
+++ b/internal/director/group.go
@@ -0,0 +1,223 @@
+package director
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+	"net/netip"
+	"reflect"
+	"runtime"
+	"runtime/debug"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"stairvane.org/stairvane/internal/director/config"
+	"stairvane.org/stairvane/internal/director/cores/budget"
+	"stairvane.org/stairvane/internal/director/cores/events"
+	"stairvane.org/stairvane/internal/director/cores/owners"
+	"stairvane.org/stairvane/internal/director/cores/stalls"
+	"stairvane.org/stairvane/internal/director/routing"
+)
+
+const (
+	maxCores           = 256
+	stallCheckInterval = 100 * time.Millisecond
+	// stallTimeout is how long a core may show no heartbeat until it counts as stalled.
+	stallTimeout = time.Second
+	// bestRateFade is the time in which the best served rate falls to 1/e, in longest deadlines, as in the decision module.
+	bestRateFade = 4
+	// seedStep spreads the seeds of the cores over all 64 bits: the golden ratio.
+	seedStep   = 0x9e3779b97f4a7c15
+	stackBytes = 64 << 10 // of all goroutines, logged with a stalled core
+)
+
+// Group is a director on several cores, which are divided by connection: each core accepts clients, decides, and has its
+// own connections to caches. The cores share the events, which one of them watches, the request IDs in flight, the slow
+// start budget and their health. Limits are divided among them.
+type Group struct {
+	cores           []*core
+	events          *events.Log[publishedEvents]
+	owners          *owners.Table
+	slowStartBudget *budget.Ledger
+	healthy         atomic.Bool
+}
+
+// NewGroup builds a director on some cores. With one core it is the director of New.
+func NewGroup(c config.Config, cores int) (*Group, error) {
+	if cores < 1 || cores > maxCores {
+		return nil, fmt.Errorf("cores: %d is not from 1 to %d", cores, maxCores)
+	}
+	maxDeadline := time.Duration(0)
+	for _, class := range c.Settings.Classes {
+		maxDeadline = max(maxDeadline, class.Deadline)
+	}
+	g := &Group{
+		events:          events.New[publishedEvents](),
+		owners:          owners.New(),
+		slowStartBudget: budget.New(cores, bestRateFade*maxDeadline),
+	}
+	g.healthy.Store(true)
+	if cores == 1 {
+		p, err := New(c)
+		g.cores = []*core{{group: g, prog: p}}
+		return g, err
+	}
+	if err := g.addCores(c, cores); err != nil {
+		return nil, err
+	}
+	return g, nil
+}
+
+func (g *Group) addCores(c config.Config, cores int) error {
+	c.Settings.Directors = orDefault("settings.Balancers", c.Settings.Directors, defaultDirectors)
+	share := divide(c, cores)
+	for i := range cores {
+		g.cores = append(g.cores, &core{group: g, index: i, cursor: g.events.NewCursor()})
+	}
+	g.events.Seal()
+	for _, own := range g.cores {
+		share.Seed = c.Seed + uint64(own.index)*seedStep
+		p, err := newProgram(share, own)
+		if err != nil {
+			for _, other := range g.cores[:own.index] {
+				other.prog.loop.Release()
+			}
+			return err
+		}
+		own.prog = p
+		// Where the port is 0, the other cores share the one that was found.
+		if share.Listen, err = p.Addr(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// divide gives a core its share of the limits. Where directors divide a common limit, each core counts as a director.
+func divide(c config.Config, cores int) config.Config {
+	c.MemoryMB /= cores
+	c.Sockets /= cores
+	if c.Settings.MaxOpen > 0 {
+		c.Settings.MaxOpen = max(1, c.Settings.MaxOpen/cores)
+	}
+	c.Settings.Directors = max(1, c.Settings.Directors) * cores
+	c.Settings.DirectorsByZone = slices.Clone(c.Settings.DirectorsByZone)
+	for i := range c.Settings.DirectorsByZone {
+		c.Settings.DirectorsByZone[i] *= cores
+	}
+	return c
+}
+
+// Run serves until all cores have shut down. When a core panics, the others shut down gracefully, and the panic is
+// returned as an error.
+func (g *Group) Run() error {
+	if len(g.cores) == 1 {
+		return g.cores[0].prog.Run()
+	}
+	errs := make([]error, len(g.cores))
+	stop := make(chan struct{})
+	go g.checkStalls(stop)
+	var wg sync.WaitGroup
+	for i, c := range g.cores {
+		wg.Go(func() { errs[i] = g.runCore(c) })
+	}
+	wg.Wait()
+	close(stop)
+	return errors.Join(errs...)
+}
+
+func (g *Group) runCore(c *core) (err error) {
+	defer func() {
+		if r := recover(); r != nil {
+			slog.Error("core.panicked", "core", c.index, "panic", fmt.Sprint(r), "stack", string(debug.Stack()))
+			err = fmt.Errorf("core %d: %v", c.index, r)
+			g.healthy.Store(false)
+			g.Shutdown()
+		}
+	}()
+	return c.prog.Run()
+}
+
+// checkStalls has clients' heartbeats fail while a core is stalled. It ends when stop is closed.
+func (g *Group) checkStalls(stop <-chan struct{}) {
+	detector := stalls.New(len(g.cores), stallTimeout)
+	begin := time.Now()
+	heartbeats := make([]int64, len(g.cores))
+	ticker := time.NewTicker(stallCheckInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-stop:
+			return
+		case <-ticker.C:
+		}
+		for i, c := range g.cores {
+			heartbeats[i] = c.heartbeats.Load()
+		}
+		stalled, recovered := detector.Check(heartbeats, time.Since(begin))
+		for _, i := range stalled {
+			stacks := make([]byte, stackBytes)
+			slog.Error("core.stalled", "core", i, "stacks", string(stacks[:runtime.Stack(stacks, true)]))
+		}
+		for _, i := range recovered {
+			slog.Info("core.recovered", "core", i)
+		}
+		if len(stalled)+len(recovered) > 0 {
+			g.healthy.Store(detector.Healthy())
+		}
+	}
+}
+
+// onAllCores runs f on every core's loop, without waiting for any of them.
+func (g *Group) onAllCores(f func(*Program)) {
+	for _, c := range g.cores {
+		go c.prog.Post(func() { f(c.prog) })
+	}
+}
+
+// Addr is the address where clients connect.
+func (g *Group) Addr() (netip.AddrPort, error) { return g.cores[0].prog.Addr() }
+
+// Shutdown begins the graceful shutdown on all cores.
+func (g *Group) Shutdown() { g.onAllCores((*Program).Leave) }
+
+// Reload applies a configuration that was read again. The first core alone watches the event stream.
+func (g *Group) Reload(c config.Config) {
+	c = divide(c, len(g.cores))
+	first := g.cores[0].prog
+	c.Listen = first.config.Listen
+	first.Post(func() { first.Reload(c) })
+}
+
+// PrintCounts logs the counters, added up over all cores.
+func (g *Group) PrintCounts() {
+	if len(g.cores) == 1 {
+		g.cores[0].prog.Post(g.cores[0].prog.PrintCounts)
+		return
+	}
+	var mu sync.Mutex
+	var frontend FrontendCounters
+	var director routing.Counters
+	missing := len(g.cores)
+	g.onAllCores(func(p *Program) {
+		mu.Lock()
+		defer mu.Unlock()
+		addCounters(&frontend, p.frontend.Counters)
+		addCounters(&director, p.director.Counters)
+		missing--
+		if missing == 0 {
+			slog.Info("counts", "front", frontend, "director", director, "cores", len(g.cores), "ids_open", g.owners.Len())
+		}
+	})
+}
+
+// addCounters adds the fields of a set of counters, which are all int64, to a sum.
+func addCounters[T any](sum *T, counters T) {
+	to := reflect.ValueOf(sum).Elem()
+	from := reflect.ValueOf(counters)
+	for i := range to.NumField() {
+		to.Field(i).SetInt(to.Field(i).Int() + from.Field(i).Int())
+	}
+}
--- a/internal/director/health.go
+++ b/internal/director/health.go
@@ -10,52 +10,53 @@
 	"stairvane.org/stairvane/internal/transport"
 )
 
+// healthInterval is the period in which changes of the aggregated health are given to the decision module.
 const healthInterval = 100 * time.Millisecond
 
-// healthReporter is the shell of signals.Witness and signals.Believer: it sends what the decision module observed of caches to
-// the control plane, and gives the aggregated health of caches to the decision module.
+// healthReporter sends what the decision module observed of caches to the control plane, and gives the aggregated health
+// of caches to the decision module.
 type healthReporter struct {
-	prog         *Program
-	witness      *health.Reporter
-	believer     *health.Tracker
-	publishTimer transport.Timer
+	prog     *Program
+	reporter *health.Reporter
+	tracker  *health.Tracker
+	timer    transport.Timer
 }
 
-func newHealthReporter(p *Program, id string) *healthReporter {
-	s := &healthReporter{prog: p, witness: health.NewReporter(health.DefaultSettings, id), believer: health.NewTracker(health.DefaultSettings, id)}
-	s.publishTimer.Fire = s.publish
-	p.loop.Set(&s.publishTimer, p.loop.Now()+healthInterval)
-	return s
+func newHealthReporter(p *Program, directorID string) *healthReporter {
+	h := &healthReporter{
+		prog:     p,
+		reporter: health.NewReporter(health.DefaultSettings, directorID),
+		tracker:  health.NewTracker(health.DefaultSettings, directorID),
+	}
+	h.timer.Fire = h.publish
+	p.loop.Set(&h.timer, p.loop.Now()+healthInterval)
+	return h
 }
 
-// report is the health report that goes with a watch request, as JSON.
-func (s *healthReporter) report(now time.Duration) json.RawMessage {
-	s.prog.director.HostOutcomes(s.witness.Record)
-	b, err := json.Marshal(s.witness.Report(now))
-	if err != nil {
-		panic(err) // texts and numbers
-	}
-	return b
+// report is the health report that goes with a poll, as JSON.
+func (h *healthReporter) report(now time.Duration) json.RawMessage {
+	h.prog.director.HostOutcomes(h.reporter.Record)
+	return mustMarshal(h.reporter.Report(now))
 }
 
-// takeAggregate applies the aggregated health from the answer to a request made at a moment.
-func (s *healthReporter) takeAggregate(raw json.RawMessage, called time.Duration) {
-	var o health.AggregatedHealth
-	if err := json.Unmarshal(raw, &o); err != nil {
-		slog.Warn("signals.malformed", "err", err)
+// takeAggregate takes in the aggregated health from the response to a poll that was sent at a time of the boot clock.
+func (h *healthReporter) takeAggregate(raw json.RawMessage, requestedAt time.Duration) {
+	var aggregate health.AggregatedHealth
+	if err := json.Unmarshal(raw, &aggregate); err != nil {
+		slog.Warn("health.malformed", "err", err)
 		return
 	}
-	s.believer.Take(o, called)
-	s.publish()
+	h.tracker.Take(aggregate, requestedAt)
+	h.publish()
 }
 
 // publish gives the decision module the changes of suspected caches.
-func (s *healthReporter) publish() {
-	s.prog.loop.Set(&s.publishTimer, s.prog.loop.Now()+healthInterval)
-	for _, c := range s.believer.Changes(bootTime()) {
+func (h *healthReporter) publish() {
+	h.prog.loop.Set(&h.timer, h.prog.loop.Now()+healthInterval)
+	for _, c := range h.tracker.Changes(bootTime()) {
 		if c.FailureShare == 0 || c.Previous == 0 {
 			slog.Info("signals.doubted", "box", c.Cache, "bad", math.Round(100*c.FailureShare)/100)
 		}
-		s.prog.director.SetAggregatedHealth(c.Cache, c.FailureShare)
+		h.prog.director.SetAggregatedHealth(c.Cache, c.FailureShare)
 	}
 }
--- a/internal/director/membership.go
+++ b/internal/director/membership.go
@@ -6,231 +6,207 @@
 	"slices"
 	"time"
 
-	"golang.org/x/sys/unix"
-
 	"stairvane.org/stairvane/internal/decision"
 	"stairvane.org/stairvane/internal/director/config"
+	"stairvane.org/stairvane/internal/director/routing"
 	"stairvane.org/stairvane/internal/protocol/discovery"
-	"stairvane.org/stairvane/internal/quota"
 	"stairvane.org/stairvane/internal/transport"
 )
 
-// MembershipLease is how long a director may act as a member after the watch request that was answered last. The control
+// MembershipLease is how long a director may act as a member after it sent the poll that was answered last. The control
 // plane counts with the same length.
 const MembershipLease = 400 * time.Millisecond
 
-// QuotaSettings are those of leased shares of common limits; the control plane's are the same.
-var QuotaSettings = quota.Settings{Lease: MembershipLease, Drift: 0.02, Reserve: 0.2, Fades: 20 * time.Second, Floor: 0.2, Hold: 0.05}
-
-const sharesInterval = 20 * time.Millisecond
-
-const coldLimitPrefix = "cold:"
-
-const shrinkDelay = 10 * time.Second // for which the membership must be smaller before limits are divided by the smaller number
-
-// bootTime is the time since the machine started, suspension included: a lease must expire while the machine is suspended.
-func bootTime() time.Duration {
-	var ts unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		panic(err) // no Linux lacks it
-	}
-	return time.Duration(ts.Nano())
-}
+// shrinkDelay is how long the membership must be smaller before limits are divided by the smaller number.
+const shrinkDelay = 10 * time.Second
 
-// membershipClient is the director's side of the membership: it announces the director with each watch request and applies
-// the changes of the membership.
+// membershipClient is the director's side of the membership: it announces the director with each poll of the event stream
+// and applies the changes of the membership.
 type membershipClient struct {
-	prog         *Program
-	self         discovery.Director
-	claims       *claimer // nil: idempotency claims are off
-	applied      int64    // number of the last membership event that was applied
-	leaving      bool
-	locations    map[string]string   // by director ID, of all members
-	counted      decision.PeerCounts // as the decision module was given it
-	shrinkTimer  transport.Timer
-	quota        *quota.Holder
-	shares       map[string]float64 // of cold caches' budgets, as the decision module was given them
-	publishTimer transport.Timer
-	lastRenewal  time.Duration   // when the watch request was made that was answered last
-	maxStaleness time.Duration   // 0: unlimited
-	fenced       bool            // the staleness limit was exceeded, and that was logged
-	health       *healthReporter // nil: health reports are off
+	prog        *Program
+	self        discovery.Director
+	applied     int64             // revision of the last applied membership event
+	locations   map[string]string // of all members, by director ID
+	peerCounts  decision.PeerCounts
+	shrinkTimer transport.Timer
+	leaving     bool
+
+	lastRenewal  time.Duration // when the poll was sent that was answered last, on the boot clock
+	maxStaleness time.Duration // 0: unlimited
+	fenced       bool          // the staleness limit is exceeded, and that was logged
+
+	quota  *quotaClient
+	claims *claimsService  // nil: idempotency claims are off
+	health *healthReporter // nil: health reports are off
 }
 
 func newMembershipClient(p *Program, c config.Config) (*membershipClient, error) {
-	r := &membershipClient{prog: p, locations: map[string]string{}, self: discovery.Director{
-		Name: c.Name, Incarnation: c.Membership.Incarnation, Location: c.Settings.Zone,
-		Machine: c.Membership.Machine, Site: c.Membership.Site, Version: c.Membership.Version,
-	}}
-	r.counted.Total = max(1, c.Settings.Directors)
-	r.counted.InZone = r.counted.Total
-	if i := slices.Index(c.Settings.Zones, c.Settings.Zone); i >= 0 && i < len(c.Settings.DirectorsByZone) {
-		r.counted.InZone = c.Settings.DirectorsByZone[i]
-	}
-	r.maxStaleness = c.Membership.MaxStaleness
-	r.quota, r.shares = quota.NewHolder(r.self.ID(), QuotaSettings), map[string]float64{}
-	r.publishTimer.Fire = r.publishShares
-	p.loop.Set(&r.publishTimer, p.loop.Now()+sharesInterval)
+	m := &membershipClient{
+		prog:         p,
+		locations:    map[string]string{},
+		maxStaleness: c.Membership.MaxStaleness,
+		peerCounts:   configuredPeers(c),
+		self: discovery.Director{
+			Name:        c.Name,
+			Incarnation: c.Membership.Incarnation,
+			Location:    c.Settings.Zone,
+			Machine:     c.Membership.Machine,
+			Site:        c.Membership.Site,
+			Version:     c.Membership.Version,
+		},
+	}
+	m.quota = newQuotaClient(p, m.self.ID())
 	if c.Membership.Health {
-		r.health = newHealthReporter(p, r.self.ID())
+		m.health = newHealthReporter(p, m.self.ID())
 	}
 	if c.Claims == nil {
-		return r, nil
+		return m, nil
 	}
-	var err error
-	if r.claims, err = newClaimer(p, c, r.self); err == nil {
-		r.self = r.claims.own
+	claims, err := newClaimsService(p, c, m.self)
+	if err != nil {
+		return nil, err
 	}
-	return r, err
+	m.claims = claims
+	m.self = claims.self
+	return m, nil
 }
 
-// announcement is the announcement that goes with a watch request, as JSON.
-func (r *membershipClient) announcement() []byte {
-	a := discovery.Announcement{Director: r.self, MembershipRevision: r.applied, Leaving: r.leaving, Config: r.prog.config.Fingerprint}
-	if r.claims != nil {
-		a.ReadyShards = r.claims.node.Incomplete()
+// configuredPeers are the directors to count with until the membership is known.
+func configuredPeers(c config.Config) decision.PeerCounts {
+	total := max(1, c.Settings.Directors)
+	counts := decision.PeerCounts{InZone: total, Total: total}
+	if i := slices.Index(c.Settings.Zones, c.Settings.Zone); i >= 0 && i < len(c.Settings.DirectorsByZone) {
+		counts.InZone = c.Settings.DirectorsByZone[i]
 	}
-	if !r.leaving {
-		r.updateDemands()
+	return counts
+}
+
+// setHooks sets the hooks that the membership serves.
+func (m *membershipClient) setHooks(hooks *routing.Hooks) {
+	hooks.QuotaExpired = m.quota.shareExpired
+	if m.maxStaleness > 0 {
+		hooks.IsStale = m.isStale
 	}
-	var err error
-	if a.QuotaRenewal, err = json.Marshal(r.quota.Renewal(bootTime())); err != nil {
-		panic(err) // texts and numbers
+	if m.claims != nil {
+		hooks.Claims = m.claims
 	}
-	if r.health != nil {
-		a.HealthReport = r.health.report(bootTime())
+}
+
+// announcement is what the director announces with a poll, as JSON.
+func (m *membershipClient) announcement() []byte {
+	a := discovery.Announcement{
+		Director:           m.self,
+		MembershipRevision: m.applied,
+		Leaving:            m.leaving,
+		Config:             m.prog.config.Fingerprint,
 	}
-	b, err := json.Marshal(a)
+	if m.claims != nil {
+		a.ReadyShards = m.claims.node.Incomplete()
+	}
+	if !m.leaving {
+		m.quota.updateDemands()
+	}
+	a.QuotaRenewal = m.quota.renewal()
+	if m.health != nil {
+		a.HealthReport = m.health.report(bootTime())
+	}
+	return mustMarshal(a)
+}
+
+// mustMarshal is the JSON of a message, which has only texts and numbers.
+func mustMarshal(message any) []byte {
+	b, err := json.Marshal(message)
 	if err != nil {
-		panic(err) // texts and numbers
+		panic(err)
 	}
 	return b
 }
 
-// renewed records that a watch request was answered: the director is a member until the lease, counted from the request,
-// is over.
-func (r *membershipClient) renewed(called time.Duration) {
-	r.lastRenewal = max(r.lastRenewal, called)
-	if r.claims != nil && !r.leaving {
-		r.claims.node.Lease(called + MembershipLease)
+// acceptResponse takes in the response to a poll that was sent at a time of the boot clock. From then on the director is
+// a member for the length of the lease.
+func (m *membershipClient) acceptResponse(response discovery.WatchResponse, requestedAt time.Duration) {
+	m.lastRenewal = max(m.lastRenewal, requestedAt)
+	if m.claims != nil && !m.leaving {
+		m.claims.node.Lease(requestedAt + MembershipLease)
+	}
+	if len(response.QuotaGrant) > 0 {
+		m.quota.takeGrant(response.QuotaGrant)
+	}
+	if len(response.AggregatedHealth) > 0 && m.health != nil {
+		m.health.takeAggregate(response.AggregatedHealth, requestedAt)
 	}
 }
 
 // applyChange applies a change of the membership.
-func (r *membershipClient) applyChange(no int64, c *discovery.Membership) {
-	r.applied = max(r.applied, no)
-	if c.Snapshot {
-		clear(r.locations)
+func (m *membershipClient) applyChange(revision int64, change *discovery.Membership) {
+	m.applied = max(m.applied, revision)
+	if change.Snapshot {
+		clear(m.locations)
 	}
-	for _, id := range c.Left {
-		delete(r.locations, id)
+	for _, id := range change.Left {
+		delete(m.locations, id)
 	}
-	for _, d := range c.Joined {
-		r.locations[d.ID()] = d.Location
+	for _, d := range change.Joined {
+		m.locations[d.ID()] = d.Location
 	}
-	if len(c.Joined)+len(c.Left) > 0 || c.Snapshot {
-		r.countDirectors()
+	if len(change.Joined)+len(change.Left) > 0 || change.Snapshot {
+		m.countPeers()
 	}
-	if r.claims != nil {
-		r.claims.news(c)
+	if m.claims != nil {
+		m.claims.applyMembership(change)
 	}
 }
 
-// updateDemands updates what this director would send to cold caches.
-func (r *membershipClient) updateDemands() {
-	wanted := map[string]bool{}
-	r.prog.director.SlowStartDemand(func(host string, demand float64) {
-		wanted[host] = true
-		r.quota.Want(quota.Want{Limit: coldLimitPrefix + host, Kind: quota.Rate, Demand: max(demand, 0.001)})
-		if _, told := r.shares[host]; !told {
-			r.shares[host] = -1
-		}
-	})
-	for host := range r.shares {
-		if !wanted[host] { // it is warm, or gone
-			r.quota.Want(quota.Want{Limit: coldLimitPrefix + host})
-			r.prog.director.SetQuotaShare(host, -1)
-			delete(r.shares, host)
+// countPeers gives the decision module the number of directors to divide limits by. More count at once. Fewer count after
+// a delay: a director that has left may only have lost its connection, and at a start of the fleet members join one by one.
+func (m *membershipClient) countPeers() {
+	present := decision.PeerCounts{Total: len(m.locations)}
+	for _, location := range m.locations {
+		if location == m.self.Location {
+			present.InZone++
 		}
 	}
-}
-
-// takeGrant takes in what the board has takeGrant.
-func (r *membershipClient) takeGrant(raw json.RawMessage) {
-	var g quota.Grant
-	if err := json.Unmarshal(raw, &g); err != nil {
-		slog.Warn("turns.malformed", "err", err)
+	m.setPeerCounts(decision.PeerCounts{
+		InZone: max(present.InZone, m.peerCounts.InZone),
+		Total:  max(present.Total, m.peerCounts.Total),
+	})
+	m.shrinkTimer.Stop()
+	if present == m.peerCounts {
 		return
 	}
-	r.quota.Take(g, bootTime())
-	r.publishShares()
+	m.shrinkTimer.Fire = func() { m.setPeerCounts(present) }
+	m.prog.loop.Set(&m.shrinkTimer, m.prog.loop.Now()+shrinkDelay)
 }
 
-// publishShares gives the decision module the shares that are in force.
-func (r *membershipClient) publishShares() {
-	now := bootTime()
-	for host, told := range r.shares {
-		if part := r.quota.Part(coldLimitPrefix+host, now); part != told {
-			r.shares[host] = part
-			r.prog.director.SetQuotaShare(host, part)
-		}
+func (m *membershipClient) setPeerCounts(counts decision.PeerCounts) {
+	if counts != m.peerCounts {
+		m.peerCounts = counts
+		m.prog.director.SetPeerCounts(counts)
 	}
-	r.prog.loop.Set(&r.publishTimer, r.prog.loop.Now()+sharesInterval)
 }
 
-// shareExpired reports whether the share on which an attempt at a host was decided is over: the process may have been
-// paused since.
-func (r *membershipClient) shareExpired(host string) bool {
-	told, cold := r.shares[host]
-	return cold && told > 0 && r.quota.Part(coldLimitPrefix+host, bootTime()) < told/2
-}
-
-// stale reports whether the director's events are older than the staleness limit at this moment. A stale director begins
-// no attempts, whether it was paused, is cut off, or the control plane is gone.
-func (r *membershipClient) stale() bool {
-	if r.maxStaleness == 0 {
-		return false
-	}
-	old := bootTime() - r.lastRenewal
-	if shut := old > r.maxStaleness; shut != r.fenced {
-		r.fenced = shut
-		if shut {
-			slog.Error("straggler.shut", "news_ms", old.Milliseconds(), "most_ms", r.maxStaleness.Milliseconds(), "after", r.prog.watch.applied)
+// isStale reports whether the director's events are older than the staleness limit. A stale director starts no attempts,
+// whether it was paused, is partitioned, or the control plane is gone.
+func (m *membershipClient) isStale() bool {
+	age := bootTime() - m.lastRenewal
+	stale := age > m.maxStaleness
+	if stale != m.fenced {
+		m.fenced = stale
+		if stale {
+			slog.Error("straggler.shut", "news_ms", age.Milliseconds(), "most_ms", m.maxStaleness.Milliseconds(),
+				"after", m.prog.watch.applied)
 		} else {
-			slog.Info("straggler.back", "after", r.prog.watch.applied)
-		}
-	}
-	return r.fenced
-}
-
-// countDirectors gives the decision module the number of directors to divide by. More count at once, fewer only after a
-// while: one that has left may only have lost its connection, and at a start of the fleet members join one by one.
-func (r *membershipClient) countDirectors() {
-	f := decision.PeerCounts{Total: len(r.locations)}
-	for _, location := range r.locations {
-		if location == r.self.Location {
-			f.InZone++
-		}
-	}
-	told := decision.PeerCounts{InZone: max(f.InZone, r.counted.InZone), Total: max(f.Total, r.counted.Total)}
-	if told != r.counted {
-		r.counted = told
-		r.prog.director.SetPeerCounts(told)
-	}
-	if r.shrinkTimer.Stop(); f != told {
-		r.shrinkTimer.Fire = func() {
-			r.counted = f
-			r.prog.director.SetPeerCounts(f)
+			slog.Info("straggler.back", "after", m.prog.watch.applied)
 		}
-		r.prog.loop.Set(&r.shrinkTimer, r.prog.loop.Now()+shrinkDelay)
 	}
+	return stale
 }
 
-// leave gives up the director's shares and claims.
-func (r *membershipClient) leave() {
-	r.leaving = true
-	r.quota.Leave()
-	if r.claims != nil {
-		r.claims.node.Lease(0)
+// leave gives up the director's quotas and claims.
+func (m *membershipClient) leave() {
+	m.leaving = true
+	m.quota.leave()
+	if m.claims != nil {
+		m.claims.node.Lease(0)
 	}
 }
--- a/internal/director/peers_test.go
+++ b/internal/director/peers_test.go
@@ -18,49 +18,49 @@
 	"stairvane.org/stairvane/internal/director/config"
 )
 
-// patience is how long a scripted peer waits for what must come; a story that keeps its word never spends it.
-const patience = 10 * time.Second
+// testTimeout is how long a scripted peer waits for what must come; a story that keeps its word never spends it.
+const testTimeout = 10 * time.Second
 
-func check(t *testing.T, err error) {
+func must(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
 	}
 }
 
-// cache is a scripted cache.
-type cache struct {
-	t  *testing.T
-	ln net.Listener
+// scriptedCache is a scripted cache.
+type scriptedCache struct {
+	t        *testing.T
+	listener net.Listener
 }
 
-func newCache(t *testing.T) *cache {
+func newScriptedCache(t *testing.T) *scriptedCache {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	check(t, err)
+	must(t, err)
 	t.Cleanup(func() { ln.Close() })
-	return &cache{t, ln}
+	return &scriptedCache{t, ln}
 }
 
-func (c *cache) host(name, health string) string {
-	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"west","class":"std","health":%q,"share":1}`, name, c.ln.Addr(), health)
+func (c *scriptedCache) host(name, health string) string {
+	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"west","class":"std","health":%q,"share":1}`, name, c.listener.Addr(), health)
 }
 
-func (c *cache) accept() *peer {
+func (c *scriptedCache) accept() *scriptedConn {
 	c.t.Helper()
-	check(c.t, c.ln.(*net.TCPListener).SetDeadline(time.Now().Add(patience)))
-	conn, err := c.ln.Accept()
-	check(c.t, err)
-	p := newPeer(c.t, conn)
+	must(c.t, c.listener.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout)))
+	conn, err := c.listener.Accept()
+	must(c.t, err)
+	p := newScriptedConn(c.t, conn)
 	p.commands = make(chan []string, 4096)
 	go p.serve()
 	return p
 }
 
 // serve reads commands as a cache does and answers pings at once, as a cache does whatever else it is busy with.
-func (p *peer) serve() {
+func (p *scriptedConn) serve() {
 	defer close(p.commands)
 	count := func() int {
-		line, err := p.in.ReadString('\n')
+		line, err := p.reader.ReadString('\n')
 		if err != nil || len(line) < 4 {
 			return -1
 		}
@@ -74,51 +74,51 @@
 		w := make([]string, n)
 		for i := range w {
 			b := make([]byte, max(0, count())+2)
-			if _, err := io.ReadFull(p.in, b); err != nil {
+			if _, err := io.ReadFull(p.reader, b); err != nil {
 				return
 			}
 			w[i] = string(b[:len(b)-2])
 		}
 		if w[0] != "ping" {
 			p.commands <- w
-		} else if _, err := io.WriteString(p.conn, words(w[1], "UP")); err != nil {
+		} else if _, err := io.WriteString(p.conn, respArray(w[1], "UP")); err != nil {
 			return
 		}
 	}
 }
 
-// peer is one connection of a script: a cache's, or a client's.
-type peer struct {
-	t    *testing.T
-	conn net.Conn
-	in   *bufio.Reader
-	seq  int32
+// scriptedConn is one connection of a script: a cache's, or a client's.
+type scriptedConn struct {
+	t      *testing.T
+	conn   net.Conn
+	reader *bufio.Reader
+	seq    int32
 
 	commands chan []string // that have come, where it is a cache
 }
 
-func newPeer(t *testing.T, conn net.Conn) *peer {
+func newScriptedConn(t *testing.T, conn net.Conn) *scriptedConn {
 	t.Cleanup(func() { conn.Close() })
-	check(t, conn.SetDeadline(time.Now().Add(patience)))
-	return &peer{t: t, conn: conn, in: bufio.NewReader(conn)}
+	must(t, conn.SetDeadline(time.Now().Add(testTimeout)))
+	return &scriptedConn{t: t, conn: conn, reader: bufio.NewReader(conn)}
 }
 
-func (p *peer) write(s string) {
+func (p *scriptedConn) write(s string) {
 	p.t.Helper()
 	_, err := io.WriteString(p.conn, s)
-	check(p.t, err)
+	must(p.t, err)
 }
 
-func (p *peer) read(n int) string {
+func (p *scriptedConn) read(n int) string {
 	p.t.Helper()
 	b := make([]byte, n)
-	_, err := io.ReadFull(p.in, b)
-	check(p.t, err)
+	_, err := io.ReadFull(p.reader, b)
+	must(p.t, err)
 	return string(b)
 }
 
-// words is the next command that a cache has got.
-func (p *peer) words() []string {
+// command is the next command that a cache has got.
+func (p *scriptedConn) command() []string {
 	p.t.Helper()
 	select {
 	case w, open := <-p.commands:
@@ -126,18 +126,18 @@
 			p.t.Fatal("the connection has ended")
 		}
 		return w
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		p.t.Fatal("no command came")
 	}
 	return nil
 }
 
-// order reads the next order, past what is undone; it gives the id and the fields.
-func (p *peer) order() (id string, fields map[string]string) {
+// request reads the next order, past what is undone; it gives the id and the fields.
+func (p *scriptedConn) request() (id string, fields map[string]string) {
 	p.t.Helper()
-	w := p.words()
+	w := p.command()
 	for w[0] != "do" {
-		w = p.words()
+		w = p.command()
 	}
 	if len(w) != 4 {
 		p.t.Fatalf("order %q", w)
@@ -150,13 +150,13 @@
 	return w[1], fields
 }
 
-func (p *peer) answer(w ...string) {
+func (p *scriptedConn) answer(w ...string) {
 	p.t.Helper()
-	p.write(words(w...))
+	p.write(respArray(w...))
 }
 
-// words is an array of bulk strings.
-func words(w ...string) string {
+// respArray is an array of bulk strings.
+func respArray(w ...string) string {
 	s := fmt.Sprintf("*%d\r\n", len(w))
 	for _, x := range w {
 		s += fmt.Sprintf("$%d\r\n%s\r\n", len(x), x)
@@ -169,18 +169,18 @@
 func frame(s string) string { return str(s) }
 
 // call frames one message of the strict protocol.
-func (p *peer) call(kind int, name, args string) string {
+func (p *scriptedConn) call(kind int, name, args string) string {
 	p.seq++
 	return frame(be32(0x80010000|kind) + str(name) + be32(int(p.seq)) + args + "\x00")
 }
 
 // submitText is a call of submit for an object; more holds further fields as name, value, which go before the usual.
-func (p *peer) submitText(rid, object string, budget time.Duration, more ...string) string {
+func (p *scriptedConn) submitText(rid, object string, budget time.Duration, more ...string) string {
 	return p.submitBody(rid, object, budget, "", more...)
 }
 
 // submitBody is submitText with a body.
-func (p *peer) submitBody(rid, object string, budget time.Duration, body string, more ...string) string {
+func (p *scriptedConn) submitBody(rid, object string, budget time.Duration, body string, more ...string) string {
 	f := append(more, "method", "clips", "rid", rid, "budget", fmt.Sprint(budget.Milliseconds()), "obj", object,
 		"part", "0", "group", "5", "mem", "100")
 	s := "\x0d\x00\x01\x0b\x0b" + be32(len(f)/2)
@@ -190,7 +190,7 @@
 	return p.call(1, "submit", s+"\x0b\x00\x02"+str(body))
 }
 
-func (p *peer) submit(rid, object string, more ...string) {
+func (p *scriptedConn) submit(rid, object string, more ...string) {
 	p.t.Helper()
 	p.write(p.submitText(rid, object, 5*time.Second, more...))
 }
@@ -205,7 +205,7 @@
 	fields map[string]string
 }
 
-func (p *peer) reply() reply {
+func (p *scriptedConn) reply() reply {
 	p.t.Helper()
 	b := p.read(int(binary.BigEndian.Uint32([]byte(p.read(4)))))
 	take := func(n int) string {
@@ -240,24 +240,26 @@
 	return r
 }
 
-// world is a director among scripted peers.
-type world struct {
-	t     *testing.T
-	p     *Program
-	ended chan error
-	polls chan string // the after of each call of the bulletin
-	news  chan string // what it answers; empty: the connection breaks
+// testDirector is a director among scripted peers.
+type testDirector struct {
+	t       *testing.T
+	program *Program
+	exited  chan error
+	polls   chan string // the after of each call of the bulletin
+	events  chan string // what it answers; empty: the connection breaks
 }
 
-func newWorld(t *testing.T, hosts ...string) *world { return newWorldWith(t, settings, hosts...) }
+func newTestDirector(t *testing.T, hosts ...string) *testDirector {
+	return newTestDirectorWith(t, testSettings, hosts...)
+}
 
-func newWorldWith(t *testing.T, settings string, hosts ...string) *world {
-	w := &world{t: t, polls: make(chan string, 64), news: make(chan string, 8)}
+func newTestDirectorWith(t *testing.T, settings string, hosts ...string) *testDirector {
+	w := &testDirector{t: t, polls: make(chan string, 64), events: make(chan string, 8)}
 	stop := make(chan struct{})
 	bulletin := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		w.polls <- r.URL.Query().Get("after")
 		select {
-		case text := <-w.news:
+		case text := <-w.events:
 			if text == "" {
 				panic(http.ErrAbortHandler)
 			}
@@ -267,69 +269,69 @@
 	}))
 	t.Cleanup(func() { close(stop); bulletin.Close() })
 	w.start(settings, bulletin.Listener.Addr().String(), 1024, hosts...)
-	w.poll("1")
+	w.wantPoll("1")
 	return w
 }
 
 // start starts the director of a world, with these hosts on the list of its start; without any, there is no such list.
-func (w *world) start(settings, bulletin string, sockets int, hosts ...string) {
+func (w *testDirector) start(settings, bulletin string, sockets int, hosts ...string) {
 	w.t.Helper()
 	t := w.t
 	known := `{"no":0,"items":[]}`
 	if len(hosts) > 0 {
 		known = `{"no":1,"items":[{"no":1,"roster":{"seq":1,"whole":true,"hosts":[` + strings.Join(hosts, ",") + `]}}]}`
 	}
-	w.ended = make(chan error, 1)
+	w.exited = make(chan error, 1)
 	text, err := json.Marshal(map[string]any{
 		"name": "n0", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964", "bulletin": bulletin,
 		"limits":   map[string]any{"memory_mb": 192, "sockets": sockets},
 		"known":    json.RawMessage(known),
 		"settings": json.RawMessage(settings),
 	})
-	check(t, err)
+	must(t, err)
 	c, err := config.Parse(text, "", "")
-	check(t, err)
-	w.p, err = New(c)
-	check(t, err)
-	go func() { w.ended <- w.p.Run() }()
+	must(t, err)
+	w.program, err = New(c)
+	must(t, err)
+	go func() { w.exited <- w.program.Run() }()
 	t.Cleanup(func() {
-		w.p.Post(w.p.loop.Stop)
-		<-w.ended
+		w.program.Post(w.program.loop.Stop)
+		<-w.exited
 	})
 }
 
-func (w *world) poll(after string) {
+func (w *testDirector) wantPoll(after string) {
 	w.t.Helper()
 	select {
 	case got := <-w.polls:
 		if got != after {
 			w.t.Fatalf("bulletin asked for what comes after %s, want %s", got, after)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		w.t.Fatal("bulletin not asked")
 	}
 }
 
-// tell answers the open call of the bulletin and waits until the director has taken it in and asks again.
-func (w *world) tell(number int, event string) {
+// publish answers the open call of the bulletin and waits until the director has taken it in and asks again.
+func (w *testDirector) publish(number int, event string) {
 	w.t.Helper()
-	w.news <- fmt.Sprintf(`{"no":%d,"items":[{"no":%d,%s}]}`, number, number, event)
-	w.poll(strconv.Itoa(number))
+	w.events <- fmt.Sprintf(`{"no":%d,"items":[{"no":%d,%s}]}`, number, number, event)
+	w.wantPoll(strconv.Itoa(number))
 }
 
-func (w *world) client() *peer {
+func (w *testDirector) client() *scriptedConn {
 	w.t.Helper()
 	addr := make(chan netip.AddrPort, 1)
-	w.p.Post(func() {
-		a, _ := w.p.Addr()
+	w.program.Post(func() {
+		a, _ := w.program.Addr()
 		addr <- a
 	})
 	conn, err := net.Dial("tcp", (<-addr).String())
-	check(w.t, err)
-	return newPeer(w.t, conn)
+	must(w.t, err)
+	return newScriptedConn(w.t, conn)
 }
 
-const settings = `{"Areas":["hub","west"],"Zone":"west","Models":["std","parent","origin"],"Balancers":1,"SlotNo":0,
+const testSettings = `{"Areas":["hub","west"],"Zone":"west","Models":["std","parent","origin"],"Balancers":1,"SlotNo":0,
 "FamilyInfo":{"ParentKind":-1,"SourceKind":2,"CountByZone":[0,1],"OneFlowKbPerS":5000,"Tells":"hit","Joins":true,
  "Siblings":"off","NoticeTime":0,"PurgeDone":6000,"GoodFor":[0],"OlderBy":[0],"PassOn":[false],"MultiPart":[true]},
 "Grades":[{"Name":"clips","Aim":600,"AimStretch":2,"Deadline":6000,"Worth":2,"Effect":"safe","Group":"all"}],
--- a/internal/director/serve.go
+++ b/internal/director/serve.go
@@ -11,52 +11,60 @@
 	"stairvane.org/stairvane/internal/director/config"
 )
 
-// The live heap is small, so the collector may run seldom; the limit keeps that within the machine's memory, of which
-// the rest is for stacks, sockets and the program itself.
+// The live heap is small, so the collector may run seldom. The limit keeps the heap within the memory of the machine, of
+// which the rest is for stacks, sockets and the program itself.
 const (
-	collectPercent = 400
-	heapShare      = 0.55
+	gcPercent = 400
+	heapShare = 0.55
 )
 
-// Serve is the life of a director process on some cores: LB_CONFIG, LB_LISTEN and LB_NAME tell it what it is; SIGTERM
-// lets it answer what it has and leave; SIGHUP has it read LB_CONFIG anew; SIGUSR1 prints its counters.
-func Serve(beyond config.OperatorSettings) error {
-	cores := beyond.Cores
-	// Signals are caught before anything else: the default of SIGHUP would end the process.
+// Serve runs a director until its shutdown. LB_CONFIG, LB_LISTEN and LB_NAME configure it, and the operator's settings.
+// SIGTERM and SIGINT start the graceful shutdown, SIGHUP reads LB_CONFIG again, SIGUSR1 logs the counters.
+func Serve(operator config.OperatorSettings) error {
+	// Signals are caught before anything else: the default action of SIGHUP would end the process.
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP, syscall.SIGUSR1)
 	c, err := config.Load()
 	if err != nil {
 		return err
 	}
-	c.ControlPlanes, c.Membership, c.Claims = beyond.ControlPlanes, beyond.Membership, beyond.Claims
-	procs := 1 // one loop
-	if cores > 1 {
-		procs = cores + 1 // the watch must run while all loops are busy
-	}
-	runtime.GOMAXPROCS(procs)
-	debug.SetGCPercent(collectPercent)
-	debug.SetMemoryLimit(int64(heapShare * float64(c.MemoryMB) * (1 << 20)))
-	g, err := NewGroup(c, cores)
+	c.ControlPlanes = operator.ControlPlanes
+	c.Membership = operator.Membership
+	c.Claims = operator.Claims
+	setRuntimeLimits(operator.Cores, c.MemoryMB)
+	g, err := NewGroup(c, operator.Cores)
 	if err != nil {
 		return err
 	}
-	go func() {
-		for s := range signals {
-			switch s {
-			case syscall.SIGUSR1:
-				g.PrintCounts()
-			case syscall.SIGHUP:
-				// Read off the loop. A faulty file leaves the running one in force.
-				if c, err := config.Load(); err != nil {
-					slog.Error("reload.refused", "err", err)
-				} else {
-					g.Reload(c)
-				}
-			default:
-				g.Leave()
+	go g.handleSignals(signals)
+	return g.Run()
+}
+
+func setRuntimeLimits(cores, memoryMB int) {
+	procs := 1
+	if cores > 1 {
+		procs = cores + 1 // the stall check must run while all loops are busy
+	}
+	runtime.GOMAXPROCS(procs)
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(int64(heapShare * float64(memoryMB) * (1 << 20)))
+}
+
+// handleSignals runs until the end of the process.
+func (g *Group) handleSignals(signals <-chan os.Signal) {
+	for s := range signals {
+		switch s {
+		case syscall.SIGUSR1:
+			g.PrintCounts()
+		case syscall.SIGHUP:
+			// The file is read off the loop. A malformed one leaves the running configuration in force.
+			if c, err := config.Load(); err != nil {
+				slog.Error("reload.rejected", "err", err)
+			} else {
+				g.Reload(c)
 			}
+		default:
+			g.Shutdown()
 		}
-	}()
-	return g.Run()
+	}
 }
--- a/internal/director/stories_test.go
+++ b/internal/director/stories_test.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	ridA = "aaaaaaaaaaaaaaa1"
-	ridB = "bbbbbbbbbbbbbbb2"
-	ridC = "ccccccccccccccc3"
-	objA = "7f3a9c21e0b4d655"
-	objB = "0000000000000001"
+	requestA = "aaaaaaaaaaaaaaa1"
+	requestB = "bbbbbbbbbbbbbbb2"
+	requestC = "ccccccccccccccc3"
+	objectA  = "7f3a9c21e0b4d655"
+	objectB  = "0000000000000001"
 )
 
-func (p *peer) want(seq int32, result int, body string) reply {
+func (p *scriptedConn) want(seq int32, result int, body string) reply {
 	p.t.Helper()
 	r := p.reply()
 	if r.seq != seq || r.kind != 2 || r.result != result || r.body != body {
@@ -31,22 +31,22 @@
 }
 
 func TestServesAndPassesOnTheClientsCopy(t *testing.T) {
-	c := newCache(t)
-	client := newWorld(t, c.host("s-1", "in_service")).client()
-	client.submit(ridA, objA)
+	c := newScriptedCache(t)
+	client := newTestDirector(t, c.host("s-1", "in_service")).client()
+	client.submit(requestA, objectA)
 	box := c.accept()
-	id, f := box.order()
-	if id != ridA || f["sort"] != "clips" || f["asset"] != objA || f["slice"] != "0" || f["store"] != "1" || f["do"] != "merge" {
+	id, f := box.request()
+	if id != requestA || f["sort"] != "clips" || f["asset"] != objectA || f["slice"] != "0" || f["store"] != "1" || f["do"] != "merge" {
 		t.Fatalf("order %s %v", id, f)
 	}
-	box.answer(ridA, "OK", "n=local,l=inflight:7;util:0.61,rev=4be0c1927d55a6f3,since=1764576000123", "bytes")
+	box.answer(requestA, "OK", "n=local,l=inflight:7;util:0.61,rev=4be0c1927d55a6f3,since=1764576000123", "bytes")
 	client.want(1, 0, "bytes")
 
-	client.submit(ridB, objA, "have", "4be0c1927d55a6f3")
-	if _, f = box.order(); f["inm"] != "4be0c1927d55a6f3" {
+	client.submit(requestB, objectA, "have", "4be0c1927d55a6f3")
+	if _, f = box.request(); f["inm"] != "4be0c1927d55a6f3" {
 		t.Fatalf("the client's copy is not passed on: %v", f)
 	}
-	box.answer(ridB, "SAME", "n=local,rev=4be0c1927d55a6f3,since=1764576000123", "")
+	box.answer(requestB, "SAME", "n=local,rev=4be0c1927d55a6f3,since=1764576000123", "")
 	if r := client.want(2, 0, ""); r.fields["same"] != "1" {
 		t.Fatalf("same is not told: %v", r.fields)
 	}
@@ -54,22 +54,22 @@
 
 // Frames arrive in any pieces, several at once, and a slow reader's answers wait without a byte lost.
 func TestPartialFramesAndSlowReader(t *testing.T) {
-	c := newCache(t)
-	client := newWorld(t, c.host("s-1", "in_service")).client()
-	text := client.submitText(ridA, objA, 5*time.Second)
+	c := newScriptedCache(t)
+	client := newTestDirector(t, c.host("s-1", "in_service")).client()
+	text := client.submitText(requestA, objectA, 5*time.Second)
 	client.write(text[:9])
-	var box *peer
+	var box *scriptedConn
 	body := string(bytes.Repeat([]byte("0123456789abcdef"), 15_000))
 	client.write(text[9:])
 	box = c.accept()
-	box.order()
+	box.request()
 	for i := range 12 { // 2.9 MB, far more than the sockets hold
 		rid := fmt.Sprintf("%016x", i)
-		client.submit(rid, objA)
-		box.order()
+		client.submit(rid, objectA)
+		box.request()
 		box.answer(rid, "OK", "n=local", body)
 	}
-	box.answer(ridA, "OK", "n=local", "last")
+	box.answer(requestA, "OK", "n=local", "last")
 	for i := range 12 {
 		client.want(int32(i+2), 0, body)
 	}
@@ -78,18 +78,18 @@
 
 // An undone attempt may still be answered: that answer is nobody's.
 func TestRevokeIsPassedOnAndALateAnswerIgnored(t *testing.T) {
-	c := newCache(t)
-	client := newWorld(t, c.host("s-1", "in_service")).client()
-	client.submit(ridA, objA)
+	c := newScriptedCache(t)
+	client := newTestDirector(t, c.host("s-1", "in_service")).client()
+	client.submit(requestA, objectA)
 	box := c.accept()
-	box.order()
+	box.request()
 	client.write(client.call(4, "revoke", "\x08\x00\x01"+be32(1)))
-	if w := box.words(); w[0] != "undo" || w[1] != ridA {
+	if w := box.command(); w[0] != "undo" || w[1] != requestA {
 		t.Fatalf("want undo, got %q", w)
 	}
-	box.answer(ridA, "OK", "n=local", "late")
-	client.submit(ridB, objB)
-	id, _ := box.order()
+	box.answer(requestA, "OK", "n=local", "late")
+	client.submit(requestB, objectB)
+	id, _ := box.request()
 	box.answer(id, "OK", "n=local", "mine")
 	client.want(3, 0, "mine")
 }
@@ -97,67 +97,67 @@
 // A refused connection proves that nothing ran; a reset does not, but the class is safe. Either way the client gets
 // one answer, from where the request went next.
 func TestRefusedAndResetAttemptsGoOn(t *testing.T) {
-	down := newCache(t)
-	up := newCache(t)
-	down.ln.Close()
-	client := newWorld(t, down.host("s-1", "in_service"), up.host("s-2", "in_service")).client()
-	var box *peer
+	down := newScriptedCache(t)
+	up := newScriptedCache(t)
+	down.listener.Close()
+	client := newTestDirector(t, down.host("s-1", "in_service"), up.host("s-2", "in_service")).client()
+	var box *scriptedConn
 	for i := range 16 { // some of the objects belong to the cache that is down
 		client.submit(fmt.Sprintf("%016x", i), fmt.Sprintf("%016x", i*7919))
 		if box == nil {
 			box = up.accept()
 		}
-		id, _ := box.order()
+		id, _ := box.request()
 		box.answer(id, "OK", "n=local", id)
 		client.want(int32(i+1), 0, id)
 	}
-	client.submit(ridA, objA)
-	box.order()
-	check(t, box.conn.(*net.TCPConn).SetLinger(0))
+	client.submit(requestA, objectA)
+	box.request()
+	must(t, box.conn.(*net.TCPConn).SetLinger(0))
 	box.conn.Close()
 	box = up.accept()
-	id, _ := box.order()
+	id, _ := box.request()
 	box.answer(id, "OK", "n=local", "again")
 	client.want(17, 0, "again")
 }
 
 // Whatever a cache says, no copy from before a purge reaches a client once the purge binds.
 func TestPurgedCopyIsWithheld(t *testing.T) {
-	c := newCache(t)
-	w := newWorld(t, c.host("s-1", "in_service"))
+	c := newScriptedCache(t)
+	w := newTestDirector(t, c.host("s-1", "in_service"))
 	client := w.client()
 	issued := time.Now().UnixMilli()
-	w.tell(2, fmt.Sprintf(`"recall":{"lot":5,"issued":%d}`, issued))
-	client.submit(ridA, objA)
+	w.publish(2, fmt.Sprintf(`"recall":{"lot":5,"issued":%d}`, issued))
+	client.submit(requestA, objectA)
 	box := c.accept()
-	if _, f := box.order(); f["cap"] == "" {
+	if _, f := box.request(); f["cap"] == "" {
 		t.Fatalf("no age cap after a purge: %v", f)
 	}
-	box.answer(ridA, "OK", fmt.Sprintf("n=local,since=%d", issued-1), "old")
+	box.answer(requestA, "OK", fmt.Sprintf("n=local,since=%d", issued-1), "old")
 	box = c.accept() // not on the link on which the first attempt was answered: it may be answered there again
-	box.order()
-	box.answer(ridA, "OK", fmt.Sprintf("n=pulled,since=%d", issued+1), "new")
+	box.request()
+	box.answer(requestA, "OK", fmt.Sprintf("n=pulled,since=%d", issued+1), "new")
 	client.want(1, 0, "new")
 }
 
 // The bulletin breaks off: the next call asks for what comes after the last event that was taken in.
 func TestBulletinIsResumed(t *testing.T) {
-	c, other := newCache(t), newCache(t)
-	w := newWorld(t, c.host("s-1", "in_service"))
-	w.tell(2, `"roster":{"seq":2,"whole":false,"hosts":[`+other.host("s-2", "in_service")+`]}`)
-	w.news <- ""
-	w.poll("2")
-	w.tell(3, `"roster":{"seq":3,"whole":false,"hosts":[`+c.host("s-1", "terminated")+`]}`)
-	w.serves(other)
+	c, other := newScriptedCache(t), newScriptedCache(t)
+	w := newTestDirector(t, c.host("s-1", "in_service"))
+	w.publish(2, `"roster":{"seq":2,"whole":false,"hosts":[`+other.host("s-2", "in_service")+`]}`)
+	w.events <- ""
+	w.wantPoll("2")
+	w.publish(3, `"roster":{"seq":3,"whole":false,"hosts":[`+c.host("s-1", "terminated")+`]}`)
+	w.wantServedBy(other)
 }
 
-// serves has a client ask for an object and the cache answer it.
-func (w *world) serves(c *cache) {
+// wantServedBy has a client ask for an object and the cache answer it.
+func (w *testDirector) wantServedBy(c *scriptedCache) {
 	w.t.Helper()
 	client := w.client()
-	client.submit(ridA, objA)
+	client.submit(requestA, objectA)
 	box := c.accept()
-	id, _ := box.order()
+	id, _ := box.request()
 	box.answer(id, "OK", "n=local", "x")
 	client.want(1, 0, "x")
 }
@@ -169,7 +169,7 @@
 	old := slog.Default()
 	slog.SetDefault(slog.New(slog.NewJSONHandler(&log, &slog.HandlerOptions{Level: slog.LevelWarn})))
 	defer slog.SetDefault(old)
-	less := settings
+	less := testSettings
 	for _, change := range [][2]string{
 		{`"Balancers":1,`, ``},
 		{`"CountByZone":[0,1],`, ``},
@@ -182,27 +182,27 @@
 		}
 		less = strings.Replace(less, change[0], change[1], 1)
 	}
-	c := newCache(t)
-	w := newWorldWith(t, less, c.host("s-1", "in_service"))
+	c := newScriptedCache(t)
+	w := newTestDirectorWith(t, less, c.host("s-1", "in_service"))
 	for _, key := range []string{"settings.Balancers", "settings.Limits.Multiplex", "settings.Limits.DialTimeout", "settings.Limits.ConnIdle"} {
 		if !strings.Contains(log.String(), `"key":"`+key+`"`) {
 			t.Errorf("%s is not named in %s", key, log.String())
 		}
 	}
-	w.serves(c)
+	w.wantServedBy(c)
 }
 
 // With no cache left, the answer is a refusal at once, with the time to stay away.
 func TestRefusedAtOnceWithBackoff(t *testing.T) {
-	c := newCache(t)
-	w := newWorld(t, c.host("s-1", "in_service"))
+	c := newScriptedCache(t)
+	w := newTestDirector(t, c.host("s-1", "in_service"))
 	client := w.client()
 	client.write(client.call(1, "heartbeat", "\x02\x00\x01\x01"))
 	if !client.want(1, 0, "").good {
 		t.Error("able to serve, but the heartbeat is not good")
 	}
-	w.tell(2, `"roster":{"seq":2,"whole":false,"hosts":[`+c.host("s-1", "terminating")+`]}`)
-	client.submit(ridA, objA)
+	w.publish(2, `"roster":{"seq":2,"whole":false,"hosts":[`+c.host("s-1", "terminating")+`]}`)
+	client.submit(requestA, objectA)
 	if r := client.want(2, 1, ""); r.fields["backoff"] == "" {
 		t.Errorf("no backoff: %v", r.fields)
 	}
@@ -214,139 +214,139 @@
 
 // Whoever sends rubbish loses that connection and nobody else's; a bad field costs that request alone.
 func TestMalformedInputStaysItsSendersTrouble(t *testing.T) {
-	c := newCache(t)
-	w := newWorld(t, c.host("s-1", "in_service"))
+	c := newScriptedCache(t)
+	w := newTestDirector(t, c.host("s-1", "in_service"))
 	bad, client := w.client(), w.client()
 	bad.write("GET / HTTP/1.1\r\n\r\n")
-	if _, err := bad.in.ReadByte(); err == nil {
+	if _, err := bad.reader.ReadByte(); err == nil {
 		t.Error("rubbish was answered")
 	}
-	client.submit("not hex", objA)
+	client.submit("not hex", objectA)
 	if r := client.reply(); r.kind != 3 || r.seq != 1 {
 		t.Errorf("want an application exception, got %+v", r)
 	}
-	client.submit(ridB, objA, "group", "256")
+	client.submit(requestB, objectA, "group", "256")
 	if r := client.reply(); r.kind != 3 || r.seq != 2 {
 		t.Errorf("want an application exception, got %+v", r)
 	}
-	client.submit(ridA, objA)
+	client.submit(requestA, objectA)
 	box := c.accept()
-	box.order()
+	box.request()
 	box.write("+PONG\r\n") // a cache that sends rubbish: its link goes, the request goes on
 	box = c.accept()
-	box.order()
-	box.answer(ridA, "OK", "n=local", "x")
+	box.request()
+	box.answer(requestA, "OK", "n=local", "x")
 	client.want(3, 0, "x")
 }
 
 // Clients that take no answers must not fill the memory: the worst of them is closed, the others are served on.
 func TestStuckClientIsClosedWhenMemoryRunsShort(t *testing.T) {
-	c := newCache(t)
-	w := newWorld(t, c.host("s-1", "in_service"))
-	w.p.Post(func() { w.p.front.queueMax = 1 << 20 })
+	c := newScriptedCache(t)
+	w := newTestDirector(t, c.host("s-1", "in_service"))
+	w.program.Post(func() { w.program.frontend.maxQueuedBytes = 1 << 20 })
 	stuck, client := w.client(), w.client()
-	stuck.submit(ridA, objA)
+	stuck.submit(requestA, objectA)
 	box := c.accept()
-	box.order()
+	box.request()
 	body := strings.Repeat("x", 240_000)
 	for i := range 31 {
-		stuck.submit(fmt.Sprintf("%016x", i), objA)
-		box.order()
+		stuck.submit(fmt.Sprintf("%016x", i), objectA)
+		box.request()
 	}
 	for i := range 31 { // 7 MB, more than the sockets between hold
 		box.answer(fmt.Sprintf("%016x", i), "OK", "n=local", body)
 	}
-	for w := box.words(); w[1] != ridA; w = box.words() { // what was open for it is given up, in any order
+	for w := box.command(); w[1] != requestA; w = box.command() { // what was open for it is given up, in any order
 		if w[0] != "undo" {
 			t.Fatalf("want undo, got %q", w)
 		}
 	}
-	client.submit(ridB, objB)
-	for w := box.words(); w[0] != "do"; w = box.words() {
+	client.submit(requestB, objectB)
+	for w := box.command(); w[0] != "do"; w = box.command() {
 	}
-	box.answer(ridB, "OK", "n=local", body)
+	box.answer(requestB, "OK", "n=local", body)
 	client.want(1, 0, body)
 }
 
 // Whoever connects and says nothing, or half a message, or withdraws what it asks, is closed after a while; a client that
 // waits for an answer is not.
 func TestMuteClientsAreClosed(t *testing.T) {
-	c := newCache(t)
-	w := newWorld(t, c.host("s-1", "in_service"))
+	c := newScriptedCache(t)
+	w := newTestDirector(t, c.host("s-1", "in_service"))
 	waiting, silent, half, fickle := w.client(), w.client(), w.client(), w.client()
-	waiting.submit(ridA, objA)
+	waiting.submit(requestA, objectA)
 	box := c.accept()
-	box.order()
-	half.write(half.submitText(ridB, objB, time.Second)[:20])
-	fickle.submit(ridC, objB)
-	if id, _ := box.order(); id != ridC { // it is out before it is taken back, or nothing of it would ever be seen
+	box.request()
+	half.write(half.submitText(requestB, objectB, time.Second)[:20])
+	fickle.submit(requestC, objectB)
+	if id, _ := box.request(); id != requestC { // it is out before it is taken back, or nothing of it would ever be seen
 		t.Fatalf("order %s", id)
 	}
 	fickle.write(fickle.call(4, "revoke", "\x08\x00\x01"+be32(1)))
-	for w := box.words(); w[0] != "undo"; w = box.words() {
+	for w := box.command(); w[0] != "undo"; w = box.command() {
 	}
-	w.p.Post(func() { w.p.front.helloWithin = 0; w.p.front.tidy() })
-	for _, p := range []*peer{silent, half, fickle} {
-		if _, err := p.in.ReadByte(); !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) {
+	w.program.Post(func() { w.program.frontend.firstAnswerTimeout = 0; w.program.frontend.sweep() })
+	for _, p := range []*scriptedConn{silent, half, fickle} {
+		if _, err := p.reader.ReadByte(); !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) {
 			t.Errorf("not closed: %v", err)
 		}
 	}
-	box.answer(ridA, "OK", "n=local", "a")
+	box.answer(requestA, "OK", "n=local", "a")
 	waiting.want(1, 0, "a")
 }
 
 // Clients that ask once and hold their connection for good make room for those who come; one that waits for its answer
 // does not.
 func TestUnusedConnectionMakesRoom(t *testing.T) {
-	c := newCache(t)
-	w := newWorld(t, c.host("s-1", "in_service"))
-	w.p.Post(func() { w.p.front.most = 2 })
+	c := newScriptedCache(t)
+	w := newTestDirector(t, c.host("s-1", "in_service"))
+	w.program.Post(func() { w.program.frontend.maxClients = 2 })
 	waiting, unused := w.client(), w.client()
-	waiting.submit(ridA, objA)
+	waiting.submit(requestA, objectA)
 	box := c.accept()
-	box.order()
-	unused.submit(ridB, objB)
-	id, _ := box.order()
+	box.request()
+	unused.submit(requestB, objectB)
+	id, _ := box.request()
 	box.answer(id, "OK", "n=local", "b")
 	unused.want(1, 0, "b")
 	late := w.client()
-	late.submit(ridC, objB)
-	id, _ = box.order()
+	late.submit(requestC, objectB)
+	id, _ = box.request()
 	box.answer(id, "OK", "n=local", "c")
 	late.want(1, 0, "c")
-	if _, err := unused.in.ReadByte(); err == nil {
+	if _, err := unused.reader.ReadByte(); err == nil {
 		t.Error("the unused connection is still open")
 	}
-	box.answer(ridA, "OK", "n=local", "a")
+	box.answer(requestA, "OK", "n=local", "a")
 	waiting.want(1, 0, "a")
 }
 
 // After the order to leave, connections that still come are served, all that is open is answered, then it ends.
 func TestLeavesWhenAllIsAnswered(t *testing.T) {
-	c := newCache(t)
-	w := newWorld(t, c.host("s-1", "in_service"))
+	c := newScriptedCache(t)
+	w := newTestDirector(t, c.host("s-1", "in_service"))
 	client := w.client()
-	client.submit(ridA, objA, "mem", "9000") // large, so that its answer is not overdue while this lasts
+	client.submit(requestA, objectA, "mem", "9000") // large, so that its answer is not overdue while this lasts
 	box := c.accept()
-	box.order()
-	w.p.Post(w.p.Leave)
+	box.request()
+	w.program.Post(w.program.Leave)
 	late := w.client()
-	late.submit(ridB, objB)
-	id, _ := box.order()
+	late.submit(requestB, objectB)
+	id, _ := box.request()
 	box.answer(id, "OK", "n=local", "b")
 	late.want(1, 0, "b")
-	if _, err := late.in.ReadByte(); err == nil { // it waits for the end of the taking in, then closes
+	if _, err := late.reader.ReadByte(); err == nil { // it waits for the end of the taking in, then closes
 		t.Error("bytes after the last answer")
 	}
-	client.submit(ridC, objB)
-	id, _ = box.order()
+	client.submit(requestC, objectB)
+	id, _ = box.request()
 	box.answer(id, "OK", "n=local", "c")
 	client.want(2, 0, "c")
-	box.answer(ridA, "OK", "n=local", strings.Repeat("a", 200_000))
+	box.answer(requestA, "OK", "n=local", strings.Repeat("a", 200_000))
 	client.want(1, 0, strings.Repeat("a", 200_000))
 	client.conn.Close()
 	late.conn.Close()
-	err := <-w.ended
-	w.ended <- err
-	check(t, err)
+	err := <-w.exited
+	w.exited <- err
+	must(t, err)
 }
--- a/internal/director/timing.go
+++ b/internal/director/timing.go
@@ -4,8 +4,8 @@
 
 // WatchTiming is the timing of a director's watch of the event stream.
 type WatchTiming struct {
-	Patience  time.Duration // for which a call may wait for events
-	Silence   time.Duration // after which a call without an answer is given up
+	Patience  time.Duration // for which a poll may wait for events
+	Silence   time.Duration // after which a poll without a response is given up
 	Dial      time.Duration // within which a connection must come up
 	RetryMin  time.Duration // first pause between two connections
 	RetryMax  time.Duration // longest pause; it doubles each time that all addresses have been tried
@@ -15,8 +15,11 @@
 // watchRetrySpread is by how much each further director widens the time over which all reconnect.
 const watchRetrySpread = 2500 * time.Microsecond
 
-// An event counts as delivered 7 s after it was published. A silent stream must be noticed, the pause be over and a connection
-// be up well before that, however many directors there are.
+// announcedPollTimeout is the poll timeout of a director that announces itself: its polls renew its lease.
+const announcedPollTimeout = 100 * time.Millisecond
+
+// An event counts as delivered 7 s after it was published. A silent stream must be noticed, the pause be over and a
+// connection be up well before that, however many directors there are.
 var oneAddressTiming = WatchTiming{
 	Patience:  2 * time.Second,
 	Silence:   3 * time.Second,
@@ -26,35 +29,33 @@
 	SpreadMax: 2 * time.Second,
 }
 
-// With several addresses, a silent one is left for the next soon enough that a purge still arrives in time. Those who lost one
-// are a part of all directors, and each must be back before its membership lease, as the control plane counts it, is over.
+// With several addresses, a silent one is given up soon enough that a purge still arrives in time over the next. Directors
+// that lost one must be back before their membership lease ends.
 var severalAddressesTiming = WatchTiming{
-	Patience:  announcedPatience,
-	Silence:   2 * announcedPatience,
+	Patience:  announcedPollTimeout,
+	Silence:   2 * announcedPollTimeout,
 	Dial:      200 * time.Millisecond,
 	RetryMin:  20 * time.Millisecond,
-	RetryMax:  40 * time.Millisecond, // while replicas elect a leader, all refuse their watchers for half a second
+	RetryMax:  40 * time.Millisecond, // while replicas elect a leader, all reject their watchers for half a second
 	SpreadMax: 200 * time.Millisecond,
 }
 
-// announcedPatience is that of a director that announces itself: its calls renew its lease.
-const announcedPatience = 100 * time.Millisecond
-
-// TimingOfWatch is the timing for a number of addresses; announced tells that the director announces itself as a member.
+// TimingOfWatch is the timing for a number of addresses. announced says that the director announces itself as a member.
 func TimingOfWatch(addresses int, announced bool) WatchTiming {
 	if addresses > 1 {
 		return severalAddressesTiming
 	}
 	t := oneAddressTiming
 	if announced {
-		t.Patience = announcedPatience
-		t.Silence = 2 * announcedPatience
+		t.Patience = announcedPollTimeout
+		t.Silence = 2 * announcedPollTimeout
 	}
 	return t
 }
 
-// Pause is how long to wait before the next connection: half the present retry time and a random part of as much again, spread
-// wider the more directors there are, since all lost their connections at the same moment. random is from 0 up to 1.
+// Pause is how long to wait before the next connection: half the present retry time and a random part of as much again. It
+// is spread wider the more directors there are, since all lost their connections at the same moment. random is from 0 up
+// to 1.
 func (t WatchTiming) Pause(retry time.Duration, directors int, random float64) time.Duration {
 	spread := min(time.Duration(directors-1)*watchRetrySpread, t.SpreadMax)
 	return retry/2 + time.Duration(random*float64(retry+spread))
--- a/internal/director/watch_test.go
+++ b/internal/director/watch_test.go
@@ -11,37 +11,37 @@
 	"stairvane.org/stairvane/internal/transport"
 )
 
-// board is a scripted discovery: it says byte by byte what its script wants.
-type board struct {
-	t  *testing.T
-	ln net.Listener
+// scriptedControlPlane is a scripted discovery: it says byte by byte what its script wants.
+type scriptedControlPlane struct {
+	t        *testing.T
+	listener net.Listener
 }
 
-func newBoard(t *testing.T) *board {
+func newScriptedControlPlane(t *testing.T) *scriptedControlPlane {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	check(t, err)
+	must(t, err)
 	t.Cleanup(func() { ln.Close() })
-	return &board{t, ln}
+	return &scriptedControlPlane{t, ln}
 }
 
-func (b *board) addr() string { return b.ln.Addr().String() }
+func (b *scriptedControlPlane) addr() string { return b.listener.Addr().String() }
 
-// watch accepts the director's next connection and reads its call, which must ask for what comes after a number.
-func (b *board) watch(after int) *peer {
+// acceptPoll accepts the director's next connection and reads its call, which must ask for what comes after a number.
+func (b *scriptedControlPlane) acceptPoll(after int) *scriptedConn {
 	b.t.Helper()
-	check(b.t, b.ln.(*net.TCPListener).SetDeadline(time.Now().Add(patience)))
-	conn, err := b.ln.Accept()
-	check(b.t, err)
-	p := newPeer(b.t, conn)
-	p.called(after)
+	must(b.t, b.listener.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout)))
+	conn, err := b.listener.Accept()
+	must(b.t, err)
+	p := newScriptedConn(b.t, conn)
+	p.wantPoll(after)
 	return p
 }
 
-func (p *peer) called(after int) {
+func (p *scriptedConn) wantPoll(after int) {
 	p.t.Helper()
 	for first := true; ; first = false {
-		line, err := p.in.ReadString('\n')
-		check(p.t, err)
+		line, err := p.reader.ReadString('\n')
+		must(p.t, err)
 		if first && !strings.Contains(line, fmt.Sprintf("after=%d&", after)) {
 			p.t.Fatalf("called %q, want what comes after %d", line, after)
 		}
@@ -51,8 +51,8 @@
 	}
 }
 
-// response is an answer of discovery with events, each without its number.
-func response(from int, events ...string) string {
+// watchResponse is an answer of discovery with events, each without its number.
+func watchResponse(from int, events ...string) string {
 	items := make([]string, len(events))
 	for i, e := range events {
 		items[i] = fmt.Sprintf(`{"no":%d,%s}`, from+i, e)
@@ -61,32 +61,32 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-func change(seq int, hosts ...string) string {
+func endpointDelta(seq int, hosts ...string) string {
 	return fmt.Sprintf(`"roster":{"seq":%d,"whole":false,"hosts":[%s]}`, seq, strings.Join(hosts, ","))
 }
 
 // A watch that falls silent with its connection open is left within the time in which drains and purges are due, whatever has come on
 // it before. The next one asks for what comes after the last event that was taken in.
 func TestSilentWatchIsLeftInTime(t *testing.T) {
-	for name, script := range map[string]func(p *peer) (after int){
-		"at the start": func(*peer) int { return 1 },
-		"after an answer": func(p *peer) int {
-			p.write(response(2, change(2)))
-			p.called(2)
+	for name, script := range map[string]func(p *scriptedConn) (after int){
+		"at the start": func(*scriptedConn) int { return 1 },
+		"after an answer": func(p *scriptedConn) int {
+			p.write(watchResponse(2, endpointDelta(2)))
+			p.wantPoll(2)
 			return 2
 		},
-		"in the middle of an answer": func(p *peer) int {
-			whole := response(2, change(2))
+		"in the middle of an answer": func(p *scriptedConn) int {
+			whole := watchResponse(2, endpointDelta(2))
 			p.write(whole[:len(whole)-5])
 			return 1
 		},
-		"in the head of an answer": func(p *peer) int {
+		"in the head of an answer": func(p *scriptedConn) int {
 			p.write("HTTP/1.1 200 O")
 			return 1
 		},
-		"a byte at a time": func(p *peer) int {
+		"a byte at a time": func(p *scriptedConn) int {
 			go func() {
-				whole := response(2, change(2)+strings.Repeat(" ", 1000))
+				whole := watchResponse(2, endpointDelta(2)+strings.Repeat(" ", 1000))
 				for i := range whole {
 					if _, err := p.conn.Write([]byte{whole[i]}); err != nil {
 						return
@@ -99,20 +99,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c, b := newCache(t), newBoard(t)
-			w := &world{t: t}
-			w.start(settings, b.addr(), 1024, c.host("s-1", "in_service"))
-			p := b.watch(1)
+			c, b := newScriptedCache(t), newScriptedControlPlane(t)
+			w := &testDirector{t: t}
+			w.start(testSettings, b.addr(), 1024, c.host("s-1", "in_service"))
+			p := b.acceptPoll(1)
 			after := script(p)
 			since := time.Now()
-			again := b.watch(after)
+			again := b.acceptPoll(after)
 			if took := time.Since(since); took > 5*time.Second {
 				t.Errorf("it was left after %v; news count as told after 7 s", took)
 			}
-			again.write(response(after+1, change(9, c.host("s-1", "terminated"))))
-			again.called(after + 1)
+			again.write(watchResponse(after+1, endpointDelta(9, c.host("s-1", "terminated"))))
+			again.wantPoll(after + 1)
 			client := w.client()
-			client.submit(ridA, objA)
+			client.submit(requestA, objectA)
 			client.want(1, 1, "") // the drain is known
 		})
 	}
@@ -120,18 +120,18 @@
 
 // An answer and the close right after it come in one round: the answer counts.
 func TestAnswerCountsUnderAClose(t *testing.T) {
-	c, b := newCache(t), newBoard(t)
-	w := &world{t: t}
-	w.start(settings, b.addr(), 1024, c.host("s-1", "in_service"))
-	p := b.watch(1)
-	release := w.hold()
-	p.write(response(2, change(2, c.host("s-1", "terminated"))))
-	check(t, p.conn.(*net.TCPConn).CloseWrite())
-	arrived(t, p.conn)
+	c, b := newScriptedCache(t), newScriptedControlPlane(t)
+	w := &testDirector{t: t}
+	w.start(testSettings, b.addr(), 1024, c.host("s-1", "in_service"))
+	p := b.acceptPoll(1)
+	release := w.holdLoop()
+	p.write(watchResponse(2, endpointDelta(2, c.host("s-1", "terminated"))))
+	must(t, p.conn.(*net.TCPConn).CloseWrite())
+	waitAcknowledged(t, p.conn)
 	release(nil)
-	b.watch(2)
+	b.acceptPoll(2)
 	client := w.client()
-	client.submit(ridA, objA)
+	client.submit(requestA, objectA)
 	client.want(1, 1, "")
 }
 
@@ -147,77 +147,77 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c, b := newCache(t), newBoard(t)
-			w := &world{t: t}
-			w.start(settings, b.addr(), 1024, c.host("s-1", "in_service"))
-			p := b.watch(1)
+			c, b := newScriptedCache(t), newScriptedControlPlane(t)
+			w := &testDirector{t: t}
+			w.start(testSettings, b.addr(), 1024, c.host("s-1", "in_service"))
+			p := b.acceptPoll(1)
 			since := time.Now()
 			p.write(text)
-			b.watch(1)
+			b.acceptPoll(1)
 			if took := time.Since(since); took > oneAddressTiming.Silence-time.Second/2 {
 				t.Errorf("it was left after %v", took)
 			}
-			w.serves(c)
+			w.wantServedBy(c)
 		})
 	}
 }
 
 // One event that can't be read holds up neither those beside it nor those that follow.
 func TestAnEventThatCantBeReadIsPassedOver(t *testing.T) {
-	c, other, b := newCache(t), newCache(t), newBoard(t)
-	w := &world{t: t}
-	w.start(settings, b.addr(), 1024, c.host("s-1", "in_service"))
-	p := b.watch(1)
-	p.write(response(2, `"recall":{"lot":"seven","issued":1}`, change(3, other.host("s-2", "in_service")), `"roster":[]`,
-		change(4, c.host("s-1", "terminated"))))
-	p.called(5)
-	w.serves(other)
-	w.on(func() {
-		if w.p.watch.unreadable != 2 {
-			t.Errorf("%d events were passed over", w.p.watch.unreadable)
+	c, other, b := newScriptedCache(t), newScriptedCache(t), newScriptedControlPlane(t)
+	w := &testDirector{t: t}
+	w.start(testSettings, b.addr(), 1024, c.host("s-1", "in_service"))
+	p := b.acceptPoll(1)
+	p.write(watchResponse(2, `"recall":{"lot":"seven","issued":1}`, endpointDelta(3, other.host("s-2", "in_service")), `"roster":[]`,
+		endpointDelta(4, c.host("s-1", "terminated"))))
+	p.wantPoll(5)
+	w.wantServedBy(other)
+	w.onLoop(func() {
+		if w.program.watch.malformedEvents != 2 {
+			t.Errorf("%d events were passed over", w.program.watch.malformedEvents)
 		}
 	})
 }
 
 // After a move the old place tells nothing more, not even what it said in the round of the move.
 func TestTheOldPlaceTellsNothingAfterAMove(t *testing.T) {
-	c, old, b := newCache(t), newBoard(t), newBoard(t)
-	w := &world{t: t}
-	w.start(settings, old.addr(), 1024, c.host("s-1", "in_service"))
-	p := old.watch(1)
-	release := w.hold()
-	whole := response(2, change(2, c.host("s-1", "terminated")))
+	c, old, b := newScriptedCache(t), newScriptedControlPlane(t), newScriptedControlPlane(t)
+	w := &testDirector{t: t}
+	w.start(testSettings, old.addr(), 1024, c.host("s-1", "in_service"))
+	p := old.acceptPoll(1)
+	release := w.holdLoop()
+	whole := watchResponse(2, endpointDelta(2, c.host("s-1", "terminated")))
 	p.write(whole)
-	arrived(t, p.conn)
-	release(func() { w.p.watch.moveTo(netip.MustParseAddrPort(b.addr())) })
-	b.watch(1)
-	w.serves(c)
+	waitAcknowledged(t, p.conn)
+	release(func() { w.program.watch.moveTo(netip.MustParseAddrPort(b.addr())) })
+	b.acceptPoll(1)
+	w.wantServedBy(c)
 }
 
 // A configuration is read anew in the middle of an answer: the new place is asked for what comes after the last whole one.
 func TestAMoveInTheMiddleOfAnAnswer(t *testing.T) {
-	c, old, b := newCache(t), newBoard(t), newBoard(t)
-	w := &world{t: t}
-	w.start(settings, old.addr(), 1024, c.host("s-1", "in_service"))
-	p := old.watch(1)
-	whole := response(2, change(2, c.host("s-1", "terminated")))
+	c, old, b := newScriptedCache(t), newScriptedControlPlane(t), newScriptedControlPlane(t)
+	w := &testDirector{t: t}
+	w.start(testSettings, old.addr(), 1024, c.host("s-1", "in_service"))
+	p := old.acceptPoll(1)
+	whole := watchResponse(2, endpointDelta(2, c.host("s-1", "terminated")))
 	p.write(whole[:len(whole)/2])
-	arrived(t, p.conn)
-	moved := w.p.config
+	waitAcknowledged(t, p.conn)
+	moved := w.program.config
 	moved.Discovery = netip.MustParseAddrPort(b.addr())
-	w.on(func() { w.p.Reload(moved) })
-	next := b.watch(1)
-	next.write(response(2, change(2)))
-	next.called(2)
-	w.serves(c)
+	w.onLoop(func() { w.program.Reload(moved) })
+	next := b.acceptPoll(1)
+	next.write(watchResponse(2, endpointDelta(2)))
+	next.wantPoll(2)
+	w.wantServedBy(c)
 }
 
 // While a connection comes up, no timer of what was before may end it: after a move the pause's did.
 func TestAMoveEndsThePauseBeforeIt(t *testing.T) {
 	loop, err := transport.NewLoop()
-	check(t, err)
+	must(t, err)
 	defer loop.Release()
-	b := newBoard(t)
+	b := newScriptedControlPlane(t)
 	f := newWatchClient(loop, nil, []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1")}, 1, 1)
 	f.retry = time.Second
 	f.connectionLost(net.ErrClosed)
@@ -232,9 +232,9 @@
 
 // A director that comes up while discovery is silent is ready as soon as a list has come, and never before.
 func TestReadyOnceAListHasCome(t *testing.T) {
-	c, b := newCache(t), newBoard(t)
-	w := &world{t: t}
-	w.start(settings, b.addr(), 1024)
+	c, b := newScriptedCache(t), newScriptedControlPlane(t)
+	w := &testDirector{t: t}
+	w.start(testSettings, b.addr(), 1024)
 	client := w.client()
 	good := func(seq int32) bool {
 		client.write(client.call(1, "heartbeat", "\x02\x00\x01\x01"))
@@ -243,43 +243,43 @@
 	if good(1) {
 		t.Error("ready before it dials")
 	}
-	p := b.watch(0)
+	p := b.acceptPoll(0)
 	if good(2) {
 		t.Error("ready before a list has come")
 	}
-	whole := response(1, `"roster":{"seq":1,"whole":true,"hosts":[`+c.host("s-1", "in_service")+`]}`)
+	whole := watchResponse(1, `"roster":{"seq":1,"whole":true,"hosts":[`+c.host("s-1", "in_service")+`]}`)
 	p.write(whole[:len(whole)-1])
-	arrived(t, p.conn)
+	waitAcknowledged(t, p.conn)
 	if good(3) {
 		t.Error("ready before the list is whole")
 	}
 	p.write(whole[len(whole)-1:])
-	p.called(1)
+	p.wantPoll(1)
 	if !good(4) {
 		t.Error("not ready although a list has come")
 	}
-	w.serves(c)
+	w.wantServedBy(c)
 }
 
 // A drain is told in the round in which the link comes up for which an attempt waits: where no grace is left it is not sent.
 func TestADrainToldAsTheLinkComesUp(t *testing.T) {
-	full, b := newFullCache(t), newBoard(t)
-	w := &world{t: t}
-	none := strings.Replace(strings.Replace(settings, `"DialTimeout":400`, `"DialTimeout":8000`, 1), `"DrainGrace":500`, `"DrainGrace":0`, 1)
+	full, b := newFullListenerCache(t), newScriptedControlPlane(t)
+	w := &testDirector{t: t}
+	none := strings.Replace(strings.Replace(testSettings, `"DialTimeout":400`, `"DialTimeout":8000`, 1), `"DrainGrace":500`, `"DrainGrace":0`, 1)
 	w.start(none, b.addr(), 1024, full.host("s-1", "in_service"))
-	p := b.watch(1)
+	p := b.acceptPoll(1)
 	client := w.client()
-	client.submit(ridA, objA)
+	client.submit(requestA, objectA)
 	client.write(client.call(1, "heartbeat", "\x02\x00\x01\x01"))
 	client.want(2, 0, "")
-	release := w.hold()
-	box := full.let()
-	p.write(response(2, change(2, full.host("s-1", "terminating"))))
-	arrived(t, p.conn)
+	release := w.holdLoop()
+	box := full.acceptNext()
+	p.write(watchResponse(2, endpointDelta(2, full.host("s-1", "terminating"))))
+	waitAcknowledged(t, p.conn)
 	release(nil)
 	client.want(1, 1, "") // refused, with no other cache to go to
-	w.on(func() {
-		if n := w.p.director.Counters.Attempts; n != 0 {
+	w.onLoop(func() {
+		if n := w.program.director.Counters.Attempts; n != 0 {
 			t.Errorf("%d attempts", n)
 		}
 	})
@@ -288,16 +288,16 @@
 
 // A change that is older than the last one does not bring a cache back.
 func TestAnOlderVersionAfterANewer(t *testing.T) {
-	c, other, b := newCache(t), newCache(t), newBoard(t)
-	w := &world{t: t}
-	w.start(settings, b.addr(), 1024, c.host("s-1", "in_service"), other.host("s-2", "in_service"))
-	p := b.watch(1)
-	p.write(response(2, change(5, c.host("s-1", "terminated")), change(4, c.host("s-1", "in_service"))))
-	p.called(3)
-	w.serves(other)
-	w.on(func() {
-		if w.p.director.Counters.ConnectFailed+w.p.director.Counters.Reset > 0 {
-			t.Errorf("%+v", w.p.director.Counters)
+	c, other, b := newScriptedCache(t), newScriptedCache(t), newScriptedControlPlane(t)
+	w := &testDirector{t: t}
+	w.start(testSettings, b.addr(), 1024, c.host("s-1", "in_service"), other.host("s-2", "in_service"))
+	p := b.acceptPoll(1)
+	p.write(watchResponse(2, endpointDelta(5, c.host("s-1", "terminated")), endpointDelta(4, c.host("s-1", "in_service"))))
+	p.wantPoll(3)
+	w.wantServedBy(other)
+	w.onLoop(func() {
+		if w.program.director.Counters.ConnectFailed+w.program.director.Counters.Reset > 0 {
+			t.Errorf("%+v", w.program.director.Counters)
 		}
 	})
 }
@@ -307,23 +307,23 @@
 // A cache is replaced at the same address under another id, with a request out at the old one: that one's answer still counts, and
 // what is new goes on a connection of its own.
 func TestReplacedAtTheSameAddressUnderAnotherID(t *testing.T) {
-	c, b := newCache(t), newBoard(t)
-	w := &world{t: t}
-	w.start(settings, b.addr(), 1024, c.host("s-1", "in_service"))
-	p := b.watch(1)
+	c, b := newScriptedCache(t), newScriptedControlPlane(t)
+	w := &testDirector{t: t}
+	w.start(testSettings, b.addr(), 1024, c.host("s-1", "in_service"))
+	p := b.acceptPoll(1)
 	client := w.client()
-	client.submit(ridA, objA)
+	client.submit(requestA, objectA)
 	box := c.accept()
-	box.order()
-	p.write(response(2, change(2, c.host("s-1", "terminated"), c.host("s-2", "in_service"))))
-	p.called(2)
-	client.submit(ridB, objA)
+	box.request()
+	p.write(watchResponse(2, endpointDelta(2, c.host("s-1", "terminated"), c.host("s-2", "in_service"))))
+	p.wantPoll(2)
+	client.submit(requestB, objectA)
 	second := c.accept()
-	if id, _ := second.order(); id != ridB {
+	if id, _ := second.request(); id != requestB {
 		t.Fatalf("order %s", id)
 	}
-	second.answer(ridB, "OK", "n=local", "new")
+	second.answer(requestB, "OK", "n=local", "new")
 	client.want(2, 0, "new")
-	box.answer(ridA, "OK", "n=local", "old")
+	box.answer(requestA, "OK", "n=local", "old")
 	client.want(1, 0, "old")
 }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -15,9 +15,9 @@
 		t.Fatal(err)
 	}
 	l.Debug("not.shown")
-	l.Info("bulletin.lost", "after", 7)
+	l.Info("watch.lost", "after", 7)
 	var line map[string]any
-	if err := json.Unmarshal(b.Bytes(), &line); err != nil || line["msg"] != "bulletin.lost" || line["after"] != 7.0 {
+	if err := json.Unmarshal(b.Bytes(), &line); err != nil || line["msg"] != "watch.lost" || line["after"] != 7.0 {
 		t.Errorf("%v: %s", err, b.String())
 	}
 	b.Reset()
--- a/internal/protocol/discovery/bulletin_test.go
+++ b/internal/protocol/discovery/client_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-func TestResponsesInAnyPieces(t *testing.T) {
+// Guards against a response that is misread when it comes in pieces.
+func TestResponseInAnyPieces(t *testing.T) {
 	for _, text := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 21\r\n\r\n{\"no\":4,\"items\":[]}  ",
 		"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\na\r\n{\"no\":4,\"i\r\n9;x=1\r\ntems\":[]}\r\n0\r\n\r\n",
@@ -25,6 +26,7 @@
 	}
 }
 
+// Guards against a malformed response that is accepted, or waited for without end.
 func TestMalformedResponses(t *testing.T) {
 	for _, text := range []string{
 		"SMTP 200\r\n\r\n", "HTTP/1.1 abc\r\n\r\n", "HTTP/1.1 200 OK\r\nno colon\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\n",
@@ -38,7 +40,7 @@
 		}
 	}
 	if _, err := Decode([]byte(`{"no":`)); err == nil {
-		t.Error("broken JSON taken")
+		t.Error("malformed JSON was accepted")
 	}
 }
 
@@ -52,7 +54,7 @@
 	})
 }
 
-// Whatever one event holds, those beside it are read: as many as the text has, in their order, each either an event or a fault.
+// Guards against a malformed event that hides others: each event of the text is either decoded or reported as malformed.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`{"no":3,"items":[{"no":1,"roster":{"seq":1,"whole":true,"hosts":[]}},{"no":2,"recall":{"lot":"x"}},{"no":3}]}`))
 	f.Add([]byte(`{"no":1,"items":[7,{"no":"one"},null]}`))
@@ -69,7 +71,7 @@
 			return
 		}
 		if err := json.Unmarshal(b, &text); err != nil {
-			t.Fatalf("read, but it is no feed: %v", err)
+			t.Fatalf("decoded, but it is no response: %v", err)
 		}
 		if n := len(got.Events) + len(got.Malformed); n != len(text.Items) {
 			t.Errorf("%d events of %d", n, len(text.Items))
--- a/internal/protocol/discovery/serve_test.go
+++ b/internal/protocol/discovery/server_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-func TestCallsInAnyPieces(t *testing.T) {
+// Guards against a poll that is misread when it comes in pieces.
+func TestWatchRequestInAnyPieces(t *testing.T) {
 	text := string(AppendRequest(nil, "127.0.0.1:8500", 41, 7000, nil))
 	for n := range len(text) {
 		if _, used, need, err := ParseWatchRequest([]byte(text[:n])); used != 0 || err != nil || need <= n {
@@ -18,7 +19,8 @@
 	}
 }
 
-func TestCallsThatAreRefused(t *testing.T) {
+// Guards against a malformed poll that is accepted or rejected with another status.
+func TestRejectedWatchRequests(t *testing.T) {
 	for text, status := range map[string]int{
 		"GET /bulletins HTTP/1.1\r\nContent-Length: 3\r\n\r\n":    400,
 		"GET /bulletins HTTP/1.1\r\nTransfer-Encoding: x\r\n\r\n": 400,
@@ -28,7 +30,7 @@
 		"POST /bulletins HTTP/1.1\r\n\r\n":                        405,
 		"GET /other HTTP/1.1\r\n\r\n":                             404,
 		"hello\r\n\r\n":                                           400,
-		string(make([]byte, maxCall+1)):                           431,
+		string(make([]byte, maxRequest+1)):                        431,
 	} {
 		var e *RequestError
 		if _, used, _, err := ParseWatchRequest([]byte(text)); !errors.As(err, &e) || e.Status != status || used != 0 {
@@ -37,29 +39,38 @@
 	}
 }
 
-// What the server writes the director's reader reads.
-func TestItemsAreReadBack(t *testing.T) {
-	lot := 17
+// Guards against events that the control plane encodes and directors cannot decode.
+func TestEventsAreDecodedAsEncoded(t *testing.T) {
+	group := 17
 	var body []byte
 	body = append(body, Opening(43)...)
-	for i, item := range []Event{
-		{Revision: 41, Endpoints: &EndpointList{Sequence: 7, Endpoints: []Endpoint{{Name: "s-1", Address: "10.1.0.9:9090", Site: "east", Class: "std", Block: 2, Health: "in_service", Share: 4, BornMS: 1764576000123}}}},
+	for i, event := range []Event{
+		{Revision: 41, Endpoints: &EndpointList{Sequence: 7, Endpoints: []Endpoint{{
+			Name:    "s-1",
+			Address: "10.1.0.9:9090",
+			Site:    "east",
+			Class:   "std",
+			Block:   2,
+			Health:  InService,
+			Share:   4,
+			BornMS:  1764576000123,
+		}}}},
 		{Revision: 42, Purge: &Purge{Object: "7f3a9c21e0b4d655", IssuedMS: 1764576000123}},
-		{Revision: 43, Purge: &Purge{Group: &lot, IssuedMS: 1764576000480}},
+		{Revision: 43, Purge: &Purge{Group: &group, IssuedMS: 1764576000480}},
 	} {
 		if i > 0 {
 			body = append(body, ',')
 		}
-		b, err := EncodeEvent(item)
+		b, err := EncodeEvent(event)
 		if err != nil {
 			t.Fatal(err)
 		}
 		body = append(body, b...)
 	}
 	body = append(body, Closing...)
-	answer := append(AppendHead(nil, 200, len(body), false), body...)
-	r, used, _, err := ParseResponse(answer)
-	if err != nil || used != len(answer) {
+	response := append(AppendHead(nil, 200, len(body), false), body...)
+	r, used, _, err := ParseResponse(response)
+	if err != nil || used != len(response) {
 		t.Fatal(err, used)
 	}
 	f, err := Decode(r.Body)
@@ -69,7 +80,7 @@
 	}
 }
 
-func FuzzParseCall(f *testing.F) {
+func FuzzParseWatchRequest(f *testing.F) {
 	f.Add([]byte("GET /bulletins?after=3&patience=2000 HTTP/1.1\r\nHost: x\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		c, used, need, err := ParseWatchRequest(b)
--- a/internal/tools/capacity/capacity_test.go
+++ b/internal/tools/capacity/capacity_test.go
@@ -134,7 +134,7 @@
 	milliseconds := func(t time.Duration) string { return strconv.FormatInt(t.Milliseconds(), 10) }
 	for _, x := range []struct{ file, pattern, value string }{
 		{"internal/operatorconfig/relay.go", `Gather: (\d+) \* time.Millisecond`, milliseconds(d.RelayGather)},
-		{"internal/director/timing.go", `announcedPatience = (\d+) \* time.Millisecond`, milliseconds(d.WatchPatience)},
+		{"internal/director/timing.go", `announcedPollTimeout = (\d+) \* time.Millisecond`, milliseconds(d.WatchPatience)},
 		{"internal/director/timing.go", `RetryMax: +(\d+) \* time.Millisecond, // while`, milliseconds(d.ReconnectRetry)},
 		{"internal/director/timing.go", `watchRetrySpread = (\d+) \* time.Microsecond`, strconv.FormatInt(d.ReconnectSpread.Microseconds(), 10)},
 		{"internal/director/timing.go", `SpreadMax: (\d+) \* time.Millisecond`, milliseconds(d.ReconnectSpreadMax)},
@@ -147,7 +147,7 @@
 		{"internal/health/signals.go", `foundFor += (\d+) \* time.Millisecond`, milliseconds(d.HealthFoundEvery)},
 		{"internal/health/signals.go", `foundEach = (\d+) \* time.Microsecond`, strconv.FormatInt(d.HealthFoundEach.Microseconds(), 10)},
 		{"internal/fleet/fleet.go", `PurgeKeepMS = (\d+) \* 60 \* 1000`, strconv.Itoa(int(d.PurgeKept.Minutes()))},
-		{"internal/protocol/discovery/bulletin.go", `maxBody = (\d+) << 20`, strconv.Itoa(int(d.LargestAnswer) >> 20)},
+		{"internal/protocol/discovery/client.go", `maxBody = (\d+) << 20`, strconv.Itoa(int(d.LargestAnswer) >> 20)},
 	} {
 		text, err := os.ReadFile(root + x.file)
 		if err != nil {
