--- /dev/null
+++ b/internal/director/cache_conn_test.go
@@ -0,0 +1,87 @@
+package director
+
+import (
+	"net"
+	"strings"
+	"testing"
+)
+
+// Guards against sending an attempt on a connection that its cache closes in the same round.
+func TestNoAttemptOnClosingConnection(t *testing.T) {
+	for _, how := range []string{"end", "reset"} {
+		t.Run(how, func(t *testing.T) {
+			c := newScriptedCache(t)
+			w := newTestDirector(t, c.host("s-1", "in_service"))
+			client, upstream := w.warmUp(c)
+			release := w.holdLoop()
+			client.submit(requestA, objectB) // arrives first
+			waitAcknowledged(t, client.conn)
+			if how == "reset" {
+				must(t, upstream.conn.(*net.TCPConn).SetLinger(0))
+			}
+			must(t, upstream.conn.Close())
+			release(nil)
+			upstream = c.accept()
+			id, _ := upstream.request()
+			upstream.answer(id, "OK", "n=local", "x")
+			client.want(2, 0, "x")
+			w.onLoop(func() {
+				if n := w.program.director.Counters.Reset; n != 0 {
+					t.Errorf("%d attempts were reset", n)
+				}
+			})
+		})
+	}
+}
+
+// Guards against endless or malformed responses that cost more than their connection.
+func TestMalformedResponseClosesItsConnection(t *testing.T) {
+	for name, text := range map[string]string{
+		"a line":        "*" + strings.Repeat("1", 100_000),
+		"a body":        "*4\r\n$99999999999\r\n",
+		"many words":    "*1000000\r\n" + strings.Repeat("$1\r\nx\r\n", 1000),
+		"a word alone":  respArray("UP"),
+		"unknown":       respArray(requestA, "WHAT", "-", ""),
+		"a bad field":   respArray(requestA, "OK", "since=soon", "x"),
+		"negative size": "*4\r\n$-5\r\n",
+	} {
+		t.Run(name, func(t *testing.T) {
+			c := newScriptedCache(t)
+			w := newTestDirector(t, c.host("s-1", "in_service"))
+			client := w.client()
+			client.submit(requestA, objectA)
+			upstream := c.accept()
+			upstream.request()
+			if _, err := upstream.conn.Write([]byte(text)); err != nil {
+				t.Log(err) // the director has closed it
+			}
+			upstream = c.accept()
+			upstream.request()
+			upstream.answer(requestA, "OK", "n=local", "x")
+			client.want(1, 0, "x")
+		})
+	}
+}
+
+// Guards against mixing up a cache with its replacement at the same address.
+func TestCacheReplacedAtSameAddress(t *testing.T) {
+	c, b := newScriptedCache(t), newScriptedControlPlane(t)
+	w := &testDirector{t: t}
+	w.start(testSettings, b.addr(), 1024, c.host("s-1", "in_service"))
+	p := b.acceptPoll(1)
+	client := w.client()
+	client.submit(requestA, objectA)
+	upstream := c.accept()
+	upstream.request()
+	p.write(watchResponse(2, endpointDelta(2, c.host("s-1", "terminated"), c.host("s-2", "in_service"))))
+	p.wantPoll(2)
+	client.submit(requestB, objectA)
+	second := c.accept()
+	if id, _ := second.request(); id != requestB {
+		t.Fatalf("request %s", id)
+	}
+	second.answer(requestB, "OK", "n=local", "new")
+	client.want(2, 0, "new")
+	upstream.answer(requestA, "OK", "n=local", "old")
+	client.want(1, 0, "old")
+}
--- /dev/null
+++ b/internal/director/client_conn_test.go
@@ -0,0 +1,299 @@
+package director
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// Guards against a close for malformed input that loses answers written before.
+func TestAnswersBeforeMalformedInputReachTheClient(t *testing.T) {
+	c := newScriptedCache(t)
+	w := newTestDirector(t, c.host("s-1", "in_service"))
+	client, upstream := w.warmUp(c)
+	client.submit(requestA, objectB)
+	upstream.request()
+	must(t, client.conn.(*net.TCPConn).SetReadBuffer(4096)) // so that most of the answer waits in the director
+	body := strings.Repeat("x", 200_000)
+	upstream.answer(requestA, "OK", "n=local", body)
+	for inFlight := 1; inFlight > 0; {
+		w.onLoop(func() { inFlight = w.program.director.InFlight() })
+	}
+	client.write(strings.Repeat("no frame", 2_000))
+	for seen := int64(0); seen == 0; {
+		w.onLoop(func() { seen = w.program.frontend.Counters.Malformed })
+	}
+	w.waitRound()                    // a connection closed at once would be closed by now,
+	client.write("and some more...") // and these bytes reset the connection
+	waitAcknowledged(t, client.conn)
+	client.want(2, 0, body)
+	client.readToEnd()
+}
+
+// Guards against ignoring the cancels and the end of a client that does not read.
+func TestClientThatReadsNothingCanStillCancel(t *testing.T) {
+	for _, how := range []string{"end", "revoke"} {
+		t.Run(how, func(t *testing.T) {
+			c := newScriptedCache(t)
+			w := newTestDirector(t, c.host("s-1", "in_service"))
+			_, upstream := w.warmUp(c)
+			client := w.client()
+			// So large, and with so long a timeout, that only its client ends it.
+			client.write(client.submitText(requestA, objectA, time.Minute, "mem", "90000"))
+			upstream.request()
+			w.fillQueue(client, upstream, 1)
+			client.submit(requestC, objectA) // it is shed, not read later
+			if how == "end" {
+				must(t, client.conn.(*net.TCPConn).CloseWrite())
+			} else {
+				client.write(client.call(4, "revoke", "\x08\x00\x01"+be32(1)))
+			}
+			for cmd := upstream.command(); cmd[0] != "undo" || cmd[1] != requestA; cmd = upstream.command() {
+				if cmd[0] == "do" && cmd[1] != requestA {
+					t.Fatalf("request %q", cmd)
+				}
+			}
+			w.wantNothingSentBefore(upstream, requestB)
+		})
+	}
+}
+
+// Guards against evicting a client in the round in which its request arrives.
+func TestClientWithArrivingRequestIsNotEvicted(t *testing.T) {
+	c := newScriptedCache(t)
+	w := newTestDirector(t, c.host("s-1", "in_service"))
+	busy, upstream := w.warmUp(c)
+	resting := w.client()
+	resting.submit(requestB, objectB)
+	id, _ := upstream.request()
+	upstream.answer(id, "OK", "n=local", "r")
+	resting.want(1, 0, "r")
+	addr, err := w.program.Addr()
+	must(t, err)
+	w.onLoop(func() { w.program.frontend.maxClients = 2 })
+	release := w.holdLoop()
+	conn, err := net.Dial("tcp", addr.String()) // arrives first; busy has been without use for longest
+	must(t, err)
+	busy.submit(requestA, objectB)
+	waitAcknowledged(t, busy.conn)
+	release(nil)
+	id, _ = upstream.request()
+	upstream.answer(id, "OK", "n=local", "a")
+	busy.want(2, 0, "a")
+	if rest := resting.readToEnd(); rest != "" {
+		t.Errorf("the resting client got %q", rest)
+	}
+	late := newScriptedConn(t, conn)
+	late.submit(requestC, objectB)
+	id, _ = upstream.request()
+	upstream.answer(id, "OK", "n=local", "c")
+	late.want(1, 0, "c")
+}
+
+// Guards against a close that cuts off a large answer which the client has not read yet.
+func TestAnswerIsCompleteUnderClose(t *testing.T) {
+	c := newScriptedCache(t)
+	w := newTestDirector(t, c.host("s-1", "in_service"))
+	client, upstream := w.warmUp(c)
+	client.submit(requestA, objectB)
+	upstream.request()
+	body := strings.Repeat("y", 100_000) // the sockets take it
+	upstream.answer(requestA, "OK", "n=local", body)
+	for queued := -1; queued != 0; {
+		w.onLoop(func() {
+			queued = int(1 - w.program.director.Counters.OK/2)
+			for f := range w.program.frontend.clients {
+				queued += f.conn.Queued()
+			}
+		})
+	}
+	w.onLoop(func() {
+		for f := range w.program.frontend.clients {
+			f.closeIfUnused()
+		}
+	})
+	client.write(client.call(1, "heartbeat", "\x02\x00\x01\x01")) // arrives after the close
+	waitAcknowledged(t, client.conn)
+	w.waitRound()
+	client.want(2, 0, body)
+	client.readToEnd()
+}
+
+// Guards against a descriptor that is never closed because of a client that does not close its end.
+func TestLingeringClientIsEnded(t *testing.T) {
+	c := newScriptedCache(t)
+	w := newTestDirector(t, c.host("s-1", "in_service"))
+	client, _ := w.warmUp(c)
+	w.onLoop(func() {
+		for f := range w.program.frontend.clients {
+			f.closeGracefully()
+		}
+	})
+	client.readToEnd()
+	left := 1
+	for until := time.Now().Add(4 * lingerTimeout); left > 0 && time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
+		w.onLoop(func() { left = len(w.program.frontend.clients) + len(w.program.frontend.lingering) })
+	}
+	if left > 0 {
+		t.Error("the client is still there")
+	}
+}
+
+// Guards against a client that sends much and leaves: others are served, and none of its requests stays.
+func TestFloodLeavesNothingBehind(t *testing.T) {
+	c := newScriptedCache(t)
+	w := newTestDirector(t, c.host("s-1", "in_service"))
+	client, upstream := w.warmUp(c)
+	flood := w.client()
+	var text strings.Builder
+	for i := range 5000 {
+		text.WriteString(flood.submitBody(fmt.Sprintf("%016x", 0xf0000+i), objectA, 5*time.Second, "a body"))
+	}
+	go func() {
+		_, _ = flood.conn.Write([]byte(text.String()))
+		_ = flood.conn.Close() // the director sees it or has closed it
+	}()
+	slowest := time.Duration(0)
+	for i := range 20 {
+		id := fmt.Sprintf("%016x", 0xa0000+i)
+		client.submit(id, objectB)
+		for cmd := upstream.command(); cmd[0] != "do" || cmd[1] != id; cmd = upstream.command() {
+		}
+		since := time.Now()
+		w.onLoop(func() {})
+		slowest = max(slowest, time.Since(since))
+		upstream.answer(id, "OK", "n=local", "x")
+		client.want(int32(i+2), 0, "x")
+	}
+	if slowest > 500*time.Millisecond {
+		t.Errorf("a round took %v", slowest)
+	}
+	for left, until := 2, time.Now().Add(testTimeout); left != 1; {
+		if time.Now().After(until) {
+			t.Fatalf("%d clients are left", left)
+		}
+		w.onLoop(func() { left = len(w.program.frontend.clients) })
+	}
+	w.onLoop(func() {
+		if n := w.program.director.InFlight(); n != 0 {
+			t.Errorf("%d requests are in flight", n)
+		}
+		if w.program.frontend.bodyBytes != 0 || w.program.loop.Queued() != 0 {
+			t.Errorf("%d bytes of bodies, %d queued", w.program.frontend.bodyBytes, w.program.loop.Queued())
+		}
+	})
+}
+
+// Guards against memory that fills with answers and rejections of a client that only sends.
+func TestClientThatNeverReadsIsClosed(t *testing.T) {
+	c := newScriptedCache(t)
+	w := newTestDirector(t, c.host("s-1", "in_service"))
+	_, upstream := w.warmUp(c)
+	flood := w.client()
+	w.fillQueue(flood, upstream, 0)
+	var text strings.Builder
+	for i := range maxShedInARow + 100 {
+		text.WriteString(flood.submitText(fmt.Sprintf("%016x", 0xf0000+i), objectA, 5*time.Second))
+	}
+	go func() { _, _ = flood.conn.Write([]byte(text.String())) }()
+	for stuck, until := int64(0), time.Now().Add(testTimeout); stuck == 0; {
+		if time.Now().After(until) {
+			t.Fatal("the client is never closed")
+		}
+		w.onLoop(func() { stuck = w.program.frontend.Counters.Stuck })
+	}
+	w.onLoop(func() {
+		if n := w.program.frontend.Counters.Shed; n != maxShedInARow+1 {
+			t.Errorf("%d requests were shed", n)
+		}
+		if n := w.program.loop.Queued(); n != 0 {
+			t.Errorf("%d bytes are queued still", n)
+		}
+	})
+	w.wantNothingSentBefore(upstream, requestB)
+}
+
+// Guards against memory that fills with the answers of clients that do not read.
+func TestStuckClientIsClosedAtMemoryLimit(t *testing.T) {
+	c := newScriptedCache(t)
+	w := newTestDirector(t, c.host("s-1", "in_service"))
+	w.program.Post(func() { w.program.frontend.maxQueuedBytes = 1 << 20 })
+	stuck, client := w.client(), w.client()
+	stuck.submit(requestA, objectA)
+	upstream := c.accept()
+	upstream.request()
+	body := strings.Repeat("x", 240_000)
+	for i := range 31 {
+		stuck.submit(fmt.Sprintf("%016x", i), objectA)
+		upstream.request()
+	}
+	for i := range 31 { // 7 MB, more than the sockets take
+		upstream.answer(fmt.Sprintf("%016x", i), "OK", "n=local", body)
+	}
+	for w := upstream.command(); w[1] != requestA; w = upstream.command() { // the client's requests are cancelled in any order
+		if w[0] != "undo" {
+			t.Fatalf("want a cancel, got %q", w)
+		}
+	}
+	client.submit(requestB, objectB)
+	for w := upstream.command(); w[0] != "do"; w = upstream.command() {
+	}
+	upstream.answer(requestB, "OK", "n=local", body)
+	client.want(1, 0, body)
+}
+
+// Guards against connections that send nothing, half a message, or only cancelled requests, and stay open.
+func TestSilentClientsAreClosed(t *testing.T) {
+	c := newScriptedCache(t)
+	w := newTestDirector(t, c.host("s-1", "in_service"))
+	waiting, silent, half, cancelling := w.client(), w.client(), w.client(), w.client()
+	waiting.submit(requestA, objectA)
+	upstream := c.accept()
+	upstream.request()
+	half.write(half.submitText(requestB, objectB, time.Second)[:20])
+	cancelling.submit(requestC, objectB)
+	if id, _ := upstream.request(); id != requestC { // it must be in flight before it is cancelled
+		t.Fatalf("request %s", id)
+	}
+	cancelling.write(cancelling.call(4, "revoke", "\x08\x00\x01"+be32(1)))
+	for w := upstream.command(); w[0] != "undo"; w = upstream.command() {
+	}
+	w.program.Post(func() { w.program.frontend.firstAnswerTimeout = 0; w.program.frontend.sweep() })
+	for _, p := range []*scriptedConn{silent, half, cancelling} {
+		if _, err := p.reader.ReadByte(); !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) {
+			t.Errorf("not closed: %v", err)
+		}
+	}
+	upstream.answer(requestA, "OK", "n=local", "a")
+	waiting.want(1, 0, "a")
+}
+
+// Guards against new clients that are rejected while others hold unused connections.
+func TestUnusedConnectionIsEvicted(t *testing.T) {
+	c := newScriptedCache(t)
+	w := newTestDirector(t, c.host("s-1", "in_service"))
+	w.program.Post(func() { w.program.frontend.maxClients = 2 })
+	waiting, unused := w.client(), w.client()
+	waiting.submit(requestA, objectA)
+	upstream := c.accept()
+	upstream.request()
+	unused.submit(requestB, objectB)
+	id, _ := upstream.request()
+	upstream.answer(id, "OK", "n=local", "b")
+	unused.want(1, 0, "b")
+	late := w.client()
+	late.submit(requestC, objectB)
+	id, _ = upstream.request()
+	upstream.answer(id, "OK", "n=local", "c")
+	late.want(1, 0, "c")
+	if _, err := unused.reader.ReadByte(); err == nil {
+		t.Error("the unused connection is still open")
+	}
+	upstream.answer(requestA, "OK", "n=local", "a")
+	waiting.want(1, 0, "a")
+}
--- /dev/null
+++ b/internal/director/group_harness_test.go
@@ -0,0 +1,111 @@
+package director
+
+import (
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"stairvane.org/stairvane/internal/director/config"
+	"stairvane.org/stairvane/internal/tools/fakes"
+)
+
+// testGroup is a director on some cores between fake caches and a control plane whose events the test gives.
+type testGroup struct {
+	t      *testing.T
+	group  *Group
+	addr   string
+	caches []*fakes.Cache
+	events chan string
+	exited chan error
+}
+
+func newTestGroup(t *testing.T, cores, caches int) *testGroup {
+	return newTestGroupWith(t, cores, caches, testSettings)
+}
+
+func newTestGroupWith(t *testing.T, cores, caches int, settings string) *testGroup {
+	c := &testGroup{t: t, events: make(chan string, 8), exited: make(chan error, 1)}
+	stop := make(chan struct{})
+	controlPlane := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		select {
+		case text := <-c.events:
+			_, _ = fmt.Fprint(w, text) // the director polls again if it is lost
+		case <-stop:
+		}
+	}))
+	t.Cleanup(func() { close(stop); controlPlane.Close() })
+	var hosts []string
+	for i := range caches {
+		b, err := fakes.NewCache("127.0.0.1:0")
+		must(t, err)
+		t.Cleanup(b.Close)
+		c.caches = append(c.caches, b)
+		hosts = append(hosts, c.host(i, "in_service"))
+	}
+	conf, err := config.Parse(fmt.Appendf(nil, `{"name":"n","listen":"127.0.0.1:0","seed":"1","bulletin":%q,
+		"limits":{"memory_mb":192,"sockets":2048},
+		"known":{"no":1,"items":[{"no":1,"roster":{"seq":1,"whole":true,"hosts":[%s]}}]},"settings":%s}`,
+		controlPlane.Listener.Addr(), strings.Join(hosts, ","), settings), "", "")
+	must(t, err)
+	c.group, err = NewGroup(conf, cores)
+	must(t, err)
+	addr, err := c.group.Addr()
+	must(t, err)
+	c.addr = addr.String()
+	go func() { c.exited <- c.group.Run() }()
+	t.Cleanup(func() {
+		c.group.Shutdown()
+		must(t, <-c.exited)
+		if n := c.group.owners.Len(); n > 0 {
+			t.Errorf("%d IDs are in flight after the end", n)
+		}
+	})
+	return c
+}
+
+func (c *testGroup) host(i int, health string) string {
+	return fmt.Sprintf(`{"host":"s-%d","dial":%q,"site":"west","class":"std","health":%q,"share":1}`, i, c.caches[i].Addr(), health)
+}
+
+// load has some clients send requests, and adds up their answers.
+func (c *testGroup) load(clients, each int, pause time.Duration) (sum fakes.Tally) {
+	var mu sync.Mutex
+	var wg sync.WaitGroup
+	for range clients {
+		wg.Go(func() {
+			client, err := fakes.Connect(c.addr)
+			if err != nil {
+				c.t.Error(err)
+				return
+			}
+			for i := range each {
+				if err := client.Send(200, 5*time.Second); err != nil {
+					c.t.Error(err)
+					break
+				}
+				if i%16 == 15 { // seldom more than a connection may have in flight
+					time.Sleep(pause)
+				}
+			}
+			t := client.Finish(testTimeout)
+			mu.Lock()
+			defer mu.Unlock()
+			addTally(&sum, t)
+		})
+	}
+	wg.Wait()
+	return sum
+}
+
+func addTally(sum *fakes.Tally, t fakes.Tally) {
+	sum.Sent += t.Sent
+	sum.Served += t.Served
+	sum.Refused += t.Refused
+	sum.Failed += t.Failed
+	sum.Doubled += t.Doubled
+	sum.Lost += t.Lost
+}
--- /dev/null
+++ b/internal/director/request_races_test.go
@@ -0,0 +1,209 @@
+package director
+
+import (
+	"fmt"
+	"net"
+	"strings"
+	"testing"
+	"time"
+)
+
+// Guards against an attempt whose client left in the round in which its connection came up.
+func TestNoAttemptForClientGoneWhileConnecting(t *testing.T) {
+	for _, how := range []string{"end", "reset", "revoke"} {
+		t.Run(how, func(t *testing.T) {
+			full := newFullListenerCache(t)
+			settings := strings.Replace(testSettings, `"DialTimeout":400`, `"DialTimeout":8000`, 1)
+			w := newTestDirectorWith(t, settings, full.host("s-1", "in_service"))
+			client := w.client()
+			client.submit(requestA, objectA)
+			client.write(client.call(1, "heartbeat", "\x02\x00\x01\x01")) // answered: the request was accepted
+			client.want(2, 0, "")
+			release := w.holdLoop()
+			upstream := full.acceptNext() // the connection is up, and the director has not seen it
+			switch how {
+			case "end":
+				must(t, client.conn.(*net.TCPConn).CloseWrite())
+				waitAcknowledged(t, client.conn)
+			case "reset":
+				must(t, client.conn.(*net.TCPConn).SetLinger(0))
+				must(t, client.conn.Close())
+			case "revoke":
+				client.write(client.call(4, "revoke", "\x08\x00\x01"+be32(1)))
+				waitAcknowledged(t, client.conn)
+			}
+			release(nil)
+			w.wantNothingSentBefore(upstream, requestB)
+			w.onLoop(func() {
+				if w.program.director.Counters.Cancelled != 1 || w.program.director.InFlight() != 0 {
+					t.Errorf("%+v, %d in flight", w.program.director.Counters, w.program.director.InFlight())
+				}
+			})
+		})
+	}
+}
+
+// Guards against a retry for a client that left in the round in which its attempt failed.
+func TestNoRetryForClientGoneWithTheResponse(t *testing.T) {
+	for _, how := range []string{"end", "revoke"} {
+		t.Run(how, func(t *testing.T) {
+			c, other := newScriptedCache(t), newScriptedCache(t)
+			w := newTestDirector(t, other.host("s-2", "in_service"))
+			_, second := w.warmUp(other)
+			w.publish(2, `"roster":{"seq":2,"whole":false,"hosts":[`+c.host("s-1", "in_service")+`,`+other.host("s-2", "terminating")+`]}`)
+			client := w.client()
+			client.submit(requestA, objectA)
+			upstream := c.accept()
+			upstream.request()
+			w.publish(3, `"roster":{"seq":3,"whole":false,"hosts":[`+other.host("s-2", "in_service")+`]}`)
+			release := w.holdLoop()
+			upstream.answer(requestA, "ERR", "-", "") // arrives first
+			waitAcknowledged(t, upstream.conn)
+			if how == "end" {
+				must(t, client.conn.(*net.TCPConn).CloseWrite())
+			} else {
+				client.write(client.call(4, "revoke", "\x08\x00\x01"+be32(1)))
+			}
+			waitAcknowledged(t, client.conn)
+			release(nil)
+			w.waitRound()
+			w.publish(4, `"roster":{"seq":4,"whole":false,"hosts":[`+c.host("s-1", "terminating")+`]}`)
+			w.wantNothingSentBefore(second, requestB)
+			w.onLoop(func() {
+				if n := w.program.director.Counters.Attempts; n != 3 {
+					t.Errorf("%d attempts for three requests", n)
+				}
+			})
+		})
+	}
+}
+
+// Guards against a resubmission that runs beside the first request or gets its late response.
+func TestResubmissionOnNewConnectionIsSeparate(t *testing.T) {
+	for _, first := range []string{"the end", "the resubmission"} {
+		t.Run(first+" first", func(t *testing.T) {
+			c := newScriptedCache(t)
+			w := newTestDirector(t, c.host("s-1", "in_service"))
+			_, upstream := w.warmUp(c)
+			old, again := w.client(), w.client()
+			old.submit(requestA, objectA)
+			upstream.request()
+			again.heartbeat() // its connection has been accepted
+			release := w.holdLoop()
+			end := func() {
+				must(t, old.conn.(*net.TCPConn).CloseWrite())
+				waitAcknowledged(t, old.conn)
+			}
+			if first == "the end" {
+				end()
+			}
+			again.submit(requestA, objectA)
+			waitAcknowledged(t, again.conn)
+			if first != "the end" {
+				end()
+			}
+			release(nil)
+			if cmd := upstream.command(); cmd[0] != "undo" || cmd[1] != requestA {
+				t.Fatalf("got %q, want the cancel of the first", cmd)
+			}
+			second := c.accept()
+			if id, _ := second.request(); id != requestA {
+				t.Fatalf("request %s", id)
+			}
+			upstream.answer(requestA, "OK", "n=local", "to the first")
+			waitAcknowledged(t, upstream.conn)
+			w.waitRound()
+			second.answer(requestA, "OK", "n=local", "to the second")
+			again.want(2, 0, "to the second")
+		})
+	}
+}
+
+// Guards against connections used up by a client that submits and cancels one ID again and again.
+func TestResubmissionsOfOneIDAreLimited(t *testing.T) {
+	c := newScriptedCache(t)
+	w := newTestDirector(t, c.host("s-1", "in_service"))
+	client, upstream := w.warmUp(c)
+	for i := range 5 {
+		client.submit(requestA, objectA)
+		if i > 2 {
+			client.want(int32(2+2*i), 2, "")
+			client.seq++
+			continue
+		}
+		if i > 0 {
+			upstream = c.accept()
+		}
+		upstream.request()
+		client.write(client.call(4, "revoke", "\x08\x00\x01"+be32(int(client.seq))))
+		for cmd := upstream.command(); cmd[0] != "undo"; cmd = upstream.command() {
+		}
+	}
+}
+
+// Guards against a second response of one cache that ends the next attempt.
+func TestDuplicateResponseDoesNotEndTheRetry(t *testing.T) {
+	c := newScriptedCache(t)
+	w := newTestDirector(t, c.host("s-1", "in_service"))
+	client, upstream := w.warmUp(c)
+	issued := time.Now().UnixMilli()
+	w.publish(2, fmt.Sprintf(`"recall":{"lot":5,"issued":%d}`, issued))
+	client.submit(requestA, objectA)
+	upstream.request()
+	twice := respArray(requestA, "OK", fmt.Sprintf("n=local,since=%d", issued-1), "old") // withheld and retried
+	upstream.write(twice + twice)
+	second := c.accept()
+	second.request()
+	upstream.write(twice)
+	waitAcknowledged(t, upstream.conn)
+	w.waitRound()
+	w.onLoop(func() {
+		if n := w.program.director.Counters.Attempts; n != 3 {
+			t.Errorf("%d attempts", n)
+		}
+	})
+	second.answer(requestA, "OK", fmt.Sprintf("n=pulled,since=%d", issued+1), "new")
+	client.want(2, 0, "new")
+}
+
+// Guards against two answers, or a timeout, where the response came in time.
+func TestResponseAndTimeoutInOneRound(t *testing.T) {
+	c := newScriptedCache(t)
+	w := newTestDirector(t, c.host("s-1", "in_service"))
+	client, upstream := w.warmUp(c)
+	client.write(client.submitText(requestA, objectA, 200*time.Millisecond))
+	upstream.request()
+	release := w.holdLoop()
+	upstream.answer(requestA, "OK", "n=local", "just")
+	waitAcknowledged(t, upstream.conn)
+	time.Sleep(250 * time.Millisecond) // the request's timeout passes while the loop is blocked
+	release(nil)
+	client.want(2, 0, "just")
+	client.write(client.call(1, "heartbeat", "\x02\x00\x01\x01"))
+	client.want(3, 0, "")
+}
+
+// Guards against sending an attempt to a host whose drain arrives as the connection comes up.
+func TestDrainRacingConnect(t *testing.T) {
+	full, b := newFullListenerCache(t), newScriptedControlPlane(t)
+	w := &testDirector{t: t}
+	noGrace := strings.NewReplacer(`"DialTimeout":400`, `"DialTimeout":8000`, `"DrainGrace":500`, `"DrainGrace":0`).Replace(testSettings)
+	w.start(noGrace, b.addr(), 1024, full.host("s-1", "in_service"))
+	p := b.acceptPoll(1)
+	client := w.client()
+	client.submit(requestA, objectA)
+	client.write(client.call(1, "heartbeat", "\x02\x00\x01\x01"))
+	client.want(2, 0, "")
+	release := w.holdLoop()
+	upstream := full.acceptNext()
+	p.write(watchResponse(2, endpointDelta(2, full.host("s-1", "terminating"))))
+	waitAcknowledged(t, p.conn)
+	release(nil)
+	client.want(1, 1, "") // rejected: there is no other cache
+	w.onLoop(func() {
+		if n := w.program.director.Counters.Attempts; n != 0 {
+			t.Errorf("%d attempts", n)
+		}
+	})
+	must(t, upstream.conn.Close())
+}
--- /dev/null
+++ b/internal/director/scripted_control_plane_test.go
@@ -0,0 +1,49 @@
+package director
+
+import (
+	"fmt"
+	"net"
+	"strings"
+	"testing"
+	"time"
+)
+
+// scriptedControlPlane is a control plane whose test accepts its polls and writes its responses byte by byte.
+type scriptedControlPlane struct {
+	t        *testing.T
+	listener net.Listener
+}
+
+func newScriptedControlPlane(t *testing.T) *scriptedControlPlane {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	must(t, err)
+	t.Cleanup(func() { _ = ln.Close() }) // it may be closed already
+	return &scriptedControlPlane{t, ln}
+}
+
+func (b *scriptedControlPlane) addr() string { return b.listener.Addr().String() }
+
+// acceptPoll accepts the director's next connection and reads its poll, which must be for what follows a revision.
+func (b *scriptedControlPlane) acceptPoll(after int) *scriptedConn {
+	b.t.Helper()
+	must(b.t, b.listener.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout)))
+	conn, err := b.listener.Accept()
+	must(b.t, err)
+	p := newScriptedConn(b.t, conn)
+	p.wantPoll(after)
+	return p
+}
+
+// watchResponse is a response with events that are given without their revisions.
+func watchResponse(from int, events ...string) string {
+	items := make([]string, len(events))
+	for i, e := range events {
+		items[i] = fmt.Sprintf(`{"no":%d,%s}`, from+i, e)
+	}
+	body := fmt.Sprintf(`{"no":%d,"items":[%s]}`, from+len(events)-1, strings.Join(items, ","))
+	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+}
+
+func endpointDelta(seq int, hosts ...string) string {
+	return fmt.Sprintf(`"roster":{"seq":%d,"whole":false,"hosts":[%s]}`, seq, strings.Join(hosts, ","))
+}
--- /dev/null
+++ b/internal/director/shutdown_test.go
@@ -0,0 +1,192 @@
+package director
+
+import (
+	"net"
+	"strings"
+	"testing"
+	"time"
+)
+
+// Guards against losing a request that had arrived when its idle connection was closed.
+func TestRequestRacingTheLastCloseIsServed(t *testing.T) {
+	c := newScriptedCache(t)
+	w := newTestDirector(t, c.host("s-1", "in_service"))
+	client, upstream := w.warmUp(c)
+	release := w.holdLoop()
+	client.submit(requestA, objectB)
+	waitAcknowledged(t, client.conn)
+	release(w.finishDraining)
+	id, _ := upstream.request()
+	if id != requestA {
+		t.Fatalf("request %s", id)
+	}
+	upstream.answer(requestA, "OK", "n=local", "late")
+	client.want(2, 0, "late")
+	if rest := client.readToEnd(); rest != "" {
+		t.Errorf("after the last answer came %q", rest)
+	}
+}
+
+// Guards against running a request that came after the close: its client sends it again.
+func TestRequestAfterTheLastCloseIsNotForwarded(t *testing.T) {
+	c := newScriptedCache(t)
+	w := newTestDirector(t, c.host("s-1", "in_service"))
+	client, upstream := w.warmUp(c)
+	stays := w.client()
+	stays.submit(requestB, objectB) // keeps the director running meanwhile
+	id, _ := upstream.request()
+	w.onLoop(w.finishDraining)
+	if rest := client.readToEnd(); rest != "" {
+		t.Fatalf("before the end came %q", rest)
+	}
+	client.submit(requestA, objectB)
+	waitAcknowledged(t, client.conn)
+	w.waitRound() // this round, or the one before, has read it
+	w.waitRound()
+	upstream.answer(id, "OK", "n=local", "b")
+	stays.want(1, 0, "b")
+	must(t, client.conn.Close())
+	must(t, stays.conn.Close())
+	err := <-w.exited
+	w.exited <- err
+	must(t, err)
+	for open := true; open; {
+		var cmd []string
+		if cmd, open = <-upstream.commands; open && cmd[0] == "do" {
+			t.Errorf("request %q", cmd)
+		}
+	}
+	if w.program.frontend.Counters.AfterClose != 1 {
+		t.Errorf("%d times input after the close", w.program.frontend.Counters.AfterClose)
+	}
+}
+
+// Guards against closing a connection on which half a request has arrived.
+func TestPartialRequestAtTheLastCloseIsAwaited(t *testing.T) {
+	c := newScriptedCache(t)
+	w := newTestDirector(t, c.host("s-1", "in_service"))
+	client, upstream := w.warmUp(c)
+	text := client.submitText(requestA, objectB, 5*time.Second)
+	release := w.holdLoop()
+	client.write(text[:20])
+	waitAcknowledged(t, client.conn)
+	release(w.finishDraining)
+	w.waitRound()
+	client.write(text[20:])
+	id, _ := upstream.request()
+	upstream.answer(id, "OK", "n=local", "complete")
+	client.want(2, 0, "complete")
+	client.readToEnd()
+}
+
+// Guards against losing a connection that waits to be accepted when the listener closes.
+func TestPendingConnectionIsServedAtTheLastClose(t *testing.T) {
+	c := newScriptedCache(t)
+	w := newTestDirector(t, c.host("s-1", "in_service"))
+	_, upstream := w.warmUp(c)
+	addr, err := w.program.Addr()
+	must(t, err)
+	release := w.holdLoop()
+	conn, err := net.Dial("tcp", addr.String())
+	must(t, err)
+	late := newScriptedConn(t, conn)
+	late.submit(requestA, objectB)
+	waitAcknowledged(t, conn)
+	release(w.finishDraining)
+	id, _ := upstream.request()
+	upstream.answer(id, "OK", "n=local", "late")
+	late.want(1, 0, "late")
+}
+
+// Guards against a second SIGTERM, or a SIGHUP during the shutdown, that loses or repeats an answer.
+func TestRepeatedShutdownSignals(t *testing.T) {
+	c := newScriptedCache(t)
+	full := newFullListenerCache(t)
+	w := newTestDirectorWith(t, strings.Replace(testSettings, `"DialTimeout":400`, `"DialTimeout":5000`, 1), c.host("s-1", "in_service"))
+	client, upstream := w.warmUp(c)
+	w.publish(2, `"roster":{"seq":2,"whole":false,"hosts":[`+c.host("s-1", "terminated")+`,`+full.host("s-2", "in_service")+`]}`)
+	client.write(client.submitText(requestA, objectA, 2*time.Second)) // waits for a connection that does not come up
+	client.heartbeat()                                                // by now the request was accepted
+	w.publish(3, `"roster":{"seq":3,"whole":false,"hosts":[`+c.host("s-1", "in_service")+`,`+full.host("s-2", "terminating")+`]}`)
+	client.write(client.submitText(requestB, objectB, 2*time.Second)) // in flight at a cache that hangs
+	if id, _ := upstream.request(); id != requestB {
+		t.Fatalf("request %s", id)
+	}
+	w.onLoop(w.program.Leave)
+	w.onLoop(func() { w.program.Reload(w.program.config) })
+	w.onLoop(w.program.Leave)
+	seen := map[int32]int{}
+	for range 2 {
+		seen[client.reply().seq]++
+	}
+	if seen[2] != 1 || seen[4] != 1 {
+		t.Errorf("answers by sequence number: %v", seen)
+	}
+	select {
+	case err := <-w.exited:
+		w.exited <- err
+		must(t, err)
+	case <-time.After(testTimeout):
+		t.Fatal("the shutdown does not end")
+	}
+	if rest := client.readToEnd(); rest != "" {
+		t.Errorf("more than one answer each: %q", rest)
+	}
+}
+
+// Guards against a shutdown that rejects requests which wait for another one's fill.
+func TestCoalescedRequestsAreAnsweredDuringShutdown(t *testing.T) {
+	c := newScriptedCache(t)
+	w := newTestDirectorWith(t, strings.Replace(testSettings, `"Joins":true`, `"Joins":false`, 1), c.host("s-1", "in_service"))
+	client, upstream := w.warmUp(c)
+	client.submit(requestA, objectA, "mem", "9000")
+	if id, _ := upstream.request(); id != requestA {
+		t.Fatalf("request %s", id)
+	}
+	client.submit(requestB, objectA, "mem", "9000") // the same object: it is coalesced with the first
+	client.heartbeat()
+	w.onLoop(func() {
+		if n, inFlight := w.program.director.Counters.Attempts, w.program.director.InFlight(); n != 2 || inFlight != 2 {
+			t.Errorf("%d attempts, %d in flight", n, inFlight)
+		}
+		w.finishDraining()
+	})
+	upstream.answer(requestA, "OK", "n=local", "a")
+	client.want(2, 0, "a")
+	if id, _ := upstream.request(); id != requestB {
+		t.Fatalf("request %s", id)
+	}
+	upstream.answer(requestB, "OK", "n=local", "b")
+	client.want(3, 0, "b")
+	client.readToEnd()
+}
+
+// Guards against a shutdown that rejects new connections early or ends before all is answered.
+func TestShutdownAnswersEverything(t *testing.T) {
+	c := newScriptedCache(t)
+	w := newTestDirector(t, c.host("s-1", "in_service"))
+	client := w.client()
+	client.submit(requestA, objectA, "mem", "9000") // large, so that it does not time out during the test
+	upstream := c.accept()
+	upstream.request()
+	w.program.Post(w.program.Leave)
+	late := w.client()
+	late.submit(requestB, objectB)
+	id, _ := upstream.request()
+	upstream.answer(id, "OK", "n=local", "b")
+	late.want(1, 0, "b")
+	if _, err := late.reader.ReadByte(); err == nil { // it is closed after the acceptPeriod
+		t.Error("bytes after the last answer")
+	}
+	client.submit(requestC, objectB)
+	id, _ = upstream.request()
+	upstream.answer(id, "OK", "n=local", "c")
+	client.want(2, 0, "c")
+	upstream.answer(requestA, "OK", "n=local", strings.Repeat("a", 200_000))
+	client.want(1, 0, strings.Repeat("a", 200_000))
+	must(t, client.conn.Close())
+	must(t, late.conn.Close())
+	err := <-w.exited
+	w.exited <- err
+	must(t, err)
+}
--- a/internal/director/discovery_test.go
+++ b/internal/director/timing_test.go
@@ -9,37 +9,40 @@
 	"stairvane.org/stairvane/internal/transport"
 )
 
-// All directors lose the bulletin at one moment. Eighty of them came back within the same 20 ms.
-func TestDirectorsReturnToTheBulletinApart(t *testing.T) {
+// Guards against all directors reconnecting at the same moment.
+func TestReconnectsAreSpread(t *testing.T) {
 	loop, err := transport.NewLoop()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer loop.Release()
-	const crowd, slot = 80, 20 * time.Millisecond
-	perSlot := map[time.Duration]int{}
+	const (
+		directors = 80
+		interval  = 20 * time.Millisecond
+	)
+	perInterval := map[time.Duration]int{}
 	var pauses []time.Duration
-	for i := range crowd {
-		f := newWatchClient(loop, nil, make([]netip.AddrPort, 1), crowd, uint64(i))
+	for i := range directors {
+		f := newWatchClient(loop, nil, make([]netip.AddrPort, 1), directors, uint64(i))
 		p := f.retryPause()
-		perSlot[p/slot]++
+		perInterval[p/interval]++
 		pauses = append(pauses, p)
 	}
-	for at, n := range perSlot {
-		if n > crowd/4 {
-			t.Errorf("%d of %d return between %v and %v", n, crowd, at*slot, (at+1)*slot)
+	for at, n := range perInterval {
+		if n > directors/4 {
+			t.Errorf("%d of %d return between %v and %v", n, directors, at*interval, (at+1)*interval)
 		}
 	}
 	if last := slices.Max(pauses); last > 500*time.Millisecond {
-		t.Errorf("the last one waits %v; news count as told 2 s after a break", last)
+		t.Errorf("the last director waits %v", last)
 	}
 	if alone := newWatchClient(loop, nil, make([]netip.AddrPort, 1), 0, 1).retryPause(); alone > 2*oneAddressTiming.RetryMin {
-		t.Errorf("a single one waits %v", alone)
+		t.Errorf("a single director waits %v", alone)
 	}
 }
 
-// The pause grows with the number of directors only up to a bound: an event must reach 3,500 of them in time, too.
-func TestThePauseBeforeReconnectingIsBounded(t *testing.T) {
+// Guards against a pause that grows with the number of directors until events come too late.
+func TestReconnectPauseIsBounded(t *testing.T) {
 	loop, err := transport.NewLoop()
 	if err != nil {
 		t.Fatal(err)
