--- a/internal/director/config/config.go
+++ b/internal/director/config/config.go
@@ -1,10 +1,11 @@
-// Package config is the one place where the configuration is read, checked and given defaults. Its messages name the
-// key at fault.
+// Package config reads, checks and defaults the configuration of a director. It is the one place that knows the keys of
+// LB_CONFIG; those below settings are mapped by package simulator, which reads them from the simulator, too. Error messages
+// name the key at fault.
 package config
 
 import (
-	"bytes"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"hash/fnv"
 	"net/netip"
@@ -17,32 +18,48 @@
 	"stairvane.org/stairvane/internal/protocol/simulator"
 )
 
+// The environment variables of a director.
+const (
+	fileVar   = "LB_CONFIG" // path of the configuration file
+	nameVar   = "LB_NAME"   // overrides the file's name
+	listenVar = "LB_LISTEN" // overrides the file's listen
+)
+
 // Defaults and bounds.
 const (
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
-	leastMemoryMB   = 32
-	leastSockets    = 64
+	minMemoryMB     = 32
+	minSockets      = 64
+	maxLimit        = 1 << 30
+)
+
+// Errors of a configuration that lacks a part.
+var (
+	ErrNoFile     = errors.New("LB_CONFIG is not set: it names the configuration file")
+	ErrNoSettings = errors.New("settings: missing")
+	ErrNoClasses  = errors.New("settings.Grades: no classes")
 )
 
-// Config is all that a director is told.
+// Config is the configuration of a director. The last three fields come from the operator's file; see OperatorSettings.
 type Config struct {
-	Name      string
-	Listen    netip.AddrPort
-	Discovery netip.AddrPort
-	Seed      uint64
-	MemoryMB  int
-	Sockets   int
-	Known     discovery.WatchResponse
-	Settings  decision.Settings
-	// ControlPlanes are further addresses of the bulletin; this file does not name them.
-	ControlPlanes []netip.AddrPort
-	Fingerprint   string      // of what the file says but for what is new with each start: equal where that is equal
-	Membership    *Membership // nil: off; this file does not name it
-	Claims        *Claims     // likewise
-	Pools         simulator.SocketSettings
+	Name        string
+	Listen      netip.AddrPort
+	Discovery   netip.AddrPort // of the event stream
+	Seed        uint64
+	MemoryMB    int
+	Sockets     int
+	Known       discovery.WatchResponse // the events at the start
+	Settings    decision.Settings
+	Connections simulator.SocketSettings
+	Fingerprint string // equal for files with equal settings
+
+	ControlPlanes []netip.AddrPort // further addresses of the event stream
+	Membership    *Membership      // nil: the director does not announce itself
+	Claims        *Claims          // nil: idempotency keys are not claimed
 }
 
+// file is the configuration file with the keys of LB_CONFIG.
 type file struct {
 	Name   string `json:"name"`
 	Listen string `json:"listen"`
@@ -51,25 +68,25 @@
 		MemoryMB *float64 `json:"memory_mb"`
 		Sockets  *float64 `json:"sockets"`
 	} `json:"limits"`
-	Bulletin string                  `json:"bulletin"`
-	Known    discovery.WatchResponse `json:"known"`
-	Settings json.RawMessage         `json:"settings"`
+	Discovery string                  `json:"bulletin"`
+	Known     discovery.WatchResponse `json:"known"`
+	Settings  json.RawMessage         `json:"settings"`
 }
 
-// Load reads the file that LB_CONFIG names. LB_NAME and LB_LISTEN, where set, go before what the file says.
+// Load reads the file that LB_CONFIG names. LB_NAME and LB_LISTEN, where set, override the file.
 func Load() (Config, error) {
-	path := os.Getenv("LB_CONFIG")
+	path := os.Getenv(fileVar)
 	if path == "" {
-		return Config{}, fmt.Errorf("LB_CONFIG is not set: it names the configuration file")
+		return Config{}, ErrNoFile
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return Config{}, fmt.Errorf("LB_CONFIG: %w", err)
+		return Config{}, fmt.Errorf("%s: %w", fileVar, err)
 	}
-	return Parse(text, os.Getenv("LB_NAME"), os.Getenv("LB_LISTEN"))
+	return Parse(text, os.Getenv(nameVar), os.Getenv(listenVar))
 }
 
-// Parse reads a configuration. A name or an address given here goes before the text's.
+// Parse reads a configuration file. A name or an address that is not empty overrides the file's.
 func Parse(text []byte, name, listen string) (Config, error) {
 	var f file
 	if err := json.Unmarshal(text, &f); err != nil {
@@ -81,51 +98,66 @@
 	if listen != "" {
 		f.Listen = listen
 	}
-	c := Config{Name: f.Name, Known: f.Known}
-	mark := fnv.New64a()
-	mark.Write(f.Settings)
-	c.Fingerprint = strconv.FormatUint(mark.Sum64(), 16)
+	c := Config{Name: f.Name, Known: f.Known, Fingerprint: fingerprint(f.Settings)}
 	var err error
 	if c.Listen, err = netip.ParseAddrPort(f.Listen); err != nil {
-		return Config{}, fmt.Errorf("listen (or LB_LISTEN): %w", err)
+		return Config{}, fmt.Errorf("listen (or %s): %w", listenVar, err)
 	}
-	if c.Discovery, err = netip.ParseAddrPort(f.Bulletin); err != nil {
+	if c.Discovery, err = netip.ParseAddrPort(f.Discovery); err != nil {
 		return Config{}, fmt.Errorf("bulletin: %w", err)
 	}
 	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
 		return Config{}, fmt.Errorf("seed: %q is not a hex number of 64 bits", f.Seed)
 	}
-	if c.MemoryMB, err = bounded("limits.memory_mb", f.Limits.MemoryMB, defaultMemoryMB, leastMemoryMB); err != nil {
+	if c.MemoryMB, err = orDefault("limits.memory_mb", f.Limits.MemoryMB, defaultMemoryMB, minMemoryMB); err != nil {
 		return Config{}, err
 	}
-	if c.Sockets, err = bounded("limits.sockets", f.Limits.Sockets, defaultSockets, leastSockets); err != nil {
+	if c.Sockets, err = orDefault("limits.sockets", f.Limits.Sockets, defaultSockets, minSockets); err != nil {
 		return Config{}, err
 	}
-	words, err := flatten(f.Settings)
+	pairs, err := flattenSettings(f.Settings)
 	if err != nil {
 		return Config{}, err
 	}
-	if c.Settings, c.Pools, err = simulator.ParseSettings(words); err != nil {
+	if c.Settings, c.Connections, err = simulator.ParseSettings(pairs); err != nil {
 		return Config{}, err
 	}
 	if len(c.Settings.Classes) == 0 {
-		return Config{}, fmt.Errorf("settings.Grades: no classes")
+		return Config{}, ErrNoClasses
 	}
 	return c, nil
 }
 
-// Differs names the keys, other than the bulletin's address, in which a configuration differs from another in a way
-// that a running director can't follow. The seed and the events of the start are new with each start anyway.
-func (c Config) Differs(o Config) (keys []string) {
+func fingerprint(settings []byte) string {
+	sum := fnv.New64a()
+	_, _ = sum.Write(settings) // a hash returns no error
+	return strconv.FormatUint(sum.Sum64(), 16)
+}
+
+// orDefault gives the number of a limit, or its default where the file has none.
+func orDefault(key string, value *float64, defaultValue, minimum int) (int, error) {
+	if value == nil {
+		return defaultValue, nil
+	}
+	if !(*value >= float64(minimum) && *value <= maxLimit) { // NaN is out of range, too
+		return 0, fmt.Errorf("%s: %v is not a number from %d up", key, *value, minimum)
+	}
+	return int(*value), nil
+}
+
+// Differs gives the keys in which another configuration differs so that a running director cannot apply it. The address
+// of the event stream can be applied; the seed and the events of the start are new with each start anyway.
+func (c Config) Differs(other Config) (keys []string) {
+	sameSettings := reflect.DeepEqual(c.Settings, other.Settings) && reflect.DeepEqual(c.Connections, other.Connections)
 	for _, k := range []struct {
 		key  string
 		same bool
 	}{
-		{"name", c.Name == o.Name},
-		{"listen", c.Listen == o.Listen},
-		{"limits.memory_mb", c.MemoryMB == o.MemoryMB},
-		{"limits.sockets", c.Sockets == o.Sockets},
-		{"settings", reflect.DeepEqual(c.Settings, o.Settings) && reflect.DeepEqual(c.Pools, o.Pools)},
+		{"name", c.Name == other.Name},
+		{"listen", c.Listen == other.Listen},
+		{"limits.memory_mb", c.MemoryMB == other.MemoryMB},
+		{"limits.sockets", c.Sockets == other.Sockets},
+		{"settings", sameSettings},
 	} {
 		if !k.same {
 			keys = append(keys, k.key)
@@ -133,30 +165,3 @@
 	}
 	return keys
 }
-
-func bounded(key string, v *float64, normal, least int) (int, error) {
-	if v == nil {
-		return normal, nil
-	}
-	if !(*v >= float64(least) && *v <= 1<<30) {
-		return 0, fmt.Errorf("%s: %v is not a number from %d up", key, *v, least)
-	}
-	return int(*v), nil
-}
-
-// flatten turns nested settings into the path=value words of the simulator's first message, so that one reader does
-// for both.
-func flatten(raw json.RawMessage) ([]string, error) {
-	if len(raw) == 0 {
-		return nil, fmt.Errorf("settings: missing")
-	}
-	dec := json.NewDecoder(bytes.NewReader(raw))
-	dec.UseNumber()
-	var tree map[string]any
-	if err := dec.Decode(&tree); err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
-	}
-	var words []string
-	walk(tree, "", &words)
-	return words, nil
-}
--- a/internal/director/config/config_test.go
+++ b/internal/director/config/config_test.go
@@ -12,14 +12,15 @@
 "Multiplex":32},"Report":{"How":"inline","Fields":["cpu_share","x1"]},"FamilyInfo":{"PassOn":[false,true]},
 "Grades":[{"Name":"clips","Aim":600.0},{"Name":"stock-report","Effect":"keyed"}]}}`
 
+// Guards against a key that is ignored or mapped to the wrong field.
 func TestConfigurationIsRead(t *testing.T) {
 	c, err := Parse([]byte(good), "", "127.0.0.2:9090")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if c.Listen.String() != "127.0.0.2:9090" || c.MemoryMB != 64 || c.Sockets != 256 || c.Seed != 0x8c1f30d27a5be964 ||
-		c.Known.LastRevision != 3 || c.Pools.ConnIdle != 15*time.Second || c.Pools.Streams != 32 ||
-		!slices.Equal(c.Pools.Reports, []string{"cpu_share", "x1"}) {
+		c.Known.LastRevision != 3 || c.Connections.ConnIdle != 15*time.Second || c.Connections.Streams != 32 ||
+		!slices.Equal(c.Connections.Reports, []string{"cpu_share", "x1"}) {
 		t.Errorf("%+v", c)
 	}
 	s := c.Settings
@@ -29,7 +30,7 @@
 	}
 }
 
-// A message about the configuration names the key at fault.
+// Guards against an error that does not name the key at fault.
 func TestFaultsNameTheirKey(t *testing.T) {
 	for key, change := range map[string][2]string{
 		"listen":                  {`"127.0.0.1:9090"`, `"nowhere"`},
--- a/internal/director/limits.go
+++ b/internal/director/limits.go
@@ -43,7 +43,7 @@
 
 func newProgramLimits(c config.Config) programLimits {
 	s := c.Settings
-	idleTimeout := orDefault("settings.Limits.ConnIdle", c.Pools.ConnIdle, defaultIdleTimeout)
+	idleTimeout := orDefault("settings.Limits.ConnIdle", c.Connections.ConnIdle, defaultIdleTimeout)
 	clients := c.Sockets/3 + c.Sockets/20
 	upstream := c.Sockets - clients - reservedSockets
 	limits := programLimits{
@@ -52,7 +52,7 @@
 		maxClients:  clients,
 		routing: routing.Limits{
 			MaxRequests:    s.MaxOpen,
-			StreamsPerConn: orDefault("settings.Limits.Multiplex", c.Pools.Streams, defaultStreams),
+			StreamsPerConn: orDefault("settings.Limits.Multiplex", c.Connections.Streams, defaultStreams),
 			ConnsPerHost:   min(maxConnsPerHost, max(1, upstream/expectedHosts)),
 			MaxConns:       max(expectedHosts, upstream-clients/lingeringShare),
 			// Caches close after idleTimeout: a request sent into that close would be lost.
--- a/internal/director/program.go
+++ b/internal/director/program.go
@@ -48,7 +48,7 @@
 	}
 	settings := c.Settings
 	settings.Directors = limits.directors
-	dialer := &cacheDialer{loop: loop, loadNames: loadNamesOf(c.Pools.Reports)}
+	dialer := &cacheDialer{loop: loop, loadNames: loadNamesOf(c.Connections.Reports)}
 	p.director = routing.New(loop, settings, c.Seed, limits.routing, dialer)
 	p.director.SetHooks(hooks)
 	p.director.Start()
