--- a/internal/director/client_conn.go
+++ b/internal/director/client_conn.go
@@ -40,7 +40,7 @@
 
 // Closed implements transport.Handler.
 func (c *clientConn) Closed(err error) {
-	if len(c.inFlight) > 0 && !errors.Is(err, io.EOF) && !errors.Is(err, transport.ErrLingers) {
+	if len(c.inFlight) > 0 && !errors.Is(err, io.EOF) && !errors.Is(err, transport.ErrLingerTimeout) {
 		slog.Info("client.disconnected", "open", len(c.inFlight), "err", err)
 	}
 	c.abandon()
@@ -82,7 +82,7 @@
 // the client sends again what comes after the close. It reads from the connection, so it must not be called while the
 // input of any connection is handled.
 func (c *clientConn) closeIfUnused() bool {
-	c.conn.Take()
+	c.conn.ReadAvailable()
 	if c.ended || len(c.inFlight) > 0 || c.conn.Queued() > 0 {
 		return false
 	}
@@ -103,9 +103,9 @@
 	if !c.frontend.closing || c.ended || len(c.inFlight) > 0 {
 		return
 	}
-	c.frontend.loop.Later(func() {
+	c.frontend.loop.AfterRound(func() {
 		if !c.ended && len(c.inFlight) == 0 {
-			c.conn.Take()
+			c.conn.ReadAvailable()
 		}
 		if !c.ended && len(c.inFlight) == 0 && c.conn.Unfinished() == 0 {
 			c.closeGracefully()
@@ -120,7 +120,7 @@
 	if c.ended || len(c.inFlight) > 0 || c.conn.Queued() > 0 {
 		return false
 	}
-	served := c.conn.Sent() && c.conn.Unfinished() == 0
+	served := c.conn.HasSent() && c.conn.Unfinished() == 0
 	return served || c.frontend.loop.Now()-c.conn.LastUse() >= evictAfter
 }
 
--- a/internal/director/core.go
+++ b/internal/director/core.go
@@ -31,7 +31,7 @@
 
 // setHooks sets the hooks that the other cores serve.
 func (c *core) setHooks(p *Program, hooks *routing.Hooks) {
-	p.loop.Share()
+	p.loop.ShareAddresses()
 	hooks.AcquireID = func(id string) bool { return c.group.owners.Acquire(id, c.index) }
 	hooks.ReleaseID = func(id string) { c.group.owners.Release(id, c.index) }
 	hooks.SlowStartShare = c.group.slowStartBudget.Share
@@ -59,7 +59,7 @@
 	c.group.events.Publish(publishedEvents{response, c.prog.loop.Now()})
 	for _, other := range c.group.cores {
 		if other != c && other.prog != nil {
-			other.prog.loop.Poke()
+			other.prog.loop.Wake()
 		}
 	}
 }
--- a/internal/director/frontend.go
+++ b/internal/director/frontend.go
@@ -172,7 +172,7 @@
 	case c.conn.Queued() > 0 && unused >= f.stuckTimeout:
 		c.closeStuck()
 	case c.ended: // it lingers
-	case len(c.inFlight) == 0 && !c.conn.Sent() && now-c.openedAt >= f.firstAnswerTimeout:
+	case len(c.inFlight) == 0 && !c.conn.HasSent() && now-c.openedAt >= f.firstAnswerTimeout:
 		if c.closeIfUnused() {
 			f.Counters.Silent++
 		}
--- a/internal/director/routing/attempts.go
+++ b/internal/director/routing/attempts.go
@@ -96,7 +96,7 @@
 func (d *Director) scheduleSendRound() {
 	if !d.sendScheduled {
 		d.sendScheduled = true
-		d.loop.Later(d.sendRoundFunc)
+		d.loop.AfterRound(d.sendRoundFunc)
 	}
 }
 
--- a/internal/director/routing/resubmissions.go
+++ b/internal/director/routing/resubmissions.go
@@ -49,7 +49,7 @@
 	second.timer.Fire = func() { d.failResubmission(first) }
 	first.resubmission = second
 	d.inFlight++
-	d.loop.Later(func() {
+	d.loop.AfterRound(func() {
 		if first.resubmission == second && !first.answered {
 			d.failResubmission(first)
 		}
--- /dev/null
+++ b/internal/transport/buffer_pool.go
@@ -0,0 +1,40 @@
+package transport
+
+import "math/bits"
+
+const (
+	minBufferBits  = 12 // 4 KB
+	maxBufferBits  = 19 // 512 KB
+	maxPooledBytes = 8 << 20
+)
+
+// bufferPool keeps a bounded stock of buffers, whose sizes are powers of two.
+type bufferPool struct {
+	free        [maxBufferBits + 1][][]byte // by bits of the size
+	pooledBytes int
+}
+
+// get gives an empty buffer with a capacity of n bytes at least.
+func (p *bufferPool) get(n int) []byte {
+	size := max(bits.Len(uint(max(n, 1)-1)), minBufferBits)
+	if size > maxBufferBits {
+		return make([]byte, 0, n)
+	}
+	if stock := p.free[size]; len(stock) > 0 {
+		b := stock[len(stock)-1]
+		p.free[size] = stock[:len(stock)-1]
+		p.pooledBytes -= cap(b)
+		return b[:0]
+	}
+	return make([]byte, 0, 1<<size)
+}
+
+// put returns a buffer to the pool, unless it is full or the size is none of the pool's.
+func (p *bufferPool) put(b []byte) {
+	size := bits.Len(uint(cap(b))) - 1
+	if size < minBufferBits || size > maxBufferBits || cap(b) != 1<<size || p.pooledBytes+cap(b) > maxPooledBytes {
+		return
+	}
+	p.free[size] = append(p.free[size], b)
+	p.pooledBytes += cap(b)
+}
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -9,155 +9,161 @@
 	"golang.org/x/sys/unix"
 )
 
-// Handler is told what happens on a connection. Closed comes once and last, but not after Conn.Close.
+// Handler gets the events of a connection.
 type Handler interface {
-	// Opened tells that a dialled connection is up.
+	// Opened is called when a connection that was dialed is up.
 	Opened()
-	// Data gives all bytes not yet used; they are valid during the call only. It returns how many it used and how
-	// many it needs, counted after those, before it is worth calling again. An error closes the connection.
+	// Data gets all bytes that were not used yet; they are valid during the call only. It returns how many bytes it used,
+	// and how many must follow those before it is worth calling it again. An error closes the connection.
 	Data(b []byte) (used, need int, err error)
-	// Flushed tells that a queue of bytes has been taken in full by the system.
+	// Flushed is called when the system has taken all queued output.
 	Flushed()
-	// Closed tells why the connection ended; io.EOF where the peer closed it.
+	// Closed is called once, as the last event, but not after Conn.Close. The error is io.EOF where the peer closed the
+	// connection.
 	Closed(err error)
 }
 
-// Conn is one non-blocking connection.
-type Conn struct {
-	loop    *Loop
-	fd      int
-	handler Handler
-	dialing bool
-	closed  bool
-	fin     bool // no more is to be written
-	watched uint32
-	in      []byte // what has come and is not used yet
-	need    int
-	out     [][]byte
-	outHead int // bytes of out[0] already written
-	outSize int
-	lastUse time.Duration
-	sent    bool  // anything at all
-	limit   Timer // on coming up, later on the other end's close after ours
-	linger  time.Duration
-}
-
-// ErrDialTimeout is why a connection that did not come up in time was closed; ErrLingers, one whose other end did not close.
+// Why a connection was closed by the loop.
 var (
-	ErrDialTimeout = errors.New("dial timed out")
-	ErrLingers     = errors.New("the other end stays open after the close")
+	ErrDialTimeout   = errors.New("dial timed out")
+	ErrLingerTimeout = errors.New("the other end stays open after the close")
 )
 
+// Conn is a non-blocking TCP connection.
+type Conn struct {
+	loop      *Loop
+	fd        int
+	handler   Handler
+	epollMask uint32
+	timer     Timer // of the dial, later of the linger
+	lastUse   time.Duration
+
+	dialing      bool
+	closed       bool
+	writeClosing bool          // the write side is closed when all output was taken
+	linger       time.Duration // see CloseAfterFlush
+
+	input       []byte // that was not used yet
+	inputNeeded int    // bytes that input must have before Data is called again
+
+	output       [][]byte
+	outputOffset int // bytes of output[0] that were written
+	outputBytes  int
+	hasSent      bool
+}
+
 // Dial starts to connect. Either Opened or Closed follows, never before Dial has returned.
 func (l *Loop) Dial(addr netip.AddrPort, timeout time.Duration, h Handler) (*Conn, error) {
-	family, sa := sockaddr(addr)
-	fd, err := unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
+	family, sockaddr := sockaddrOf(addr)
+	fd, err := newSocket(family)
 	if err != nil {
-		return nil, fmt.Errorf("socket: %w", err)
+		return nil, err
 	}
-	if err := unix.Connect(fd, sa); err != nil && !errors.Is(err, unix.EINPROGRESS) {
-		unix.Close(fd)
+	if err := unix.Connect(fd, sockaddr); err != nil && !errors.Is(err, unix.EINPROGRESS) {
+		closeFD(fd)
 		return nil, fmt.Errorf("connect %s: %w", addr, err)
 	}
-	c, err := l.open(fd, unix.EPOLLOUT, h)
+	c, err := l.newConn(fd, unix.EPOLLOUT, h)
 	if err != nil {
 		return nil, err
 	}
 	c.dialing = true
-	c.limit.Fire = func() { c.fail(ErrDialTimeout) }
-	l.Set(&c.limit, l.now+timeout)
+	c.timer.Fire = func() { c.fail(ErrDialTimeout) }
+	l.Set(&c.timer, l.now+timeout)
 	return c, nil
 }
 
-func (l *Loop) open(fd int, events uint32, h Handler) (*Conn, error) {
-	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-	c := &Conn{loop: l, fd: fd, handler: h, watched: events, lastUse: l.now}
-	if err := l.add(fd, events, c); err != nil {
-		unix.Close(fd)
-		return nil, err
+func newSocket(family int) (fd int, err error) {
+	fd, err = unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
+	if err != nil {
+		return 0, fmt.Errorf("create socket: %w", err)
 	}
-	return c, nil
+	return fd, nil
 }
 
-func sockaddr(addr netip.AddrPort) (family int, sa unix.Sockaddr) {
+func sockaddrOf(addr netip.AddrPort) (family int, sockaddr unix.Sockaddr) {
 	if ip := addr.Addr().Unmap(); ip.Is4() {
 		return unix.AF_INET, &unix.SockaddrInet4{Port: int(addr.Port()), Addr: ip.As4()}
 	}
 	return unix.AF_INET6, &unix.SockaddrInet6{Port: int(addr.Port()), Addr: addr.Addr().As16()}
 }
 
-// Peer is the address of the other end; not valid once the connection has ended.
+// newConn makes a connection of a descriptor. On an error the descriptor is closed.
+func (l *Loop) newConn(fd int, mask uint32, h Handler) (*Conn, error) {
+	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // without it the connection is only slower
+	c := &Conn{loop: l, fd: fd, handler: h, epollMask: mask, lastUse: l.now}
+	if err := l.add(fd, mask, c); err != nil {
+		closeFD(fd)
+		return nil, err
+	}
+	return c, nil
+}
+
+// Peer is the address of the other end. It is not valid once the connection is closed.
 func (c *Conn) Peer() netip.AddrPort {
-	sa, err := unix.Getpeername(c.fd)
+	sockaddr, err := unix.Getpeername(c.fd)
 	if err != nil || c.closed {
 		return netip.AddrPort{}
 	}
-	addr, _ := addrPort(sa)
+	addr, err := addrPortOf(sockaddr)
+	if err != nil {
+		return netip.AddrPort{}
+	}
 	return addr
 }
 
 // LastUse is when bytes last went either way.
 func (c *Conn) LastUse() time.Duration { return c.lastUse }
 
-// Sent tells whether anything has been written to the peer.
-func (c *Conn) Sent() bool { return c.sent }
+// HasSent reports whether anything was written to the peer.
+func (c *Conn) HasSent() bool { return c.hasSent }
 
-// Queued is how many bytes wait for the peer to take them.
-func (c *Conn) Queued() int { return c.outSize }
+// Queued is the number of written bytes that the system has not taken.
+func (c *Conn) Queued() int { return c.outputBytes }
 
-// CloseAfterFlush sends what is queued, then ends the writing side and waits for the peer to close, so that
-// unread input cannot reset the connection under the last answer. Input goes on coming to Data. The peer may take as long as
-// linger says; 0: for good.
+// Unfinished is the number of bytes of an incomplete message that have come.
+func (c *Conn) Unfinished() int { return len(c.input) }
+
+// CloseAfterFlush sends the queued output, closes the write side, and waits for the peer to close, so that unread input
+// cannot reset the connection under the last answer. Data is still called. The peer may take as long as linger; 0 is
+// without limit.
 func (c *Conn) CloseAfterFlush(linger time.Duration) {
-	if c.closed || c.fin {
+	if c.closed || c.writeClosing {
 		return
 	}
-	c.fin, c.linger = true, linger
-	if c.outSize == 0 {
-		c.endWriting()
+	c.writeClosing = true
+	c.linger = linger
+	if c.outputBytes == 0 {
+		c.shutdownWrite()
 	}
 }
 
-func (c *Conn) endWriting() {
-	_ = unix.Shutdown(c.fd, unix.SHUT_WR)
+func (c *Conn) shutdownWrite() {
+	_ = unix.Shutdown(c.fd, unix.SHUT_WR) // it fails where the peer has closed already, which is read next
 	if c.linger > 0 {
-		c.limit.Fire = func() { c.fail(ErrLingers) }
-		c.loop.Set(&c.limit, c.loop.now+c.linger)
+		c.timer.Fire = func() { c.fail(ErrLingerTimeout) }
+		c.loop.Set(&c.timer, c.loop.now+c.linger)
 	}
 }
 
-// Ending tells whether CloseAfterFlush was called.
-func (c *Conn) Ending() bool { return c.fin }
-
-// Unfinished is how many bytes have come that are no whole message yet.
-func (c *Conn) Unfinished() int { return len(c.in) }
-
-// Take reads what has come by now, as far as one turn goes. It must not be called from within Data of any connection, whose bytes
-// it would overwrite; see Loop.Later.
-func (c *Conn) Take() {
-	if !c.closed && !c.dialing {
-		c.read()
-	}
-}
-
-// Close ends the connection at once. Closed is not called.
+// Close closes the connection at once. Closed is not called.
 func (c *Conn) Close() {
 	if c.closed {
 		return
 	}
 	c.closed = true
-	c.limit.Stop()
-	// The descriptor is closed when the batch is over. The peer must hear of the end before anything that the same
-	// batch sends it elsewhere: a request that goes on there would be out twice.
-	_ = unix.Shutdown(c.fd, unix.SHUT_RDWR)
-	c.loop.drop(c.fd)
-	c.loop.queued -= c.outSize
-	c.outSize = 0
-	for _, b := range c.out {
-		c.loop.spare.put(b)
-	}
-	c.out = nil
-	c.keep(nil)
+	c.timer.Stop()
+	// The descriptor is closed at the end of the round. The peer must see the end before anything that the same round
+	// sends elsewhere: a retry would run beside the attempt that it replaces.
+	_ = unix.Shutdown(c.fd, unix.SHUT_RDWR) // it fails where the connection has ended already
+	c.loop.remove(c.fd)
+	c.loop.queuedBytes -= c.outputBytes
+	c.outputBytes = 0
+	for _, b := range c.output {
+		c.loop.buffers.put(b)
+	}
+	c.output = nil
+	c.keepInput(nil)
 }
 
 func (c *Conn) fail(err error) {
@@ -167,33 +173,35 @@
 	}
 }
 
-// watch keeps epoll's mask in step with what the connection waits for.
-func (c *Conn) watch() {
+// updateMask keeps epoll's mask in step with what the connection waits for.
+func (c *Conn) updateMask() {
 	if c.closed {
 		return
 	}
-	var events uint32
+	var mask uint32
 	if !c.dialing {
-		events |= unix.EPOLLIN
+		mask |= unix.EPOLLIN
+	}
+	if c.dialing || c.outputBytes > 0 {
+		mask |= unix.EPOLLOUT
 	}
-	if c.dialing || c.outSize > 0 {
-		events |= unix.EPOLLOUT
+	if mask == c.epollMask {
+		return
 	}
-	if events != c.watched {
-		c.watched = events
-		ev := unix.EpollEvent{Events: events, Fd: int32(c.fd)}
-		if err := unix.EpollCtl(c.loop.epoll, unix.EPOLL_CTL_MOD, c.fd, &ev); err != nil {
-			c.fail(fmt.Errorf("epoll modify: %w", err))
-		}
+	c.epollMask = mask
+	event := unix.EpollEvent{Events: mask, Fd: int32(c.fd)}
+	if err := unix.EpollCtl(c.loop.epoll, unix.EPOLL_CTL_MOD, c.fd, &event); err != nil {
+		c.fail(fmt.Errorf("epoll modify: %w", err))
 	}
 }
 
+// ready handles the events that epoll reports.
 func (c *Conn) ready(events uint32) {
 	if c.dialing {
 		c.finishDial()
 		return
 	}
-	if events&unix.EPOLLOUT != 0 && c.outSize > 0 {
+	if events&unix.EPOLLOUT != 0 && c.outputBytes > 0 {
 		c.flush()
 	}
 	if !c.closed && events&(unix.EPOLLIN|unix.EPOLLHUP|unix.EPOLLERR) != 0 {
@@ -211,11 +219,11 @@
 		return
 	}
 	c.dialing = false
-	c.limit.Stop()
+	c.timer.Stop()
 	c.lastUse = c.loop.now
-	c.watch()
+	c.updateMask()
 	c.handler.Opened()
-	if !c.closed && c.outSize > 0 {
+	if !c.closed && c.outputBytes > 0 {
 		c.flush()
 	}
 }
--- /dev/null
+++ b/internal/transport/listener.go
@@ -0,0 +1,144 @@
+package transport
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+	"math"
+	"net/netip"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+const (
+	backlog = 1024
+	// acceptRetryPause is the pause after descriptors ran out, in which the listener is not polled.
+	acceptRetryPause = 50 * time.Millisecond
+	// maxAcceptsPerRound bounds what one round accepts: connections closed for new ones free their descriptors only at the
+	// end of the round.
+	maxAcceptsPerRound = 16
+)
+
+var errUnknownFamily = errors.New("unknown address family")
+
+// Listener accepts connections.
+type Listener struct {
+	loop       *Loop
+	fd         int
+	newHandler func() Handler
+	opened     func(*Conn, Handler)
+	retryTimer Timer
+	closed     bool
+}
+
+// ShareAddresses lets other listeners of this process have the same address as those that Listen makes from now on. The
+// system divides connections among them.
+func (l *Loop) ShareAddresses() { l.reusePort = true }
+
+// Listen accepts connections at an address. For each, newHandler makes its handler and opened gets both.
+func (l *Loop) Listen(addr netip.AddrPort, newHandler func() Handler, opened func(*Conn, Handler)) (*Listener, error) {
+	fd, err := l.listeningSocket(addr)
+	if err != nil {
+		return nil, err
+	}
+	ln := &Listener{loop: l, fd: fd, newHandler: newHandler, opened: opened}
+	ln.retryTimer.Fire = func() { ln.ready(0) }
+	if err := l.add(fd, unix.EPOLLIN, ln); err != nil {
+		closeFD(fd)
+		return nil, err
+	}
+	return ln, nil
+}
+
+func (l *Loop) listeningSocket(addr netip.AddrPort) (fd int, err error) {
+	family, sockaddr := sockaddrOf(addr)
+	if fd, err = newSocket(family); err != nil {
+		return 0, err
+	}
+	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1) // without it bind may fail, which is reported
+	if l.reusePort {
+		if err := unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1); err != nil {
+			closeFD(fd)
+			return 0, fmt.Errorf("share %s: %w", addr, err)
+		}
+	}
+	if err = unix.Bind(fd, sockaddr); err == nil {
+		err = unix.Listen(fd, backlog)
+	}
+	if err != nil {
+		closeFD(fd)
+		return 0, fmt.Errorf("listen on %s: %w", addr, err)
+	}
+	return fd, nil
+}
+
+// Addr is the address of the listener.
+func (ln *Listener) Addr() (netip.AddrPort, error) {
+	sockaddr, err := unix.Getsockname(ln.fd)
+	if err != nil {
+		return netip.AddrPort{}, fmt.Errorf("getsockname: %w", err)
+	}
+	return addrPortOf(sockaddr)
+}
+
+func addrPortOf(sockaddr unix.Sockaddr) (netip.AddrPort, error) {
+	switch a := sockaddr.(type) {
+	case *unix.SockaddrInet4:
+		return netip.AddrPortFrom(netip.AddrFrom4(a.Addr), uint16(a.Port)), nil
+	case *unix.SockaddrInet6:
+		return netip.AddrPortFrom(netip.AddrFrom16(a.Addr).Unmap(), uint16(a.Port)), nil
+	}
+	return netip.AddrPort{}, errUnknownFamily
+}
+
+// Close accepts the pending connections, then stops listening, and reports whether it did. It does not while descriptors
+// have run out, since pending connections would be lost; it must be called again then.
+func (ln *Listener) Close() bool {
+	if ln.closed {
+		return true
+	}
+	if !ln.acceptPending(math.MaxInt) {
+		return false
+	}
+	ln.closed = true
+	ln.retryTimer.Stop()
+	ln.loop.remove(ln.fd)
+	return true
+}
+
+// ready handles the events that epoll reports.
+func (ln *Listener) ready(uint32) { ln.acceptPending(maxAcceptsPerRound) }
+
+// acceptPending accepts at most so many connections, and reports whether none is pending any more.
+func (ln *Listener) acceptPending(limit int) bool {
+	for range limit {
+		fd, _, err := unix.Accept4(ln.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
+		switch {
+		case errors.Is(err, unix.EAGAIN):
+			ln.setMask(unix.EPOLLIN)
+			return true
+		case errors.Is(err, unix.EINTR), errors.Is(err, unix.ECONNABORTED):
+			continue
+		case err != nil:
+			slog.Warn("accept.failed", "err", err, "again_in_ms", acceptRetryPause.Milliseconds())
+			ln.setMask(0)
+			ln.loop.Set(&ln.retryTimer, ln.loop.now+acceptRetryPause)
+			return false
+		}
+		h := ln.newHandler()
+		c, err := ln.loop.newConn(fd, unix.EPOLLIN, h)
+		if err != nil {
+			slog.Warn("accept.failed", "err", err)
+			continue
+		}
+		ln.opened(c, h)
+	}
+	ln.setMask(unix.EPOLLIN)
+	return false
+}
+
+func (ln *Listener) setMask(mask uint32) {
+	event := unix.EpollEvent{Events: mask, Fd: int32(ln.fd)}
+	_ = unix.EpollCtl(ln.loop.epoll, unix.EPOLL_CTL_MOD, ln.fd, &event) // it fails only for a closed listener
+}
--- a/internal/transport/loop.go
+++ b/internal/transport/loop.go
@@ -1,5 +1,11 @@
-// Package transport serves non-blocking sockets from one epoll loop. Connections are objects with callbacks, timers
-// sit on a coarse wheel, and everything runs on the goroutine that calls Run. It knows no protocol.
+// Package transport serves non-blocking sockets from one epoll loop: connections and listeners with callbacks, and timers
+// on a timing wheel. It knows no protocol.
+//
+// A loop works in rounds. A round handles all input that epoll reports, then the timers that are due, then the functions
+// that were given to AfterRound. Descriptors are closed only at the end of a round, so that a number is not reused in it.
+//
+// Everything belongs to the goroutine that calls Run, and all callbacks run there. Only Loop.Post and Loop.Wake may be
+// called from other goroutines.
 package transport
 
 import (
@@ -12,154 +18,179 @@
 )
 
 const (
-	// A round takes in all that is there: a director has fewer descriptors than this.
-	eventBatch = 1024
-	readSpace  = 512 << 10 // shared by all connections; holds a whole message of any protocol here
+	// maxEvents is more than the descriptors of a director, so that a round handles all input.
+	maxEvents = 1024
+	// readBufferSize holds a complete message of any protocol that is used.
+	readBufferSize = 512 << 10
+	postsQueue     = 16
 )
 
-// source is what epoll reports on.
-type source interface{ ready(events uint32) }
+// eventSource is what epoll reports events of.
+type eventSource interface{ ready(events uint32) }
 
-// Loop is the one loop of a process.
+// Loop is an event loop.
 type Loop struct {
-	epoll     int
-	wake      int // eventfd
-	sources   map[int]source
-	closing   []int // closed only between batches, so that a number is not reused within one
-	wheel     wheel
-	origin    time.Time // Now counts from the Unix epoch, but only the monotonic clock moves it
-	offset    time.Duration
-	now       time.Duration
-	scratch   []byte
-	spare     pool
-	queued    int
-	posts     chan func()
-	stopped   bool
-	inRound   bool
-	later     []func()
-	reusePort bool
-	ended     chan struct{} // closed when nothing will run any more
-	OnWake    func()        // after Poke; set before Run
-	wakeMu    sync.Mutex    // Post and the end: a descriptor that is closed may be another's by then
+	// OnWake, if set, is called soon after Wake or Post. It must be set before Run.
+	OnWake func()
+
+	epoll      int // descriptor
+	wakeFD     int // eventfd
+	sources    map[int]eventSource
+	closingFDs []int // are closed at the end of the round
+
+	wheel     timerWheel
+	startedAt time.Time
+	unixStart time.Duration // Unix time at startedAt
+	now       time.Duration // when the clock was read last
+
+	readBuffer  []byte // shared by all connections
+	buffers     bufferPool
+	queuedBytes int // of output that peers have not taken
+	reusePort   bool
+
+	stopped    bool
+	inRound    bool
+	afterRound []func()
+
+	posts  chan func()
+	done   chan struct{} // closed when nothing runs any more
+	wakeMu sync.Mutex    // orders Wake before the close of wakeFD, whose number may be reused afterwards
 }
 
-// NewLoop makes a loop. Only Post may be called from other goroutines.
+// NewLoop makes a loop. It must be run, or released.
 func NewLoop() (*Loop, error) {
 	epoll, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
-		return nil, fmt.Errorf("epoll: %w", err)
+		return nil, fmt.Errorf("create epoll: %w", err)
 	}
-	wake, err := unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC)
+	wakeFD, err := unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC)
 	if err != nil {
-		unix.Close(epoll)
-		return nil, fmt.Errorf("eventfd: %w", err)
+		closeFD(epoll)
+		return nil, fmt.Errorf("create eventfd: %w", err)
 	}
 	start := time.Now()
 	l := &Loop{
-		epoll: epoll, wake: wake, sources: map[int]source{}, origin: start,
-		offset: time.Duration(start.UnixNano()), scratch: make([]byte, readSpace), posts: make(chan func(), 16), ended: make(chan struct{}),
+		epoll:      epoll,
+		wakeFD:     wakeFD,
+		sources:    map[int]eventSource{},
+		startedAt:  start,
+		unixStart:  time.Duration(start.UnixNano()),
+		readBuffer: make([]byte, readBufferSize),
+		posts:      make(chan func(), postsQueue),
+		done:       make(chan struct{}),
 	}
-	l.refresh()
-	l.wheel.done = int64(l.now / Tick)
-	if err := l.add(wake, unix.EPOLLIN, nil); err != nil {
-		l.release()
+	l.updateNow()
+	l.wheel.lastTick = int64(l.now / Tick)
+	if err := l.add(wakeFD, unix.EPOLLIN, nil); err != nil {
+		l.Release()
 		return nil, err
 	}
 	return l, nil
 }
 
-func (l *Loop) refresh() { l.now = l.offset + time.Since(l.origin) }
+// closeFD closes a descriptor that nobody uses any more. An error of close leaves nothing to do: Linux frees the number
+// in any case.
+func closeFD(fd int) { _ = unix.Close(fd) }
 
-// Now is the clock of all that the loop drives: Unix time at the start, moved by the monotonic clock alone.
+func (l *Loop) updateNow() { l.now = l.unixStart + time.Since(l.startedAt) }
+
+// Now is the loop's clock: Unix time at the start, advanced by the monotonic clock alone.
 func (l *Loop) Now() time.Duration {
-	l.refresh()
+	l.updateNow()
 	return l.now
 }
 
-// Set sets a timer to fire at a time of the loop's clock.
+// Set sets a timer to a time of the loop's clock.
 func (l *Loop) Set(t *Timer, at time.Duration) { l.wheel.set(t, at) }
 
-// Queued is how many bytes all connections together hold because their peers do not take them.
-func (l *Loop) Queued() int { return l.queued }
+// Queued is the number of bytes written to all connections that their peers have not taken.
+func (l *Loop) Queued() int { return l.queuedBytes }
 
-// Post runs f on the loop, unless that has ended. It is the one way in for other goroutines.
+// Post runs f on the loop, unless the loop has ended. It may be called from any goroutine, and waits while many functions
+// are pending.
 func (l *Loop) Post(f func()) {
 	select {
 	case l.posts <- f:
-	case <-l.ended:
+	case <-l.done:
 		return
 	}
-	l.Poke()
+	l.Wake()
 }
 
-// Poke has the loop call OnWake soon. It never waits for the loop, and calls that come together are one.
-func (l *Loop) Poke() {
+// Wake has the loop call OnWake soon. It may be called from any goroutine and does not wait. Calls in quick succession
+// are one.
+func (l *Loop) Wake() {
 	l.wakeMu.Lock()
 	defer l.wakeMu.Unlock()
 	select {
-	case <-l.ended:
+	case <-l.done:
 		return
 	default:
 	}
 	one := [8]byte{1}
-	_, _ = unix.Write(l.wake, one[:]) // full means that a wake-up is already due
+	_, _ = unix.Write(l.wakeFD, one[:]) // it fails when a wake-up is pending already
 }
 
-// Stop makes Run return after the current round.
+// Stop makes Run return after the present round.
 func (l *Loop) Stop() { l.stopped = true }
 
-// Later runs f when the round that is going on has taken in all that came and all timers that are due; at once where there is no
-// round. What rests on the whole of a round, such as whether a request's client or a connection is still there, is decided there.
-func (l *Loop) Later(f func()) {
+// AfterRound runs f when the present round has handled all input and timers; at once where there is no round. What depends
+// on all input of a round, such as whether a request's client is still there, is decided then.
+func (l *Loop) AfterRound(f func()) {
 	if !l.inRound {
 		f()
 		return
 	}
-	l.later = append(l.later, f)
+	l.afterRound = append(l.afterRound, f)
 }
 
-// Run serves until Stop.
+// Run serves until Stop, and releases the loop.
 func (l *Loop) Run() error {
-	defer l.release()
+	defer l.Release()
 	return l.serve()
 }
 
 func (l *Loop) serve() error {
-	events := make([]unix.EpollEvent, eventBatch)
+	events := make([]unix.EpollEvent, maxEvents)
 	for !l.stopped {
-		l.refresh()
-		wait := max(0, l.wheel.wait(l.now))
+		l.updateNow()
+		wait := max(0, l.wheel.nextWait(l.now))
 		n, err := unix.EpollWait(l.epoll, events, int((wait+time.Millisecond-1)/time.Millisecond))
 		if err != nil && !errors.Is(err, unix.EINTR) {
 			return fmt.Errorf("epoll wait: %w", err)
 		}
-		l.refresh()
-		polled := l.now
-		l.inRound = true
-		for _, ev := range events[:max(n, 0)] {
-			if int(ev.Fd) == l.wake {
-				l.drainPosts()
-			} else if s := l.sources[int(ev.Fd)]; s != nil {
-				s.ready(ev.Events)
-			}
-		}
-		// Only what was due when the events were asked for: a round may take long, and what came meanwhile goes first. An answer
-		// that is there must not be found overdue because the loop was held up.
-		l.wheel.advance(polled)
-		for i := 0; i < len(l.later); i++ { // they may add some
-			l.later[i]()
-		}
-		clear(l.later)
-		l.later = l.later[:0]
-		l.inRound = false
-		l.closeNow()
+		l.updateNow()
+		l.round(events[:max(n, 0)])
 	}
 	return nil
 }
 
-func (l *Loop) drainPosts() {
+func (l *Loop) round(events []unix.EpollEvent) {
+	polledAt := l.now
+	l.inRound = true
+	for _, event := range events {
+		fd := int(event.Fd)
+		if fd == l.wakeFD {
+			l.runPosts()
+		} else if source := l.sources[fd]; source != nil {
+			source.ready(event.Events)
+		}
+	}
+	// Only timers that were due when the events were polled: a round may take long, and input that came meanwhile goes
+	// first. A response that is there must not be overtaken by its timeout.
+	l.wheel.advance(polledAt)
+	for i := 0; i < len(l.afterRound); i++ { // they may add more
+		l.afterRound[i]()
+	}
+	clear(l.afterRound)
+	l.afterRound = l.afterRound[:0]
+	l.inRound = false
+	l.closePending()
+}
+
+func (l *Loop) runPosts() {
 	var count [8]byte
-	_, _ = unix.Read(l.wake, count[:])
+	_, _ = unix.Read(l.wakeFD, count[:]) // resets it; there is nothing to do about an error
 	if l.OnWake != nil {
 		l.OnWake()
 	}
@@ -173,41 +204,40 @@
 	}
 }
 
-func (l *Loop) add(fd int, events uint32, s source) error {
-	if err := unix.EpollCtl(l.epoll, unix.EPOLL_CTL_ADD, fd, &unix.EpollEvent{Events: events, Fd: int32(fd)}); err != nil {
+func (l *Loop) add(fd int, mask uint32, source eventSource) error {
+	event := unix.EpollEvent{Events: mask, Fd: int32(fd)}
+	if err := unix.EpollCtl(l.epoll, unix.EPOLL_CTL_ADD, fd, &event); err != nil {
 		return fmt.Errorf("epoll add: %w", err)
 	}
-	l.sources[fd] = s
+	l.sources[fd] = source
 	return nil
 }
 
-// drop stops watching a descriptor and closes it when the batch is over.
-func (l *Loop) drop(fd int) {
+// remove stops watching a descriptor, and closes it at the end of the round.
+func (l *Loop) remove(fd int) {
 	delete(l.sources, fd)
-	_ = unix.EpollCtl(l.epoll, unix.EPOLL_CTL_DEL, fd, nil)
-	l.closing = append(l.closing, fd)
+	_ = unix.EpollCtl(l.epoll, unix.EPOLL_CTL_DEL, fd, nil) // the close removes it in any case
+	l.closingFDs = append(l.closingFDs, fd)
 }
 
-func (l *Loop) closeNow() {
-	for _, fd := range l.closing {
-		unix.Close(fd)
+func (l *Loop) closePending() {
+	for _, fd := range l.closingFDs {
+		closeFD(fd)
 	}
-	l.closing = l.closing[:0]
+	l.closingFDs = l.closingFDs[:0]
 }
 
-func (l *Loop) release() {
+// Release closes all descriptors of a loop that does not run.
+func (l *Loop) Release() {
 	l.wakeMu.Lock()
-	close(l.ended)
+	close(l.done)
 	l.wakeMu.Unlock()
-	l.closeNow()
+	l.closePending()
 	for fd := range l.sources {
-		if fd != l.wake {
-			unix.Close(fd)
+		if fd != l.wakeFD {
+			closeFD(fd)
 		}
 	}
-	unix.Close(l.wake)
-	unix.Close(l.epoll)
+	closeFD(l.wakeFD)
+	closeFD(l.epoll)
 }
-
-// Release gives up a loop that never ran.
-func (l *Loop) Release() { l.release() }
--- a/internal/transport/wheel_test.go
+++ b/internal/transport/timer_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Timers fire in the tick that they are due in, never early, also beyond one turn of the wheel; wait never
-// oversleeps one.
-func TestWheel(t *testing.T) {
-	w := &wheel{}
+// Guards against timers that fire early or late, also beyond one revolution of the wheel, and a wait that is too long.
+func TestTimersFireInTheirTick(t *testing.T) {
+	w := &timerWheel{}
 	rng := rand.New(rand.NewPCG(1, 1))
-	now, left := time.Duration(0), 0
+	now := time.Duration(0)
+	left := 0
 	for range 500 {
-		at := time.Duration(rng.Int64N(int64(3 * slots * Tick)))
+		at := time.Duration(rng.Int64N(int64(3 * wheelSlots * Tick)))
 		timer := &Timer{}
 		timer.Fire = func() {
 			left--
@@ -29,23 +29,24 @@
 		}
 	}
 	for steps := 0; left > 0; steps++ {
-		if steps > 4*slots {
+		if steps > 4*wheelSlots {
 			t.Fatalf("%d timers never fired", left)
 		}
-		now += max(w.wait(now), Tick/2)
+		now += max(w.nextWait(now), Tick/2)
 		w.advance(now)
 	}
 }
 
-func TestTimerSetAgainFromItsOwnCallbackAndStoppedByAnother(t *testing.T) {
-	w := &wheel{}
+// Guards against an endless loop over a timer that sets itself, and a timer that fires after another stopped it.
+func TestTimerSetAndStoppedFromCallback(t *testing.T) {
+	w := &timerWheel{}
 	fired := 0
 	var again, other Timer
 	again.Fire = func() {
 		fired++
 		other.Stop()
 		if fired < 3 {
-			w.set(&again, 0) // long past: the next tick, not this one for ever
+			w.set(&again, 0) // it has passed: the next tick, not this one again
 		}
 	}
 	other.Fire = func() { t.Error("fired after it was stopped") }
