--- a/internal/director/client_conn.go
+++ b/internal/director/client_conn.go
@@ -161,8 +161,8 @@
 	switch call.Method {
 	case thrift.Submit:
 		return c.submit(call)
-	case thrift.Revoke:
-		if r := c.inFlight[call.Target]; r != nil {
+	case thrift.Cancel:
+		if r := c.inFlight[call.CancelTarget]; r != nil {
 			c.cancel(r)
 			c.closeIfDrained()
 		}
@@ -170,7 +170,7 @@
 		c.answerHeartbeat(call)
 	default:
 		if !call.Oneway {
-			c.conn.Write(thrift.AppendException(nil, call.Name, call.Seq, thrift.UnknownMethod, "no such method"))
+			c.conn.Write(thrift.AppendException(nil, call.Name, call.SequenceNumber, thrift.UnknownMethod, "no such method"))
 		}
 	}
 	return nil
@@ -180,13 +180,13 @@
 	f := c.frontend
 	f.Counters.Heartbeats++
 	good := !f.draining && f.director.HasReadyCache() && (f.isHealthy == nil || f.isHealthy())
-	f.head, f.tail = thrift.AppendAnswer(f.head[:0], f.tail[:0], thrift.Heartbeat, call.Seq, 0, good)
+	f.head, f.tail = thrift.AppendAnswer(f.head[:0], f.tail[:0], thrift.Heartbeat, call.SequenceNumber, 0, good)
 	c.conn.Write(f.head, f.tail)
 }
 
 func (c *clientConn) submit(call *thrift.Call) error {
-	if c.inFlight[call.Seq] != nil {
-		return fmt.Errorf("sequence number %d is in flight already", call.Seq)
+	if c.inFlight[call.SequenceNumber] != nil {
+		return fmt.Errorf("sequence number %d is in flight already", call.SequenceNumber)
 	}
 	if c.conn.Queued() > maxClientQueue {
 		c.shed(call)
@@ -197,19 +197,19 @@
 	// Too many requests, or too large ones, are rejected one by one: the connection has others in flight.
 	if len(c.inFlight) >= maxClientStreams || f.bodyBytes+len(call.Body) > f.maxBodyBytes {
 		f.Counters.Unserved++
-		c.conn.Write(thrift.AppendRefused(nil, call.Seq))
+		c.conn.Write(thrift.AppendRejected(nil, call.SequenceNumber))
 		return nil
 	}
 	r, err := readRequest(call)
 	if err != nil {
 		f.Counters.Unserved++
 		slog.Debug("request.malformed", "err", err)
-		c.conn.Write(thrift.AppendException(nil, call.Name, call.Seq, thrift.ProtocolError, err.Error()))
+		c.conn.Write(thrift.AppendException(nil, call.Name, call.SequenceNumber, thrift.ProtocolError, err.Error()))
 		return nil
 	}
 	r.Responder = c
-	r.SequenceNumber = call.Seq
-	c.inFlight[call.Seq] = r
+	r.SequenceNumber = call.SequenceNumber
+	c.inFlight[call.SequenceNumber] = r
 	f.bodyBytes += len(r.Body)
 	f.director.Submit(r)
 	return nil
@@ -224,7 +224,7 @@
 		c.closeStuck()
 		return
 	}
-	c.conn.Write(thrift.AppendRefused(nil, call.Seq))
+	c.conn.Write(thrift.AppendRejected(nil, call.SequenceNumber))
 }
 
 // forget removes a request that gets its answer now, or is owed none.
@@ -257,7 +257,7 @@
 		fields = append(fields, thrift.Pair{Name: "backoff", Value: strconv.FormatInt(int64(ms), 10)})
 	}
 	f := c.frontend
-	f.head = thrift.AppendRefused(f.head[:0], r.SequenceNumber, fields...)
+	f.head = thrift.AppendRejected(f.head[:0], r.SequenceNumber, fields...)
 	c.conn.Write(f.head)
 	c.afterAnswer()
 }
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,6 +1,5 @@
-// Package logging sets up the one structured logger of a process: JSON lines for machines, readable lines where
-// standard error is a terminal. Messages are stable event names in dotted words; what varies is in the attributes. It
-// knows nothing of who logs.
+// Package logging sets up the logger of a process: JSON lines for machines, readable lines where standard error is a
+// terminal. A message is a stable event name in dotted words, such as watch.lost; what varies stands in the attributes.
 package logging
 
 import (
@@ -14,41 +13,48 @@
 	"github.com/mattn/go-isatty"
 )
 
-// Environment variables that choose the form and the least level.
+// Environment variables that choose the form and the lowest level.
 const (
-	FormVar  = "LB_LOG"       // json, text, or empty: by whether standard error is a terminal
+	FormVar  = "LB_LOG"       // json or text; empty: text on a terminal, else json
 	LevelVar = "LB_LOG_LEVEL" // debug, info (the default), warn or error
 )
 
+const (
+	formJSON   = "json"
+	formText   = "text"
+	timeFormat = time.TimeOnly + ".000"
+)
+
 // Setup makes the default logger from the environment. An error names the variable at fault.
 func Setup() error {
-	l, err := New(os.Stderr, os.Getenv(FormVar), os.Getenv(LevelVar), isatty.IsTerminal(os.Stderr.Fd()))
+	logger, err := New(os.Stderr, os.Getenv(FormVar), os.Getenv(LevelVar), isatty.IsTerminal(os.Stderr.Fd()))
 	if err != nil {
 		return err
 	}
-	slog.SetDefault(l)
+	slog.SetDefault(logger)
 	return nil
 }
 
-// New makes a logger that writes to w. An empty form is text on a terminal and JSON elsewhere.
+// New makes a logger that writes to w. An empty form is text on a terminal and JSON elsewhere; an empty level is info.
 func New(w io.Writer, form, level string, terminal bool) (*slog.Logger, error) {
-	least := slog.LevelInfo
+	minLevel := slog.LevelInfo
 	if level != "" {
-		if err := least.UnmarshalText([]byte(level)); err != nil {
+		if err := minLevel.UnmarshalText([]byte(level)); err != nil {
 			return nil, fmt.Errorf("%s: %q is none of debug, info, warn, error", LevelVar, level)
 		}
 	}
 	if form == "" {
-		form = "json"
+		form = formJSON
 		if terminal {
-			form = "text"
+			form = formText
 		}
 	}
 	switch form {
-	case "json":
-		return slog.New(slog.NewJSONHandler(w, &slog.HandlerOptions{Level: least})), nil
-	case "text":
-		return slog.New(tint.NewHandler(w, &tint.Options{Level: least, TimeFormat: time.TimeOnly + ".000", NoColor: !terminal})), nil
+	case formJSON:
+		return slog.New(slog.NewJSONHandler(w, &slog.HandlerOptions{Level: minLevel})), nil
+	case formText:
+		options := tint.Options{Level: minLevel, TimeFormat: timeFormat, NoColor: !terminal}
+		return slog.New(tint.NewTextHandler(w, &options)), nil
 	}
 	return nil, fmt.Errorf("%s: %q is neither json nor text", FormVar, form)
 }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// A machine reads one JSON object a line; the event's name stands alone in msg.
+// Guards against lines that a machine cannot parse, and a wrong variable that is ignored.
 func TestForms(t *testing.T) {
 	var b bytes.Buffer
 	l, err := New(&b, "", "", false)
--- a/internal/protocol/resp/resp.go
+++ b/internal/protocol/resp/resp.go
@@ -1,4 +1,4 @@
-// Package resp reads and writes the caches' messages: RESP arrays of bulk strings. It does no I/O; what it parses are
+// Package resp parses and encodes the messages of caches: RESP arrays of bulk strings. It does no I/O; what it parses are
 // slices of the caller's buffer.
 package resp
 
@@ -9,26 +9,31 @@
 	"strconv"
 )
 
-// Limits of what a cache may send.
+// Limits of a message.
 const (
-	MaxBulk  = 240_000
-	maxWords = 8
-	maxLine  = 16
+	MaxBulk  = 240_000 // bytes of a bulk string
+	maxWords = 8       // bulk strings of an array
+	maxLine  = 16      // bytes of a line with a count
 )
 
-// Words is one message.
+var (
+	errBulkLength   = errors.New("resp: bulk string is not as long as it says")
+	errEndlessCount = errors.New("resp: count without an end")
+)
+
+// Words is the bulk strings of a message.
 type Words [][]byte
 
-// Parse reads one array from the start of b; words is reused. used is 0 while it is not whole; then need tells how
-// many bytes must be there before it can be.
+// Parse reads an array from the start of b; words is reused. used is 0 while the array is incomplete; then need is how
+// many bytes must be there before it can be complete.
 func Parse(b []byte, words Words) (w Words, used, need int, err error) {
 	words = words[:0]
-	count, at, need, err := number(b, 0, '*', maxWords)
+	count, at, need, err := parseCount(b, 0, '*', maxWords)
 	if err != nil || need > 0 {
 		return words, 0, need, err
 	}
 	for range count {
-		size, body, need, err := number(b, at, '$', MaxBulk)
+		size, body, need, err := parseCount(b, at, '$', MaxBulk)
 		if err != nil || need > 0 {
 			return words, 0, need, err
 		}
@@ -37,7 +42,7 @@
 			return words, 0, end + 2, nil
 		}
 		if b[end] != '\r' || b[end+1] != '\n' {
-			return words, 0, 0, errors.New("resp: bulk string is not as long as it says")
+			return words, 0, 0, errBulkLength
 		}
 		words = append(words, b[body:end:end])
 		at = end + 2
@@ -45,8 +50,8 @@
 	return words, at, 0, nil
 }
 
-// number reads a line of a mark and a count that starts at from.
-func number(b []byte, from int, mark byte, limit int) (n, next, need int, err error) {
+// parseCount reads a line at an offset: a mark and a count.
+func parseCount(b []byte, from int, mark byte, limit int) (n, next, need int, err error) {
 	if len(b) <= from {
 		return 0, 0, from + 1, nil
 	}
@@ -57,7 +62,7 @@
 	end := bytes.IndexByte(line, '\n')
 	if end < 0 {
 		if len(line) == maxLine {
-			return 0, 0, 0, errors.New("resp: count without an end")
+			return 0, 0, 0, errEndlessCount
 		}
 		return 0, 0, len(b) + 1, nil
 	}
@@ -77,10 +82,10 @@
 	return n, from + end + 1, 0, nil
 }
 
-// None stands for no fields.
+// None is the value of an empty list of fields.
 const None = "-"
 
-// Fields walks over name=value,name=value and stops at the first that f turns down or that is no pair.
+// Fields calls f for each field of name=value,name=value, until one is malformed or f returns an error.
 func Fields(b []byte, f func(name, value []byte) error) error {
 	if len(b) == 0 || string(b) == None {
 		return nil
@@ -98,23 +103,27 @@
 }
 
 // AppendHead appends the start of an array of n bulk strings.
-func AppendHead(b []byte, n int) []byte { return appendNumber(b, '*', n) }
+func AppendHead(b []byte, n int) []byte { return appendCount(b, '*', n) }
 
 // AppendBulk appends one bulk string.
 func AppendBulk[T string | []byte](b []byte, v T) []byte {
-	b = appendNumber(b, '$', len(v))
-	return append(append(b, v...), '\r', '\n')
+	b = appendCount(b, '$', len(v))
+	b = append(b, v...)
+	return append(b, '\r', '\n')
 }
 
-// AppendField appends one pair to a list of fields that started at from.
-func AppendField[T string | []byte](b []byte, from int, name string, value T) []byte {
-	if len(b) > from {
+// AppendField appends a field to a list of fields that starts at an offset of b.
+func AppendField[T string | []byte](b []byte, start int, name string, value T) []byte {
+	if len(b) > start {
 		b = append(b, ',')
 	}
-	b = append(append(b, name...), '=')
+	b = append(b, name...)
+	b = append(b, '=')
 	return append(b, value...)
 }
 
-func appendNumber(b []byte, mark byte, n int) []byte {
-	return append(strconv.AppendInt(append(b, mark), int64(n), 10), '\r', '\n')
+func appendCount(b []byte, mark byte, n int) []byte {
+	b = append(b, mark)
+	b = strconv.AppendInt(b, int64(n), 10)
+	return append(b, '\r', '\n')
 }
--- a/internal/protocol/resp/resp_test.go
+++ b/internal/protocol/resp/resp_test.go
@@ -6,25 +6,27 @@
 	"testing"
 )
 
-func TestAnswerInAnyPieces(t *testing.T) {
+// Guards against a message that is misread when it comes in pieces.
+func TestMessageInAnyPieces(t *testing.T) {
 	b := AppendHead(nil, 4)
 	for _, w := range []string{"9b1f03aa5c7e2d41", "OK", "n=local,since=1764576000123", "a\r\nb"} {
 		b = AppendBulk(b, w)
 	}
-	whole := len(b)
+	size := len(b)
 	b = append(b, b...)
-	for n := range whole {
-		if _, used, need, err := Parse(b[:n], nil); used != 0 || err != nil || need <= n || need > whole {
+	for n := range size {
+		if _, used, need, err := Parse(b[:n], nil); used != 0 || err != nil || need <= n || need > size {
 			t.Fatalf("%d bytes: used %d, need %d, %v", n, used, need, err)
 		}
 	}
 	w, used, _, err := Parse(b, nil)
-	if err != nil || used != whole || len(w) != 4 || string(w[3]) != "a\r\nb" {
+	if err != nil || used != size || len(w) != 4 || string(w[3]) != "a\r\nb" {
 		t.Fatalf("used %d, %v, %q", used, err, w)
 	}
 }
 
-func TestMalformedAnswers(t *testing.T) {
+// Guards against a malformed message that is accepted, or waited for without end.
+func TestMalformedMessages(t *testing.T) {
 	for _, s := range []string{
 		"+OK\r\n", "*9\r\n", "*-1\r\n", "*x\r\n", "*\r\n", "*1\n", "*1\r\n$240001\r\n",
 		"*1\r\n$1\r\nabc", "*1\r\n:5\r\n", "*" + strings.Repeat("0", 40),
@@ -34,13 +36,13 @@
 		}
 	}
 	stop := errors.New("stop")
-	for in, want := range map[string]bool{"-": true, "": true, "a=1,b=": true, "a": false, "=1": false, "a=1,": false} {
-		if err := Fields([]byte(in), func(_, _ []byte) error { return nil }); (err == nil) != want {
-			t.Errorf("fields %q: %v", in, err)
+	for fields, valid := range map[string]bool{"-": true, "": true, "a=1,b=": true, "a": false, "=1": false, "a=1,": false} {
+		if err := Fields([]byte(fields), func(_, _ []byte) error { return nil }); (err == nil) != valid {
+			t.Errorf("fields %q: %v", fields, err)
 		}
 	}
 	if err := Fields([]byte("a=1"), func(_, _ []byte) error { return stop }); !errors.Is(err, stop) {
-		t.Error("a field that was turned down went through")
+		t.Error("the error of a field is lost")
 	}
 }
 
--- a/internal/protocol/thrift/thrift_test.go
+++ b/internal/protocol/thrift/thrift_test.go
@@ -6,23 +6,24 @@
 	"testing"
 )
 
-// submitFrame is a call of submit, written by hand as the protocol page has it.
+// submitFrame is a frame with a call of submit.
 func submitFrame(fields [][2]string, body string) []byte {
 	b := []byte{0, 0, 0, 0}
-	b = appendMessage(b[:0], typeCall, "submit", 7)
-	b = appendField(b, tMap, 1)
-	b = append(b, tBinary, tBinary)
+	b = appendMessage(b[:0], messageCall, "submit", 7)
+	b = appendField(b, typeMap, 1)
+	b = append(b, typeBinary, typeBinary)
 	b = binary.BigEndian.AppendUint32(b, uint32(len(fields)))
 	for _, f := range fields {
 		b = appendString(appendString(b, f[0]), f[1])
 	}
-	b = appendField(b, tBinary, 2)
+	b = appendField(b, typeBinary, 2)
 	b = appendString(b, body)
-	b = append(b, tStop)
+	b = append(b, typeStop)
 	setFrame(b, len(b)-frameHead)
 	return b
 }
 
+// Guards against a call that is misread when it comes in pieces.
 func TestCallInAnyPieces(t *testing.T) {
 	frame := submitFrame([][2]string{{"rid", "9b1f03aa5c7e2d41"}, {"budget", "1500"}}, "abc")
 	two := append(bytes.Clone(frame), frame...)
@@ -34,21 +35,21 @@
 		}
 	}
 	used, _, err := Parse(two, &c)
-	if err != nil || used != len(frame) || c.Method != Submit || c.Seq != 7 || string(c.Body) != "abc" ||
+	if err != nil || used != len(frame) || c.Method != Submit || c.SequenceNumber != 7 || string(c.Body) != "abc" ||
 		string(c.Field("budget")) != "1500" || c.Field("token") != nil {
 		t.Fatalf("used %d, %v, %+v", used, err, c)
 	}
 }
 
-// Each damaged message must be turned down without a panic, whatever its lengths claim.
+// Guards against a panic, or an accepted call, for a damaged message.
 func TestMalformedCalls(t *testing.T) {
 	good := submitFrame([][2]string{{"rid", "9b1f03aa5c7e2d41"}}, "abc")
 	var c Call
-	for cut := frameHead; cut < len(good)-1; cut++ { // truncated inside a frame that says it is whole
+	for cut := frameHead; cut < len(good)-1; cut++ { // truncated in a frame of the right length
 		b := bytes.Clone(good[:cut])
 		setFrame(b, cut-frameHead)
 		if _, _, err := Parse(b, &c); err == nil {
-			t.Errorf("cut at %d: taken", cut)
+			t.Errorf("cut at %d: accepted", cut)
 		}
 	}
 	for i := frameHead; i < len(good); i++ {
@@ -59,31 +60,32 @@
 		}
 	}
 	if _, _, err := Parse([]byte{0x7f, 0, 0, 0}, &c); err == nil {
-		t.Error("oversized frame taken")
+		t.Error("oversized frame accepted")
 	}
 	if _, _, err := Parse(submitFrame(nil, string(make([]byte, MaxBody+1))), &c); err == nil {
-		t.Error("oversized body taken")
+		t.Error("oversized body accepted")
 	}
-	deep := appendMessage(nil, typeCall, "submit", 1)
+	deep := appendMessage(nil, messageCall, "submit", 1)
 	for range 1000 {
-		deep = appendField(deep, tStruct, 9)
+		deep = appendField(deep, typeStruct, 9)
 	}
 	setFrame(deep, len(deep)-frameHead)
 	if _, _, err := Parse(deep, &c); err == nil {
-		t.Error("bottomless struct taken")
+		t.Error("bottomless struct accepted")
 	}
 }
 
+// Guards against a client that is rejected because it sends fields which this version does not know.
 func TestUnknownFieldsAreSkipped(t *testing.T) {
-	b := appendMessage(nil, typeOneway, "revoke", 3)
-	b = appendField(b, tList, 8)
-	b = append(b, tI64, 0, 0, 0, 1)
+	b := appendMessage(nil, messageOneway, "revoke", 3)
+	b = appendField(b, typeList, 8)
+	b = append(b, typeI64, 0, 0, 0, 1)
 	b = append(b, make([]byte, 8)...)
-	b = appendField(b, tI32, 1)
-	b = append(b, 0, 0, 0, 42, tStop)
+	b = appendField(b, typeI32, 1)
+	b = append(b, 0, 0, 0, 42, typeStop)
 	setFrame(b, len(b)-frameHead)
 	var c Call
-	if used, _, err := Parse(b, &c); err != nil || used != len(b) || c.Method != Revoke || !c.Oneway || c.Target != 42 {
+	if used, _, err := Parse(b, &c); err != nil || used != len(b) || c.Method != Cancel || !c.Oneway || c.CancelTarget != 42 {
 		t.Fatalf("used %d, %v, %+v", used, err, c)
 	}
 }
--- a/internal/protocol/thrift/write.go
+++ b/internal/protocol/thrift/write.go
@@ -2,11 +2,11 @@
 
 import "encoding/binary"
 
-// Outcome numbers of submit's result, as the service declares them.
+// The fields of submit's result, as the service declares them: the answer, or a declared exception.
 const (
-	resultAnswer  = 0
-	resultRefused = 1
-	resultFailed  = 2
+	resultAnswer   = 0
+	resultRejected = 1
+	resultFailed   = 2
 )
 
 // Codes of an application exception.
@@ -16,64 +16,63 @@
 	ProtocolError = 7
 )
 
-// Pair is a field to write.
+// Pair is a field of an answer.
 type Pair struct{ Name, Value string }
 
-// AppendAnswer appends an Answer around a body that is not copied: head goes before the body and tail after it.
+// AppendAnswer appends an answer to a call, around a body that is not copied: head goes before the body and tail after it.
+// good is the result of a heartbeat.
 func AppendAnswer(head, tail []byte, method Method, seq int32, bodySize int, good bool, fields ...Pair) (h, t []byte) {
 	start := len(head)
-	head = appendReply(head, typeReply, method, seq)
-	head = appendField(head, tStruct, resultAnswer)
-	head = appendField(head, tBinary, 1)
+	head = appendReply(head, messageReply, method, seq)
+	head = appendField(head, typeStruct, resultAnswer)
+	head = appendField(head, typeBinary, 1)
 	head = binary.BigEndian.AppendUint32(head, uint32(bodySize))
 	tailStart := len(tail)
 	tail = appendFields(tail, 2, fields)
-	tail = appendField(tail, tBool, 3)
+	tail = appendField(tail, typeBool, 3)
 	if good {
 		tail = append(tail, 1)
 	} else {
 		tail = append(tail, 0)
 	}
-	tail = append(tail, tStop, tStop)
+	tail = append(tail, typeStop, typeStop)
 	setFrame(head[start:], len(head)-start-frameHead+bodySize+len(tail)-tailStart)
 	return head, tail
 }
 
-// AppendRefused appends the exception that says that trying again is harmless.
-func AppendRefused(b []byte, seq int32, fields ...Pair) []byte {
-	return appendThrown(b, seq, resultRefused, fields)
+// AppendRejected appends the declared exception that says that the request has not run and may be repeated.
+func AppendRejected(b []byte, seq int32, fields ...Pair) []byte {
+	return appendFailure(b, seq, resultRejected, fields)
 }
 
-// AppendFailed appends the exception that promises nothing.
+// AppendFailed appends the declared exception that leaves open whether the request has run.
 func AppendFailed(b []byte, seq int32, fields ...Pair) []byte {
-	return appendThrown(b, seq, resultFailed, fields)
+	return appendFailure(b, seq, resultFailed, fields)
 }
 
-func appendThrown(b []byte, seq int32, result uint16, fields []Pair) []byte {
+func appendFailure(b []byte, seq int32, result uint16, fields []Pair) []byte {
 	start := len(b)
-	b = appendReply(b, typeReply, Submit, seq)
-	b = appendField(b, tStruct, result)
+	b = appendReply(b, messageReply, Submit, seq)
+	b = appendField(b, typeStruct, result)
 	b = appendFields(b, 1, fields)
-	b = append(b, tStop, tStop)
+	b = append(b, typeStop, typeStop)
 	setFrame(b[start:], len(b)-start-frameHead)
 	return b
 }
 
-// AppendException appends an application exception.
+// AppendException appends an application exception of Thrift, as the answer to a call that cannot be served.
 func AppendException(b []byte, name []byte, seq int32, code int32, text string) []byte {
 	start := len(b)
-	b = appendMessage(b, typeException, string(name), seq)
-	b = appendField(b, tBinary, 1)
+	b = appendMessage(b, messageException, string(name), seq)
+	b = appendField(b, typeBinary, 1)
 	b = appendString(b, text)
-	b = appendField(b, tI32, 2)
+	b = appendField(b, typeI32, 2)
 	b = binary.BigEndian.AppendUint32(b, uint32(code))
-	b = append(b, tStop)
+	b = append(b, typeStop)
 	setFrame(b[start:], len(b)-start-frameHead)
 	return b
 }
 
-var methodNames = [...]string{Submit: "submit", Revoke: "revoke", Heartbeat: "heartbeat"}
-
 func appendReply(b []byte, kind byte, m Method, seq int32) []byte {
 	return appendMessage(b, kind, methodNames[m], seq)
 }
@@ -94,8 +93,8 @@
 }
 
 func appendFields(b []byte, id uint16, fields []Pair) []byte {
-	b = appendField(b, tMap, id)
-	b = append(b, tBinary, tBinary)
+	b = appendField(b, typeMap, id)
+	b = append(b, typeBinary, typeBinary)
 	b = binary.BigEndian.AppendUint32(b, uint32(len(fields)))
 	for _, f := range fields {
 		b = appendString(appendString(b, f.Name), f.Value)
