--- a/cmd/stairvane/director.go
+++ b/cmd/stairvane/director.go
@@ -5,5 +5,5 @@
 	"stairvane.org/stairvane/internal/director/config"
 )
 
-// runDirector is one director on one core.
+// runDirector serves as a director on one core, with what LB_CONFIG configures.
 func runDirector() error { return director.Serve(config.OperatorSettings{Cores: 1}) }
--- a/cmd/stairvane/main.go
+++ b/cmd/stairvane/main.go
@@ -1,5 +1,5 @@
 // Command stairvane is a director when it is called without arguments, as the platform does. With arguments it becomes
-// stairvane-fleet, the program beside it that holds the sub-commands; see there.
+// stairvane-fleet, the program beside it that has the sub-commands.
 package main
 
 import (
@@ -12,27 +12,30 @@
 )
 
 func main() {
-	err := logging.Setup()
-	switch {
-	case err != nil:
-	case len(os.Args) == 1 || len(os.Args) == 2 && os.Args[1] == "director":
-		err = runDirector()
-	default:
-		err = runFleet()
-	}
-	if err != nil {
+	if err := run(); err != nil {
 		fmt.Fprintln(os.Stderr, "stairvane:", err)
 		os.Exit(1)
 	}
 }
 
-// runFleet becomes the program of the sub-commands. It returns only if that can't be started.
+func run() error {
+	if err := logging.Setup(); err != nil {
+		return err
+	}
+	if len(os.Args) == 1 || len(os.Args) == 2 && os.Args[1] == "director" {
+		return runDirector()
+	}
+	return runFleet()
+}
+
+// runFleet becomes the program of the sub-commands. It returns only if that program cannot be started.
 func runFleet() error {
 	self, err := os.Executable()
 	if err != nil {
-		return err
+		return fmt.Errorf("find the own program: %w", err)
 	}
 	program := filepath.Join(filepath.Dir(self), "stairvane-fleet")
-	err = syscall.Exec(program, append([]string{"stairvane"}, os.Args[1:]...), os.Environ())
+	arguments := append([]string{"stairvane"}, os.Args[1:]...)
+	err = syscall.Exec(program, arguments, os.Environ())
 	return fmt.Errorf("the sub-commands are in %s: %w", program, err)
 }
--- a/cmd/stairvane/main_test.go
+++ b/cmd/stairvane/reload_test.go
@@ -13,21 +13,21 @@
 	"time"
 )
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-// lines hands on what is logged.
-type lines chan string
+// lineWriter sends each line that is logged.
+type lineWriter chan string
 
-func (l lines) Write(b []byte) (int, error) {
+func (l lineWriter) Write(b []byte) (int, error) {
 	l <- string(b)
 	return len(b), nil
 }
 
-// SIGHUP must not end the process: it moves the bulletin, from the last event on, and a faulty file changes nothing.
+// Guards against a SIGHUP that ends the process, skips events, or applies a malformed file.
 func TestHangupReloads(t *testing.T) {
 	polls := make(chan string, 16)
 	stop := make(chan struct{})
-	bulletin := func(name string) string {
+	controlPlane := func(name string) string {
 		s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 			polls <- name + " after " + r.URL.Query().Get("after")
 			<-stop
@@ -35,17 +35,17 @@
 		t.Cleanup(s.Close)
 		return s.Listener.Addr().String()
 	}
-	first, second := bulletin("first"), bulletin("second")
+	first, second := controlPlane("first"), controlPlane("second")
 	defer close(stop)
 	path := filepath.Join(t.TempDir(), "config.json")
-	write := func(bulletin, seed string) {
+	write := func(address, seed string) {
 		text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","seed":%q,"bulletin":%q,
-			"known":{"no":7,"items":[]},"settings":{"Grades":[{"Name":"clips"}]}}`, seed, bulletin)
+			"known":{"no":7,"items":[]},"settings":{"Grades":[{"Name":"clips"}]}}`, seed, address)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	logged := make(lines, 64)
+	logged := make(lineWriter, 64)
 	before := slog.Default()
 	slog.SetDefault(slog.New(slog.NewJSONHandler(logged, nil)))
 	defer slog.SetDefault(before)
@@ -58,8 +58,8 @@
 				if strings.Contains(got, want) {
 					return
 				}
-			case <-time.After(patience):
-				t.Fatalf("nothing says %q", want)
+			case <-time.After(testTimeout):
+				t.Fatalf("no line with %q", want)
 			}
 		}
 	}
@@ -69,24 +69,24 @@
 		}
 	}
 	write(first, "1")
-	ended := make(chan error, 1)
-	go func() { ended <- runDirector() }()
+	exited := make(chan error, 1)
+	go func() { exited <- runDirector() }()
 	wait(polls, "first after 7")
 	write(second, "no number")
 	hangUp()
 	wait(logged, `"reload.rejected","err":"seed`)
-	for said, fault := range map[string]func() error{
+	for event, breakFile := range map[string]func() error{
 		`"reload.rejected","err":"configuration: unexpected end`: func() error { return os.WriteFile(path, nil, 0o600) },
 		`"reload.rejected","err":"configuration: `: func() error {
 			return os.WriteFile(path, []byte(`{"name":"n0","listen":"127.0.0.1:0","se`), 0o600)
 		},
 		`"reload.rejected","err":"LB_CONFIG: `: func() error { return os.Remove(path) },
 	} {
-		if err := fault(); err != nil {
+		if err := breakFile(); err != nil {
 			t.Fatal(err)
 		}
 		hangUp()
-		wait(logged, said)
+		wait(logged, event)
 	}
 	write(second, "2")
 	hangUp()
@@ -94,7 +94,7 @@
 	if err := syscall.Kill(os.Getpid(), syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if err := <-ended; err != nil {
+	if err := <-exited; err != nil {
 		t.Fatal(err)
 	}
 }
