--- a/internal/director/config/operator.go
+++ b/internal/director/config/operator.go
@@ -9,7 +9,7 @@
 // of the operator's file.
 const (
 	ClaimsWait    = "wait"   // wait within the request's timeout, then reject it
-	ClaimsRefuse  = "refuse" // reject the request soon, with a Retry-After: nothing has run
+	ClaimsReject  = "refuse" // reject the request soon, with a Retry-After: nothing has run
 	ClaimsProceed = "go-on"  // proceed soon without a claim, and count that
 )
 
@@ -35,7 +35,7 @@
 	Listen            netip.AddrPort        // for claims of other directors
 	Allows            func(netip.Addr) bool // whether an address may connect there
 	MaxClaims         int                   // that this director stores for others
-	UnreachablePolicy string                // ClaimsWait, ClaimsRefuse or ClaimsProceed
+	UnreachablePolicy string                // ClaimsWait, ClaimsReject or ClaimsProceed
 	PolicyByClass     map[string]string     // where it differs
 }
 
--- a/internal/protocol/discovery/server.go
+++ b/internal/protocol/discovery/server.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// MaxPatienceMS is the longest time, in milliseconds, for which a poll may wait for events.
-const MaxPatienceMS = 5000
+// MaxPollTimeoutMS is the longest time, in milliseconds, for which a poll may wait for events.
+const MaxPollTimeoutMS = 5000
 
 // maxRequest is the most bytes of a poll.
 const maxRequest = 32 << 10
@@ -91,7 +91,7 @@
 	if path != pollPath {
 		return requestError(404, "only %s is served here", pollPath)
 	}
-	r.TimeoutMS = MaxPatienceMS
+	r.TimeoutMS = MaxPollTimeoutMS
 	for part := range strings.SplitSeq(query, "&") {
 		key, value, _ := strings.Cut(part, "=")
 		if key != keyAfter && key != keyTimeoutMS {
@@ -104,7 +104,7 @@
 		if key == keyAfter {
 			r.After = n
 		} else {
-			r.TimeoutMS = min(n, MaxPatienceMS)
+			r.TimeoutMS = min(n, MaxPollTimeoutMS)
 		}
 	}
 	return nil
--- a/internal/protocol/discovery/server_test.go
+++ b/internal/protocol/discovery/server_test.go
@@ -14,7 +14,7 @@
 		}
 	}
 	c, used, _, err := ParseWatchRequest([]byte(text + "GET"))
-	if err != nil || used != len(text) || c != (WatchRequest{After: 41, TimeoutMS: MaxPatienceMS}) {
+	if err != nil || used != len(text) || c != (WatchRequest{After: 41, TimeoutMS: MaxPollTimeoutMS}) {
 		t.Fatalf("%+v, used %d, %v", c, used, err)
 	}
 }
@@ -84,7 +84,7 @@
 	f.Add([]byte("GET /bulletins?after=3&patience=2000 HTTP/1.1\r\nHost: x\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		c, used, need, err := ParseWatchRequest(b)
-		if used > len(b) || err == nil && used == 0 && need <= len(b) || c.After < 0 || c.TimeoutMS > MaxPatienceMS {
+		if used > len(b) || err == nil && used == 0 && need <= len(b) || c.After < 0 || c.TimeoutMS > MaxPollTimeoutMS {
 			t.Errorf("%+v, used %d, need %d of %d", c, used, need, len(b))
 		}
 	})
