--- a/internal/tools/capacity/capacity_test.go
+++ b/internal/tools/capacity/capacity_test.go
@@ -137,7 +137,7 @@
 		{"internal/director/timing.go", `announcedPollTimeout = (\d+) \* time.Millisecond`, milliseconds(d.WatchPatience)},
 		{"internal/director/timing.go", `RetryMax: +(\d+) \* time.Millisecond, // while`, milliseconds(d.ReconnectRetry)},
 		{"internal/director/timing.go", `watchRetrySpread = (\d+) \* time.Microsecond`, strconv.FormatInt(d.ReconnectSpread.Microseconds(), 10)},
-		{"internal/director/timing.go", `SpreadMax: (\d+) \* time.Millisecond`, milliseconds(d.ReconnectSpreadMax)},
+		{"internal/director/timing.go", `SpreadMax: +(\d+) \* time.Millisecond`, milliseconds(d.ReconnectSpreadMax)},
 		{"internal/operatorconfig/program.go", ` KeepEvents: (\d+)_000`, strconv.Itoa(d.HistoryKept / 1000)},
 		{"internal/operatorconfig/program.go", `c.Lease, .* = (\d+)\*time.Millisecond`, milliseconds(d.ReplicaLease)},
 		{"internal/controlplane/membership.go", `adoptionKept = (\d+)`, strconv.Itoa(d.AdoptionKept)},
