--- a/internal/director/routing/attempts.go
+++ b/internal/director/routing/attempts.go
@@ -154,7 +154,8 @@
 	a.fullyWritten = c.conn.IsFlushed()
 	if !a.fullyWritten {
 		c.partlyWritten = a
-		deadline = min(deadline, d.dedupDeadline(a.request)) // its timeout is counted from when it is fully written
+		// A retry must arrive complete while caches still drop repeats.
+		deadline = min(deadline, d.dedupDeadline(a.request))
 	}
 	d.loop.Set(&a.timer, deadline)
 }
--- a/internal/director/routing/conn.go
+++ b/internal/director/routing/conn.go
@@ -26,9 +26,10 @@
 	partlyWritten    *attempt            // of which the system has not taken all yet
 
 	// pings has the attempts that wait until the cache has read what was sent before, by tag; nil for a keepalive.
-	pings          map[string]*attempt
-	pongTimer      transport.Timer // also ends the close delay of a lost connection
-	keepaliveTimer transport.Timer
+	pings           map[string]*attempt
+	pongTimer       transport.Timer
+	keepaliveTimer  transport.Timer
+	closeDelayTimer transport.Timer // of a lost connection
 }
 
 func newPooledConn(h *host, now time.Duration) *pooledConn {
@@ -41,6 +42,7 @@
 	}
 	c.pongTimer.Fire = c.pongTimedOut
 	c.keepaliveTimer.Fire = c.keepalive
+	c.closeDelayTimer.Fire = c.endInFlight
 	return c
 }
 
@@ -86,6 +88,7 @@
 func (c *pooledConn) removeFromPool() {
 	c.pongTimer.Stop()
 	c.keepaliveTimer.Stop()
+	c.closeDelayTimer.Stop()
 	if slices.Contains(c.host.conns, c) {
 		c.host.director.conns--
 	}
@@ -208,8 +211,7 @@
 		c.endInFlight()
 		return
 	}
-	c.pongTimer.Fire = c.endInFlight
-	d.loop.Set(&c.pongTimer, d.loop.Now()+d.limits.CloseDelay)
+	d.loop.Set(&c.closeDelayTimer, d.loop.Now()+d.limits.CloseDelay)
 }
 
 // endInFlight ends the attempts on a lost connection. Those that were fully written may have run, the others have not.
