--- /dev/null
+++ b/internal/controlplane/membership_write.go
@@ -0,0 +1,76 @@
+package controlplane
+
+import (
+	"stairvane.org/stairvane/internal/claims"
+	"stairvane.org/stairvane/internal/fleet"
+)
+
+// membershipWrite is what the next membership event is to change, as it was decided on one state of the fleet.
+type membershipWrite struct {
+	base        fleet.Fleet
+	members     *fleet.MembershipChange // nil: the members stay as they are
+	readyShards []fleet.ShardChange     // whose replicas are filled
+}
+
+func (w membershipWrite) isEmpty() bool { return w.members == nil && len(w.readyShards) == 0 }
+
+// change returns the event's change for the state in which it is written, which may be later than base. claimReplicas is how many
+// directors hold each claim shard. It returns nil if another process has written the first membership since.
+func (w membershipWrite) change(f fleet.Fleet, claimReplicas int) *fleet.MembershipChange {
+	if f.Revision != w.base.Revision && f.Membership() != nil && w.base.Membership() == nil {
+		return nil
+	}
+	change := &fleet.MembershipChange{Shards: w.readyShards}
+	if w.members != nil {
+		change.Joined = w.members.Joined
+		change.Left = w.members.Left
+		change.Shards = append(change.Shards, reassignShards(f, *w.members, claimReplicas)...)
+	}
+	return change
+}
+
+// reassignShards returns which claim shards get other replicas once a change of the members is made.
+func reassignShards(f fleet.Fleet, change fleet.MembershipChange, claimReplicas int) []fleet.ShardChange {
+	places := claimPlaces(membersAfter(f, change))
+	shards := make([]claims.ShardState, fleet.ShardCount)
+	inUse := len(places) > 0
+	for i := range shards {
+		s := f.Shard(i)
+		shards[i] = claims.ShardState{Shard: i, Epoch: s.Epoch, Replicas: s.Replicas, PreviousReplicas: s.PreviousReplicas}
+		inUse = inUse || len(s.Replicas) > 0
+	}
+	if !inUse {
+		return nil
+	}
+	var changes []fleet.ShardChange
+	for _, s := range claims.Reassign(shards, claimReplicas, places) {
+		changes = append(changes, fleet.ShardChange{Shard: s.Shard, Replicas: s.Replicas, PreviousReplicas: s.PreviousReplicas})
+	}
+	return changes
+}
+
+// membersAfter returns the members by ID once a change is made.
+func membersAfter(f fleet.Fleet, change fleet.MembershipChange) map[string]fleet.Director {
+	members := map[string]fleet.Director{}
+	for d := range f.Directors() {
+		members[d.ID()] = *d
+	}
+	for _, id := range change.Left {
+		delete(members, id)
+	}
+	for _, d := range change.Joined {
+		members[d.ID()] = d
+	}
+	return members
+}
+
+// claimPlaces returns the members that hold claims.
+func claimPlaces(members map[string]fleet.Director) []claims.Place {
+	var places []claims.Place
+	for id, d := range members {
+		if d.Claims != "" {
+			places = append(places, claims.Place{ID: id, Name: d.Name, Machine: d.Machine, Site: d.Site})
+		}
+	}
+	return places
+}
--- a/internal/controlplane/relaysoff_test.go
+++ b/internal/controlplane/relay_access_test.go
@@ -9,8 +9,8 @@
 	"stairvane.org/stairvane/internal/controlplane/relaysession"
 )
 
-// A relay that calls a control plane whose file lets none in is told so.
-func TestRelaysAreRefusedWhereTheFileLetsNoneIn(t *testing.T) {
+// A control plane whose file allows no relays rejects their requests with the reason.
+func TestRelayRejectedWithoutRelaysSetting(t *testing.T) {
 	set := settingsIn(t.TempDir())
 	set.Relays = false
 	b, _ := start(t, set)
--- /dev/null
+++ b/internal/controlplane/relay_leases.go
@@ -0,0 +1,61 @@
+package controlplane
+
+import (
+	"sync"
+	"time"
+
+	"stairvane.org/stairvane/internal/controlplane/relaysession"
+	"stairvane.org/stairvane/internal/controlplane/replica"
+	"stairvane.org/stairvane/internal/controlplane/replicas"
+)
+
+// relayLease returns the time for which a relay may serve after a request that was answered.
+func (b *Server) relayLease() time.Duration {
+	if group := b.set.Replicas.Lease; b.set.Replicas.Self != "" {
+		return min(relaysession.Lease, group) // the group counts no lease for longer
+	}
+	return relaysession.Lease
+}
+
+// relayLeases is the leader's record of the leases that sessions of relays have, with the revision that each acknowledged. In a
+// group, the group owns the record beside the leases of the replicas, and begins it anew when this replica begins to lead. A
+// control plane without a group always leads and owns the record itself; mu guards it.
+type relayLeases struct {
+	server *Server
+
+	mu     sync.Mutex
+	lessor *replica.Lessor // of a control plane without a group
+}
+
+func newRelayLeases(b *Server) *relayLeases {
+	lessor := replica.NewLessor(replica.Lease{Length: b.relayLease(), Drift: clockDrift})
+	lessor.Lead(true, replicas.Now())
+	return &relayLeases{server: b, lessor: lessor}
+}
+
+// give records a lease before it is sent to the relay.
+func (l *relayLeases) give(session uint64, acknowledged int64) {
+	if l.server.group != nil {
+		l.server.group.GiveSession(session, acknowledged)
+		return
+	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.lessor.Give(session, acknowledged, replicas.Now())
+}
+
+// acknowledgedRevision returns the revision up to which every director has all events, those behind relays included. It is 0 for a
+// moment after a change of the leader, while there may be directors that are not known.
+func (b *Server) acknowledgedRevision() int64 {
+	own := b.watchedRevision()
+	within := time.Duration(b.store.Fleet().Rules().NotifiedWithinMS) * time.Millisecond
+	if b.set.Relays && within > 0 && !b.membership.settled() {
+		return 0
+	}
+	if b.group != nil {
+		return own
+	}
+	b.relays.mu.Lock()
+	defer b.relays.mu.Unlock()
+	return b.relays.lessor.Acknowledged(own, replicas.Now(), within)
+}
--- a/internal/controlplane/relays_test.go
+++ b/internal/controlplane/relay_requests_test.go
@@ -35,10 +35,14 @@
 	r := &testRelay{t: t, server: b, behind: map[string]int64{}}
 	r.session = relaysession.New(relaysession.Settings{
 		Relay: membership.Relay{Name: name, Incarnation: fmt.Sprint(number), Region: "north"}, Number: number,
-		DirectorLease: rollLease, Drift: rollDrift,
+		DirectorLease: directorLease, Drift: clockDrift,
 	}, nil)
 	for i := range directors {
-		r.directors = append(r.directors, discovery.Announcement{Config: "mark", Director: discovery.Director{Name: fmt.Sprint("d-", i), Incarnation: "ABCDEFGHIJKLMNOPQRSTUVWXYZ", Location: "west"}})
+		r.directors = append(r.directors, discovery.Announcement{Config: "mark", Director: discovery.Director{
+			Name:        fmt.Sprint("d-", i),
+			Incarnation: "ABCDEFGHIJKLMNOPQRSTUVWXYZ",
+			Location:    "west",
+		}})
 	}
 	return r
 }
@@ -86,7 +90,7 @@
 	return a
 }
 
-// calls goes on until something holds.
+// calls makes requests until a condition holds.
 func (r *testRelay) calls(what string, is func() bool) {
 	r.t.Helper()
 	until(r.t, what, func() bool {
@@ -114,7 +118,8 @@
 	members := func() api.Members { return b.membership.Members() }
 	r.calls("all are members", func() bool { return len(members().Directors) == 40 })
 	m := members()
-	if len(m.Relays) != 1 || m.Relays[0].Directors != 40 || m.Relays[0].Name != "r1" || !m.Relays[0].Complete || m.Directors[0].Relay != "r1/7" || m.Directors[0].Config != "mark" {
+	if len(m.Relays) != 1 || m.Relays[0].Directors != 40 || m.Relays[0].Name != "r1" || !m.Relays[0].Complete ||
+		m.Directors[0].Relay != "r1/7" || m.Directors[0].Config != "mark" {
 		t.Fatalf("%+v", m)
 	}
 	purged, err := c.Purge(fleet.Purge{Object: "00000000000000ff"})
@@ -159,8 +164,8 @@
 	r.calls("all have the purge", func() bool { return b.acknowledgedRevision() >= purged.Revision })
 }
 
-// Requests that come late, twice or malformed, and too many sessions, are refused; reports are merged and answered.
-func TestRelayRequestsRefused(t *testing.T) {
+// Requests that come late, twice or malformed, and too many sessions, are rejected; health reports are aggregated and answered.
+func TestRelayRequestsRejected(t *testing.T) {
 	b, _ := start(t, settingsIn(t.TempDir()))
 	until(t, "the membership begins", b.membership.settled)
 	r := newTestRelay(t, b, "r1", 7, 1)
@@ -181,7 +186,12 @@
 	if k := kind([]byte("{}"), http.StatusBadRequest); k != api.BadRequest {
 		t.Fatal(k)
 	}
-	large := relaysession.Request{Update: membership.Update{Relay: r.last.Relay, Session: 7, Sequence: 100, Lost: make([]string, membership.MaxUpdateChanges+1)}}
+	large := relaysession.Request{Update: membership.Update{
+		Relay:    r.last.Relay,
+		Session:  7,
+		Sequence: 100,
+		Lost:     make([]string, membership.MaxUpdateChanges+1),
+	}}
 	body, err = json.Marshal(large)
 	check(t, err)
 	if k := kind(body, http.StatusBadRequest); k != api.BadRequest {
@@ -198,18 +208,22 @@
 	}
 	for i := range 3 {
 		report := health.Report{Holder: fmt.Sprint("d-", i), Seq: 1, Caches: []health.Outcomes{{Cache: "c-1", Attempts: 4, Failures: 4}}}
-		r.directors = append(r.directors, discovery.Announcement{Director: discovery.Director{Name: fmt.Sprint("e-", i), Incarnation: "1", Machine: fmt.Sprint("m-", i)}})
+		r.directors = append(r.directors, discovery.Announcement{Director: discovery.Director{
+			Name:        fmt.Sprint("e-", i),
+			Incarnation: "1",
+			Machine:     fmt.Sprint("m-", i),
+		}})
 		report.Holder = r.directors[i+1].ID()
 		r.directors[i+1].HealthReport, err = json.Marshal(report)
 		check(t, err)
 	}
-	r.calls("the relay is sent what is believed of the cache", func() bool {
+	r.calls("the relay is sent the health of the cache", func() bool {
 		a := r.call()
 		return a.AggregatedHealth != nil && len(a.AggregatedHealth.Caches) == 1 && a.AggregatedHealth.Caches[0].Cache == "c-1"
 	})
 }
 
-// BenchmarkRelayRequest is what a request in steady state costs the leader, with its JSON, against the directors behind the relay.
+// BenchmarkRelayRequest measures the cost of a request in steady state to the leader, with its JSON, by directors of the relay.
 func BenchmarkRelayRequest(b *testing.B) {
 	for _, directors := range []int{50, 100, 200, 400, 800} {
 		b.Run(fmt.Sprint(directors), func(b *testing.B) {
