--- a/internal/controlplane/adoption.go
+++ b/internal/controlplane/adoption.go
@@ -81,7 +81,7 @@
 	s.current.Served(members.ServedByRelay)
 	s.current.Gone(func(taker string) bool {
 		_, known := members.LastHeard(taker)
-		return known || members.HasRelay(adoption.RelayID(taker))
+		return known || members.HasRelaySession(adoption.RelayID(taker))
 	}, now)
 }
 
--- a/internal/controlplane/members.go
+++ b/internal/controlplane/members.go
@@ -26,7 +26,7 @@
 //
 // The tracker is fed at each replica, but only the leader's decides. When this replica begins to lead, the tracker begins anew
 // with the members of the event log, and relays are asked for all of their directors. When it ceases to lead, the tracker stays
-// and not looked at.
+// and its decisions are not used.
 type memberService struct {
 	mu       sync.Mutex
 	isLeader bool
@@ -48,7 +48,7 @@
 type memberLookup interface {
 	LastHeard(id string) (at time.Duration, known bool)
 	ServedByRelay(id string) bool
-	HasRelay(id string) bool
+	HasRelaySession(id string) bool
 }
 
 func newMemberService(replicaLease, relayLease time.Duration) *memberService {
@@ -56,11 +56,11 @@
 		watchers: map[string]*watchingDirector{},
 		tracker: membership.New(membership.Settings{
 			// A replica that is cut off goes on answering directors until its own lease ends; their leases count from then.
-			Lease:    directorLease + replicaLease,
-			Drift:    clockDrift,
-			Gather:   membershipGather,
-			Director: directorLease,
-			Session:  relayLease,
+			Lease:         directorLease + replicaLease,
+			Drift:         clockDrift,
+			Gather:        membershipGather,
+			DirectorLease: directorLease,
+			RelayLease:    relayLease,
 		}),
 	}
 }
@@ -144,11 +144,11 @@
 }
 
 // updateRelay takes an update of a relay's session. The error is store.ErrNotLeader or one of membership.Tracker.Update.
-func (s *memberService) updateRelay(u membership.Update, now time.Duration) (membership.Registered, error) {
+func (s *memberService) updateRelay(u membership.Update, now time.Duration) (membership.UpdateResult, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.isLeader {
-		return membership.Registered{}, store.ErrNotLeader
+		return membership.UpdateResult{}, store.ErrNotLeader
 	}
 	return s.tracker.Update(u, rand.Uint64(), now)
 }
--- a/internal/controlplane/membership/changes.go
+++ b/internal/controlplane/membership/changes.go
@@ -9,86 +9,87 @@
 	"stairvane.org/stairvane/internal/fleet"
 )
 
-// reconcileEvery is how often the whole roll is compared with what is known; in between, only what has changed is.
-const reconcileEvery = time.Second
+// reconcileInterval is the time between two comparisons of all members with what is known. In between, only directors that have
+// changed are compared.
+const reconcileInterval = time.Second
 
-// Change is what the next event must change of the members in f; nil if nothing, or if it is too soon. A director under the name
-// of another joins only with that one gone: it has ended it.
-func (r *Tracker) Change(f fleet.Fleet, now time.Duration) *fleet.MembershipChange {
-	r.expireSessions(now)
-	if now-r.changed < r.set.Gather {
+// Change returns what the next membership event is to change of the members in f; nil if nothing, or if the last change was too
+// short a time ago. A director under the name of a member joins only once the member is gone.
+func (t *Tracker) Change(f fleet.Fleet, now time.Duration) *fleet.MembershipChange {
+	t.expireSessions(now)
+	if now-t.lastChange < t.set.Gather {
 		return nil
 	}
-	r.removeGone(now)
-	if now-r.reconciled >= reconcileEvery {
-		r.reconcile(f)
-		r.reconciled = now
+	t.removeExpired(now)
+	if now-t.lastReconcile >= reconcileInterval {
+		t.reconcile(f)
+		t.lastReconcile = now
 	}
-	c := &fleet.MembershipChange{Left: r.gone(f)}
-	c.Joined = r.joined(f)
+	c := &fleet.MembershipChange{Left: t.leftMembers(f), Joined: t.joinedMembers(f)}
 	if len(c.Left)+len(c.Joined) == 0 {
 		return nil
 	}
 	return c
 }
 
-// removeGone forgets directors that have left or whose leases are over.
-func (r *Tracker) removeGone(now time.Duration) {
-	for id, d := range r.alone {
+// removeExpired forgets directors that have left or whose leases are over.
+func (t *Tracker) removeExpired(now time.Duration) {
+	for id, d := range t.withoutSession {
 		switch {
 		case d.leaving:
-			r.left[id] = now
-			r.remove(id)
-		case r.isGone(d, now):
-			r.remove(id)
-			if len(r.names[d.Name]) == 0 {
-				r.lost[d.Name] = Lost{Director: d.Director, Since: d.lastContact(), Applied: d.applied}
+			t.left[id] = now
+			t.remove(id)
+		case t.isExpired(d, now):
+			t.remove(id)
+			if len(t.byName[d.Name]) == 0 {
+				t.lost[d.Name] = Lost{Director: d.Director, Since: d.lastContact(), Applied: d.applied}
 			}
 		}
 	}
-	maps.DeleteFunc(r.left, func(_ string, since time.Duration) bool { return now-since > leftFor })
+	maps.DeleteFunc(t.left, func(_ string, since time.Duration) bool { return now-since > leftExpiry })
 }
 
-// isGone tells whether the lease of a director without a session is over wherever it may have called. Within its lease it may
-// have gone on to another relay, which has not said so yet: so the picture of each relay must reach the lease's end.
-func (r *Tracker) isGone(d *director, now time.Duration) bool {
-	// At first a relay may serve it that only the leader before this one knew.
-	over := max(d.over, d.contact+r.set.gone(d), r.begun+r.set.relayed())
-	// A replica that it went on to is given as much time as where it came from a replica.
-	if now <= over || now <= d.over+r.set.drifted(r.set.Lease-r.set.Director) {
+// isExpired reports whether the lease of a director without a session is over, wherever the director may have called. Within its
+// lease it may have gone on to another relay that has not reported it yet. So the updates of each relay must cover the lease's end.
+func (t *Tracker) isExpired(d *director, now time.Duration) bool {
+	// The last term: a relay may serve the director that only the leader before this one knew.
+	leaseEnd := max(d.relayLeaseEnd, d.contact+t.set.silentUntilGone(d), t.beganAt+t.set.relayedLease())
+	// It may have gone on from a relay to a replica, where its lease is longer.
+	if now <= leaseEnd || now <= d.relayLeaseEnd+t.set.withDrift(t.set.Lease-t.set.DirectorLease) {
 		return false
 	}
-	for _, s := range r.sessions {
-		if s.covered < over {
+	for _, s := range t.sessions {
+		if s.coveredUntil < leaseEnd {
 			return false
 		}
 	}
 	return true
 }
 
-// reconcile compares the whole roll with what is known.
-func (r *Tracker) reconcile(f fleet.Fleet) {
+// reconcile compares all members with the directors that are known.
+func (t *Tracker) reconcile(f fleet.Fleet) {
 	for d := range f.Directors() {
 		id := d.ID()
-		switch known := r.known[id]; {
+		switch known := t.directors[id]; {
 		case known == nil:
-			r.removed[id] = true
+			t.removed[id] = true
 		case known.Director != *d:
-			r.dirty[id] = true
+			t.dirty[id] = true
 		}
 	}
-	for id := range r.known {
+	for id := range t.directors {
 		if f.Director(id) == nil {
-			r.dirty[id] = true
+			t.dirty[id] = true
 		}
 	}
 }
 
-// gone are the directors on the roll that are not known any more, by ID.
-func (r *Tracker) gone(f fleet.Fleet) (ids []string) {
-	for id := range r.removed {
+// leftMembers returns the sorted IDs of the members that are not known any more.
+func (t *Tracker) leftMembers(f fleet.Fleet) []string {
+	var ids []string
+	for id := range t.removed {
 		if f.Director(id) == nil {
-			delete(r.removed, id)
+			delete(t.removed, id)
 			continue
 		}
 		ids = append(ids, id)
@@ -97,28 +98,36 @@
 	return ids
 }
 
-// joined are the directors that are not on the roll as they are, one a name, by ID.
-func (r *Tracker) joined(f fleet.Fleet) (all []fleet.Director) {
-	first := map[string]*director{}
-	for id := range r.dirty {
-		d, member := r.known[id], f.Director(id)
+// joinedMembers returns the directors that are not members, or not as they describe themselves, sorted by ID. Of several under one
+// name it is the one with the last contact.
+func (t *Tracker) joinedMembers(f fleet.Fleet) []fleet.Director {
+	latest := map[string]*director{} // by name
+	for id := range t.dirty {
+		d := t.directors[id]
+		member := f.Director(id)
 		switch {
 		case member != nil && *member == d.Director:
-			delete(r.dirty, id)
-		case member == nil && r.another(f, d):
-			// Both speak under one name. The one on the roll keeps its place until it is gone: it may hold claims.
-		case first[d.Name] == nil || cmp.Or(cmp.Compare(d.lastContact(), first[d.Name].lastContact()), cmp.Compare(id, first[d.Name].ID())) > 0:
-			first[d.Name] = d
+			delete(t.dirty, id)
+		case member == nil && t.hasOtherProcess(f, d):
+			// The member stays until it is gone: it may hold claims.
+		case latest[d.Name] == nil || d.isLaterThan(latest[d.Name]):
+			latest[d.Name] = d
 		}
 	}
-	for _, d := range first {
+	var all []fleet.Director
+	for _, d := range latest {
 		all = append(all, d.Director)
 	}
 	slices.SortFunc(all, func(a, b fleet.Director) int { return cmp.Compare(a.ID(), b.ID()) })
 	return all
 }
 
-// another tells whether the roll has another process of this one's name that is not gone.
-func (r *Tracker) another(f fleet.Fleet, d *director) bool {
-	return slices.ContainsFunc(r.names[d.Name], func(o *director) bool { return o != d && f.Director(o.ID()) != nil })
+// isLaterThan reports whether the director's last contact is later than that of another.
+func (d *director) isLaterThan(other *director) bool {
+	return cmp.Or(cmp.Compare(d.lastContact(), other.lastContact()), cmp.Compare(d.ID(), other.ID())) > 0
+}
+
+// hasOtherProcess reports whether another process of a director's name is a member and not gone.
+func (t *Tracker) hasOtherProcess(f fleet.Fleet, d *director) bool {
+	return slices.ContainsFunc(t.byName[d.Name], func(o *director) bool { return o != d && f.Director(o.ID()) != nil })
 }
--- a/internal/controlplane/relaysession/model_test.go
+++ b/internal/controlplane/relaysession/model_test.go
@@ -153,7 +153,7 @@
 	if m.seed%2 == 0 {
 		direct += relaysession.Lease
 	}
-	m.tracker = membership.New(membership.Settings{Lease: direct, Director: directorLease, Session: relaysession.Lease, Drift: drift, Gather: 150 * ms})
+	m.tracker = membership.New(membership.Settings{Lease: direct, DirectorLease: directorLease, RelayLease: relaysession.Lease, Drift: drift, Gather: 150 * ms})
 	m.tracker.Begin(m.fleet, m.now)
 	m.leases = replica.NewLessor(replica.Lease{Length: relaysession.Lease, Drift: drift})
 	m.leases.Lead(true, m.now)
