--- /dev/null
+++ b/internal/health/aggregator_test.go
@@ -0,0 +1,221 @@
+package health
+
+import (
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"reflect"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+const ms = time.Millisecond
+
+// simulation is directors that send to caches at random and report; some report something else.
+type simulation struct {
+	aggregator    *Aggregator
+	rng           *rand.Rand
+	now           time.Duration
+	seqs          []uint64
+	failureShares []float64                     // share of attempts that fail, by cache
+	falseOutcomes func(director int) []Outcomes // what a faulty director reports; nil: the director is sound
+}
+
+func directorID(i int) string { return fmt.Sprintf("d%d/1", i) }
+
+func (s *simulation) run(directors int, length time.Duration, perSecond float64, each func()) {
+	s.seqs = make([]uint64, directors)
+	for end := s.now + length; s.now < end; {
+		s.now += 100 * ms
+		for d := range directors {
+			r := Report{Holder: directorID(d), Caches: s.falseOutcomes(d)}
+			if r.Caches == nil {
+				for b, p := range s.failureShares {
+					o := Outcomes{Cache: fmt.Sprint("b", b), LagMS: 5}
+					for range 3 {
+						if s.rng.Float64() < perSecond/10/3/float64(len(s.failureShares)) {
+							o.Attempts++
+							if s.rng.Float64() < p {
+								o.Failures++
+							}
+						}
+					}
+					if o.Attempts > 0 {
+						r.Caches = append(r.Caches, o)
+					}
+				}
+			}
+			s.seqs[d]++
+			r.Seq = s.seqs[d]
+			s.aggregator.Take(r, Place{fmt.Sprint("m", d), "west"}, s.now)
+		}
+		each()
+	}
+}
+
+// A cache that fails two attempts in three is suspected within two seconds by eight directors that each send it two a second. Once it
+// is well, the suspicion ends within its lifetime.
+func TestBadCacheIsSuspected(t *testing.T) {
+	f := &simulation{
+		aggregator:    NewAggregator(DefaultSettings, 1),
+		rng:           rand.New(rand.NewPCG(1, 1)),
+		failureShares: []float64{0.67, 0.02, 0.02, 0.02},
+		falseOutcomes: func(int) []Outcomes { return nil },
+	}
+	tracker, known := NewTracker(DefaultSettings, "d"), time.Duration(0)
+	f.run(8, 5*time.Second, 8, func() {
+		tracker.Take(f.aggregator.Aggregated(f.now), f.now)
+		for cache, share := range tracker.FailureShares(f.now) {
+			if cache != "b0" {
+				t.Errorf("%v: %s is suspected with %v", f.now, cache, share)
+			}
+			if known == 0 {
+				known = f.now
+			}
+		}
+	})
+	t.Logf("known after %v: %v", known, tracker.FailureShares(f.now))
+	if known == 0 || known > 2*time.Second {
+		t.Errorf("known after %v", known)
+	}
+	f.failureShares[0] = 0.02
+	f.run(8, DefaultSettings.Lifetime+time.Second, 8, func() { tracker.Take(f.aggregator.Aggregated(f.now), f.now) })
+	if d := tracker.FailureShares(f.now); len(d) > 0 {
+		t.Errorf("still suspected: %v", d)
+	}
+	f.aggregator.Sweep(f.now + time.Minute)
+	if len(f.aggregator.caches)+len(f.aggregator.lastSeq)+len(f.aggregator.machines) > 0 {
+		t.Errorf("%d caches and %d directors are remembered", len(f.aggregator.caches), len(f.aggregator.lastSeq))
+	}
+}
+
+// Less than a third of the machines report false outcomes of all caches, as many as they like: healthy caches are suspected in under
+// 5 % of the moments, and the bad one still is. With more than two thirds they succeed, so the test would notice.
+func TestFaultyReportersHaveNoInfluence(t *testing.T) {
+	worst := 0
+	for seed := range uint64(60) {
+		directors := 3 + int(seed)%10
+		for _, faulty := range []int{(directors - 1) / 3, 2*directors/3 + 1} {
+			f := &simulation{
+				aggregator:    NewAggregator(DefaultSettings, 1),
+				rng:           rand.New(rand.NewPCG(seed, 2)),
+				failureShares: []float64{0.02, 0.02, 0.02, 0.9},
+			}
+			f.falseOutcomes = func(d int) (all []Outcomes) {
+				if d >= faulty {
+					return nil
+				}
+				for b := range f.failureShares[:3] {
+					all = append(all, Outcomes{Cache: fmt.Sprint("b", b), Attempts: 1e6, Failures: 1e6})
+				}
+				return append(all, Outcomes{Cache: "b3", Attempts: 1e6})
+			}
+			wronglySuspected, known := 0, 0
+			f.run(directors, 6*time.Second, 24, func() {
+				tracker := NewTracker(DefaultSettings, "d")
+				tracker.Take(f.aggregator.Aggregated(f.now), f.now)
+				for cache := range tracker.FailureShares(f.now) {
+					if cache == "b3" {
+						known++
+					} else {
+						wronglySuspected++
+					}
+				}
+			})
+			if faulty <= (directors-1)/3 {
+				worst = max(worst, wronglySuspected)
+			}
+			switch few := faulty <= (directors-1)/3; {
+			case few && wronglySuspected > 180/20:
+				t.Errorf("seed %d: %d of %d faulty: healthy caches are suspected %d times", seed, faulty, directors, wronglySuspected)
+			case few && known < 20:
+				t.Errorf("seed %d: %d of %d are faulty, and the bad cache is suspected %d times of 60", seed, faulty, directors, known)
+			case !few && wronglySuspected < 60:
+				t.Errorf("seed %d: %d of %d are faulty, and the test sees nothing of it", seed, faulty, directors)
+			}
+		}
+	}
+	t.Logf("at worst a healthy cache was suspected in %d of 180 moments", worst)
+}
+
+// Reports of several directors may come in any order, and again: the result is the same.
+func TestReportOrderHasNoInfluence(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		n := rapid.IntRange(3, 8).Draw(t, "directors")
+		var all []Report
+		for d := range n {
+			caches := []Outcomes{}
+			for b := range 3 {
+				tried := rapid.Float64Range(0.5, 20).Draw(t, "tried")
+				failed := tried * rapid.Float64Range(0, 1).Draw(t, "bad")
+				caches = append(caches, Outcomes{Cache: fmt.Sprint("b", b), Attempts: tried, Failures: failed})
+			}
+			all = append(all, Report{Holder: directorID(d), Seq: 7, Caches: caches})
+		}
+		order := rapid.Permutation(all).Draw(t, "order")
+		a, b := NewAggregator(DefaultSettings, 1), NewAggregator(DefaultSettings, 1)
+		for i := range all {
+			a.Take(all[i], Place{all[i].Holder, "west"}, time.Second)
+			b.Take(order[i], Place{order[i].Holder, "west"}, time.Second)
+			b.Take(order[rapid.IntRange(0, i).Draw(t, "again")], Place{"other", "east"}, time.Second)
+		}
+		if x, y := a.Aggregated(2*time.Second), b.Aggregated(2*time.Second); !reflect.DeepEqual(x, y) {
+			t.Fatalf("%+v\n%+v", x, y)
+		}
+	})
+}
+
+// Impossible, excessive and late reports do not count, and no suspicion outlives its lifetime.
+func TestInvalidAndLateReports(t *testing.T) {
+	aggregator := NewAggregator(DefaultSettings, 5)
+	for d := range 5 {
+		impossible := []Outcomes{
+			{Cache: "x", Attempts: 2, Failures: 3},
+			{Cache: "y", Attempts: -1},
+			{Cache: "", Attempts: 1},
+			{Cache: "z", Attempts: 1e300},
+		}
+		aggregator.Take(Report{Holder: directorID(d), Seq: 1, Caches: impossible}, Place{directorID(d), ""}, 0)
+	}
+	if len(aggregator.caches) > 0 {
+		t.Errorf("%v", maps.Collect(maps.All(aggregator.caches)))
+	}
+	failing := []Outcomes{{Cache: "x", Attempts: 4, Failures: 4}}
+	for d := range 5 {
+		aggregator.Take(Report{Holder: directorID(d), Seq: 3, Caches: failing}, Place{"one machine", ""}, 0)
+	}
+	if o := aggregator.Aggregated(0); len(o.Caches) > 0 {
+		t.Errorf("one machine is enough: %+v", o)
+	}
+	aggregator = NewAggregator(DefaultSettings, 5)
+	for d := range 5 {
+		aggregator.Take(Report{Holder: directorID(d), Seq: 3, Caches: failing}, Place{directorID(d), ""}, 0)
+	}
+	o := aggregator.Aggregated(0)
+	tracker := NewTracker(DefaultSettings, "d")
+	tracker.Take(o, time.Hour)
+	if d := tracker.FailureShares(time.Hour); d["x"] < 0.9 {
+		t.Errorf("%v", d)
+	}
+	tracker.Take(AggregatedHealth{Epoch: 4, Seq: 99}, time.Hour+ms) // of an earlier aggregator
+	tracker.Take(AggregatedHealth{Epoch: 5, Seq: 0}, time.Hour+ms)
+	last := 2.0
+	for at := time.Duration(0); at < tracker.lifetime; at += 100 * ms {
+		d := tracker.FailureShares(time.Hour + at)["x"]
+		if d > last || d == 0 || tracker.lifetime < DefaultSettings.Lifetime/2 || tracker.lifetime > DefaultSettings.Lifetime {
+			t.Fatalf("after %v: %v, before %v", at, d, last)
+		}
+		last = d
+	}
+	if d := tracker.FailureShares(time.Hour + DefaultSettings.Lifetime); len(d) > 0 {
+		t.Errorf("it outlives its lifetime: %v", d)
+	}
+	if d := tracker.FailureShares(time.Hour - time.Second); len(d) > 0 {
+		t.Errorf("a clock that is set back makes it young: %v", d)
+	}
+	if o := aggregator.Aggregated(DefaultSettings.Lifetime); len(o.Caches) > 0 {
+		t.Errorf("old outcomes count: %+v", o)
+	}
+}
--- a/internal/tools/capacity/capacity_test.go
+++ b/internal/tools/capacity/capacity_test.go
@@ -143,9 +143,9 @@
 		{"internal/controlplane/adoption.go", `adoptionKept = (\d+)`, strconv.Itoa(d.AdoptionKept)},
 		{"internal/controlplane/directors.go", `membershipTick = (\d+) \* time.Millisecond`, milliseconds(d.TickEvery)},
 		{"internal/controlplane/members.go", `membershipGather = (\d+) \* time.Millisecond`, milliseconds(d.GatherEvery)},
-		{"internal/health/tell.go", `evidenceEvery = (\d+) \* time.Millisecond`, milliseconds(d.HealthEvery)},
-		{"internal/health/signals.go", `foundFor += (\d+) \* time.Millisecond`, milliseconds(d.HealthFoundEvery)},
-		{"internal/health/signals.go", `foundEach = (\d+) \* time.Microsecond`, strconv.FormatInt(d.HealthFoundEach.Microseconds(), 10)},
+		{"internal/health/reporter.go", `reportInterval = (\d+) \* time.Millisecond`, milliseconds(d.HealthEvery)},
+		{"internal/health/aggregator.go", `aggregateInterval += (\d+) \* time.Millisecond`, milliseconds(d.HealthFoundEvery)},
+		{"internal/health/aggregator.go", `aggregateIntervalPerDirector = (\d+) \* time.Microsecond`, strconv.FormatInt(d.HealthFoundEach.Microseconds(), 10)},
 		{"internal/fleet/fleet.go", `PurgeKeepMS = (\d+) \* 60 \* 1000`, strconv.Itoa(int(d.PurgeKept.Minutes()))},
 		{"internal/protocol/discovery/bulletin.go", `maxBody = (\d+) << 20`, strconv.Itoa(int(d.LargestAnswer) >> 20)},
 	} {
