--- a/internal/claims/grant.go
+++ b/internal/claims/grant.go
@@ -111,7 +111,6 @@
 		n.sendUntilConfirmed(Sending{To: id, Message: m}, c.Token, now)
 	}
 	if len(s.replicas) == 1 {
-		n.Counts.Thin++
 		n.answerWaiters(c, now)
 	}
 }
--- a/internal/claims/node.go
+++ b/internal/claims/node.go
@@ -37,15 +37,6 @@
 	outbox      []Sending
 	outcomes    []Outcome
 	readyShards []int64 // pairs of shard and epoch
-	Counts      Counts
-}
-
-// Counts are a node's counters.
-type Counts struct {
-	// Requests and how they ended. Thin are claims granted without a replica, for lack of other directors.
-	Asked, Granted, Bound, Reused, Full, Unreached, Thin int64
-	Holds                                                int64 // claims that the node has now
-	Messages                                             int64 // sent
 }
 
 // shard is one shard of the claims as this node knows it.
@@ -106,7 +97,6 @@
 	n.outbox = nil
 	n.outcomes = nil
 	n.readyShards = nil
-	n.Counts.Messages += int64(len(out))
 	return out, outcomes, ready
 }
 
@@ -164,7 +154,6 @@
 			n.claimCount--
 		}
 	}
-	n.Counts.Holds = int64(n.claimCount)
 }
 
 func (n *Node) expired(c *Claim, now time.Duration) bool { return now >= c.At+n.set.lifetime(c.Window) }
--- a/internal/claims/request.go
+++ b/internal/claims/request.go
@@ -20,7 +20,6 @@
 // that a claim that it has may move to another group.
 func (n *Node) Request(key uint64, c Claim, mayMove bool, deadline, now time.Duration) {
 	c.Owner = n.id
-	n.Counts.Asked++
 	n.seq++
 	r := &pendingRequest{key: key, claim: c, mayMove: mayMove, deadline: deadline, firstSentAt: now}
 	n.requests[n.seq] = r
@@ -85,18 +84,6 @@
 // finishRequest ends a request.
 func (n *Node) finishRequest(seq uint64, o Outcome) {
 	delete(n.requests, seq)
-	switch o.Verdict {
-	case Granted:
-		n.Counts.Granted++
-	case HeldElsewhere:
-		n.Counts.Bound++
-	case Reused:
-		n.Counts.Reused++
-	case Full:
-		n.Counts.Full++
-	case Unreachable:
-		n.Counts.Unreached++
-	}
 	n.outcomes = append(n.outcomes, o)
 }
 
