--- a/internal/controlplane/relay_requests_test.go
+++ b/internal/controlplane/relay_requests_test.go
@@ -74,7 +74,7 @@
 	}
 	var a relaysession.Answer
 	check(r.t, json.Unmarshal(w.Body.Bytes(), &a))
-	r.session.Answered(a, replicas.Now())
+	r.session.TakeAnswer(a, replicas.Now())
 	if a.Snapshot != nil {
 		r.revision = a.Snapshot.Revision
 	}
@@ -247,7 +247,7 @@
 				b.StopTimer()
 				var a relaysession.Answer
 				check(b, json.Unmarshal(w.Body.Bytes(), &a))
-				r.session.Answered(a, now)
+				r.session.TakeAnswer(a, now)
 				b.StartTimer()
 			}
 			b.ReportMetric(float64(size), "request-bytes")
--- a/internal/controlplane/relayserver/owner.go
+++ b/internal/controlplane/relayserver/owner.go
@@ -28,7 +28,7 @@
 }
 
 // Granted implements watch.Owner.
-func (o owner) Granted(directorID string) *quota.Grant { return o.relay.session.Granted(directorID) }
+func (o owner) Granted(directorID string) *quota.Grant { return o.relay.session.TakeGrant(directorID) }
 
 // Health implements watch.Owner.
 func (o owner) Health(directorID string) *health.AggregatedHealth {
--- a/internal/controlplane/relayserver/relay.go
+++ b/internal/controlplane/relayserver/relay.go
@@ -129,7 +129,7 @@
 
 // drain closes all watchers, gives what the last directors said the time to reach the leader, and stops the loop.
 func (r *Server) drain() {
-	slog.Info("relay.leaves", "name", r.set.Name, "directors", r.session.Len())
+	slog.Info("relay.leaves", "name", r.set.Name, "directors", r.session.DirectorCount())
 	r.linger.Fire = r.loop.Stop
 	r.watches.Drain(r.set.DrainTime, func() { r.loop.Set(&r.linger, r.loop.Now()+lingerTime) })
 }
@@ -147,7 +147,7 @@
 		if leased {
 			slog.Info("relay.back", "name", r.set.Name, "revision", r.events.fleet.Revision)
 		} else {
-			slog.Warn("relay.lease_lost", "name", r.set.Name, "revision", r.events.fleet.Revision, "directors", r.session.Len())
+			slog.Warn("relay.lease_lost", "name", r.set.Name, "revision", r.events.fleet.Revision, "directors", r.session.DirectorCount())
 		}
 	}
 	r.loop.Set(&r.look, r.loop.Now()+leaseInterval)
@@ -165,7 +165,7 @@
 		return false
 	}
 	now := replicas.Now()
-	if r.session.Answered(a, now) {
+	if r.session.TakeAnswer(a, now) {
 		defer r.watches.PublishHealth()
 	}
 	if a.LeaseMS > 0 {
--- a/internal/controlplane/relaysession/directors.go
+++ b/internal/controlplane/relaysession/directors.go
@@ -1,8 +1,6 @@
 package relaysession
 
 import (
-	"cmp"
-	"slices"
 	"time"
 
 	"stairvane.org/stairvane/internal/controlplane/membership"
@@ -11,7 +9,7 @@
 	"stairvane.org/stairvane/internal/quota"
 )
 
-// changeKind is what has become of a director.
+// changeKind is how a director has changed. Requests name the kinds in this order.
 type changeKind int
 
 const (
@@ -20,67 +18,46 @@
 	joined
 )
 
-// change is what the leader has not confirmed of a director yet.
+// change is the change of a director that the leader has not confirmed yet.
 type change struct {
-	kind changeKind
-	sent uint64 // the last request with it; 0: none
+	kind     changeKind
+	sentWith uint64 // sequence of the last request with it; 0: none
 }
 
-// director is one that is in lease with the relay.
+// director is a director in lease with the relay.
 type director struct {
 	fleet.Director
-	config       string
-	called       time.Duration // when it called last
+	config       string        // fingerprint of its configuration
+	calledAt     time.Duration // of its last call
 	acknowledged int64
 	lag          membership.Lag
 	grant        *quota.Grant // for the next answer to it
 }
 
-// take takes a call in; it tells whether the leader must be sent the director's description.
-func (d *director) take(a discovery.Announcement, acknowledged int64, now time.Duration) (changed bool) {
-	described := fleet.Director(a.Director)
-	changed = d.Director != described || d.config != a.Config
-	d.Director, d.config, d.called = described, a.Config, now
+// update takes a call; it reports whether the leader must be sent the director's description.
+func (d *director) update(a discovery.Announcement, acknowledged int64, now time.Duration) (changed bool) {
+	description := fleet.Director(a.Director)
+	changed = d.Director != description || d.config != a.Config
+	d.Director = description
+	d.config = a.Config
+	d.calledAt = now
 	d.acknowledged = max(d.acknowledged, acknowledged)
 	return changed
 }
 
-// Member is a director in lease with the relay, for the operator.
-type Member struct {
-	fleet.Director
-	Config       string        `json:"config,omitempty"`
-	Called       time.Duration `json:"called_ns"` // since its last call
-	Acknowledged int64         `json:"acknowledged"`
-}
-
-// Members lists the directors in lease with the relay, by ID.
-func (s *Session) Members(now time.Duration) []Member {
-	members := make([]Member, 0, len(s.directors))
-	for _, d := range s.directors {
-		members = append(members, Member{
-			Director:     d.Director,
-			Config:       d.config,
-			Called:       now - d.called,
-			Acknowledged: d.acknowledged,
-		})
-	}
-	slices.SortFunc(members, func(a, b Member) int { return cmp.Compare(a.ID(), b.ID()) })
-	return members
-}
-
-// Len is how many directors are in lease with the relay.
-func (s *Session) Len() int { return len(s.directors) }
+// DirectorCount returns how many directors are in lease with the relay.
+func (s *Session) DirectorCount() int { return len(s.directors) }
 
-// Pending tells whether a director has joined or left, or a report of trouble waits, so that a request is to be made at once.
+// Pending reports whether a request is to be sent at once: a director has joined or left, or a report of failures waits.
 func (s *Session) Pending() bool {
 	for _, c := range s.changes {
-		if c.sent == 0 {
+		if c.sentWith == 0 {
 			return true
 		}
 	}
 	for _, r := range s.reports {
-		for _, e := range r.Caches {
-			if e.Failures > 0 {
+		for _, o := range r.Caches {
+			if o.Failures > 0 {
 				return true
 			}
 		}
--- a/internal/controlplane/relaysession/model_test.go
+++ b/internal/controlplane/relaysession/model_test.go
@@ -29,7 +29,7 @@
 	seeds     = flag.Uint64("seeds", 40, "how many seeds")
 )
 
-// clock is a process's own, up to 1 % off.
+// clock is the clock of one process, up to 1 % off.
 type clock struct{ offset, rate float64 }
 
 func (c clock) at(now time.Duration) time.Duration {
@@ -55,13 +55,14 @@
 type modelRelay struct {
 	clock
 	alive         bool
-	cut, back     time.Duration // from the leader until then; when a dead one is started again
+	cutUntil      time.Duration // from the leader
+	restartAt     time.Duration // of a dead one
 	session       *relaysession.Session
 	holder        replica.Holder
 	revision      int64
 	number        uint64
 	asked, called time.Duration
-	waits         uint64 // the request that is under way
+	waits         uint64 // sequence of the request under way; 0: none
 }
 
 // model is a leader, 3 relays and 30 directors with messages that are late, lost and doubled.
@@ -74,13 +75,12 @@
 	relays      []*modelRelay
 	directors   []*modelDirector
 	dead        []*modelDirector
-	net         []message
+	inFlight    []message
 	fleet       fleet.Fleet
 	tracker     *membership.Tracker
 	leases      *replica.Lessor
-	noLeader    time.Duration // until then
+	noLeader    time.Duration // there is no leader until then
 	disturbance time.Duration
-	names       int
 	gone        int
 	worst       time.Duration
 	numbers     uint64
@@ -98,8 +98,8 @@
 
 func (m *model) chance(p float64) bool { return m.rng.Float64() < p }
 
-// send delivers late, not at all or twice. In calm times nothing is lost.
-func (m *model) send(most time.Duration, deliver func()) {
+// send delivers a message late, not at all or twice. In calm times nothing is lost.
+func (m *model) send(maxDelay time.Duration, deliver func()) {
 	loss, double := 0.1, 0.1
 	if m.calm {
 		loss = 0
@@ -107,24 +107,24 @@
 	if m.chance(loss) {
 		return
 	}
-	delay := func(most time.Duration) time.Duration { return time.Duration(m.rng.Int64N(int64(most))) }
+	delay := func(longest time.Duration) time.Duration { return time.Duration(m.rng.Int64N(int64(longest))) }
 	if m.chance(double) {
-		m.net = append(m.net, message{m.now + delay(10*most), deliver})
+		m.inFlight = append(m.inFlight, message{m.now + delay(10*maxDelay), deliver})
 	}
 	if !m.calm && m.chance(0.05) {
-		most *= 10
+		maxDelay *= 10
 	}
-	m.net = append(m.net, message{m.now + delay(most), deliver})
+	m.inFlight = append(m.inFlight, message{m.now + delay(maxDelay), deliver})
 }
 
 func (m *model) deliver() {
-	due := m.net
-	m.net = nil
+	due := m.inFlight
+	m.inFlight = nil
 	for _, x := range due {
 		if x.at <= m.now {
 			x.deliver()
 		} else {
-			m.net = append(m.net, x)
+			m.inFlight = append(m.inFlight, x)
 		}
 	}
 }
@@ -147,21 +147,27 @@
 	}, nil)
 }
 
-// lead begins another leader's time. It was in the group before and has all events.
+// lead makes another replica the leader. It was in the group before and has all events.
 func (m *model) lead() {
 	direct := directorLease // in a control plane without a group, which odd seeds have
 	if m.seed%2 == 0 {
 		direct += relaysession.Lease
 	}
-	m.tracker = membership.New(membership.Settings{Lease: direct, DirectorLease: directorLease, RelayLease: relaysession.Lease, Drift: drift, Gather: 150 * ms})
+	m.tracker = membership.New(membership.Settings{
+		Lease:         direct,
+		DirectorLease: directorLease,
+		RelayLease:    relaysession.Lease,
+		Drift:         drift,
+		Gather:        150 * ms,
+	})
 	m.tracker.Begin(m.fleet, m.now)
 	m.leases = replica.NewLessor(replica.Lease{Length: relaysession.Lease, Drift: drift})
 	m.leases.Lead(true, m.now)
 }
 
-// serves is the leader's side of a request.
-func (m *model) serves(r *modelRelay, q relaysession.Request, made time.Duration) {
-	if m.now < m.noLeader || m.now < r.cut {
+// serveRequest is the leader's side of a request.
+func (m *model) serveRequest(r *modelRelay, q relaysession.Request, made time.Duration) {
+	if m.now < m.noLeader || m.now < r.cutUntil {
 		return
 	}
 	registered, err := m.tracker.Update(q.Update, m.rng.Uint64(), m.now)
@@ -174,14 +180,20 @@
 		}
 	}
 	m.leases.Give(q.Session, q.Acknowledged, m.now)
-	answer := relaysession.Answer{Sequence: q.Sequence, NeedFull: registered.NeedFull, Registration: registered.Registration, LeaseMS: relaysession.Lease.Milliseconds(), Revision: m.fleet.Revision}
+	answer := relaysession.Answer{
+		Sequence:     q.Sequence,
+		NeedFull:     registered.NeedFull,
+		Registration: registered.Registration,
+		LeaseMS:      relaysession.Lease.Milliseconds(),
+		Revision:     m.fleet.Revision,
+	}
 	number := r.number
 	m.send(30*ms, func() {
-		if !r.alive || r.number != number || m.now < r.cut {
+		if !r.alive || r.number != number || m.now < r.cutUntil {
 			return
 		}
 		now := r.at(m.now)
-		r.session.Answered(answer, now)
+		r.session.TakeAnswer(answer, now)
 		if r.waits == answer.Sequence {
 			r.waits = 0
 			r.revision = max(r.revision, answer.Revision)
@@ -197,15 +209,15 @@
 	}
 	q := r.session.Request(r.revision, r.revision, now)
 	r.asked, r.called, r.waits = now, now, q.Sequence
-	if m.now >= r.cut {
+	if m.now >= r.cutUntil {
 		made := m.now
-		m.send(30*ms, func() { m.serves(r, q, made) })
+		m.send(30*ms, func() { m.serveRequest(r, q, made) })
 	}
 }
 
 func (m *model) runDirector(d *modelDirector) {
 	now := d.at(m.now)
-	if d.calling > 0 && now > d.giveUp { // its relay is gone, or has let it go
+	if d.calling > 0 && now > d.giveUp { // its relay is gone, or does not answer
 		d.calling, d.relay = 0, m.rng.IntN(len(m.relays))
 	}
 	if !d.alive || d.calling > 0 || now < d.next {
@@ -218,15 +230,15 @@
 	d.calling, d.giveUp = d.calls, now+100*ms
 	r, number, called, acknowledged := m.relays[d.relay], d.calls, now, d.acknowledged
 	a := discovery.Announcement{Director: d.Director, Leaving: d.leaving}
-	m.send(20*ms, func() { m.called(d, r, a, number, called, acknowledged) })
+	m.send(20*ms, func() { m.serveCall(d, r, a, number, called, acknowledged) })
 	if d.leaving {
 		d.alive, d.ended = false, m.now
 		m.dead = append(m.dead, d)
 	}
 }
 
-// called is a relay's side of a director's call. A connection carries one call at a time: one that was given up is not read.
-func (m *model) called(d *modelDirector, r *modelRelay, a discovery.Announcement, number int, called time.Duration, acknowledged int64) {
+// serveCall is a relay's side of a director's call. A connection has one call at a time: one that the director gave up is not read.
+func (m *model) serveCall(d *modelDirector, r *modelRelay, a discovery.Announcement, number int, called time.Duration, acknowledged int64) {
 	now := r.at(m.now)
 	if !r.alive || !r.holder.Holds(now) || d.calling != number {
 		return
@@ -246,7 +258,7 @@
 	})
 }
 
-// disturb ends and cuts processes, and makes events.
+// disturb ends and cuts off processes, and makes events.
 func (m *model) disturb() {
 	if m.chance(0.1) {
 		m.append(fleet.Event{Purge: &fleet.Purge{Object: "0123456789abcdef"}})
@@ -270,11 +282,11 @@
 		switch {
 		case m.calm || !r.alive:
 		case m.chance(0.002):
-			r.alive, r.back = false, m.now+time.Duration(m.rng.Int64N(int64(800*ms)))
+			r.alive, r.restartAt = false, m.now+time.Duration(m.rng.Int64N(int64(800*ms)))
 			m.disturbance = m.now
 		case m.chance(0.003):
-			r.cut = m.now + time.Duration(m.rng.Int64N(int64(1500*ms)))
-			m.disturbance = r.cut
+			r.cutUntil = m.now + time.Duration(m.rng.Int64N(int64(1500*ms)))
+			m.disturbance = r.cutUntil
 		}
 	}
 	if !m.calm && m.chance(0.003) {
@@ -293,7 +305,7 @@
 	m.fleet = after
 }
 
-// inLease tells whether a director may act.
+// inLease reports whether a director may act.
 func (m *model) inLease(d *modelDirector) bool { return d.alive && d.at(m.now) < d.lease }
 
 func (m *model) fail(format string, args ...any) {
@@ -301,7 +313,7 @@
 	m.t.Errorf("seed %d at %v: %s", m.seed, m.now, fmt.Sprintf(format, args...))
 }
 
-// announce writes what has changed of the membership, and checks it.
+// announce writes the next change of the members, and checks that no director in lease has left with it.
 func (m *model) announce() {
 	if m.now < m.noLeader {
 		return
@@ -327,16 +339,16 @@
 		everywhere := m.leases.Acknowledged(m.fleet.Revision, m.now, departedWithin)
 		for _, d := range m.directors {
 			if m.inLease(d) && d.acknowledged < everywhere {
-				m.fail("%s has %d and all are said to have %d", d.ID(), d.acknowledged, everywhere)
+				m.fail("%s has %d, and %d counts as acknowledged by all", d.ID(), d.acknowledged, everywhere)
 			}
 		}
 	}
-	left := m.dead[:0]
+	remaining := m.dead[:0]
 	for _, d := range m.dead {
 		if m.fleet.Director(d.ID()) == nil && m.now-d.ended > 10*time.Second {
 			continue
 		}
-		left = append(left, d)
+		remaining = append(remaining, d)
 		if m.fleet.Director(d.ID()) == nil {
 			continue
 		}
@@ -345,14 +357,14 @@
 			m.fail("%s ended at %v and is not announced as gone", d.ID(), d.ended)
 		}
 	}
-	m.dead = left
+	m.dead = remaining
 }
 
-// end checks that after a quiet time the membership is who lives.
+// end checks that after a quiet time the members are the directors that are alive.
 func (m *model) end() {
-	on := 0
+	members := 0
 	for range m.fleet.Directors() {
-		on++
+		members++
 	}
 	alive := 0
 	for _, d := range m.directors {
@@ -363,13 +375,13 @@
 			}
 		}
 	}
-	if on != alive {
-		m.fail("%d members, %d alive", on, alive)
+	if members != alive {
+		m.fail("%d members, %d alive", members, alive)
 	}
 }
 
-// A director in lease is never announced as gone, one that has ended is announced within a bound, and the acknowledged revision
-// never exceeds what any director in lease has: whatever becomes of messages, relays and leaders.
+// Whatever happens to messages, relays and leaders: a director in lease is never announced as gone, one that has ended is announced
+// within a bound, and the acknowledged revision never exceeds what any director in lease has.
 func TestModel(t *testing.T) {
 	gone, worst := 0, time.Duration(0)
 	for seed := *firstSeed; seed < *firstSeed+*seeds; seed++ {
@@ -390,7 +402,7 @@
 				m.disturb()
 			}
 			for i, r := range m.relays {
-				if !r.alive && m.now > r.back {
+				if !r.alive && m.now > r.restartAt {
 					m.startRelay(r, fmt.Sprint("relay-", i))
 				}
 			}
--- a/internal/controlplane/relaysession/quota.go
+++ b/internal/controlplane/relaysession/quota.go
@@ -6,9 +6,9 @@
 	"stairvane.org/stairvane/internal/quota"
 )
 
-// QuotaSettings is how quotas are divided in a tree: by the leader among relays and the directors that watch replicas, and by
-// each relay among its own. Directors hold their parts by the same lease and drift, see internal/director. A relay may go without
-// an answer of the leader for somewhat more than half a second before it grants nothing more.
+// QuotaSettings is how quotas are divided in a tree: by the leader among relays and the directors that watch replicas, and by each
+// relay among its own directors. Directors must use the same lease and drift, see internal/director. Without an answer of the
+// leader, a relay grants quotas for somewhat more than half a second.
 var QuotaSettings = quota.Settings{
 	Lease:     400 * time.Millisecond,
 	Drift:     0.02,
--- a/internal/controlplane/relaysession/session_test.go
+++ b/internal/controlplane/relaysession/session_test.go
@@ -22,10 +22,15 @@
 }
 
 func announcement(n int) discovery.Announcement {
-	return discovery.Announcement{Config: "mark", Director: discovery.Director{Name: fmt.Sprint("director-", n), Incarnation: "ABCDEFGHIJKLMNOPQRSTUVWXYZ", Location: "west", Machine: fmt.Sprint("m-", n)}}
+	return discovery.Announcement{Config: "mark", Director: discovery.Director{
+		Name:        fmt.Sprint("director-", n),
+		Incarnation: "ABCDEFGHIJKLMNOPQRSTUVWXYZ",
+		Location:    "west",
+		Machine:     fmt.Sprint("m-", n),
+	}}
 }
 
-// fakeQuota wants a fixed number of limits and grants what is asked for.
+// fakeQuota wants a fixed number of limits and answers each renewal.
 type fakeQuota struct {
 	limits int
 	taken  []quota.Grant
@@ -44,14 +49,14 @@
 }
 func (f *fakeQuota) Sweep(time.Duration) {}
 
-// A steady state of 400 directors takes less than 2 KB a request, also with a few cold caches.
+// A request of 400 directors in steady state has less than 2 KB.
 func TestSteadyRequestIsSmall(t *testing.T) {
 	s, now := New(testSettings, &fakeQuota{}), time.Hour
 	for i := range 400 {
 		s.Observe(announcement(i), 1000, now)
 	}
 	first := s.Request(1000, 1000, now)
-	s.Answered(Answer{Sequence: first.Sequence}, now)
+	s.TakeAnswer(Answer{Sequence: first.Sequence}, now)
 	if len(first.Joined) != 400 || !first.Full || first.More {
 		t.Fatalf("%d joined, full %v, more %v", len(first.Joined), first.Full, first.More)
 	}
@@ -69,7 +74,7 @@
 		if r.Acknowledged != revision-1 || len(r.Stale) > 0 || r.Directors != 400 {
 			t.Fatalf("round %d: %s", round, body)
 		}
-		s.Answered(Answer{Sequence: r.Sequence}, now)
+		s.TakeAnswer(Answer{Sequence: r.Sequence}, now)
 	}
 }
 
@@ -80,13 +85,13 @@
 	s.Observe(announcement(1), 5, now)
 	first := s.Request(5, 5, now)
 	second := s.Request(5, 5, now)
-	if s.Answered(Answer{Sequence: first.Sequence}, now); len(second.Joined) != 1 || !second.Full {
+	if s.TakeAnswer(Answer{Sequence: first.Sequence}, now); len(second.Joined) != 1 || !second.Full {
 		t.Fatalf("%+v", second)
 	}
 	if third := s.Request(5, 5, now); len(third.Joined) != 1 || !third.Full || third.Answered != 0 {
 		t.Fatalf("an answer to an old request confirmed: %+v", third)
 	}
-	s.Answered(Answer{Sequence: 3}, now)
+	s.TakeAnswer(Answer{Sequence: 3}, now)
 	s.Observe(announcement(2), 4, now)
 	fourth := s.Request(5, 5, now)
 	if len(fourth.Joined) != 1 || fourth.Full || fourth.Answered != 3 || fourth.Acknowledged != 4 {
@@ -94,7 +99,7 @@
 	}
 	now += 417 * ms
 	s.Observe(announcement(1), 5, now)
-	s.Answered(Answer{Sequence: 4}, now) // confirms that 2 has joined, and not that it is lost
+	s.TakeAnswer(Answer{Sequence: 4}, now) // confirms that 2 has joined, and not that it is lost
 	fifth := s.Request(5, 5, now)
 	if len(fifth.Lost) != 1 || len(fifth.Joined) != 0 {
 		t.Fatalf("%+v", fifth)
@@ -102,13 +107,13 @@
 	leaving := announcement(1)
 	leaving.Leaving = true
 	s.Observe(leaving, 5, now)
-	s.Answered(Answer{Sequence: 5, NeedFull: true}, now)
+	s.TakeAnswer(Answer{Sequence: 5, NeedFull: true}, now)
 	if sixth := s.Request(5, 5, now); len(sixth.Left) != 1 || len(sixth.Lost) != 1 || !sixth.Full {
 		t.Fatalf("%+v", sixth)
 	}
 }
 
-// Each table and each message is bounded, and what does not fit into a request is in the next ones.
+// What a session stores and each message are bounded, and what does not fit into a request is in the next ones.
 func TestBounds(t *testing.T) {
 	s, now := New(testSettings, nil), time.Hour
 	for i := range MaxDirectors + 1 {
@@ -123,13 +128,14 @@
 	for n := 0; ; n++ {
 		r := s.Request(10, 10, now)
 		if len(r.Joined) > MaxChanges || len(r.Reports) > MaxReports || len(r.ReadyShards) > 2*256 || r.Full != (n == 0) {
-			t.Fatalf("request %d: %d joined, %d reports, %d completed, full %v", n, len(r.Joined), len(r.Reports), len(r.ReadyShards), r.Full)
+			t.Fatalf("request %d: %d joined, %d reports, %d ready shards, full %v",
+				n, len(r.Joined), len(r.Reports), len(r.ReadyShards), r.Full)
 		}
 		for _, d := range r.Joined {
 			joined[d.ID()] = true
 		}
 		reports += len(r.Reports)
-		if s.Answered(Answer{Sequence: r.Sequence}, now); !r.More {
+		if s.TakeAnswer(Answer{Sequence: r.Sequence}, now); !r.More {
 			break
 		}
 	}
@@ -152,19 +158,20 @@
 	}
 }
 
-// Grants and opinions go to each director once.
-func TestGrantsAndOpinions(t *testing.T) {
+// A director gets each quota grant and each result of aggregated health once.
+func TestGrantsAndHealth(t *testing.T) {
 	q := &fakeQuota{}
 	s, now := New(testSettings, q), time.Hour
 	a := announcement(1)
 	a.QuotaRenewal, _ = json.Marshal(quota.Renewal{Holder: a.ID(), Seq: 9})
 	s.Observe(a, 1, now)
-	if g := s.Granted(a.ID()); g == nil || g.Seq != 9 || s.Granted(a.ID()) != nil {
+	if g := s.TakeGrant(a.ID()); g == nil || g.Seq != 9 || s.TakeGrant(a.ID()) != nil {
 		t.Fatalf("%+v", g)
 	}
 	r := s.Request(1, 1, now)
 	o := &health.AggregatedHealth{Epoch: 3, Seq: 2, Caches: []health.CacheHealth{{Cache: "b", FailureShare: 1, Machines: 3}}}
-	if !s.Answered(Answer{Sequence: r.Sequence, Grant: &quota.Grant{Seq: 4}, AggregatedHealth: o}, now) || len(q.taken) != 1 || q.taken[0].Seq != 4 {
+	changed := s.TakeAnswer(Answer{Sequence: r.Sequence, Grant: &quota.Grant{Seq: 4}, AggregatedHealth: o}, now)
+	if !changed || len(q.taken) != 1 || q.taken[0].Seq != 4 {
 		t.Fatalf("%+v", q.taken)
 	}
 	if x := s.Health(a.ID(), now+100*ms); x == nil || x.Caches[0].AgeMS != 100 || s.Health(a.ID(), now+100*ms) != nil {
@@ -175,7 +182,7 @@
 	}
 }
 
-// A director is lost once its lease is over by any clock that runs apart by no more than the drift, and not before.
+// A director is lost once its lease is over by any clock within the drift, and not before.
 func TestLostAfterTheLease(t *testing.T) {
 	s, now := New(testSettings, nil), time.Hour
 	s.Observe(announcement(1), 1, now)
