--- a/internal/controlplane/relayserver/eventlog.go
+++ b/internal/controlplane/relayserver/eventlog.go
@@ -7,20 +7,20 @@
 	"stairvane.org/stairvane/internal/fleet"
 )
 
-// eventLog is the fleet as the relay knows it, and the last events that led to it.
+// eventLog is the state of the fleet as the relay knows it, and the last events before it.
 type eventLog struct {
 	fleet fleet.Fleet
 	log   *eventlog.Log
 	keep  int
 }
 
-// newEventLog makes a log without events that keeps so many of them.
+// newEventLog makes an empty log that keeps so many events.
 func newEventLog(keep int) (*eventLog, error) {
 	log, err := eventlog.New(1, nil, fleet.Fleet{}, keep)
 	return &eventLog{log: log, keep: keep}, err
 }
 
-// replace goes on from a snapshot, whatever was there before.
+// replace replaces the state by a snapshot, and all events.
 func (l *eventLog) replace(snapshot fleet.Dump) error {
 	after, err := fleet.Restore(snapshot)
 	if err != nil {
@@ -34,9 +34,9 @@
 	return nil
 }
 
-// follow takes events in and gives those that are new, for the log that watchers are answered from. Their numbers must follow
-// on those before, without a gap; ones that the relay has are passed over. After an error the fleet is as it was.
-func (l *eventLog) follow(events []fleet.Event) (fresh []fleet.Event, err error) {
+// append applies events and returns those that are new, which are to be published. Events that the log has are skipped; the others
+// must follow on it without a gap. After an error the state is as before.
+func (l *eventLog) append(events []fleet.Event) (applied []fleet.Event, err error) {
 	for len(events) > 0 && events[0].No <= l.fleet.Revision {
 		events = events[1:]
 	}
--- a/internal/controlplane/relayserver/relay_test.go
+++ b/internal/controlplane/relayserver/server_test.go
@@ -19,7 +19,7 @@
 	"stairvane.org/stairvane/internal/operatorconfig"
 )
 
-const patience = 20 * time.Second
+const timeout = 20 * time.Second
 
 func TestMain(m *testing.M) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
@@ -33,7 +33,7 @@
 	}
 }
 
-// replicaServer is the write side of a replica that answers as a test says.
+// replicaServer is the write side of a replica with the answers that a test sets.
 type replicaServer struct {
 	*httptest.Server
 	mu     sync.Mutex
@@ -65,10 +65,10 @@
 	l.answer = answer
 }
 
-// until waits for a request of which something is true.
+// until waits for a request that meets a condition.
 func (l *replicaServer) until(t *testing.T, what string, is func(relaysession.Request) bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(timeout); ; time.Sleep(time.Millisecond) {
 		l.mu.Lock()
 		last := l.last
 		l.mu.Unlock()
@@ -94,13 +94,13 @@
 	}
 }
 
-func notLeading(relaysession.Request) (int, any) {
+func notLeader(relaysession.Request) (int, any) {
 	return http.StatusMisdirectedRequest, api.Error{Kind: api.NotLeader, Message: "another replica leads", Leader: "b"}
 }
 
 func silent(relaysession.Request) (int, any) { return http.StatusServiceUnavailable, "no" }
 
-// purges are so many events, from number first on.
+// purges returns so many events, from number first on.
 func purges(first, count int) (events []fleet.Event) {
 	for i := range count {
 		group := 1
@@ -134,7 +134,7 @@
 	t.Helper()
 	addr, err := r.Addr()
 	check(t, err)
-	w, err := watchtest.Dial(addr, "d", patience)
+	w, err := watchtest.Dial(addr, "d", timeout)
 	check(t, err)
 	t.Cleanup(w.Close)
 	status, _, _ := w.Poll(0)
@@ -144,7 +144,7 @@
 // dial connects until a call is answered with 200.
 func dial(t *testing.T, r *Server) *watchtest.Client {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if w, status := try(t, r); status == http.StatusOK {
 			return w
 		}
@@ -153,7 +153,8 @@
 	return nil
 }
 
-func TestRelayServesOnlyOnceItHasAllEventsAndALease(t *testing.T) {
+// A relay answers directors only once it has all events and a lease.
+func TestRelayServesWithAllEventsAndLease(t *testing.T) {
 	l := newReplica(t, silent)
 	r := start(t, l)
 	l.until(t, "a request", func(q relaysession.Request) bool { return q.Sequence > 2 })
@@ -167,17 +168,18 @@
 	}
 	l.until(t, "the director's joining", func(q relaysession.Request) bool { return q.Directors == 1 && q.Revision == 7 })
 	l.set(leader(purges(1, 9), 100))
-	_, feed, err := w.Poll(5 * time.Second)
+	_, response, err := w.Poll(5 * time.Second)
 	check(t, err)
-	if len(feed.Events) != 2 || feed.LastRevision != 9 {
-		t.Errorf("%+v", feed)
+	if len(response.Events) != 2 || response.LastRevision != 9 {
+		t.Errorf("%+v", response)
 	}
 }
 
-func TestASnapshotTakesThePlaceOfAllEvents(t *testing.T) {
+// A snapshot replaces the events that a relay has, and events follow on it.
+func TestSnapshotReplacesEvents(t *testing.T) {
 	behind, err := newEventLog(10)
 	check(t, err)
-	_, err = behind.follow(purges(1, 40))
+	_, err = behind.append(purges(1, 40))
 	check(t, err)
 	snapshot := behind.fleet.Dump()
 	l := newReplica(t, leader(purges(1, 3), 100))
@@ -199,7 +201,8 @@
 	}
 }
 
-func TestARelayLetsItsWatchersGoWithItsLeaseAndComesBack(t *testing.T) {
+// A relay that loses its lease closes its watchers, and serves again with the next lease.
+func TestWatchersClosedWithoutLease(t *testing.T) {
 	l := newReplica(t, leader(purges(1, 3), 100))
 	r := start(t, l)
 	w := dial(t, r)
@@ -209,7 +212,7 @@
 		t.Error("a watch was answered at its end without a lease")
 	}
 	if took := time.Since(began); took > 2*time.Second {
-		t.Errorf("the watcher was let go after %v", took)
+		t.Errorf("the watcher was closed after %v", took)
 	}
 	l.set(leader(purges(1, 4), 100))
 	if w = dial(t, r); w.Last != 4 {
@@ -217,21 +220,22 @@
 	}
 }
 
-func TestTheReplicaThatLeadsIsFound(t *testing.T) {
-	a, b, c := newReplica(t, notLeading), newReplica(t, leader(purges(1, 1), 100)), newReplica(t, notLeading)
+// A relay finds the leader among the replicas, also after a change.
+func TestLeaderIsFound(t *testing.T) {
+	a, b, c := newReplica(t, notLeader), newReplica(t, leader(purges(1, 1), 100)), newReplica(t, notLeader)
 	r := start(t, a, b, c)
 	w := dial(t, r)
-	b.set(notLeading)
+	b.set(notLeader)
 	c.set(leader(purges(1, 2), 100))
 	for w.Last < 2 {
 		if _, _, err := w.Poll(time.Second); err != nil {
-			w = dial(t, r) // the lease was over meanwhile
+			w = dial(t, r) // the lease has ended
 		}
 	}
 }
 
-// Events that do not follow on those before are never passed on: the relay lets its watchers go and begins anew.
-func TestAGapInTheEventsIsNotPassedOn(t *testing.T) {
+// Events after a gap are never published: the relay closes its watchers and begins with an empty log.
+func TestGapInEventsIsNotPublished(t *testing.T) {
 	l := newReplica(t, leader(purges(1, 3), 100))
 	r := start(t, l)
 	w := dial(t, r)
@@ -242,22 +246,23 @@
 		return http.StatusOK, relaysession.Answer{Sequence: q.Sequence, Revision: 6, LeaseMS: 200, Events: purges(5, 2)}
 	})
 	for w.Last < 6 {
-		_, feed, err := w.Poll(5 * time.Second)
+		_, response, err := w.Poll(5 * time.Second)
 		if err != nil {
 			w = dial(t, r)
 		}
-		for _, item := range feed.Events {
-			if item.Revision > 4 && feed.LastRevision < 6 {
-				t.Fatalf("event %d was passed on after a gap", item.Revision)
+		for _, event := range response.Events {
+			if event.Revision > 4 && response.LastRevision < 6 {
+				t.Fatalf("event %d was published after a gap", event.Revision)
 			}
 		}
-		if feed.LastRevision == 6 && len(feed.Events) != 3 {
-			t.Fatalf("%d events after event 3, of 6", len(feed.Events))
+		if response.LastRevision == 6 && len(response.Events) != 3 {
+			t.Fatalf("%d events after event 3, of 6", len(response.Events))
 		}
 	}
 }
 
-func TestARelayThatLeavesClosesItsWatchersAndEnds(t *testing.T) {
+// A relay that shuts down gracefully closes its watchers without an answer, and ends.
+func TestLeaveClosesWatchersAndEnds(t *testing.T) {
 	l := newReplica(t, leader(purges(1, 3), 100))
 	r := start(t, l)
 	w := dial(t, r)
@@ -267,22 +272,23 @@
 		t.Error("the watch was answered and not closed")
 	}
 	select {
-	case <-r.ended:
-	case <-time.After(patience):
+	case <-r.loopEnded:
+	case <-time.After(timeout):
 		t.Error("the relay does not end")
 	}
 }
 
-func TestEventsTheRelayHasArePassedOver(t *testing.T) {
+// Events that a log has are skipped; after a gap the log is as before.
+func TestEventLogSkipsKnownEvents(t *testing.T) {
 	l, err := newEventLog(10)
 	check(t, err)
-	_, err = l.follow(purges(1, 5))
+	_, err = l.append(purges(1, 5))
 	check(t, err)
-	fresh, err := l.follow(purges(3, 4))
+	fresh, err := l.append(purges(3, 4))
 	if err != nil || len(fresh) != 1 || l.fleet.Revision != 6 {
 		t.Errorf("%v, %d new, at %d", err, len(fresh), l.fleet.Revision)
 	}
-	if _, err = l.follow(purges(8, 1)); err == nil || !strings.Contains(err.Error(), "event 8") || l.fleet.Revision != 6 {
+	if _, err = l.append(purges(8, 1)); err == nil || !strings.Contains(err.Error(), "event 8") || l.fleet.Revision != 6 {
 		t.Errorf("after a gap: %v, at %d", err, l.fleet.Revision)
 	}
 }
--- a/internal/controlplane/relayserver/owner.go
+++ b/internal/controlplane/relayserver/watchowner.go
@@ -9,37 +9,39 @@
 	"stairvane.org/stairvane/internal/quota"
 )
 
-// owner is the relay as its watch server sees it.
-type owner struct{ relay *Server }
+// watchOwner is the relay as its watch server sees it. Its methods are called on the loop.
+type watchOwner struct{ relay *Server }
 
 // HasLease implements watch.Owner.
-func (o owner) HasLease() bool { return o.relay.hasLease() }
+func (o watchOwner) HasLease() bool { return o.relay.hasLease() }
 
 // Request implements watch.Owner.
-func (o owner) Request(a discovery.Announcement, acknowledged int64) bool {
+func (o watchOwner) Request(a discovery.Announcement, acknowledged int64) bool {
 	r := o.relay
 	if !r.session.Observe(a, acknowledged, replicas.Now()) {
 		return false
 	}
 	if r.session.Pending() {
-		r.upstream.hurry()
+		r.upstream.requestSoon()
 	}
 	return true
 }
 
 // Granted implements watch.Owner.
-func (o owner) Granted(directorID string) *quota.Grant { return o.relay.session.TakeGrant(directorID) }
+func (o watchOwner) Granted(directorID string) *quota.Grant {
+	return o.relay.session.TakeGrant(directorID)
+}
 
 // Health implements watch.Owner.
-func (o owner) Health(directorID string) *health.AggregatedHealth {
+func (o watchOwner) Health(directorID string) *health.AggregatedHealth {
 	return o.relay.session.Health(directorID, replicas.Now())
 }
 
-// AcknowledgedChanged implements watch.Owner. The next request says it to the leader.
-func (o owner) AcknowledgedChanged() {}
+// AcknowledgedChanged implements watch.Owner. The next request reports it to the leader.
+func (o watchOwner) AcknowledgedChanged() {}
 
 // ClockMS implements watch.Owner.
-func (o owner) ClockMS() int64 { return time.Now().UnixMilli() }
+func (o watchOwner) ClockMS() int64 { return time.Now().UnixMilli() }
 
 // Failed implements watch.Owner.
-func (o owner) Failed(err error) { o.relay.failed(err) }
+func (o watchOwner) Failed(err error) { o.relay.fail(err) }
