--- a/internal/controlplane/adoption.go
+++ b/internal/controlplane/adoption.go
@@ -57,7 +57,7 @@
 	if u.Directors == 0 {
 		return
 	}
-	taker := adoption.RelayTaker(u.Relay.ID())
+	reporter := adoption.RelayTaker(u.Relay.ID())
 	stale := make([]adoption.Stale, len(u.Stale))
 	for i, d := range u.Stale {
 		stale[i] = adoption.Stale{Director: d.ID, Revision: d.Revision}
@@ -67,8 +67,8 @@
 	if s.current == nil {
 		return
 	}
-	s.current.Heard(taker, u.Current, now)
-	s.current.Stale(taker, stale)
+	s.current.Heard(reporter, u.Current, now)
+	s.current.SetStale(reporter, stale)
 }
 
 // sweep forgets directors that relays serve now, and marks those that are gone.
@@ -78,10 +78,10 @@
 	if s.current == nil {
 		return
 	}
-	s.current.Served(members.ServedByRelay)
-	s.current.Gone(func(taker string) bool {
-		_, known := members.LastHeard(taker)
-		return known || members.HasRelaySession(adoption.RelayID(taker))
+	s.current.ForgetServed(members.ServedByRelay)
+	s.current.Gone(func(reporter string) bool {
+		_, known := members.LastHeard(reporter)
+		return known || members.HasRelaySession(adoption.RelayOf(reporter))
 	}, now)
 }
 
--- a/internal/controlplane/adoption/adoption_test.go
+++ b/internal/controlplane/adoption/record_test.go
@@ -10,14 +10,14 @@
 
 const ms = time.Millisecond
 
-// Whatever order events and signs come in, a director is said to have taken an event never before it was told, and exactly if it
-// was heard to act by it or beyond; what is not recorded is told to be so.
-func TestAdoption(t *testing.T) {
+// In whatever order commits and reports come, a director has applied an event exactly if it reported that event or a later one, and
+// never before the commit. Events that are not recorded are not found.
+func TestRecord(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const keep = 8
 		begin := rapid.Int64Range(0, 5).Draw(t, "begin")
 		r, last, now := New(keep, begin), begin, time.Duration(0)
-		acts, joined := map[string]int64{}, map[string]int64{}
+		applied, joined := map[string]int64{}, map[string]int64{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 50).Draw(t, "time")) * ms
 			if out := rapid.IntRange(0, 8).Draw(t, "gone"); out < 4 {
@@ -30,11 +30,11 @@
 			}
 			id, n := fmt.Sprint("d", rapid.IntRange(0, 3).Draw(t, "director")), rapid.Int64Range(0, last+2).Draw(t, "acts")
 			r.Heard(id, n, now-20*ms)
-			if _, known := acts[id]; !known {
+			if _, known := applied[id]; !known {
 				joined[id] = n
 			}
 			if n <= last {
-				acts[id] = max(acts[id], n)
+				applied[id] = max(applied[id], n)
 			}
 		}
 		for no := int64(1); no <= last+1; no++ {
@@ -43,28 +43,28 @@
 				t.Fatalf("event %d of %d after %d: recorded %v, from %d to %d", no, last, begin, is, from, to)
 			}
 			for _, x := range e.Taken {
-				if x.AfterMS < 0 || acts[x.Director] < no || joined[x.Director] >= no {
-					t.Fatalf("event %d: %+v, it acts by %d and began at %d", no, x, acts[x.Director], joined[x.Director])
+				if x.AfterMS < 0 || applied[x.Director] < no || joined[x.Director] >= no {
+					t.Fatalf("event %d: %+v, it has applied %d and began at %d", no, x, applied[x.Director], joined[x.Director])
 				}
 			}
-			if is && e.Had+len(e.Taken)+len(e.Missing)+len(e.Lost) != len(r.acts) {
-				t.Fatalf("event %d: %+v of %d directors", no, e, len(r.acts))
+			if is && e.Had+len(e.Taken)+len(e.Missing)+len(e.Lost) != len(r.applied) {
+				t.Fatalf("event %d: %+v of %d directors", no, e, len(r.applied))
 			}
 			for _, id := range append(e.Missing, e.Lost...) {
-				if acts[id] >= no {
-					t.Fatalf("event %d: %s is missing and acts by %d", no, id, acts[id])
+				if applied[id] >= no {
+					t.Fatalf("event %d: %s is missing and has applied %d", no, id, applied[id])
 				}
 			}
 		}
-		if len(r.told) > keep || len(r.took) > keep {
-			t.Fatalf("%d and %d events are kept", len(r.told), len(r.took))
+		if len(r.committedAt) > keep || len(r.appliedAt) > keep {
+			t.Fatalf("%d and %d events are recorded", len(r.committedAt), len(r.appliedAt))
 		}
 	})
 }
 
-// A relay is one taker for all of its directors: those that it names as stale are missing, those that it speaks for are no takers of
-// their own any more, and one that ends is lost with what it did not take.
-func TestRelaysAreTakers(t *testing.T) {
+// A relay is one reporter for all of its directors. Those that it names as stale are missing, those that it serves are no reporters
+// any more, and a relay that ends is lost with what it has not applied.
+func TestRelayIsReporter(t *testing.T) {
 	r := New(10, 0)
 	taker, gone := RelayTaker("r1/1"), RelayTaker("r2/1")
 	for _, id := range []string{taker, gone, "d1/1", "d2/1"} {
@@ -73,8 +73,8 @@
 	r.Told(3, 10*ms)
 	r.Heard(taker, 3, 50*ms)
 	r.Heard("d2/1", 2, 30*ms)
-	r.Stale(taker, []Stale{{"d3/1", 2}, {"d4/1", 0}})
-	r.Served(func(id string) bool { return id == "d1/1" })
+	r.SetStale(taker, []Stale{{"d3/1", 2}, {"d4/1", 0}})
+	r.ForgetServed(func(id string) bool { return id == "d1/1" })
 	r.Gone(func(id string) bool { return id != gone }, 60*ms)
 	e, _, _, _ := r.Event(3, 70*ms)
 	if fmt.Sprint(e.Taken, e.Missing, e.Lost) != "[{relay:r1/1 40}] [d2/1 d3/1 d4/1] [relay:r2/1]" {
@@ -83,13 +83,13 @@
 	if e, _, _, _ = r.Event(2, 70*ms); fmt.Sprint(e.Missing) != "[d4/1]" || len(e.Taken) != 2 {
 		t.Fatalf("%+v", e)
 	}
-	r.Stale(taker, nil)
+	r.SetStale(taker, nil)
 	r.Gone(func(id string) bool { return false }, 80*ms)
-	r.Gone(func(id string) bool { return false }, 80*ms+rememberGone+1)
-	if len(r.acts)+len(r.joined)+len(r.gone)+len(r.stale) != 0 {
-		t.Fatalf("%v, %v", r.acts, r.stale)
+	r.Gone(func(id string) bool { return false }, 80*ms+goneExpiry+1)
+	if len(r.applied)+len(r.initial)+len(r.goneSince)+len(r.stale) != 0 {
+		t.Fatalf("%v, %v", r.applied, r.stale)
 	}
-	if RelayID(taker) != "r1/1" || RelayID("d1/1") != "" {
-		t.Fatal(RelayID(taker), RelayID("d1/1"))
+	if RelayOf(taker) != "r1/1" || RelayOf("d1/1") != "" {
+		t.Fatal(RelayOf(taker), RelayOf("d1/1"))
 	}
 }
