--- a/internal/controlplane/directors.go
+++ b/internal/controlplane/directors.go
@@ -56,14 +56,14 @@
 	adoption *adoptionService
 }
 
-func newMembershipService(b *Server) *membershipService {
+func newMembershipService(server *Server) *membershipService {
 	return &membershipService{
-		server:   b,
+		server:   server,
 		stop:     make(chan struct{}),
 		ended:    make(chan struct{}),
-		members:  newMemberService(b.set.Replicas.Lease, b.relayLease()),
-		quotas:   newQuotaService(b.hasLease),
-		health:   newHealthService(func() { b.loop.Post(b.watches.PublishHealth) }),
+		members:  newMemberService(server.set.Replicas.Lease, server.relayLease()),
+		quotas:   newQuotaService(server.hasLease),
+		health:   newHealthService(func() { server.loop.Post(server.watches.PublishHealth) }),
 		shards:   newShardService(),
 		adoption: &adoptionService{},
 	}
--- a/internal/controlplane/relay_leases.go
+++ b/internal/controlplane/relay_leases.go
@@ -10,8 +10,8 @@
 )
 
 // relayLease returns the time for which a relay may serve after a request that was answered.
-func (b *Server) relayLease() time.Duration {
-	if group := b.set.Replicas.Lease; b.set.Replicas.Self != "" {
+func (s *Server) relayLease() time.Duration {
+	if group := s.set.Replicas.Lease; s.set.Replicas.Self != "" {
 		return min(relaysession.Lease, group) // the group counts no lease for longer
 	}
 	return relaysession.Lease
@@ -27,10 +27,10 @@
 	lessor *replica.Lessor // of a control plane without a group
 }
 
-func newRelayLeases(b *Server) *relayLeases {
-	lessor := replica.NewLessor(replica.Lease{Length: b.relayLease(), Drift: clockDrift})
+func newRelayLeases(s *Server) *relayLeases {
+	lessor := replica.NewLessor(replica.Lease{Length: s.relayLease(), Drift: clockDrift})
 	lessor.Lead(true, replicas.Now())
-	return &relayLeases{server: b, lessor: lessor}
+	return &relayLeases{server: s, lessor: lessor}
 }
 
 // give records a lease before it is sent to the relay.
@@ -44,18 +44,24 @@
 	l.lessor.Give(session, acknowledged, replicas.Now())
 }
 
+// acknowledged returns, without a group, the lowest revision that all watchers have acknowledged, given that of the server's own.
+// Those of a relay that fell silent count as notified after within.
+func (l *relayLeases) acknowledged(own int64, within time.Duration) int64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.lessor.Acknowledged(own, replicas.Now(), within)
+}
+
 // acknowledgedRevision returns the revision up to which every director has all events, those behind relays included. It is 0 for a
 // moment after a change of the leader, while there may be directors that are not known.
-func (b *Server) acknowledgedRevision() int64 {
-	own := b.watchedRevision()
-	within := time.Duration(b.store.Fleet().Rules().NotifiedWithinMS) * time.Millisecond
-	if b.set.Relays && within > 0 && !b.membership.settled() {
+func (s *Server) acknowledgedRevision() int64 {
+	own := s.watchedRevision()
+	within := time.Duration(s.store.Fleet().Rules().NotifiedWithinMS) * time.Millisecond
+	if s.set.Relays && within > 0 && !s.membership.settled() {
 		return 0
 	}
-	if b.group != nil {
+	if s.group != nil {
 		return own
 	}
-	b.relays.mu.Lock()
-	defer b.relays.mu.Unlock()
-	return b.relays.lessor.Acknowledged(own, replicas.Now(), within)
+	return s.relays.acknowledged(own, within)
 }
--- a/internal/controlplane/relay_requests.go
+++ b/internal/controlplane/relay_requests.go
@@ -22,7 +22,7 @@
 )
 
 // postRelayLease answers the request of a relay's session, if it is proven that this replica leads.
-func (b *Server) postRelayLease(w http.ResponseWriter, r *http.Request) {
+func (s *Server) postRelayLease(w http.ResponseWriter, r *http.Request) {
 	var request relaysession.Request
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRelayRequest)).Decode(&request); err != nil {
 		fail(w, http.StatusBadRequest, api.Error{Kind: api.BadRequest, Message: "relay: " + err.Error()})
@@ -32,22 +32,22 @@
 		fail(w, http.StatusBadRequest, api.Error{Kind: api.BadRequest, Message: "relay: a name, an incarnation and a session are wanted"})
 		return
 	}
-	if b.group != nil {
-		ctx, cancel := context.WithTimeout(r.Context(), b.relayLease())
+	if s.group != nil {
+		ctx, cancel := context.WithTimeout(r.Context(), s.relayLease())
 		defer cancel()
-		if err := b.group.Barrier(ctx); err != nil {
-			b.failWith(w, store.ErrNotLeader)
+		if err := s.group.Barrier(ctx); err != nil {
+			s.failWith(w, store.ErrNotLeader)
 			return
 		}
 	}
-	missing, err := b.missingEvents(request.Revision)
+	missing, err := s.missingEvents(request.Revision)
 	if err != nil {
-		b.failWith(w, err)
+		s.failWith(w, err)
 		return
 	}
-	answer, err := b.membership.takeRelay(request, missing.complete)
+	answer, err := s.membership.takeRelay(request, missing.complete)
 	if err != nil {
-		b.rejectRelay(w, request, err)
+		s.rejectRelay(w, request, err)
 		return
 	}
 	answer.Revision = missing.revision
@@ -57,7 +57,7 @@
 }
 
 // rejectRelay answers a request that was not taken.
-func (b *Server) rejectRelay(w http.ResponseWriter, request relaysession.Request, err error) {
+func (s *Server) rejectRelay(w http.ResponseWriter, request relaysession.Request, err error) {
 	e := api.Error{Kind: api.BadRequest, Message: err.Error()}
 	switch {
 	case errors.Is(err, membership.ErrOldUpdate):
@@ -71,7 +71,7 @@
 		slog.Warn("relay.rejected", "relay", request.Relay.ID(), "err", err)
 		fail(w, http.StatusBadRequest, e)
 	default:
-		b.failWith(w, err)
+		s.failWith(w, err)
 	}
 }
 
@@ -85,14 +85,14 @@
 
 // missingEvents returns what a relay lacks that has all events up to a revision: events, or a snapshot if the log does not reach
 // back to them or the relay is new.
-func (b *Server) missingEvents(after int64) (missingEvents, error) {
-	f := b.store.Fleet()
+func (s *Server) missingEvents(after int64) (missingEvents, error) {
+	f := s.store.Fleet()
 	if after == f.Revision {
 		return missingEvents{revision: f.Revision, complete: true}, nil
 	}
 	if after > 0 && after < f.Revision {
 		var events []fleet.Event
-		err := b.store.View(func(v *store.View) (err error) {
+		err := s.store.View(func(v *store.View) (err error) {
 			events, err = v.Events(after, relaysession.MaxEvents)
 			return err
 		})
