--- /dev/null
+++ b/internal/controlplane/directors_test.go
@@ -0,0 +1,138 @@
+package controlplane
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"sync"
+	"testing"
+
+	"stairvane.org/stairvane/internal/controlplane/membership"
+	"stairvane.org/stairvane/internal/controlplane/relaysession"
+	"stairvane.org/stairvane/internal/controlplane/replicas"
+	"stairvane.org/stairvane/internal/controlplane/store"
+	"stairvane.org/stairvane/internal/fleet"
+	"stairvane.org/stairvane/internal/health"
+	"stairvane.org/stairvane/internal/protocol/discovery"
+	"stairvane.org/stairvane/internal/quota"
+)
+
+// newFollower makes services of their own for a server, which do not lead and of which no goroutine runs.
+func newFollower(t *testing.T) (*Server, *membershipService) {
+	t.Helper()
+	server, _ := start(t, settingsIn(t.TempDir()))
+	return server, newMembershipService(server)
+}
+
+func relayRequest(sequence, registration uint64) relaysession.Request {
+	relay := membership.Relay{Name: "r1", Incarnation: "1"}
+	return relaysession.Request{
+		Update: membership.Update{Relay: relay, Session: 7, Sequence: sequence, Registration: registration, Full: true},
+		Quota:  &quota.Renewal{Holder: relay.ID(), Seq: sequence, Node: true},
+	}
+}
+
+// All services begin and cease to lead at once, and nothing of an earlier leadership is answered from.
+func TestServicesLeadTogether(t *testing.T) {
+	server, s := newFollower(t)
+	f := server.store.Fleet()
+	checkFollower := func() {
+		t.Helper()
+		if _, err := s.takeRelay(relayRequest(100, 0), true); !errors.Is(err, store.ErrNotLeader) {
+			t.Errorf("a relay's request: %v", err)
+		}
+		if _, err := s.members.updateRelay(relayRequest(100, 0).Update, replicas.Now()); !errors.Is(err, store.ErrNotLeader) {
+			t.Errorf("a relay's update: %v", err)
+		}
+		if _, err := s.Adoption(1); !errors.Is(err, store.ErrNotLeader) {
+			t.Errorf("adoption: %v", err)
+		}
+		a := s.Grant([]quota.Renewal{{Holder: "d/1", Seq: 100}})
+		if a.QuotaGrants != nil || a.AggregatedHealth != nil || s.health.aggregated(replicas.Now()) != nil || s.settled() {
+			t.Errorf("answered without leading: %+v", a)
+		}
+		s.shards.take([]int64{1, 1})
+		if first, again := s.Heartbeats(), s.Heartbeats(); len(first.ReadyShards) != 2 || len(again.ReadyShards) != 0 {
+			t.Errorf("a ready shard is reported as %v, then as %v", first.ReadyShards, again.ReadyShards)
+		}
+	}
+	checkFollower()
+	s.followLeadership(true, f, replicas.Now())
+	first, err := s.takeRelay(relayRequest(1, 0), true)
+	if err != nil || !first.NeedFull || first.LeaseMS == 0 || first.Grant == nil {
+		t.Fatalf("%+v, %v", first, err)
+	}
+	if a := s.Grant([]quota.Renewal{{Holder: "d/1", Seq: 1}}); len(a.QuotaGrants) != 1 || a.AggregatedHealth == nil {
+		t.Errorf("%+v", a)
+	}
+	if second, err := s.takeRelay(relayRequest(2, first.Registration), true); err != nil || second.NeedFull {
+		t.Errorf("%+v, %v", second, err)
+	}
+	if _, err := s.Adoption(f.Revision + 1); err == nil || errors.Is(err, store.ErrNotLeader) {
+		t.Errorf("adoption of an event that is not recorded: %v", err)
+	}
+	s.shards.take([]int64{1, 1})
+	if first, again := s.Heartbeats(), s.Heartbeats(); len(first.ReadyShards) != 2 || len(again.ReadyShards) != 2 {
+		t.Errorf("the leader forgets a ready shard: %v, then %v", first.ReadyShards, again.ReadyShards)
+	}
+	s.followLeadership(false, f, replicas.Now())
+	checkFollower()
+	s.followLeadership(true, f, replicas.Now())
+	third, err := s.takeRelay(relayRequest(3, first.Registration), true)
+	if err != nil || !third.NeedFull || third.Registration == first.Registration {
+		t.Errorf("the session of an earlier leadership is known: %+v, %v", third, err)
+	}
+}
+
+// Calls of all kinds while leadership changes neither block each other for good nor race.
+func TestLeadershipChangesDuringCalls(t *testing.T) {
+	server, s := newFollower(t)
+	director := discovery.Announcement{Director: discovery.Director{Name: "d", Incarnation: "1", Machine: "m", Location: "west"}}
+	var err error
+	director.QuotaRenewal, err = json.Marshal(quota.Renewal{Holder: director.ID(), Seq: 1})
+	check(t, err)
+	director.HealthReport, err = json.Marshal(health.Report{Holder: director.ID(), Seq: 1})
+	check(t, err)
+	director.ReadyShards = []int64{1, 1}
+	const rounds = 300
+	calls := []func(round int){
+		func(round int) { s.observe(director, int64(round)) },
+		func(int) { s.TakeHeartbeats(s.Heartbeats()) },
+		func(round int) {
+			s.TakeShares(s.Grant([]quota.Renewal{{Holder: fmt.Sprint("e/", round), Seq: 1}}))
+			s.takeGrant(director.ID())
+		},
+		func(round int) {
+			_, err := s.takeRelay(relayRequest(uint64(round+1), 0), true)
+			if err != nil && !errors.Is(err, store.ErrNotLeader) {
+				t.Errorf("round %d: %v", round, err)
+			}
+		},
+		func(round int) {
+			s.committed(int64(round))
+			_, _ = s.Adoption(int64(round)) // it need not be recorded
+		},
+		func(int) {
+			_ = s.Members()
+			_, _, _ = s.Held(), s.Signals(), s.settled()
+			_ = s.aggregatedHealth(director.ID())
+		},
+		func(round int) { s.followLeadership(round%3 > 0, server.store.Fleet(), replicas.Now()) },
+	}
+	var running sync.WaitGroup
+	for _, call := range calls {
+		running.Go(func() {
+			for round := range rounds {
+				call(round)
+			}
+		})
+	}
+	running.Wait()
+	s.followLeadership(false, fleet.Fleet{}, replicas.Now())
+	if h := s.Heartbeats(); len(h.Directors) != 1 || h.Directors[0].ID != director.ID() {
+		t.Errorf("%+v", h)
+	}
+	if a := s.Grant(nil); a.QuotaGrants != nil || a.AggregatedHealth != nil {
+		t.Errorf("%+v", a)
+	}
+}
