--- a/internal/claims/simulation_test.go
+++ b/internal/claims/simulation_test.go
@@ -144,7 +144,7 @@
 // deliver puts what a node sends in flight and handles its outcomes.
 func (s *simulation) deliver(n *simNode) {
 	for {
-		out, ends, _ := n.node.Take() // ready shards are reported with each call, see Incomplete
+		out, ends, _ := n.node.Take() // ready shards are reported with each call
 		if len(out)+len(ends) == 0 {
 			return
 		}
--- a/internal/controlplane/adoption/event.go
+++ b/internal/controlplane/adoption/event.go
@@ -9,7 +9,7 @@
 
 // AppliedBy is a reporter that has applied an event.
 type AppliedBy struct {
-	Director string `json:"director"` // or a relay, see RelayTaker
+	Director string `json:"director"` // or a relay, by the name that it reports by
 	AfterMS  int64  `json:"after_ms"` // since the event was committed
 }
 
--- a/internal/controlplane/adoption/record.go
+++ b/internal/controlplane/adoption/record.go
@@ -13,8 +13,8 @@
 	relayPrefix = "relay:"
 )
 
-// Record is a leader's record, since it began to lead. Its reporters are directors by their IDs, and relays by the names that
-// RelayTaker gives. It is not safe for concurrent use.
+// Record is a leader's record, since it began to lead. Its reporters are directors by their IDs, and relays by names of
+// their own. It is not safe for concurrent use.
 type Record struct {
 	keep        int64                              // how many of the last events it has
 	first       int64                              // the first event that it has
--- a/internal/controlplane/directors.go
+++ b/internal/controlplane/directors.go
@@ -33,7 +33,8 @@
 //   - adoption: when each director applied each of the last events
 //
 // Each of them has its own lock. A call holds the lock of one service at a time, except that adoption is swept under the lock of
-// members. Locks are taken in the order relayRequests, leadership, members, adoption.
+// members. Locks are taken in the order relayRequests, leadership, members, adoption; those of the group, of relay leases and of
+// the event loop come last.
 type membershipService struct {
 	server *Server
 	stop   chan struct{} // closed by the owner to end run
@@ -42,7 +43,7 @@
 	// leadership is held for writing while the services begin or cease to lead, and for reading by calls that use several of
 	// them. So a call finds all services leading, or none.
 	leadership sync.RWMutex
-	isLeader   bool // what the services know; of the goroutine of run alone
+	isLeader   bool // what the services know; only the goroutine of run uses it
 
 	// relayRequests has relays' requests taken one at a time. The lease that a request is answered with counts with the
 	// revision that the request acknowledged. It must not take the place of one that a later request of the session was given:
--- a/internal/quota/holder.go
+++ b/internal/quota/holder.go
@@ -20,7 +20,7 @@
 // leasedShare is a share of a limit and the end of its lease.
 type leasedShare struct {
 	share float64
-	even  float64 // for a node, Share.Even
+	even  float64 // for a node: an even share for each holder of the tree
 	until time.Duration
 }
 
@@ -103,7 +103,7 @@
 	return h.fallback * max(0, 1-float64(now-h.inUseSince)/float64(h.set.Fades))
 }
 
-// Granted reports whether Part is a share in force, and no fallback.
+// Granted reports whether what may be used is a share in force, and no fallback.
 func (h *Holder) Granted(limit string, now time.Duration) bool {
 	s, found := h.shares[limit]
 	return found && now < s.until
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -58,7 +58,7 @@
 
 	Node          bool   `json:"node,omitempty"`           // the holder is a node
 	Leaves        int    `json:"leaves,omitempty"`         // holders behind a node that have renewed within their lease
-	TakenFallback uint64 `json:"taken_fallback,omitempty"` // like Want.Taken, for the fallback
+	TakenFallback uint64 `json:"taken_fallback,omitempty"` // the renewal whose fallback covers those of the node's holders
 }
 
 // Share is the grant of one limit.
--- a/internal/quota/node.go
+++ b/internal/quota/node.go
@@ -22,7 +22,7 @@
 	divider
 	id            string
 	parent        *Holder           // the side towards the root
-	inUse         map[string]uint64 // Want.Taken, by limit
+	inUse         map[string]uint64 // the renewal whose grant covers all that holders may use, by limit
 	fallbackInUse uint64
 }
 
