--- a/internal/quota/allocator_test.go
+++ b/internal/quota/allocator_test.go
@@ -112,9 +112,9 @@
 		} else {
 			h.holder.Want(Want{Limit: "box", Kind: Rate, Demand: h.demand})
 		}
-		b := h.holder.Renewal(s.clock(h))
+		renewal := h.holder.Renewal(s.clock(h))
 		if s.now >= h.cutUntil && s.rng.IntN(20) > 0 {
-			s.inFlight = append(s.inFlight, transit{from: i, renewal: &b, at: s.now + time.Duration(s.rng.IntN(120))*ms})
+			s.inFlight = append(s.inFlight, transit{from: i, renewal: &renewal, at: s.now + time.Duration(s.rng.IntN(120))*ms})
 		}
 	}
 	var left []transit
@@ -184,10 +184,10 @@
 		t.Errorf("%v of the limit may be used", f.worst)
 	}
 	before, after := NewHolder("d/1", testSettings()), NewHolder("d/2", testSettings())
-	g := NewAllocator(testSettings(), 1, 0, true)
+	allocator := NewAllocator(testSettings(), 1, 0, true)
 	before.Want(Want{Limit: "box", Kind: Rate, Demand: 1})
 	after.Want(Want{Limit: "box", Kind: Rate, Demand: 1})
-	late := g.Renew(before.Renewal(0), 0)
+	late := allocator.Renew(before.Renewal(0), 0)
 	after.Renewal(0)
 	if after.Take(late, ms); after.Part("box", ms) != 0 {
 		t.Errorf("it took over %v", after.Part("box", ms))
@@ -200,26 +200,26 @@
 // Without faults each holder soon has its max-min fair share.
 func TestSharesAreFair(t *testing.T) {
 	for _, demands := range [][]float64{{1, 1, 1, 1, 1, 1, 1, 1}, {0.05, 0.1, 1, 1}, {1000, 1, 1}} {
-		s := testSettings()
-		g, now := NewAllocator(s, 1, 0, true), time.Duration(0)
-		var hs []*Holder
+		settings := testSettings()
+		allocator, now := NewAllocator(settings, 1, 0, true), time.Duration(0)
+		var holders []*Holder
 		for i := range demands {
-			hs = append(hs, NewHolder(fmt.Sprint(i), s))
+			holders = append(holders, NewHolder(fmt.Sprint(i), settings))
 		}
 		for range 40 {
 			now += 50 * ms
-			for i, h := range hs {
+			for i, h := range holders {
 				h.Want(Want{Limit: "x", Kind: Rate, Demand: demands[i]})
-				h.Take(g.Renew(h.Renewal(now), now), now)
+				h.Take(allocator.Renew(h.Renewal(now), now), now)
 			}
 		}
 		capped := make([]float64, len(demands))
 		for i, d := range demands {
 			capped[i] = min(d, 1)
 		}
-		want := maxMin(capped, s.Floor/float64(len(demands)))
-		for i, h := range hs {
-			if got := h.Part("x", now) / (1 - s.Reserve); got < 0.94*want[i] || got > 1.06*want[i] {
+		want := maxMin(capped, settings.Floor/float64(len(demands)))
+		for i, h := range holders {
+			if got := h.Part("x", now) / (1 - settings.Reserve); got < 0.94*want[i] || got > 1.06*want[i] {
 				t.Errorf("demands %v: %d has %v, fair is %v", demands, i, got, want[i])
 			}
 		}
@@ -228,17 +228,17 @@
 
 // A semaphore goes from one holder to the next, no two hold it at once, and one whose holder dies is granted again after its lease.
 func TestSemaphoreGoesRound(t *testing.T) {
-	s := testSettings()
-	g, now := NewAllocator(s, 1, 0, true), time.Duration(0)
-	var hs []*Holder
+	settings := testSettings()
+	allocator, now := NewAllocator(settings, 1, 0, true), time.Duration(0)
+	var holders []*Holder
 	for i := range 5 {
-		hs = append(hs, NewHolder(fmt.Sprint(i), s))
+		holders = append(holders, NewHolder(fmt.Sprint(i), settings))
 	}
 	had, since := map[int]bool{}, time.Duration(0)
 	for now < 10*time.Second {
 		now += 50 * ms
 		holding := 0
-		for i, h := range hs {
+		for i, h := range holders {
 			if i == 1 && had[1] { // it dies while it holds the semaphore
 				continue
 			}
@@ -247,9 +247,9 @@
 				demand = 0
 			}
 			h.Want(Want{Limit: "look", Kind: Semaphore, Demand: demand})
-			h.Take(g.Renew(h.Renewal(now), now), now)
+			h.Take(allocator.Renew(h.Renewal(now), now), now)
 		}
-		for i, h := range hs {
+		for i, h := range holders {
 			if h.Part("look", now) > 0 {
 				holding++
 				if !had[i] {
--- a/internal/quota/explore_test.go
+++ b/internal/quota/explore_test.go
@@ -74,8 +74,8 @@
 			c := s.clone()
 			c.renewals++
 			c.holders[i].Want(Want{Limit: "box", Kind: Rate, Demand: c.wants[i]})
-			b := c.holders[i].Renewal(c.clock(i))
-			c.inFlight = append(c.inFlight, transit{from: i, renewal: &b})
+			renewal := c.holders[i].Renewal(c.clock(i))
+			c.inFlight = append(c.inFlight, transit{from: i, renewal: &renewal})
 			visit(c)
 		}
 	}
@@ -157,22 +157,22 @@
 
 // explore visits all states up to a depth, and returns their number and the most that is in force in any.
 func explore(depth, renewing, maxRenewals int, countsFromReceipt bool) (states int, worst float64) {
-	w := &state{
+	s := &state{
 		renewingHolders:   renewing,
 		maxRenewals:       maxRenewals,
 		wants:             [3]float64{1, 1, 0.1},
 		countsFromReceipt: [3]bool{countsFromReceipt, countsFromReceipt, countsFromReceipt},
 	}
-	w.allocators[0] = NewAllocator(exploreSet, 1, 0, true)
-	for i := range w.holders {
-		w.holders[i] = NewHolder(fmt.Sprint("d", i), exploreSet)
+	s.allocators[0] = NewAllocator(exploreSet, 1, 0, true)
+	for i := range s.holders {
+		s.holders[i] = NewHolder(fmt.Sprint("d", i), exploreSet)
 	}
 	visited := map[uint64]bool{}
-	level := []*state{w}
+	level := []*state{s}
 	for range depth {
 		var next []*state
-		for _, w := range level {
-			w.step(func(c *state) {
+		for _, s := range level {
+			s.step(func(c *state) {
 				k := c.key()
 				if visited[k] {
 					return
--- a/internal/quota/node_test.go
+++ b/internal/quota/node_test.go
@@ -34,31 +34,31 @@
 // share sank. They must not be granted that again, also if the node's share goes on sinking.
 func TestShrunkShareIsNotRenewed(t *testing.T) {
 	for _, further := range []float64{0, 0.001} {
-		w, part := newFaultlessTree(2, 0), 0.8
-		node, counted := w.nodes[0].node, []float64{0}
+		tr, part := newFaultlessTree(2, 0), 0.8
+		node, counted := tr.nodes[0].node, []float64{0}
 		for i := range 80 {
-			w.now += 60 * ms // longer than a filling holds
+			tr.now += 60 * ms // longer than a filling holds
 			if i == 20 {
 				part = 0.4
 			} else if i > 20 {
 				part -= further
 			}
-			seq := node.Renewal(w.now).Seq
-			node.Take(Grant{Holder: node.id, Seq: seq, Parts: []Share{{"box", part, part / 2}}}, w.now)
-			turn, little := w.leaves[i/2%2], i > 20 && i%2 == 1
+			seq := node.Renewal(tr.now).Seq
+			node.Take(Grant{Holder: node.id, Seq: seq, Parts: []Share{{"box", part, part / 2}}}, tr.now)
+			turn, little := tr.leaves[i/2%2], i > 20 && i%2 == 1
 			if turn.demand = 1; little {
 				turn.demand = 0.001
-				node.Renew(w.renewal(turn), w.now)
+				node.Renew(tr.renewal(turn), tr.now)
 			} else {
-				w.renewLeaf(turn)
+				tr.renewLeaf(turn)
 			}
 			counted = append(counted, part) // for as long as a root counts it that the node never says to have taken another
 			last := counted[max(0, len(counted)-1-int(treeSettings().nodeLeaseAtRoot()/(60*ms))):]
-			if shares := w.shares(w.leaves...); shares > slices.Max(last)+1e-9 {
-				t.Fatalf("sinking by %v: at %v %v is in force, and %v counted", further, w.now, shares, slices.Max(last))
+			if shares := tr.shares(tr.leaves...); shares > slices.Max(last)+1e-9 {
+				t.Fatalf("sinking by %v: at %v %v is in force, and %v counted", further, tr.now, shares, slices.Max(last))
 			}
 		}
-		if shares := w.shares(w.leaves...); shares < part/2 {
+		if shares := tr.shares(tr.leaves...); shares < part/2 {
 			t.Errorf("sinking by %v: only %v of %v is in use", further, shares, part)
 		}
 	}
@@ -68,19 +68,19 @@
 // as it is within 5 %, and groups are approximate.
 func TestTreeIsFair(t *testing.T) {
 	for seed := range uint64(20) {
-		rng, w := rand.New(rand.NewPCG(seed, 9)), newFaultlessTree(1, 10, 60, 3)
+		rng, tr := rand.New(rand.NewPCG(seed, 9)), newFaultlessTree(1, 10, 60, 3)
 		var demands []float64
-		for _, p := range w.leaves {
+		for _, p := range tr.leaves {
 			p.demand = min(1, 0.03*rng.ExpFloat64()*rng.ExpFloat64())
 			demands = append(demands, p.demand)
 		}
 		for range 100 {
-			w.now += 50 * ms
-			w.renewAll()
+			tr.now += 50 * ms
+			tr.renewAll()
 		}
 		want := maxMin(demands, treeSettings().Floor/float64(len(demands)))
-		for i, p := range w.leaves {
-			if got := w.shares(p) / (1 - treeSettings().Reserve); got < 0.9*want[i] || got > 1.1*want[i] {
+		for i, p := range tr.leaves {
+			if got := tr.shares(p) / (1 - treeSettings().Reserve); got < 0.9*want[i] || got > 1.1*want[i] {
 				t.Errorf("seed %d: leaf %d, demand %.4f, has %.4f, fair is %.4f", seed, i, demands[i], got, want[i])
 			}
 		}
@@ -100,28 +100,28 @@
 // clock, and is in use by another soon after.
 func TestSilentShareEndsBySlowestClock(t *testing.T) {
 	for _, behindNode := range []bool{false, true} {
-		w := newFaultlessTree(1, 2)
-		silent, other := w.leaves[2], w.leaves[1]
+		tr := newFaultlessTree(1, 2)
+		silent, other := tr.leaves[2], tr.leaves[1]
 		if behindNode {
-			silent = w.leaves[0]
+			silent = tr.leaves[0]
 		}
-		silent.rate, w.nodes[0].rate, w.root.rate = 0.99, 0.99, 1.01
+		silent.rate, tr.nodes[0].rate, tr.root.rate = 0.99, 0.99, 1.01
 		const silence, over = time.Second, 2300 * ms
-		for w.now = ms; w.now < over; w.now += ms {
-			if w.now < silence {
-				w.renewNode(w.nodes[0])
+		for tr.now = ms; tr.now < over; tr.now += ms {
+			if tr.now < silence {
+				tr.renewNode(tr.nodes[0])
 			}
-			if w.now < silence || behindNode {
-				w.renewLeaf(silent)
+			if tr.now < silence || behindNode {
+				tr.renewLeaf(silent)
 			}
-			if w.now > silence/2 {
-				w.renewLeaf(other)
+			if tr.now > silence/2 {
+				tr.renewLeaf(other)
 			}
-			if sum := w.shares(silent, other); sum > 0.8+1e-9 {
-				t.Fatalf("behind a node %v: %v at %v", behindNode, sum, w.now)
+			if sum := tr.shares(silent, other); sum > 0.8+1e-9 {
+				t.Fatalf("behind a node %v: %v at %v", behindNode, sum, tr.now)
 			}
 		}
-		if got := w.shares(other); got < 0.79 {
+		if got := tr.shares(other); got < 0.79 {
 			t.Errorf("behind a node %v: the other has %v", behindNode, got)
 		}
 	}
@@ -131,37 +131,37 @@
 // those of another within 700 ms; what a node had that dies with its leaves, within 1,600 ms.
 func TestTreeMovesCapacity(t *testing.T) {
 	for dies, within := range map[bool]time.Duration{false: 700 * ms, true: 1600 * ms} {
-		w := newFaultlessTree(5, 5, 0)
+		tr := newFaultlessTree(5, 5, 0)
 		const change = 2 * time.Second
 		sum, fair := 0.0, 0.72
 		if dies {
 			fair = 0.8
 		}
-		for w.now < change || sum < 0.97*fair && w.now < 2*change {
-			w.now += 10 * ms
-			if w.now == change {
-				for _, p := range append(w.leaves[:5:5], w.nodes[0]) {
+		for tr.now < change || sum < 0.97*fair && tr.now < 2*change {
+			tr.now += 10 * ms
+			if tr.now == change {
+				for _, p := range append(tr.leaves[:5:5], tr.nodes[0]) {
 					p.demand = 0.001
 					if dies {
 						p.cutUntil = 1 << 62
 					}
 				}
 			}
-			for i, p := range w.nodes {
-				if (w.now/ms+30*time.Duration(i))%50 == 0 {
-					w.renewNode(p)
+			for i, p := range tr.nodes {
+				if (tr.now/ms+30*time.Duration(i))%50 == 0 {
+					tr.renewNode(p)
 				}
 			}
-			for i, p := range w.leaves {
-				if (w.now/ms+20*time.Duration(i))%100 == 0 {
-					w.renewLeaf(p)
+			for i, p := range tr.leaves {
+				if (tr.now/ms+20*time.Duration(i))%100 == 0 {
+					tr.renewLeaf(p)
 				}
 			}
-			sum = w.shares(w.leaves[5:]...)
+			sum = tr.shares(tr.leaves[5:]...)
 		}
-		t.Logf("node dies %v: %v", dies, w.now-change)
-		if w.now-change > within {
-			t.Errorf("node dies %v: %v until the other's leaves have %v", dies, w.now-change, sum)
+		t.Logf("node dies %v: %v", dies, tr.now-change)
+		if tr.now-change > within {
+			t.Errorf("node dies %v: %v until the other's leaves have %v", dies, tr.now-change, sum)
 		}
 	}
 }
@@ -169,8 +169,8 @@
 // Nothing is granted for a renewal that comes twice, one of a node at a node, one while the node has no lease, and for a semaphore at
 // a node.
 func TestNodeGrantsNothing(t *testing.T) {
-	w, now := newFaultlessTree(1, 0), 50*ms
-	root, node, leaf := w.root.root, w.nodes[0].node, w.leaves[0].leaf
+	tr, now := newFaultlessTree(1, 0), 50*ms
+	root, node, leaf := tr.root.root, tr.nodes[0].node, tr.leaves[0].leaf
 	leaf.Want(Want{Limit: "box", Kind: Rate, Demand: 1})
 	leaf.Want(Want{Limit: "look", Kind: Semaphore, Demand: 1})
 	if g := node.Renew(leaf.Renewal(now), now); g.Seq != 0 || node.canGrant(now) {
--- a/internal/quota/tree_test.go
+++ b/internal/quota/tree_test.go
@@ -255,13 +255,13 @@
 	used, wanted, worst := 0.0, 0.0, 0.0
 	for i := range n {
 		seed := first + uint64(i)
-		w := playTree(seed, 20*time.Second)
-		if w.worst > 1+1e-9 {
-			t.Fatalf("seed %d: %v of what may be in force is", seed, w.worst)
+		tr := playTree(seed, 20*time.Second)
+		if tr.worst > 1+1e-9 {
+			t.Fatalf("seed %d: %v of what may be in force is", seed, tr.worst)
 		}
-		worst = max(worst, w.worst)
-		if !w.hard {
-			used, wanted = used+w.used, wanted+w.wanted
+		worst = max(worst, tr.worst)
+		if !tr.hard {
+			used, wanted = used+tr.used, wanted+tr.wanted
 		}
 	}
 	t.Logf("at worst %.3f of what may be in force; %.1f %% of what could be was in use", worst, 100*used/wanted)
