--- a/internal/controlplane/adoption/event.go
+++ b/internal/controlplane/adoption/event.go
@@ -20,7 +20,7 @@
 	Taken   []AppliedBy `json:"taken,omitempty"`
 	Missing []string    `json:"missing,omitempty"` // members that have not applied it
 	Lost    []string    `json:"lost,omitempty"`    // members no more, and had not applied it
-	Had     int         `json:"had"`               // reporters that had it when they were heard of first
+	Had     int         `json:"had"`               // reporters that had it with their first report
 	P50MS   int64       `json:"p50_ms"`
 	P99MS   int64       `json:"p99_ms"`
 	LastMS  int64       `json:"last_ms"`
--- a/internal/controlplane/adoption/record.go
+++ b/internal/controlplane/adoption/record.go
@@ -22,7 +22,7 @@
 	committedAt map[int64]time.Duration            // by event
 	appliedAt   map[int64]map[string]time.Duration // by event and reporter
 	applied     map[string]int64                   // the last event that each reporter has applied
-	initial     map[string]int64                   // the same when the reporter was heard of first
+	initial     map[string]int64                   // the same with its first report
 	goneSince   map[string]time.Duration           // of reporters that are no members any more
 	stale       map[string][]Stale                 // directors behind a relay that lag, by the relay's name
 }
--- a/internal/controlplane/directors.go
+++ b/internal/controlplane/directors.go
@@ -32,7 +32,7 @@
 //   - shards: the claim shards whose replicas are filled
 //   - adoption: when each director applied each of the last events
 //
-// Each of them has its own lock. A call holds the lock of one service at a time, except that adoption is swept under the lock of
+// Each of them has its own lock. A call locks one service at a time, except that adoption is swept under the lock of
 // members. Locks are taken in the order relayRequests, leadership, members, adoption; those of the group, of relay leases and of
 // the event loop come last.
 type membershipService struct {
--- a/internal/quota/explore_test.go
+++ b/internal/quota/explore_test.go
@@ -126,7 +126,7 @@
 	for _, g := range s.allocators {
 		if g != nil {
 			write(g.beganAt, g.lastSeq)
-			for _, p := range []pool{g.reserve, g.box()} {
+			for _, p := range []pool{g.reserve, g.accountsOfLimit()} {
 				write(p.next)
 				for _, a := range p.order {
 					write(*a)
@@ -147,8 +147,8 @@
 	return h.Sum64()
 }
 
-// box returns the accounts of the one limit.
-func (a *Allocator) box() pool {
+// accountsOfLimit returns the accounts of the one limit.
+func (a *Allocator) accountsOfLimit() pool {
 	if l := a.limits["box"]; l != nil {
 		return l.pool
 	}
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -9,7 +9,7 @@
 const (
 	// Rate is divided: the shares of all holders add up to 1 at most.
 	Rate Kind = "rate"
-	// Semaphore is held by so many holders at a time, in the order in which they came.
+	// Semaphore is granted to so many holders at a time, in the order in which they came.
 	Semaphore Kind = "turns"
 )
 
--- a/internal/quota/node_test.go
+++ b/internal/quota/node_test.go
@@ -189,8 +189,8 @@
 	if second.Seq != 0 || leaf.Take(second, now) || !leaf.Take(first, now) {
 		t.Errorf("%+v, then %+v", first, second)
 	}
-	if box, look := leaf.Part("box", now), leaf.Part("look", now); box < 0.79 || look != 0 {
-		t.Errorf("%v of the rate, %v of the turns", box, look)
+	if rate, semaphore := leaf.Part("box", now), leaf.Part("look", now); rate < 0.79 || semaphore != 0 {
+		t.Errorf("%v of the rate, %v of the semaphore", rate, semaphore)
 	}
 	r = leaf.Renewal(now)
 	if first, second = root.Renew(r, now), root.Renew(r, now); first.Seq != r.Seq || second.Seq != 0 {
