--- a/internal/tools/golden/sample.go
+++ b/internal/tools/golden/sample.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// fillInt makes durations whole milliseconds, because some forms hold no finer ones.
+// fillInt makes durations multiples of a millisecond, because some of the stored forms hold nothing finer.
 func (s *sampler) fillInt(v reflect.Value) {
 	n := int64(s.number)
 	if v.Type() == durationType {
