--- a/internal/tools/capacity/failures.go
+++ b/internal/tools/capacity/failures.go
@@ -1,93 +1,104 @@
 package capacity
 
-// reconnectLongest is the longest pause of a director before it dials again after it has lost its watch, in seconds: see the pause
-// in internal/director/timing.go.
+// reconnectLongest is the longest backoff before a director that has lost its watch connects again, in seconds. The formula is that
+// of WatchTiming.Pause in internal/director/timing.go.
 func (c *calculation) reconnectLongest() float64 {
 	spread := min(float64(c.Directors-1)*c.ReconnectSpread.Seconds(), c.ReconnectSpreadMax.Seconds())
 	return 1.5*c.ReconnectRetry.Seconds() + spread
 }
 
-// leaveAndJoin is what so many directors that leave and come back cost all directors together, in bytes.
-func (c *calculation) leaveAndJoin(directors float64) float64 {
-	return float64(c.Directors) * directors * (c.each(lawMemberBytes) + c.each(lawGoneBytes))
+// leaveAndJoinBytes is what it costs all directors together, in bytes, that a number of directors leave and join again.
+func (c *calculation) leaveAndJoinBytes(leaving float64) float64 {
+	return c.directors() * leaving * (c.slope(lawMemberJoinedBytes) + c.slope(lawMemberLeftBytes))
 }
 
-func purgeWithin(s Size, _ Design) float64 { return s.PurgeWithin.Seconds() }
+func noEventMissedBudget(Size, Design) float64 { return 1 }
 
 var failureFormulas = []formula{
 	{
-		role: Failures, name: "a day's 750 restarts: first answers", unit: BytesPerSecond,
+		name:      "a day's 750 restarts: first answers",
+		unit:      BytesPerSecond,
 		mechanism: "each gets the whole list and membership; the mean over the day, all replicas or relays together",
 		working:   "restarts/day x the first answer",
-		value: func(c *calculation) float64 {
-			return c.RestartsPerDay / secondsPerDay * c.wholeAnswer()
-		},
+		value:     func(c *calculation) float64 { return c.restartsPerSecond() * c.snapshotBytes() },
 	},
 	{
-		role: Failures, name: "a day's 750 restarts: membership", unit: BytesPerSecond,
+		name:      "a day's 750 restarts: membership",
+		unit:      BytesPerSecond,
 		mechanism: "each leaves and joins, and each of the others is sent both; the mean over the day",
 		working:   "restarts/day x directors x bytes of both",
-		value: func(c *calculation) float64 {
-			return c.RestartsPerDay / secondsPerDay * c.leaveAndJoin(1)
-		},
+		value:     func(c *calculation) float64 { return c.restartsPerSecond() * c.leaveAndJoinBytes(1) },
 	},
 	{
-		role: Failures, name: "a start: its share of a director's bytes", unit: Seconds,
+		name:      "a start: its share of a director's bytes",
+		unit:      Seconds,
 		mechanism: "the first answer at the bytes a second that a director may spend",
 		working:   "the first answer / bytes a second",
-		value:     func(c *calculation) float64 { return c.wholeAnswer() / c.DirectorBytesPerSecond },
+		value:     func(c *calculation) float64 { return c.snapshotBytes() / c.DirectorBytesPerSecond },
 	},
 	{
-		role: Failures, name: "a rack or a switch (one site at most): membership", unit: Bytes,
+		name:      "a rack or a switch (one site at most): membership",
+		unit:      Bytes,
 		mechanism: "its directors leave in one event and join in one or a few",
 		working:   "directors/sites, sent to all directors",
-		value:     func(c *calculation) float64 { return c.leaveAndJoin(c.directorsPer(c.Sites)) },
+		value:     func(c *calculation) float64 { return c.leaveAndJoinBytes(c.directorsPer(c.Sites)) },
 	},
 	{
-		role: Failures, name: "a zone: membership", unit: Bytes,
+		name:      "a zone: membership",
+		unit:      Bytes,
 		mechanism: "the same for a zone's directors; its caches are the observer's matter",
 		working:   "directors/zones, sent to all directors",
-		value:     func(c *calculation) float64 { return c.leaveAndJoin(c.directorsPer(c.Zones)) },
+		value:     func(c *calculation) float64 { return c.leaveAndJoinBytes(c.directorsPer(c.Zones)) },
 	},
 	{
-		role: Failures, name: "a zone comes back: first answers", unit: Bytes,
+		name:      "a zone comes back: first answers",
+		unit:      Bytes,
 		mechanism: "each of its directors gets the whole list and membership",
 		working:   "directors/zones x the first answer",
-		value:     func(c *calculation) float64 { return c.directorsPer(c.Zones) * c.wholeAnswer() },
+		value:     func(c *calculation) float64 { return c.directorsPer(c.Zones) * c.snapshotBytes() },
 	},
 	{
-		role: Failures, name: "a zone or a region comes back: encoding first answers", unit: Cores, budget: loopCores,
-		mechanism: "directors that come between two events share one encoding; the next event makes it anew, on the loop that serves all",
-		working:   "events/s x encoding the first answer",
-		value: func(c *calculation) float64 {
-			return c.eventsPerSecond() * c.at(lawWholeTime, float64(c.Directors))
-		},
+		name:   "a zone or a region comes back: encoding first answers",
+		unit:   Cores,
+		budget: loopBudget,
+		mechanism: "directors that come between two events share one encoding; the next event makes it anew, " +
+			"on the loop that serves all",
+		working: "events/s x encoding the first answer",
+		value:   func(c *calculation) float64 { return c.eventsPerSecond() * c.valueAt(lawSnapshotTime, c.directors()) },
 	},
 	{
-		role: Failures, name: "a relay or a replica is lost: longest time to another", unit: Seconds, budget: purgeWithin,
-		mechanism: "the pause before a lost watch is dialled again widens by 2.5 ms for each director of the configuration, by 200 ms at most; no measurement, the program's constants",
-		working:   "1.5 x 40 ms + (directors - 1) x 2.5 ms, of that 200 ms at most",
-		value:     (*calculation).reconnectLongest,
+		name:   "a relay or a replica is lost: longest time to another",
+		unit:   Seconds,
+		budget: purgeBudget,
+		mechanism: "the pause before a lost watch is dialled again widens by 2.5 ms for each director of the configuration, " +
+			"by 200 ms at most; no measurement, the program's constants",
+		working: "1.5 x 40 ms + (directors - 1) x 2.5 ms, of that 200 ms at most",
+		value:   (*calculation).reconnectLongest,
 	},
 	{
-		role: Failures, name: "regions apart for an hour: longest wait for a purge", unit: Seconds, budget: purgeWithin,
+		name:      "regions apart for an hour: longest wait for a purge",
+		unit:      Seconds,
+		budget:    purgeBudget,
 		mechanism: "the side without a majority has no lease and closes its watches until the other side is back; no measurement",
 		working:   "the time for which regions are apart",
-		value:     func(c *calculation) float64 { return c.RegionsApart.Seconds() },
+		value:     func(c *calculation) float64 { return c.PartitionDuration.Seconds() },
 	},
 	{
-		role: Failures, name: "regions apart for an hour: events missed over events kept", unit: Share,
-		budget:    func(Size, Design) float64 { return 1 },
-		mechanism: "over 1, a director that comes back is sent the whole list and ten minutes of purges, not what it missed; no measurement",
-		working:   "an hour of events / events kept",
+		name:   "regions apart for an hour: events missed over events kept",
+		unit:   Share,
+		budget: noEventMissedBudget,
+		mechanism: "over 1, a director that comes back is sent the whole list and ten minutes of purges, not what it missed; " +
+			"no measurement",
+		working: "an hour of events / events kept",
 		value: func(c *calculation) float64 {
-			return c.eventsPerSecond() * c.RegionsApart.Seconds() / float64(c.HistoryKept)
+			return c.eventsPerSecond() * c.PartitionDuration.Seconds() / float64(c.HistoryKept)
 		},
 	},
 	{
-		role: Failures, name: "a region comes back: first answers", unit: Bytes,
+		name:      "a region comes back: first answers",
+		unit:      Bytes,
 		mechanism: "each of its directors gets the whole list, the membership and ten minutes of purges, within the pause above",
 		working:   "directors/regions x the first answer",
-		value:     func(c *calculation) float64 { return c.directorsPer(c.Regions) * c.wholeAnswer() },
+		value:     func(c *calculation) float64 { return c.directorsPer(c.Regions) * c.snapshotBytes() },
 	},
 }
--- a/internal/tools/capacity/law.go
+++ b/internal/tools/capacity/law.go
@@ -1,28 +1,30 @@
 package capacity
 
 import (
-	"cmp"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
-	"maps"
 	"math"
-	"slices"
 	"time"
 )
 
-// MinPoints is how many sizes a law must have been measured at.
+// MinPoints is at how many sizes a law must have been measured.
 const MinPoints = 5
 
-// rounding is what of a residual comes from floating point alone, as a share.
-const rounding = 1e-12
-
-// ErrPoints tells that a law rests on too few sizes.
-var ErrPoints = errors.New("too few measured sizes")
+const (
+	// roundingTolerance is what of a residual comes from floating point alone, as a share of the values.
+	roundingTolerance = 1e-12
+	// storedTolerance is by how much a stored law may differ from a new fit, as a share of its largest value.
+	storedTolerance = 1e-6
+)
 
-// ErrStale tells that a law does not say what its points give.
-var ErrStale = errors.New("constant, slope or residual are not those of the points")
+var (
+	// ErrTooFewPoints tells that a law rests on too few sizes.
+	ErrTooFewPoints = errors.New("too few measured sizes")
+	// ErrNotFitted tells that a law's line is not the one that its points give.
+	ErrNotFitted = errors.New("constant, slope or residual are not those of the points")
+	// ErrNoSource tells that a law does not say how it was measured.
+	ErrNoSource = errors.New("no source")
+)
 
 // Point is one measurement.
 type Point struct {
@@ -50,43 +52,24 @@
 	Source   Source  `json:"source"`
 }
 
-// NewLaw fits a law to points. It returns ErrPoints where there are fewer than MinPoints sizes.
+// NewLaw fits a law to points. It returns ErrTooFewPoints where there are fewer than MinPoints sizes.
 func NewLaw(name, about, xUnit string, unit Unit, points []Point, source Source) (Law, error) {
-	l := Law{Name: name, About: about, XUnit: xUnit, Unit: unit, Points: points, Source: source}
-	constant, slope, residual, err := fit(points)
+	law := Law{
+		Name:   name,
+		About:  about,
+		XUnit:  xUnit,
+		Unit:   unit,
+		Points: points,
+		Source: source,
+	}
+	fitted, err := fit(points)
 	if err != nil {
-		return l, fmt.Errorf("law %s: %w", name, err)
-	}
-	l.Constant, l.Slope, l.Residual = constant, slope, residual
-	return l, nil
-}
-
-// fit is the line of least squares through points, and the largest distance of one from it.
-func fit(points []Point) (constant, slope, residual float64, err error) {
-	sizes := map[float64]bool{}
-	var meanX, meanY float64
-	for _, p := range points {
-		sizes[p.X] = true
-		meanX += p.X / float64(len(points))
-		meanY += p.Y / float64(len(points))
-	}
-	if len(sizes) < MinPoints {
-		return 0, 0, 0, fmt.Errorf("%w: %d of %d", ErrPoints, len(sizes), MinPoints)
+		return law, fmt.Errorf("law %s: %w", name, err)
 	}
-	var covariance, variance float64
-	for _, p := range points {
-		covariance += (p.X - meanX) * (p.Y - meanY)
-		variance += (p.X - meanX) * (p.X - meanX)
-	}
-	slope = covariance / variance
-	constant = meanY - slope*meanX
-	for _, p := range points {
-		residual = max(residual, math.Abs(p.Y-constant-slope*p.X))
-	}
-	if residual < rounding*(math.Abs(meanY)+math.Abs(slope*meanX)) {
-		residual = 0
-	}
-	return constant, slope, residual, nil
+	law.Constant = fitted.constant
+	law.Slope = fitted.slope
+	law.Residual = fitted.residual
+	return law, nil
 }
 
 // At is the law's value at x.
@@ -96,120 +79,76 @@
 func (l Law) Range() (smallest, largest float64) {
 	smallest = math.Inf(1)
 	for _, p := range l.Points {
-		smallest, largest = min(smallest, p.X), max(largest, p.X)
+		smallest = min(smallest, p.X)
+		largest = max(largest, p.X)
 	}
 	return smallest, largest
 }
 
 // ResidualShare is the largest residual as a share of the largest measured value.
 func (l Law) ResidualShare() float64 {
-	most := 0.0
+	largest := 0.0
 	for _, p := range l.Points {
-		most = max(most, math.Abs(p.Y))
+		largest = max(largest, math.Abs(p.Y))
 	}
-	if most == 0 {
+	if largest == 0 {
 		return 0
 	}
-	return l.Residual / most
+	return l.Residual / largest
 }
 
-// check tells whether the law says what its points give.
+// check tells whether the law's line is the one that its points give. Its errors are ErrTooFewPoints, ErrNotFitted and ErrNoSource.
 func (l Law) check() error {
-	constant, slope, residual, err := fit(l.Points)
+	fitted, err := fit(l.Points)
 	if err != nil {
 		return fmt.Errorf("law %s: %w", l.Name, err)
 	}
 	_, largest := l.Range()
-	tolerance := 1e-6 * (math.Abs(constant) + math.Abs(slope)*largest + residual)
-	off := math.Abs(constant-l.Constant) + math.Abs(slope-l.Slope)*largest + math.Abs(residual-l.Residual)
-	if off > tolerance {
-		return fmt.Errorf("law %s: %w", l.Name, ErrStale)
+	tolerance := storedTolerance * (math.Abs(fitted.constant) + math.Abs(fitted.slope)*largest + fitted.residual)
+	difference := math.Abs(fitted.constant-l.Constant) +
+		math.Abs(fitted.slope-l.Slope)*largest +
+		math.Abs(fitted.residual-l.Residual)
+	if difference > tolerance {
+		return fmt.Errorf("law %s: %w", l.Name, ErrNotFitted)
 	}
 	if l.Source.Command == "" || l.Source.At.IsZero() {
-		return fmt.Errorf("law %s: it has no source", l.Name)
+		return fmt.Errorf("law %s: %w", l.Name, ErrNoSource)
 	}
 	return nil
 }
 
-// Laws are laws by their names.
-type Laws map[string]Law
-
-// Measured is all that was measured.
-type Measured struct {
-	Laws Laws
-	Rows []Row // of scale runs, run after run
-}
-
-// document is the file that laws and rows are kept in.
-type document struct {
-	Laws []Law `json:"laws"`
-	Rows []Row `json:"rows,omitempty"`
-}
-
-// Read reads laws and rows, and refuses laws that do not say what their points give.
-func Read(r io.Reader) (Measured, error) {
-	return read(r, func(l Law) (Law, error) { return l, l.check() })
+// line is a line through points, with the largest distance of one of them from it.
+type line struct {
+	constant float64
+	slope    float64
+	residual float64
 }
 
-// ReadPoints reads laws in the same form of which only names, units, points and sources count, and fits them.
-func ReadPoints(r io.Reader) (Measured, error) {
-	return read(r, func(l Law) (Law, error) {
-		fitted, err := NewLaw(l.Name, l.About, l.XUnit, l.Unit, l.Points, l.Source)
-		if err != nil {
-			return fitted, err
-		}
-		return fitted, fitted.check()
-	})
-}
-
-func read(r io.Reader, accept func(Law) (Law, error)) (Measured, error) {
-	var d document
-	decoder := json.NewDecoder(r)
-	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(&d); err != nil {
-		return Measured{}, fmt.Errorf("capacity: %w", err)
+// fit is the line of least squares. It returns ErrTooFewPoints where there are fewer than MinPoints sizes.
+func fit(points []Point) (line, error) {
+	sizes := map[float64]bool{}
+	var meanX, meanY float64
+	for _, p := range points {
+		sizes[p.X] = true
+		meanX += p.X / float64(len(points))
+		meanY += p.Y / float64(len(points))
 	}
-	laws := Laws{}
-	for _, l := range d.Laws {
-		if _, again := laws[l.Name]; again || l.Name == "" {
-			return Measured{}, fmt.Errorf("capacity: the law %q is there twice, or has no name", l.Name)
-		}
-		accepted, err := accept(l)
-		if err != nil {
-			return Measured{}, fmt.Errorf("capacity: %w", err)
-		}
-		laws[l.Name] = accepted
+	if len(sizes) < MinPoints {
+		return line{}, fmt.Errorf("%w: %d of %d", ErrTooFewPoints, len(sizes), MinPoints)
 	}
-	return Measured{Laws: laws, Rows: d.Rows}, nil
-}
-
-// Write writes laws in the order of their names, and rows.
-func (m Measured) Write(w io.Writer) error {
-	encoder := json.NewEncoder(w)
-	encoder.SetIndent("", " ")
-	return encoder.Encode(document{Laws: m.Laws.Sorted(), Rows: m.Rows})
-}
-
-// AddRows takes the rows of a scale run in, in place of those of the same file, and fits the laws of all rows of its layout anew.
-func (m *Measured) AddRows(rows []Row) {
-	if len(rows) == 0 {
-		return
+	var covariance, variance float64
+	for _, p := range points {
+		covariance += (p.X - meanX) * (p.Y - meanY)
+		variance += (p.X - meanX) * (p.X - meanX)
 	}
-	m.Rows = slices.DeleteFunc(slices.Clone(m.Rows), func(r Row) bool { return r.File == rows[0].File })
-	m.Rows = append(m.Rows, rows...)
-	slices.SortStableFunc(m.Rows, func(a, b Row) int { return cmp.Compare(a.File, b.File) })
-	same := slices.DeleteFunc(slices.Clone(m.Rows), func(r Row) bool {
-		return r.Replicas != rows[0].Replicas || r.Relays != rows[0].Relays || r.ColdCaches != rows[0].ColdCaches
-	})
-	maps.Copy(m.Laws, ProcessLaws(same))
-}
-
-// Sorted are the laws in the order of their names.
-func (laws Laws) Sorted() []Law {
-	all := make([]Law, 0, len(laws))
-	for _, l := range laws {
-		all = append(all, l)
+	slope := covariance / variance
+	constant := meanY - slope*meanX
+	residual := 0.0
+	for _, p := range points {
+		residual = max(residual, math.Abs(p.Y-constant-slope*p.X))
+	}
+	if residual < roundingTolerance*(math.Abs(meanY)+math.Abs(slope*meanX)) {
+		residual = 0
 	}
-	slices.SortFunc(all, func(a, b Law) int { return cmp.Compare(a.Name, b.Name) })
-	return all
+	return line{constant: constant, slope: slope, residual: residual}, nil
 }
--- a/internal/tools/capacity/law_names.go
+++ b/internal/tools/capacity/law_names.go
@@ -1,6 +1,6 @@
 package capacity
 
-// Names of laws. Those of the first group come from the package measure.
+// Names of laws that the package measure gives.
 const (
 	lawHostMemory       = "director.memory.hosts"
 	lawPurgeMemory      = "director.memory.purges"
@@ -15,59 +15,59 @@
 	lawAnswerBytes      = "director.bytes.answer"
 	lawReportBytes      = "director.bytes.report"
 
-	lawPurgeBytes      = "wire.bytes.purges"
-	lawHostBytes       = "wire.bytes.hosts"
-	lawMemberBytes     = "wire.bytes.members"
-	lawGoneBytes       = "wire.bytes.gone"
-	lawWholeBytes      = "wire.bytes.whole"
-	lawWholeCacheBytes = "wire.bytes.whole_caches"
+	lawPurgeBytes         = "wire.bytes.purges"
+	lawHostBytes          = "wire.bytes.hosts"
+	lawMemberJoinedBytes  = "wire.bytes.members"
+	lawMemberLeftBytes    = "wire.bytes.gone"
+	lawSnapshotBytes      = "wire.bytes.whole"
+	lawSnapshotCacheBytes = "wire.bytes.whole_caches"
 
-	lawHistoryMemory  = "replica.memory.history"
-	lawStoreMemory    = "replica.memory.store"
-	lawAnswerTime     = "replica.time.answer"
-	lawServerCallTime = "replica.time.watch_call"
-	lawWholeTime      = "replica.time.whole"
-	lawAckTime        = "replica.time.acknowledged"
-	lawLeaseBytes     = "replica.bytes.lease"
-	lawLeaseBuildTime = "replica.time.lease"
-	lawCommitTime     = "replica.time.commit"
+	lawHistoryMemory      = "replica.memory.history"
+	lawStoreMemory        = "replica.memory.store"
+	lawAnswerTime         = "replica.time.answer"
+	lawServerCallTime     = "replica.time.watch_call"
+	lawSnapshotTime       = "replica.time.whole"
+	lawAcknowledgedTime   = "replica.time.acknowledged"
+	lawLeaseBytes         = "replica.bytes.lease"
+	lawLeaseEncodingTime  = "replica.time.lease"
+	lawCommitTime         = "replica.time.commit"
+	lawRelayRenewalTime   = "relay.time.renewal_8_limits"
+	lawRelayRenewalBytes  = "relay.bytes.renewal_8_limits"
+	lawRelayRequestBytes  = "relay.bytes.request"
+	lawRelayRequestTime   = "leader.time.relay_request"
+	lawRelayAppliedMemory = "leader.memory.adoption_relays"
 
-	lawRelayRenewalTime  = "relay.time.renewal_8_limits"
-	lawRelayRenewalBytes = "relay.bytes.renewal_8_limits"
-	lawRelayRequestBytes = "relay.bytes.request"
+	lawLeaseTime                  = "leader.time.lease"
+	lawUnlimitedRenewalTime       = "leader.time.renewal"
+	lawLimitedRenewalTime         = "leader.time.renewal_8_limits"
+	lawLimitedRenewalOfRelaysTime = "leader.time.renewal_8_limits_relays"
+	lawReportTime                 = "leader.time.report"
+	lawHealthTime                 = "leader.time.health"
+	lawTickTime                   = "leader.time.tick"
+	lawMembershipEventTime        = "leader.time.membership"
+	lawAppliedMemory              = "leader.memory.adoption"
+	lawQuotaMemory                = "leader.memory.quota"
+	lawHealthMemory               = "leader.memory.health"
+	lawMembershipServiceMemory    = "leader.memory.membership"
 
-	lawRelayRequestTime    = "leader.time.relay_request"
-	lawRelayAdoptionMemory = "leader.memory.adoption_relays"
-
-	lawLeaseTime       = "leader.time.lease"
-	lawRenewalTime     = "leader.time.renewal"
-	lawRenewalColdTime = "leader.time.renewal_8_limits"
-	lawRenewalFewTime  = "leader.time.renewal_8_limits_relays"
-	lawReportTime      = "leader.time.report"
-	lawHealthTime      = "leader.time.health"
-	lawTickTime        = "leader.time.tick"
-	lawChangeTime      = "leader.time.membership"
-	lawAdoptionMemory  = "leader.memory.adoption"
-	lawQuotaMemory     = "leader.memory.quota"
-	lawHealthMemory    = "leader.memory.health"
-	lawTrackerMemory   = "leader.memory.membership"
-
-	lawMembersBytes  = "operator.bytes.members"
-	lawAdoptionBytes = "operator.bytes.adoption"
-	lawWorldBytes    = "operator.bytes.world"
+	lawMembersAnswerBytes  = "operator.bytes.members"
+	lawAdoptionAnswerBytes = "operator.bytes.adoption"
+	lawStateAnswerBytes    = "operator.bytes.world"
 )
 
-// What laws of whole processes are of; processLaw gives their names. A scale run gives them.
+// processCost is what a law of real processes is about; processLawName gives the law's name. Scale runs give these laws.
+type processCost string
+
 const (
-	processDirectorCores  = "director.cores"
-	processDirectorMemory = "director.memory"
-	processDirectorBytes  = "director.bytes"
-	processRelayCores     = "relay.cores"  // by directors of one relay
-	processRelayMemory    = "relay.memory" // by directors of one relay
-	processReplicaCores   = "replica.cores"
-	processReplicaMemory  = "replica.memory"
-	processLeaderCores    = "leader.cores"
-	processLeaderMemory   = "leader.memory"
-	processPurgeDelay     = "delay.purge"
-	processChangeDelay    = "delay.change"
+	processDirectorCores  processCost = "director.cores"
+	processDirectorMemory processCost = "director.memory"
+	processDirectorBytes  processCost = "director.bytes"
+	processRelayCores     processCost = "relay.cores"  // by directors of one relay
+	processRelayMemory    processCost = "relay.memory" // by directors of one relay
+	processReplicaCores   processCost = "replica.cores"
+	processReplicaMemory  processCost = "replica.memory"
+	processLeaderCores    processCost = "leader.cores"
+	processLeaderMemory   processCost = "leader.memory"
+	processPurgeDelay     processCost = "delay.purge"
+	processChangeDelay    processCost = "delay.change"
 )
--- a/internal/tools/capacity/page_test.go
+++ b/internal/tools/capacity/page_test.go
@@ -1,6 +1,7 @@
 package capacity
 
 import (
+	"bytes"
 	"errors"
 	"os"
 	"slices"
@@ -15,12 +16,11 @@
 
 func load(t *testing.T) (measured Measured, page string) {
 	t.Helper()
-	file, err := os.Open(slopesFile)
+	laws, err := os.ReadFile(slopesFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer file.Close()
-	if measured, err = Read(file); err != nil {
+	if measured, err = Read(bytes.NewReader(laws)); err != nil {
 		t.Fatal(err)
 	}
 	text, err := os.ReadFile(pageFile)
@@ -30,7 +30,7 @@
 	return measured, string(text)
 }
 
-// The page's tables are what the file of laws gives.
+// Guards against a page that was not generated again after a measurement or a change of a formula.
 func TestPageIsWhatTheLawsGive(t *testing.T) {
 	measured, page := load(t)
 	want, err := Rewrite(page, Operators(), Current(), measured)
@@ -42,18 +42,19 @@
 	}
 }
 
-// A figure rests on laws that are there, each with its points and source, or it says which are missing, or that it comes from
-// constants alone. Read has refused laws with fewer than five sizes, without a source, or with other slopes than their points give.
+// A figure comes from laws that are there, or it says which are missing, or that it comes from constants alone. Read has rejected
+// laws with fewer than five sizes, without a source, or with other slopes than their points give.
 func TestNoFigureLacksItsPoints(t *testing.T) {
 	measured, _ := load(t)
-	read := map[string]bool{}
+	readLaws := map[string]bool{}
 	for _, f := range Table(Operators(), Current(), measured) {
-		if len(f.Terms) == 0 && len(f.Missing) == 0 && f.CollapsedAt == 0 && !strings.Contains(f.Mechanism, "no measurement") && f.Unit != Machines {
+		isOfConstants := strings.Contains(f.Mechanism, "no measurement") || f.Unit == Machines
+		if len(f.Terms) == 0 && len(f.Missing) == 0 && f.CollapsedAt == 0 && !isOfConstants {
 			t.Errorf("%s, %s rests on nothing", f.Role, f.Name)
 		}
 		for _, term := range f.Terms {
-			read[term.Law] = true
-			if at := slices.IndexFunc(measured.Rows, func(r Row) bool { return r.File == term.Row && float64(r.Directors) == term.X }); term.Law == "" && at < 0 {
+			readLaws[term.Law] = true
+			if term.Law == "" && !hasRow(measured, term) {
 				t.Errorf("%s, %s rests on a row that is not there: %+v", f.Role, f.Name, term)
 			}
 		}
@@ -64,13 +65,19 @@
 		}
 	}
 	for name := range measured.Laws {
-		if !read[name] {
+		if !readLaws[name] {
 			t.Errorf("no figure reads the law %s", name)
 		}
 	}
 }
 
-func TestRewriteRefusesOtherMarkers(t *testing.T) {
+func hasRow(measured Measured, term Term) bool {
+	return slices.ContainsFunc(measured.Rows, func(r Row) bool {
+		return r.File == term.Row && float64(r.Directors) == term.X
+	})
+}
+
+func TestRewriteRejectsOtherMarkers(t *testing.T) {
 	measured, page := load(t)
 	for name, changed := range map[string]string{
 		"a part twice": page + "<!-- capacity: size -->\n<!-- capacity end -->",
--- a/internal/tools/capacity/rates.go
+++ b/internal/tools/capacity/rates.go
@@ -7,14 +7,27 @@
 
 const secondsPerDay = 24 * 60 * 60
 
-// perSecond is how often something happens that happens once each interval.
+// The event log in memory is cut only when it is over what it retains by half, and by a thousand events more; see the package
+// eventlog of the control plane.
+const (
+	historyGrowth = 1.5
+	historyExcess = 1000 // events
+)
+
+// perSecond is how often something happens that happens once in each interval.
 func perSecond(interval time.Duration) float64 { return 1 / interval.Seconds() }
 
+// leasesPerSecond are the lease renewals of one replica or relay.
+func (c *calculation) leasesPerSecond() float64 { return perSecond(c.LeaseInterval) }
+
 // changesPerSecond are changes of the configuration.
 func (c *calculation) changesPerSecond() float64 { return c.ChangesPerDay / secondsPerDay }
 
+// restartsPerSecond are restarts of machines.
+func (c *calculation) restartsPerSecond() float64 { return c.RestartsPerDay / secondsPerDay }
+
 // membershipPerSecond are changes of the membership: each restarted machine leaves and joins. All machines count as directors,
-// which they nearly are.
+// which nearly all are.
 func (c *calculation) membershipPerSecond() float64 {
 	return c.EventsPerRestart * c.RestartsPerDay / secondsPerDay
 }
@@ -24,45 +37,51 @@
 	return c.PurgesPerSecond + c.changesPerSecond() + c.membershipPerSecond()
 }
 
-// callsPerSecond are the watch calls of one director at a server that gathers events for so long. A call ends with its patience, or
-// with the first event that comes after the gathering. Events come at random moments (Poisson), the way to and fro is left out, so
-// it is the most that there can be.
+// callsPerSecond are the watch requests of one director to a server that gathers events for the given time. A request ends at its
+// timeout, or with the first event after the gathering. Events come at random moments (a Poisson process). The time on the network
+// is left out, so that the result is an upper bound.
 func (c *calculation) callsPerSecond(gather time.Duration) float64 {
 	events := c.eventsPerSecond()
-	patience := c.WatchPatience.Seconds()
-	gathered := min(gather.Seconds(), patience)
-	waited := (math.Exp(-events*gathered) - math.Exp(-events*patience)) / events
-	return 1 / (gathered + waited)
+	timeout := c.WatchPatience.Seconds()
+	gathering := min(gather.Seconds(), timeout)
+	waiting := (math.Exp(-events*gathering) - math.Exp(-events*timeout)) / events
+	return 1 / (gathering + waiting)
 }
 
-// renewalsPerSecond are the quota renewals of one director at the leader: a replica keeps the last one until its next lease call.
+// renewalsPerSecond are the quota renewals of one director that reach the leader: a replica forwards only the last one with its next
+// lease renewal.
 func (c *calculation) renewalsPerSecond() float64 {
-	return min(c.callsPerSecond(0), perSecond(c.LeaseEvery))
+	return min(c.callsPerSecond(0), c.leasesPerSecond())
 }
 
-// directorsPer is how many directors each of so many servers has.
+// directors is the number of all directors.
+func (c *calculation) directors() float64 { return float64(c.Directors) }
+
+// directorsPer is how many directors each of several servers has.
 func (c *calculation) directorsPer(servers int) float64 {
-	return float64(c.Directors) / float64(servers)
+	return c.directors() / float64(servers)
 }
 
-// purgesKept is how many purges a director keeps: each for twice the time in which it is done everywhere, and for the longest answer
-// that may be on its way.
-func (c *calculation) purgesKept() float64 {
-	return c.PurgesPerSecond * (c.PurgeKeepFactor*c.PurgeWithin.Seconds() + c.LongestDeadline.Seconds())
+// directorPurges is how many purges a director retains: each until it is done everywhere twice over, and until the last answer that
+// may be under way has ended.
+func (c *calculation) directorPurges() float64 {
+	return c.PurgesPerSecond * (c.PurgeRetentionFactor*c.PurgeWithin.Seconds() + c.LongestDeadline.Seconds())
 }
 
-// requestsOpen is the most requests that one director has open at the peak: each until its deadline.
-func (c *calculation) requestsOpen() float64 {
-	return c.RequestsPerSecond / float64(c.Directors) * c.LongestDeadline.Seconds()
-}
+// controlPlanePurges is how many purges the control plane retains for directors that come back.
+func (c *calculation) controlPlanePurges() float64 { return c.PurgesPerSecond * c.PurgeKept.Seconds() }
 
-// purgesRetold is how many purges the control plane keeps for directors that come back.
-func (c *calculation) purgesRetold() float64 { return c.PurgesPerSecond * c.PurgeKept.Seconds() }
+// openRequests is the most requests that one director has in flight at the peak: each until its deadline.
+func (c *calculation) openRequests() float64 {
+	return c.RequestsPerSecond / c.directors() * c.LongestDeadline.Seconds()
+}
 
-// historyMost is the most events that a replica holds in memory between two cuts of its history.
-func (c *calculation) historyMost() float64 { return 1.5*float64(c.HistoryKept) + 1000 }
+// maxHistoryEvents is the most events that a replica has in memory between two cuts of its log.
+func (c *calculation) maxHistoryEvents() float64 {
+	return historyGrowth*float64(c.HistoryKept) + historyExcess
+}
 
-// wholeAnswer is the first answer that a director gets, in bytes: the whole list with the membership, and the purges that are kept.
-func (c *calculation) wholeAnswer() float64 {
-	return c.at(lawWholeBytes, float64(c.Directors)) + c.each(lawPurgeBytes)*c.purgesRetold()
+// snapshotBytes is the first answer that a director gets: the complete endpoint list with the membership, and the retained purges.
+func (c *calculation) snapshotBytes() float64 {
+	return c.valueAt(lawSnapshotBytes, c.directors()) + c.slope(lawPurgeBytes)*c.controlPlanePurges()
 }
--- a/internal/tools/capacity/scalerun_test.go
+++ b/internal/tools/capacity/scalerun_test.go
@@ -2,40 +2,81 @@
 
 import (
 	"bytes"
+	"errors"
 	"math"
 	"slices"
 	"strings"
 	"testing"
 )
 
-const runText = `{"began":"2026-12-02T05:00:00Z","cores":8,"settings":{"replicas":3,"relays":RELAYS,"cold_caches":8,"processes":3,"start_per_second":20},"stopped":"s","rows":[ROWS]}`
+const runText = `{"began":"2026-12-02T05:00:00Z","cores":8,
+	"settings":{"replicas":3,"relays":RELAYS,"cold_caches":8,"processes":3,"start_per_second":20},"stopped":"s","rows":[ROWS]}`
 
-func rowText(hollow, cpu, collapsed string) string {
-	return `{"began":"2026-12-02T05:00:01Z","hollow_directors":` + hollow + `,"real_directors":2,"load_average":[1,2],"director_up":30,"director_down":12,
-		"purge_delay":{"p99_ms":50},"purge_last":{"p99_ms":60,"max_ms":70},"roles":[{"role":"leader","cpu":` + cpu + `,"resident_mb":1},
-		{"role":"relay","cpu":0.5,"resident_mb":2}]` + collapsed + `}`
+func rowText(simulated, leaderCores, more string) string {
+	return `{"began":"2026-12-02T05:00:01Z","hollow_directors":` + simulated + `,"real_directors":2,"load_average":[1,2],
+		"director_up":30,"director_down":12,"purge_delay":{"p99_ms":50},"purge_last":{"p99_ms":60,"max_ms":70},
+		"roles":[{"role":"leader","cpu":` + leaderCores + `,"resident_mb":1},
+		{"role":"relay","cpu":0.5,"resident_mb":2}]` + more + `}`
 }
 
 func runOf(relays string, rows ...string) string {
 	return strings.NewReplacer("RELAYS", relays, "ROWS", strings.Join(rows, ",")).Replace(runText)
 }
 
-// A run's rows become laws over the sizes that held, by the directors of one relay where a relay's costs are meant.
-func TestProcessLaws(t *testing.T) {
-	held := []string{rowText("98", "0.1", ""), rowText("198", "0.2", ""), rowText("298", "0.3", ""), rowText("398", "0.4", ""), rowText("498", "0.5", "")}
-	fell := rowText("598", "9", `,"collapsed":["directors lost their leases"]`)
-	rows, err := ReadScaleRun(strings.NewReader(runOf("4", append(held, fell)...)), "run.json")
-	if err != nil || len(rows) != 6 {
-		t.Fatal(rows, err)
+func readRun(t *testing.T, file, relays string, rows ...string) []Row {
+	t.Helper()
+	read, err := ReadScaleRun(strings.NewReader(runOf(relays, rows...)), file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(read) != len(rows) {
+		t.Fatalf("%d rows, not %d: %+v", len(read), len(rows), read)
+	}
+	return read
+}
+
+// fiveRows are of sizes that did not collapse, of 100 to 500 directors.
+func fiveRows() []string {
+	return []string{
+		rowText("98", "0.1", ""),
+		rowText("198", "0.2", ""),
+		rowText("298", "0.3", ""),
+		rowText("398", "0.4", ""),
+		rowText("498", "0.5", ""),
 	}
-	if r := rows[0]; r.Directors != 100 || r.Load != 2 || r.DirectorBytes != 42 || r.LeaderMemory != 1<<20 || r.JoinsPerSecond != 60 || r.PurgeLastP99 != 0.06 || r.PurgeLongest != 0.07 {
+}
+
+// sixRows are fiveRows and one of a size that collapsed.
+func sixRows(t *testing.T) []Row {
+	t.Helper()
+	collapsed := rowText("598", "9", `,"collapsed":["directors lost their leases"]`)
+	return readRun(t, "run.json", "4", append(fiveRows(), collapsed)...)
+}
+
+const (
+	leaderLawName = "process.leader.cores.with_relays_8_cold"
+	relayLawName  = "process.relay.cores.with_relays_8_cold"
+)
+
+func TestReadScaleRun(t *testing.T) {
+	r := sixRows(t)[0]
+	if r.Directors != 100 || r.Load != 2 || r.DirectorBytes != 42 || r.LeaderMemory != 1<<20 ||
+		r.JoinsPerSecond != 60 || r.PurgeLastP99 != 0.06 || r.PurgeLongest != 0.07 {
 		t.Errorf("%+v", r)
 	}
+}
+
+// A run's rows become laws over the sizes that did not collapse. Laws of a relay's costs are by the directors of one relay.
+func TestProcessLaws(t *testing.T) {
+	rows := sixRows(t)
 	measured := Measured{Laws: Laws{}, Rows: []Row{{File: "run.json"}, {File: "another.json"}}}
 	measured.AddRows(rows)
-	leader, relay := measured.Laws["process.leader.cores.with_relays_8_cold"], measured.Laws["process.relay.cores.with_relays_8_cold"]
-	if len(leader.Points) != 5 || math.Abs(leader.At(300)-0.3) > 1e-9 || leader.Points[4].X != 500 || relay.Points[4].X != 125 || len(relay.Points) != 5 {
-		t.Errorf("%+v, %+v", leader, relay)
+	leader := measured.Laws[leaderLawName]
+	if len(leader.Points) != 5 || math.Abs(leader.At(300)-0.3) > 1e-9 || leader.Points[4].X != 500 {
+		t.Errorf("%+v", leader)
+	}
+	if relay := measured.Laws[relayLawName]; len(relay.Points) != 5 || relay.Points[4].X != 125 {
+		t.Errorf("%+v", relay)
 	}
 	if len(measured.Rows) != 7 || measured.Rows[0].File != "another.json" {
 		t.Errorf("%+v", measured.Rows)
@@ -47,44 +88,66 @@
 	if again, err := Read(&text); err != nil || len(again.Rows) != 7 || len(again.Laws) != len(measured.Laws) {
 		t.Errorf("%+v, %v", again, err)
 	}
-	halves := Measured{Laws: Laws{}}
-	second := slices.Clone(rows[3:])
-	for i := range second {
-		second[i].File = "second.json"
+}
+
+// Guards against a law that counts only the sizes of the last run.
+func TestProcessLawsOfTwoRuns(t *testing.T) {
+	rows := sixRows(t)
+	measured := Measured{Laws: Laws{}}
+	secondRun := slices.Clone(rows[3:])
+	for i := range secondRun {
+		secondRun[i].File = "second.json"
 	}
-	halves.AddRows(rows[:3])
-	if len(halves.Laws) != 0 {
-		t.Errorf("three sizes held, and there are laws: %+v", halves.Laws)
+	measured.AddRows(rows[:3])
+	if len(measured.Laws) != 0 {
+		t.Errorf("three sizes did not collapse, and there are laws: %+v", measured.Laws)
 	}
-	halves.AddRows(second)
-	if law := halves.Laws[leader.Name]; len(law.Points) != 5 || !strings.HasSuffix(law.Source.Command, "run.json, second.json") {
+	measured.AddRows(secondRun)
+	law := measured.Laws[leaderLawName]
+	if len(law.Points) != 5 || !strings.HasSuffix(law.Source.Command, "run.json, second.json") {
 		t.Errorf("five sizes of two runs: %+v", law)
 	}
-	faulty, err := ReadScaleRun(strings.NewReader(runOf("4", rowText("698", "9", `,"fault":"kill-relay","recovery_seconds":0.2`))), "fault.json")
-	if err != nil || faulty[0].Fault != "kill-relay" || faulty[0].Recovery != 0.2 {
-		t.Fatal(faulty, err)
+}
+
+// Guards against laws over rows that don't count: those with an injected fault, and those of sizes that collapsed.
+func TestProcessLawsOmitFaultsAndCollapses(t *testing.T) {
+	rows := sixRows(t)
+	faulty := readRun(t, "fault.json", "4", rowText("698", "9", `,"fault":"kill-relay","recovery_seconds":0.2`))
+	if faulty[0].Fault != "kill-relay" || faulty[0].Recovery != 0.2 {
+		t.Fatalf("%+v", faulty)
 	}
-	if law := ProcessLaws(append(faulty, rows...))[leader.Name]; len(law.Points) != 5 || law.Points[0].X != 100 {
+	if law := processLaws(append(faulty, rows...))[leaderLawName]; len(law.Points) != 5 || law.Points[0].X != 100 {
 		t.Errorf("a run with a fault counts: %+v", law)
 	}
-	if few := ProcessLaws(append(rows[:4:4], rows[5])); len(few) != 0 {
-		t.Errorf("four sizes held, and there are laws: %+v", few)
+	if few := processLaws(append(rows[:4:4], rows[5])); len(few) != 0 {
+		t.Errorf("four sizes did not collapse, and there are laws: %+v", few)
+	}
+}
+
+func TestProcessLawsWithoutRelays(t *testing.T) {
+	laws := processLaws(readRun(t, "x", "0", fiveRows()...))
+	if laws["process.leader.cores.without_relays_8_cold"].Name == "" {
+		t.Errorf("there is no law of the leader: %+v", laws)
 	}
-	if alone, err := ReadScaleRun(strings.NewReader(runOf("0", held...)), "x"); err != nil || ProcessLaws(alone)["process.leader.cores.without_relays_8_cold"].Name == "" ||
-		ProcessLaws(alone)["process.relay.cores.without_relays_8_cold"].Name != "" {
-		t.Errorf("%+v, %v", alone, err)
+	if laws["process.relay.cores.without_relays_8_cold"].Name != "" {
+		t.Errorf("there is a law of a relay: %+v", laws)
 	}
 }
 
-func TestReadScaleRunRefuses(t *testing.T) {
-	row := rowText("98", "0.1", "")
-	for name, text := range map[string]string{
-		"no settings": `{"rows":[` + row + `]}`,
-		"no rows":     runOf("0"),
-		"no JSON":     "{",
+func TestReadScaleRunRejects(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		text string
+		want func(error) bool
+	}{
+		{"no settings", `{"rows":[` + rowText("98", "0.1", "") + `]}`, isNoScaleRun},
+		{"no rows", runOf("0"), isNoScaleRun},
+		{"no JSON", "{", func(err error) bool { return err != nil && !isNoScaleRun(err) }},
 	} {
-		if rows, err := ReadScaleRun(strings.NewReader(text), "run.json"); err == nil {
-			t.Errorf("%s: %+v", name, rows)
+		if rows, err := ReadScaleRun(strings.NewReader(c.text), "run.json"); !c.want(err) {
+			t.Errorf("%s: %v, %+v", c.name, err, rows)
 		}
 	}
 }
+
+func isNoScaleRun(err error) bool { return errors.Is(err, ErrNoScaleRun) }
