--- a/internal/tools/capacity/measure/fixtures.go
+++ b/internal/tools/capacity/measure/fixtures.go
@@ -12,12 +12,12 @@
 
 // Sizes that are set where they are not what a law is measured by: those of the operators.
 const (
-	usualCaches    = 720
-	usualZones     = 26
-	cachesOfZone   = usualCaches / usualZones
-	usualDirectors = 3500
-	usualPurges    = 21 * 600 // of ten minutes
-	groupsOfPurges = 256
+	expectedCaches    = 720
+	expectedZones     = 26
+	cachesPerZone     = expectedCaches / expectedZones
+	expectedDirectors = 3500
+	retainedPurges    = 21 * 600 // of ten minutes
+	purgeGroups       = 256
 )
 
 // quotaSettings are those of directors and leader, see internal/director.
@@ -29,7 +29,7 @@
 func settings(directors int) decision.Settings {
 	return decision.Settings{
 		Zone: zoneName(0), Zones: []string{zoneName(0)}, Kinds: []string{"cache", "parent", "origin"}, ParentKind: 1, OriginKind: 2,
-		Directors: directors, DirectorsByZone: []int{max(1, directors/usualZones)}, FlowKBPerS: 1000,
+		Directors: directors, DirectorsByZone: []int{max(1, directors/expectedZones)}, FlowKBPerS: 1000,
 		WeightMode: decision.WeightModeOff, CacheStatusMode: decision.CacheStatusModeHits, JoinsFills: true, Cancel: true, RetryAfter: true,
 		MaxAttempts: 6, MaxRetryAfter: 700 * time.Millisecond, DialTimeout: 400 * time.Millisecond,
 		DrainGrace: 250 * time.Millisecond, PurgeGrace: 300 * time.Millisecond, PurgeDone: 5300 * time.Millisecond,
@@ -40,14 +40,14 @@
 	}
 }
 
-func zoneName(i int) string { return fmt.Sprintf("zone-%02d", i%usualZones) }
+func zoneName(i int) string { return fmt.Sprintf("zone-%02d", i%expectedZones) }
 
 func cacheName(i int) string { return fmt.Sprintf("s-%08x", 0xc41f7a+i) }
 
 func cacheAddress(i int) string { return fmt.Sprintf("10.%d.%d.7:9000", i/250, i%250) }
 
-// wireHosts are so many caches as the watch protocol lists them.
-func wireHosts(caches int) []discovery.Endpoint {
+// wireEndpoints are so many caches as the watch protocol lists them.
+func wireEndpoints(caches int) []discovery.Endpoint {
 	hosts := make([]discovery.Endpoint, 0, caches)
 	for i := range caches {
 		hosts = append(hosts, discovery.Endpoint{
@@ -88,13 +88,13 @@
 func purgeEvent(no int64, atMS int64) fleet.Event {
 	p := &fleet.Purge{Object: objectName(int(no)), IssuedMS: atMS}
 	if no%64 == 0 {
-		group := int(no/64) % groupsOfPurges
+		group := int(no/64) % purgeGroups
 		p = &fleet.Purge{Group: &group, IssuedMS: atMS}
 	}
 	return fleet.Event{No: no, AtMS: atMS, Who: "operator@example", Purge: p}
 }
 
-func memberOf(i int) *fleet.Host {
+func hostOf(i int) *fleet.Host {
 	return &fleet.Host{
 		HostSpec: fleet.HostSpec{Name: cacheName(i), Role: fleet.Cache, Address: cacheAddress(i), Site: zoneName(i), Class: "cache", Block: i % 8, Share: 1},
 		State:    fleet.InService, Serving: 1,
@@ -112,7 +112,7 @@
 		}
 	}
 	for i := range caches {
-		add(fleet.Event{Host: memberOf(i)})
+		add(fleet.Event{Host: hostOf(i)})
 	}
 	if directors == 0 {
 		return f, err
@@ -130,8 +130,8 @@
 	return f, err
 }
 
-// coldLimits are the names of quotas of so many cold caches.
-func coldLimits(cold int) []string {
+// limitNames are the names of quotas of so many cold caches.
+func limitNames(cold int) []string {
 	var names []string
 	for i := range cold {
 		names = append(names, "cold:"+cacheName(i))
--- a/internal/tools/capacity/measure/measure.go
+++ b/internal/tools/capacity/measure/measure.go
@@ -41,15 +41,15 @@
 // All are all measures.
 func All() []Measure {
 	var all []Measure
-	for _, group := range [][]Measure{directorMeasures(), moduleMeasures(), wireMeasures(), replicaMeasures(), relayMeasures(), leaderMeasures(), operatorMeasures()} {
+	for _, group := range [][]Measure{directorMeasures(), decisionMeasures(), wireMeasures(), replicaMeasures(), relayMeasures(), leaderMeasures(), operatorMeasures()} {
 		all = append(all, group...)
 	}
 	return all
 }
 
 const (
-	rounds    = 5
-	roundLast = 20 * time.Millisecond // of processor time, at least
+	rounds       = 5
+	minRoundTime = 20 * time.Millisecond // of processor time, at least
 )
 
 // processorTime is what the process has used so far, user and system.
@@ -71,7 +71,7 @@
 		begin := processorTime()
 		first := n
 		var took time.Duration
-		for took < roundLast {
+		for took < minRoundTime {
 			for range 1 + (n-first)/4 { // seldom, for the clock costs something too
 				operation(n)
 				n++
--- a/internal/tools/capacity/measure/module.go
+++ b/internal/tools/capacity/measure/module.go
@@ -10,7 +10,7 @@
 	"stairvane.org/stairvane/internal/tools/capacity"
 )
 
-func moduleMeasures() []Measure {
+func decisionMeasures() []Measure {
 	return []Measure{
 		{
 			Name: "director.time.purge", About: "a purge in the decision module with so many requests open", XUnit: "open request",
@@ -27,38 +27,38 @@
 	}
 }
 
-// module is a decision module with the caches of one zone, two parents and an origin.
-type module struct {
-	router *decision.Router
-	now    time.Duration
-	sweep  time.Duration // when it asked to be woken next
-	asked  int           // requests so far
+// decisionModule is a decision module with the caches of one zone, two parents and an origin.
+type decisionModule struct {
+	router     *decision.Router
+	now        time.Duration
+	nextUpkeep time.Duration // when it asked to be woken next
+	requests   int           // requests so far
 }
 
-func newModule() *module {
-	m := &module{router: decision.NewRouter(settings(usualDirectors), 1), now: time.Hour}
-	m.take(m.router.Start(m.now))
+func newDecisionModule() *decisionModule {
+	m := &decisionModule{router: decision.NewRouter(settings(expectedDirectors), 1), now: time.Hour}
+	m.handleActions(m.router.Start(m.now))
 	list := []decision.Endpoint{{Host: 900, Zone: "hub", Kind: "origin"}}
 	for i := range 2 {
 		list = append(list, decision.Endpoint{Host: decision.HostID(500 + i), Zone: "hub", Kind: "parent"})
 	}
-	for i := range cachesOfZone {
+	for i := range cachesPerZone {
 		list = append(list, decision.Endpoint{Host: decision.HostID(100 + i), Zone: zoneName(0), Kind: "cache", Cell: i})
 	}
 	for i := range list {
 		list[i].Readiness, list[i].Weight = decision.Ready, 1
 	}
-	m.take(m.router.Handle(m.now, decision.EndpointUpdate{Kind: decision.UpdateSnapshot, Version: 1, Endpoints: list}))
+	m.handleActions(m.router.Handle(m.now, decision.EndpointUpdate{Kind: decision.UpdateSnapshot, Version: 1, Endpoints: list}))
 	return m
 }
 
-// take notes the module's upkeep among actions, and gives the attempts.
-func (m *module) take(actions []decision.Action) (attempts []decision.StartAttempt) {
+// handleActions notes the module's upkeep among actions, and gives the attempts.
+func (m *decisionModule) handleActions(actions []decision.Action) (attempts []decision.StartAttempt) {
 	for _, action := range actions {
 		switch a := action.(type) {
 		case decision.SetTimer:
 			if a.Timer.Kind == decision.TimerUpkeep {
-				m.sweep = m.now + a.Delay
+				m.nextUpkeep = m.now + a.Delay
 			}
 		case decision.StartAttempt:
 			attempts = append(attempts, a)
@@ -67,21 +67,21 @@
 	return attempts
 }
 
-// ask takes in a request for an object that nobody has asked for before.
-func (m *module) ask() []decision.StartAttempt {
-	m.asked++
-	return m.take(m.router.Handle(m.now, decision.Request{
-		ID: decision.RequestID(strconv.Itoa(m.asked)), Object: decision.ObjectID(0x9e3779b97f4a7c15 * uint64(m.asked)), PurgeGroup: m.asked % 251,
+// request takes in a request for an object that nobody has asked for before.
+func (m *decisionModule) request() []decision.StartAttempt {
+	m.requests++
+	return m.handleActions(m.router.Handle(m.now, decision.Request{
+		ID: decision.RequestID(strconv.Itoa(m.requests)), Object: decision.ObjectID(0x9e3779b97f4a7c15 * uint64(m.requests)), PurgeGroup: m.requests % 251,
 		Class: "clips", SizeKB: 200, TimeLeft: 6 * time.Second,
 	}))
 }
 
-// openMany leaves so many requests open, each with an attempt that is out.
-func openMany(count int) (*module, error) {
-	m := newModule()
+// openRequests leaves so many requests open, each with an attempt that is out.
+func openRequests(count int) (*decisionModule, error) {
+	m := newDecisionModule()
 	attempts := 0
 	for range count {
-		attempts += len(m.ask())
+		attempts += len(m.request())
 	}
 	if attempts != count {
 		return nil, fmt.Errorf("%d of %d requests have an attempt out", attempts, count)
@@ -90,7 +90,7 @@
 }
 
 func purgeTime(open int) (float64, error) {
-	m, err := openMany(open)
+	m, err := openRequests(open)
 	if err != nil {
 		return 0, err
 	}
@@ -103,8 +103,8 @@
 func openHeap(open int) (float64, error) {
 	var err error
 	heap := heapOf(func() any {
-		var m *module
-		m, err = openMany(open)
+		var m *decisionModule
+		m, err = openRequests(open)
 		return m
 	})
 	return heap, err
@@ -114,21 +114,21 @@
 func servedHeap(objects int) (float64, error) {
 	var fault error
 	heap := heapOf(func() any {
-		m := newModule()
+		m := newDecisionModule()
 		for range objects {
-			attempts := m.ask()
+			attempts := m.request()
 			m.now += time.Millisecond
 			if len(attempts) != 1 {
 				fault = fmt.Errorf("%d attempts for one request", len(attempts))
 				return m
 			}
 			a := attempts[0]
-			m.take(m.router.Handle(m.now, decision.AttemptResult{
+			m.handleActions(m.router.Handle(m.now, decision.AttemptResult{
 				Request: a.Request, Terminal: true, Host: a.Host, Status: decision.OK,
 				CacheStatus: decision.CacheStatusHit, Elapsed: time.Millisecond, FirstByte: time.Millisecond,
 			}))
-			if m.now >= m.sweep {
-				m.take(m.router.Handle(m.now, decision.TimerFired{Timer: decision.Timer{Kind: decision.TimerUpkeep}}))
+			if m.now >= m.nextUpkeep {
+				m.handleActions(m.router.Handle(m.now, decision.TimerFired{Timer: decision.Timer{Kind: decision.TimerUpkeep}}))
 			}
 		}
 		runtime.GC()
--- a/internal/tools/capacity/measure/operator.go
+++ b/internal/tools/capacity/measure/operator.go
@@ -14,20 +14,20 @@
 	return []Measure{
 		{
 			Name: "operator.bytes.members", About: "the answer that lists so many directors", XUnit: "director",
-			Unit: capacity.Bytes, Sizes: directorSizes, At: membersBytes,
+			Unit: capacity.Bytes, Sizes: directorCounts, At: membersAnswerBytes,
 		},
 		{
 			Name: "operator.bytes.adoption", About: "the answer that says when so many directors applied one event", XUnit: "director",
-			Unit: capacity.Bytes, Sizes: directorSizes, At: adoptionBytes,
+			Unit: capacity.Bytes, Sizes: directorCounts, At: adoptionAnswerBytes,
 		},
 		{
 			Name: "operator.bytes.world", About: "the answer that shows so many caches, declared and observed", XUnit: "cache",
-			Unit: capacity.Bytes, Sizes: cacheSizes, At: worldBytes,
+			Unit: capacity.Bytes, Sizes: cacheCounts, At: stateAnswerBytes,
 		},
 	}
 }
 
-func membersBytes(directors int) (float64, error) {
+func membersAnswerBytes(directors int) (float64, error) {
 	out := api.Members{Revision: 12345678}
 	for _, d := range directorsOf(directors) {
 		out.Directors = append(out.Directors, api.MemberStatus{Director: d, LastHeardMS: 47, AppliedRevision: 12345678, Config: "9c1185a5c5e9fc54", Shards: 1})
@@ -35,8 +35,8 @@
 	return float64(len(mustJSON(out))), nil
 }
 
-func adoptionBytes(directors int) (float64, error) {
-	record := adoption.New(adoptionKept, 0)
+func adoptionAnswerBytes(directors int) (float64, error) {
+	record := adoption.New(recordedEvents, 0)
 	all := directorsOf(directors)
 	for _, d := range all {
 		record.Heard(d.ID(), 0, time.Hour)
@@ -52,7 +52,7 @@
 	return float64(len(mustJSON(event))), nil
 }
 
-func worldBytes(caches int) (float64, error) {
+func stateAnswerBytes(caches int) (float64, error) {
 	f, err := fleetOf(caches, 0)
 	if err != nil {
 		return 0, err
--- a/internal/tools/capacity/measure/relay.go
+++ b/internal/tools/capacity/measure/relay.go
@@ -12,34 +12,34 @@
 
 // relaySizes are directors of one relay; few are relays.
 var (
-	relaySizes = []int{50, 100, 200, 400, 800}
-	few        = []int{4, 8, 16, 32, 64}
+	directorsPerRelay = []int{50, 100, 200, 400, 800}
+	relayCounts       = []int{4, 8, 16, 32, 64}
 )
 
 const (
-	leaseEvery   = 50 * time.Millisecond  // from one request of a relay to the next
-	renewalEvery = 100 * time.Millisecond // from one renewal of a director to the next
-	demandGroups = 16                     // of equal demand, that a relay names at most
-	relayLimits  = 8
+	leaseInterval   = 50 * time.Millisecond  // from one request of a relay to the next
+	renewalInterval = 100 * time.Millisecond // from one renewal of a director to the next
+	demandGroups    = 16                     // of equal demand, that a relay names at most
+	limitCount      = 8
 )
 
 func relayMeasures() []Measure {
 	return []Measure{
 		{
 			Name: "relay.time.renewal_8_limits", About: "one quota renewal of 8 limits at a relay with so many directors, each each 100 ms; its own renewals each 50 ms and their answers are in it",
-			XUnit: "director of a relay", Unit: capacity.Seconds, Sizes: relaySizes, At: relayRenewalTime,
+			XUnit: "director of a relay", Unit: capacity.Seconds, Sizes: directorsPerRelay, At: relayRenewalTime,
 		},
 		{
 			Name: "relay.bytes.renewal_8_limits", About: "the relay's own renewal of 8 limits in JSON", XUnit: "director of a relay",
-			Unit: capacity.Bytes, Sizes: relaySizes, At: relayRenewalBytes,
+			Unit: capacity.Bytes, Sizes: directorsPerRelay, At: relayRenewalBytes,
 		},
 		{
 			Name: "leader.time.renewal_8_limits_relays", About: "one quota renewal of 8 limits, of 16 groups of demand each, among so many relays", XUnit: "relay",
-			Unit: capacity.Seconds, Sizes: few, At: renewalOfRelaysTime,
+			Unit: capacity.Seconds, Sizes: relayCounts, At: renewalOfRelaysTime,
 		},
 		{
 			Name: "leader.memory.adoption_relays", About: "heap of the record of 2,000 events at so many relays", XUnit: "relay",
-			Unit: capacity.Bytes, Sizes: few, At: relayAdoptionHeap,
+			Unit: capacity.Bytes, Sizes: relayCounts, At: relayAppliedHeap,
 		},
 	}
 }
@@ -57,7 +57,7 @@
 // quotaTreeOf is a tree in which all directors have renewed, and have been granted something.
 func quotaTreeOf(directors int) (*quotaTree, error) {
 	t := &quotaTree{root: quota.NewAllocator(relaysession.QuotaSettings, 1, time.Hour, true), node: quota.NewNode("relay-1/1", relaysession.QuotaSettings), now: time.Hour}
-	limits := coldLimits(relayLimits)
+	limits := limitNames(limitCount)
 	for i := range directors {
 		r := renewalOf(directorOf(i).ID(), 1, limits)
 		for k := range r.Wants {
@@ -82,8 +82,8 @@
 
 // renew has the directors renew in turn.
 func (t *quotaTree) renew(n int) {
-	t.now += renewalEvery / time.Duration(len(t.renewals))
-	if t.now-t.renewed >= leaseEvery {
+	t.now += renewalInterval / time.Duration(len(t.renewals))
+	if t.now-t.renewed >= leaseInterval {
 		t.renewNode()
 	}
 	r := &t.renewals[n%len(t.renewals)]
@@ -120,14 +120,14 @@
 	allocator := quota.NewAllocator(relaysession.QuotaSettings, 1, time.Hour, true)
 	renewals := make([]quota.Renewal, relays)
 	for i := range renewals {
-		renewals[i] = renewalOf(fmt.Sprintf("relay-%d/1", i), 1, coldLimits(relayLimits))
+		renewals[i] = renewalOf(fmt.Sprintf("relay-%d/1", i), 1, limitNames(limitCount))
 		renewals[i].Node = true
-		renewals[i].Leaves = usualDirectors / relays
+		renewals[i].Leaves = expectedDirectors / relays
 		for k := range renewals[i].Wants {
 			want := &renewals[i].Wants[k]
 			want.Demand = 0
 			for g := range demandGroups {
-				group := quota.Group{Demand: float64(g+i+1) / float64(usualDirectors*demandGroups), Count: usualDirectors / relays / demandGroups}
+				group := quota.Group{Demand: float64(g+i+1) / float64(expectedDirectors*demandGroups), Count: expectedDirectors / relays / demandGroups}
 				want.Groups = append(want.Groups, group)
 				want.Demand += group.Demand * float64(group.Count)
 			}
@@ -141,7 +141,7 @@
 			r.Wants[k].Taken = r.Seq
 		}
 		r.Seq++
-		now := time.Hour + time.Duration(n)*leaseEvery/time.Duration(relays)
+		now := time.Hour + time.Duration(n)*leaseInterval/time.Duration(relays)
 		for _, part := range allocator.Renew(*r, now).Parts {
 			granted += part.Part
 		}
@@ -152,10 +152,10 @@
 	return took, nil
 }
 
-func relayAdoptionHeap(relays int) (float64, error) {
+func relayAppliedHeap(relays int) (float64, error) {
 	return heapOf(func() any {
-		record := adoption.New(adoptionKept, 0)
-		for event := int64(0); event <= adoptionKept; event++ {
+		record := adoption.New(recordedEvents, 0)
+		for event := int64(0); event <= recordedEvents; event++ {
 			at := time.Hour + time.Duration(event)*47*time.Millisecond
 			if event > 0 {
 				record.Told(event, at)
--- a/internal/tools/capacity/measure/replica.go
+++ b/internal/tools/capacity/measure/replica.go
@@ -21,17 +21,17 @@
 )
 
 var (
-	logSizes    = []int{10_000, 20_000, 40_000, 80_000, 160_000}
-	serverSizes = []int{97, 194, 389, 778, 1556} // directors of one relay or replica
+	eventLogLengths    = []int{10_000, 20_000, 40_000, 80_000, 160_000}
+	directorsPerServer = []int{97, 194, 389, 778, 1556} // directors of one relay or replica
 )
 
-const writers = 64
+const storeWriters = 64
 
 func replicaMeasures() []Measure {
 	return []Measure{
 		{
 			Name: "replica.memory.history", About: "heap of so many events, encoded for answers", XUnit: "event",
-			Unit: capacity.Bytes, Sizes: logSizes, At: historyHeap,
+			Unit: capacity.Bytes, Sizes: eventLogLengths, At: historyHeap,
 		},
 		{
 			Name: "replica.memory.store", About: "heap of an open store whose fleet keeps so many purges", XUnit: "purge kept",
@@ -39,27 +39,27 @@
 		},
 		{
 			Name: "replica.time.answer", About: "answering so many watchers after one event, without sockets", XUnit: "watcher",
-			Unit: capacity.Seconds, Sizes: serverSizes, At: answerTime,
+			Unit: capacity.Seconds, Sizes: directorsPerServer, At: answerTime,
 		},
 		{
 			Name: "replica.time.watch_call", About: "taking in a watch call with quotas of so many cold caches, and writing its answer, without sockets", XUnit: "cold cache",
-			Unit: capacity.Seconds, Sizes: coldSizes, At: serverCallTime,
+			Unit: capacity.Seconds, Sizes: coldCacheCounts, At: serverCallTime,
 		},
 		{
 			Name: "replica.time.whole", About: "encoding the first answer to a director: 720 caches, 12,600 purges, 256 slots of claims and so many directors", XUnit: "director",
-			Unit: capacity.Seconds, Sizes: directorSizes, At: wholeTime,
+			Unit: capacity.Seconds, Sizes: directorCounts, At: snapshotTime,
 		},
 		{
 			Name: "replica.time.acknowledged", About: "finding the lowest acknowledged revision of so many watchers", XUnit: "watcher",
-			Unit: capacity.Seconds, Sizes: serverSizes, At: acknowledgedTime,
+			Unit: capacity.Seconds, Sizes: directorsPerServer, At: acknowledgedTime,
 		},
 		{
 			Name: "replica.time.lease", About: "writing a lease call with so many directors, each with a renewal of 8 limits", XUnit: "director",
-			Unit: capacity.Seconds, Sizes: serverSizes, At: leaseBuildTime,
+			Unit: capacity.Seconds, Sizes: directorsPerServer, At: leaseEncodingTime,
 		},
 		{
 			Name: "replica.bytes.lease", About: "the body of that lease call", XUnit: "director",
-			Unit: capacity.Bytes, Sizes: serverSizes, At: func(size int) (float64, error) { return float64(len(mustJSON(heartbeatsOf(size, 8, 1)))), nil },
+			Unit: capacity.Bytes, Sizes: directorsPerServer, At: func(size int) (float64, error) { return float64(len(mustJSON(heartbeatsOf(size, 8, 1)))), nil },
 		},
 		{
 			Name: "replica.time.commit", About: "making so many purges of 64 writers durable, by the clock, one store without a group", XUnit: "event",
@@ -72,7 +72,7 @@
 	var err error
 	heap := heapOf(func() any {
 		var log *eventlog.Log
-		log, err = eventlog.New(1, nil, fleet.Fleet{}, keepAll)
+		log, err = eventlog.New(1, nil, fleet.Fleet{}, unlimitedEvents)
 		for no := int64(1); err == nil && no <= int64(events); no++ {
 			err = log.Add([]fleet.Event{purgeEvent(no, 1_790_000_000_000)}, fleet.Fleet{Revision: no})
 		}
@@ -88,11 +88,11 @@
 		return nil, 0, err
 	}
 	begin := time.Now()
-	faults := make([]error, writers)
+	faults := make([]error, storeWriters)
 	var group sync.WaitGroup
-	for writer := range writers {
+	for writer := range storeWriters {
 		group.Go(func() {
-			for no := writer; no < events && faults[writer] == nil; no += writers {
+			for no := writer; no < events && faults[writer] == nil; no += storeWriters {
 				faults[writer] = s.Do(func(t *store.Tx) error {
 					_, err := t.Append(fleet.Event{Who: "operator@example", Purge: &fleet.Purge{Object: objectName(no), IssuedMS: t.NowMS}})
 					return err
@@ -119,7 +119,7 @@
 	defer os.RemoveAll(folder)
 	var s *store.Store
 	heap := heapOf(func() any {
-		s, _, err = fillStore(folder, events, store.Options{KeepEvents: keepAll, NoSync: true})
+		s, _, err = fillStore(folder, events, store.Options{KeepEvents: unlimitedEvents, NoSync: true})
 		return s
 	})
 	if err != nil {
@@ -172,16 +172,16 @@
 	return took, fault
 }
 
-// wholeTime has the log encode its first answer anew, as it does after each event.
-func wholeTime(directors int) (float64, error) {
-	f, err := fleetOf(usualCaches, directors)
-	for no := f.Revision + 1; err == nil && no <= int64(usualCaches+1+usualPurges); no++ {
+// snapshotTime has the log encode its first answer anew, as it does after each event.
+func snapshotTime(directors int) (float64, error) {
+	f, err := fleetOf(expectedCaches, directors)
+	for no := f.Revision + 1; err == nil && no <= int64(expectedCaches+1+retainedPurges); no++ {
 		f, err = f.Apply(purgeEvent(no, 1_790_000_000_000))
 	}
 	if err != nil {
 		return 0, err
 	}
-	log, err := eventlog.New(f.Revision+1, nil, f, keepAll)
+	log, err := eventlog.New(f.Revision+1, nil, f, unlimitedEvents)
 	if err != nil {
 		return 0, err
 	}
@@ -192,7 +192,7 @@
 		}
 		_, size, err = log.Answer(0, true)
 	})
-	if err == nil && size < usualPurges {
+	if err == nil && size < retainedPurges {
 		err = fmt.Errorf("the first answer has %d bytes", size)
 	}
 	return took, err
@@ -201,8 +201,8 @@
 // serverCallTime is what a replica that follows does for one watch call: it reads it, takes the heartbeat in and writes an answer
 // with the grant that the leader has given.
 func serverCallTime(cold int) (float64, error) {
-	c := newCaller(cold)
-	call := append([]byte(nil), c.call()...)
+	c := newWatchClient(cold)
+	call := append([]byte(nil), c.nextRequest()...)
 	answer := append([]byte(nil), c.answer()...)
 	response, _, _, err := discovery.ParseResponse(answer)
 	if err != nil {
@@ -216,7 +216,7 @@
 	if err := json.Unmarshal(feed.QuotaGrant, &grant); err != nil {
 		return 0, err
 	}
-	tracker := membership.New(trackerSettings)
+	tracker := membership.New(membershipSettings)
 	var fault error
 	var out []byte
 	took := timeOf(func(n int) {
@@ -256,7 +256,7 @@
 // it is, which is done each 2 s.
 func heartbeatsOf(directors, cold int, seq uint64) api.Heartbeats {
 	var all api.Heartbeats
-	limits := coldLimits(cold)
+	limits := limitNames(cold)
 	for i := range directors {
 		d := directorOf(i)
 		beat := api.Heartbeat{ID: d.ID(), AgeMS: int64(i % 50), AppliedRevision: int64(12345678 + seq)}
@@ -269,7 +269,7 @@
 	return all
 }
 
-func leaseBuildTime(directors int) (float64, error) {
+func leaseEncodingTime(directors int) (float64, error) {
 	all := heartbeatsOf(directors, 8, 1)
 	return timeOf(func(int) { mustJSON(all) }), nil
 }
--- a/internal/tools/capacity/measure/wire.go
+++ b/internal/tools/capacity/measure/wire.go
@@ -9,38 +9,38 @@
 	"stairvane.org/stairvane/internal/tools/capacity"
 )
 
-var eventSizes = []int{1, 10, 100, 1000, 3000}
+var eventCounts = []int{1, 10, 100, 1000, 3000}
 
-// keepAll is more events than any of these measures has.
-const keepAll = 1 << 20
+// unlimitedEvents is more events than any of these measures has.
+const unlimitedEvents = 1 << 20
 
 func wireMeasures() []Measure {
 	return []Measure{
 		{
 			Name: "wire.bytes.purges", About: "the answer with so many purges", XUnit: "purge",
-			Unit: capacity.Bytes, Sizes: eventSizes, At: purgeBytes,
+			Unit: capacity.Bytes, Sizes: eventCounts, At: purgeBytes,
 		},
 		{
 			Name: "wire.bytes.hosts", About: "the answer with so many changes of a cache each", XUnit: "host change",
-			Unit: capacity.Bytes, Sizes: eventSizes, At: hostBytes,
+			Unit: capacity.Bytes, Sizes: eventCounts, At: hostBytes,
 		},
 		{
 			Name: "wire.bytes.members", About: "the answer with so many directors that join in one event", XUnit: "director that joins",
-			Unit: capacity.Bytes, Sizes: eventSizes, At: func(size int) (float64, error) {
+			Unit: capacity.Bytes, Sizes: eventCounts, At: func(size int) (float64, error) {
 				return eventBytes(fleet.MembershipChange{Joined: directorsOf(size)})
 			},
 		},
 		{
 			Name: "wire.bytes.gone", About: "the answer with so many directors that leave in one event", XUnit: "director that leaves",
-			Unit: capacity.Bytes, Sizes: eventSizes, At: goneBytes,
+			Unit: capacity.Bytes, Sizes: eventCounts, At: membersLeftBytes,
 		},
 		{
 			Name: "wire.bytes.whole", About: "the first answer to a director: 720 caches, 256 slots of claims and so many directors", XUnit: "director",
-			Unit: capacity.Bytes, Sizes: directorSizes, At: func(size int) (float64, error) { return wholeBytes(usualCaches, size) },
+			Unit: capacity.Bytes, Sizes: directorCounts, At: func(size int) (float64, error) { return snapshotBytes(expectedCaches, size) },
 		},
 		{
 			Name: "wire.bytes.whole_caches", About: "the first answer to a director: so many caches, no director", XUnit: "cache",
-			Unit: capacity.Bytes, Sizes: cacheSizes, At: func(size int) (float64, error) { return wholeBytes(size, 0) },
+			Unit: capacity.Bytes, Sizes: cacheCounts, At: func(size int) (float64, error) { return snapshotBytes(size, 0) },
 		},
 	}
 }
@@ -49,7 +49,7 @@
 func logOf(events []fleet.Event) (*eventlog.Log, error) {
 	after := fleet.Fleet{Revision: int64(1 + len(events))}
 	base := fleet.Event{No: 1, Rules: &fleet.Rules{}}
-	return eventlog.New(1, append([]fleet.Event{base}, events...), after, keepAll)
+	return eventlog.New(1, append([]fleet.Event{base}, events...), after, unlimitedEvents)
 }
 
 // answerBytes is the size of the answer to a watcher that announces itself and has all events up to a number.
@@ -72,12 +72,12 @@
 func hostBytes(count int) (float64, error) {
 	var events []fleet.Event
 	for i := range count {
-		events = append(events, fleet.Event{No: int64(i + 2), AtMS: 1, Who: "operator@example", Host: memberOf(i % usualCaches)})
+		events = append(events, fleet.Event{No: int64(i + 2), AtMS: 1, Who: "operator@example", Host: hostOf(i % expectedCaches)})
 	}
 	return answersOf(events)
 }
 
-func goneBytes(count int) (float64, error) {
+func membersLeftBytes(count int) (float64, error) {
 	var gone []string
 	for _, d := range directorsOf(count) {
 		gone = append(gone, d.ID())
@@ -102,12 +102,12 @@
 	return size, err
 }
 
-func wholeBytes(caches, directors int) (float64, error) {
+func snapshotBytes(caches, directors int) (float64, error) {
 	f, err := fleetOf(caches, directors)
 	if err != nil {
 		return 0, err
 	}
-	log, err := eventlog.New(f.Revision+1, nil, f, keepAll)
+	log, err := eventlog.New(f.Revision+1, nil, f, unlimitedEvents)
 	if err != nil {
 		return 0, err
 	}
