--- /dev/null
+++ b/internal/tools/capacity/measure/director_routing.go
@@ -0,0 +1,57 @@
+package measure
+
+import (
+	"errors"
+	"time"
+
+	"stairvane.org/stairvane/internal/director/routing"
+	"stairvane.org/stairvane/internal/transport"
+)
+
+var errNoConnections = errors.New("measure: caches are not connected to")
+
+// refusingDialer stands for caches that no test connects to.
+type refusingDialer struct{}
+
+func (refusingDialer) Dial(string, time.Duration, routing.ConnHandler) (routing.Conn, error) {
+	return nil, errNoConnections
+}
+
+// hostChangeTime is the time in which routing applies the change of one cache.
+func hostChangeTime(caches int) (float64, error) {
+	loop, err := transport.NewLoop()
+	if err != nil {
+		return 0, err
+	}
+	defer loop.Release()
+	limits := routing.Limits{
+		StreamsPerConn: 32,
+		ConnsPerHost:   4,
+		MaxAttempts:    6,
+		MaxDeadline:    6 * time.Second,
+		PurgeTimeout:   5300 * time.Millisecond,
+	}
+	director := routing.New(loop, settings(expectedDirectors), 1, limits, refusingDialer{})
+	director.Start()
+	endpoints := routingEndpoints(caches)
+	director.UpdateEndpoints(1, true, endpoints)
+	return timeOf(func(n int) {
+		changed := endpoints[n%caches]
+		changed.Weight = 1 - 0.5*float64(n%2)
+		director.UpdateEndpoints(int64(n+2), false, []routing.Endpoint{changed})
+	}), nil
+}
+
+func routingEndpoints(caches int) []routing.Endpoint {
+	var endpoints []routing.Endpoint
+	for _, cache := range wireEndpoints(caches) {
+		endpoint := routing.Endpoint{Name: cache.Name, Address: cache.Address}
+		endpoint.Zone = cache.Site
+		endpoint.Kind = cache.Class
+		endpoint.Cell = cache.Block
+		endpoint.Readiness = "IN"
+		endpoint.Weight = 1
+		endpoints = append(endpoints, endpoint)
+	}
+	return endpoints
+}
--- /dev/null
+++ b/internal/tools/capacity/measure/director_watch.go
@@ -0,0 +1,124 @@
+package measure
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"time"
+
+	"stairvane.org/stairvane/internal/health"
+	"stairvane.org/stairvane/internal/protocol/discovery"
+	"stairvane.org/stairvane/internal/quota"
+)
+
+// watchedRevision is the last event that a watch client has applied. Its digits count in the size of requests.
+const watchedRevision = 12345678
+
+// watchClient is a director's side of a watch: what internal/director puts into each request, and reads from each answer.
+type watchClient struct {
+	identity discovery.Director
+	holder   *quota.Holder
+	reporter *health.Reporter
+	limits   []string
+	request  []byte // the last one; the next overwrites it
+	sequence uint64 // of the last renewal
+	now      time.Duration
+}
+
+func newWatchClient(coldCaches int) *watchClient {
+	identity := discovery.Director(directorOf(7))
+	return &watchClient{
+		identity: identity,
+		holder:   quota.NewHolder(identity.ID(), quotaSettings),
+		reporter: health.NewReporter(health.DefaultSettings, identity.ID()),
+		limits:   limitNames(coldCaches),
+		now:      time.Hour,
+	}
+}
+
+// nextRequest writes the next watch request. It is valid until the next call.
+func (c *watchClient) nextRequest() []byte {
+	c.now += 100 * time.Millisecond
+	for _, name := range c.limits {
+		c.holder.Want(quota.Want{Limit: name, Kind: quota.Rate, Demand: 0.0123456789})
+	}
+	renewal := c.holder.Renewal(c.now)
+	c.sequence = renewal.Seq
+	announcement := discovery.Announcement{
+		Director:           c.identity,
+		MembershipRevision: 1234567,
+		Config:             "9c1185a5c5e9fc54",
+		QuotaRenewal:       mustJSON(renewal),
+		HealthReport:       mustJSON(c.reporter.Report(c.now)),
+	}
+	c.request = discovery.AppendRequest(c.request[:0], "10.1.2.3:7000", watchedRevision, 100, mustJSON(announcement))
+	return c.request
+}
+
+// answer is the answer to the last request of an allocator with 3,500 holders like this one.
+func (c *watchClient) answer() []byte {
+	grant := quota.Grant{Holder: c.identity.ID(), Epoch: 12, Seq: c.sequence, Fallback: 5.714285714285714e-05}
+	for _, name := range c.limits {
+		grant.Parts = append(grant.Parts, quota.Share{Limit: name, Part: 0.00022857142857142857})
+	}
+	return appendGrantAnswer(nil, watchedRevision, grant)
+}
+
+// appendGrantAnswer appends an answer with a grant and no event.
+func appendGrantAnswer(dst []byte, lastRevision int64, grant quota.Grant) []byte {
+	body := append(discovery.Opening(lastRevision), `],"turns":`...)
+	body = append(body, mustJSON(grant)...)
+	body = append(body, '}')
+	return append(discovery.AppendHead(dst, 200, len(body), false), body...)
+}
+
+// readGrant reads an answer with a grant.
+func readGrant(answer []byte) (quota.Grant, error) {
+	var grant quota.Grant
+	response, used, _, err := discovery.ParseResponse(answer)
+	if err != nil {
+		return grant, fmt.Errorf("parse answer: %w", err)
+	}
+	if used == 0 {
+		return grant, errors.New("parse answer: it is not complete")
+	}
+	watchResponse, err := discovery.Decode(response.Body)
+	if err != nil {
+		return grant, fmt.Errorf("decode answer: %w", err)
+	}
+	return grant, json.Unmarshal(watchResponse.QuotaGrant, &grant)
+}
+
+// directorCallTime reads the same answer after each request, with the sequence number of the request.
+func directorCallTime(coldCaches int) (float64, error) {
+	c := newWatchClient(coldCaches)
+	c.nextRequest()
+	answer := c.answer()
+	var readErr error
+	took := timeOf(func(int) {
+		c.nextRequest()
+		grant, err := readGrant(answer)
+		if err != nil {
+			readErr = err
+			return
+		}
+		grant.Seq = c.sequence
+		c.holder.Take(grant, c.now)
+	})
+	if readErr != nil {
+		return 0, readErr
+	}
+	if coldCaches > 0 && !c.holder.Granted(c.limits[0], c.now) {
+		return 0, errors.New("the holder has not applied the grant")
+	}
+	return took, nil
+}
+
+func reportBytes(caches int) (float64, error) {
+	reporter := health.NewReporter(health.DefaultSettings, directorOf(7).ID())
+	empty := len(mustJSON(reporter.Report(0)))
+	for i := range caches {
+		reporter.Record(cacheName(i), 23, 0, 0.0123)
+	}
+	return float64(len(mustJSON(reporter.Report(time.Hour))) - empty), nil
+}
--- a/internal/tools/capacity/measure/fixtures.go
+++ b/internal/tools/capacity/measure/fixtures.go
@@ -1,6 +1,7 @@
 package measure
 
 import (
+	"encoding/json"
 	"fmt"
 	"time"
 
@@ -10,32 +11,57 @@
 	"stairvane.org/stairvane/internal/quota"
 )
 
-// Sizes that are set where they are not what a law is measured by: those of the operators.
+// The operators' sizes, for all that a law is not measured by.
 const (
 	expectedCaches    = 720
 	expectedZones     = 26
 	cachesPerZone     = expectedCaches / expectedZones
 	expectedDirectors = 3500
-	retainedPurges    = 21 * 600 // of ten minutes
+	retainedPurges    = 21 * 600 // of the ten minutes for which the control plane retains a purge
 	purgeGroups       = 256
+
+	purgeTimeMS = 1_790_000_000_000 // Unix time
 )
 
-// quotaSettings are those of directors and leader, see internal/director.
+// quotaSettings are those of directors and leader; see internal/director.
 var quotaSettings = quota.Settings{
-	Lease: 400 * time.Millisecond, Drift: 0.02, Reserve: 0.2, Fades: 20 * time.Second, Floor: 0.2, Hold: 0.05,
+	Lease:   400 * time.Millisecond,
+	Drift:   0.02,
+	Reserve: 0.2,
+	Fades:   20 * time.Second,
+	Floor:   0.2,
+	Hold:    0.05,
 }
 
 // settings are those of a director of one zone, with the operators' times.
 func settings(directors int) decision.Settings {
 	return decision.Settings{
-		Zone: zoneName(0), Zones: []string{zoneName(0)}, Kinds: []string{"cache", "parent", "origin"}, ParentKind: 1, OriginKind: 2,
-		Directors: directors, DirectorsByZone: []int{max(1, directors/expectedZones)}, FlowKBPerS: 1000,
-		WeightMode: decision.WeightModeOff, CacheStatusMode: decision.CacheStatusModeHits, JoinsFills: true, Cancel: true, RetryAfter: true,
-		MaxAttempts: 6, MaxRetryAfter: 700 * time.Millisecond, DialTimeout: 400 * time.Millisecond,
-		DrainGrace: 250 * time.Millisecond, PurgeGrace: 300 * time.Millisecond, PurgeDone: 5300 * time.Millisecond,
+		Zone:            zoneName(0),
+		Zones:           []string{zoneName(0)},
+		Kinds:           []string{"cache", "parent", "origin"},
+		ParentKind:      1,
+		OriginKind:      2,
+		Directors:       directors,
+		DirectorsByZone: []int{max(1, directors/expectedZones)},
+		FlowKBPerS:      1000,
+		WeightMode:      decision.WeightModeOff,
+		CacheStatusMode: decision.CacheStatusModeHits,
+		JoinsFills:      true,
+		Cancel:          true,
+		RetryAfter:      true,
+		MaxAttempts:     6,
+		MaxRetryAfter:   700 * time.Millisecond,
+		DialTimeout:     400 * time.Millisecond,
+		DrainGrace:      250 * time.Millisecond,
+		PurgeGrace:      300 * time.Millisecond,
+		PurgeDone:       5300 * time.Millisecond,
 		Classes: []decision.Class{{
-			Name: "clips", LatencyObjective: 400 * time.Millisecond, ObjectiveStretch: 2, Deadline: 6 * time.Second, PriorityWeight: 1,
-			Idempotency: decision.Idempotent,
+			Name:             "clips",
+			LatencyObjective: 400 * time.Millisecond,
+			ObjectiveStretch: 2,
+			Deadline:         6 * time.Second,
+			PriorityWeight:   1,
+			Idempotency:      decision.Idempotent,
 		}},
 	}
 }
@@ -46,23 +72,32 @@
 
 func cacheAddress(i int) string { return fmt.Sprintf("10.%d.%d.7:9000", i/250, i%250) }
 
-// wireEndpoints are so many caches as the watch protocol lists them.
+// wireEndpoints are caches as the discovery protocol lists them.
 func wireEndpoints(caches int) []discovery.Endpoint {
-	hosts := make([]discovery.Endpoint, 0, caches)
+	endpoints := make([]discovery.Endpoint, 0, caches)
 	for i := range caches {
-		hosts = append(hosts, discovery.Endpoint{
-			Name: cacheName(i), Address: cacheAddress(i), Site: zoneName(i), Class: "cache", Block: i % 8,
-			Health: "in_service", Share: 1,
+		endpoints = append(endpoints, discovery.Endpoint{
+			Name:    cacheName(i),
+			Address: cacheAddress(i),
+			Site:    zoneName(i),
+			Class:   "cache",
+			Block:   i % 8,
+			Health:  "in_service",
+			Share:   1,
 		})
 	}
-	return hosts
+	return endpoints
 }
 
 // directorOf is one director with names as long as real ones.
 func directorOf(i int) fleet.Director {
 	return fleet.Director{
-		Name: fmt.Sprintf("director-%04d", i), Incarnation: fmt.Sprintf("QHTNMB5WJ6RZ3XKDVC2YFA%04d", i), Location: zoneName(i),
-		Machine: fmt.Sprintf("machine-%04d", i), Site: fmt.Sprintf("site-%03d", i%210), Version: "v1.18.0",
+		Name:        fmt.Sprintf("director-%04d", i),
+		Incarnation: fmt.Sprintf("QHTNMB5WJ6RZ3XKDVC2YFA%04d", i),
+		Location:    zoneName(i),
+		Machine:     fmt.Sprintf("machine-%04d", i),
+		Site:        fmt.Sprintf("site-%03d", i%210),
+		Version:     "v1.18.0",
 	}
 }
 
@@ -84,62 +119,79 @@
 
 func objectName(i int) string { return fmt.Sprintf("%016x", 0x9e3779b97f4a7c15*uint64(i+1)) }
 
-// purgeEvent is the purge of an object; one in 64 is that of a group.
-func purgeEvent(no int64, atMS int64) fleet.Event {
-	p := &fleet.Purge{Object: objectName(int(no)), IssuedMS: atMS}
-	if no%64 == 0 {
-		group := int(no/64) % purgeGroups
-		p = &fleet.Purge{Group: &group, IssuedMS: atMS}
+// purgeEvent is the purge of an object; one in 64 is the purge of a group.
+func purgeEvent(revision int64) fleet.Event {
+	purge := &fleet.Purge{Object: objectName(int(revision)), IssuedMS: purgeTimeMS}
+	if revision%64 == 0 {
+		group := int(revision/64) % purgeGroups
+		purge = &fleet.Purge{Group: &group, IssuedMS: purgeTimeMS}
 	}
-	return fleet.Event{No: no, AtMS: atMS, Who: "operator@example", Purge: p}
+	return fleet.Event{No: revision, AtMS: purgeTimeMS, Who: "operator@example", Purge: purge}
 }
 
 func hostOf(i int) *fleet.Host {
 	return &fleet.Host{
-		HostSpec: fleet.HostSpec{Name: cacheName(i), Role: fleet.Cache, Address: cacheAddress(i), Site: zoneName(i), Class: "cache", Block: i % 8, Share: 1},
-		State:    fleet.InService, Serving: 1,
+		HostSpec: fleet.HostSpec{
+			Name:    cacheName(i),
+			Role:    fleet.Cache,
+			Address: cacheAddress(i),
+			Site:    zoneName(i),
+			Class:   "cache",
+			Block:   i % 8,
+			Share:   1,
+		},
+		State:   fleet.InService,
+		Serving: 1,
 	}
 }
 
-// fleetOf is a fleet of so many caches and directors, with all 256 slots of claims held by three directors each.
+// fleetOf is a fleet of caches and directors. Each of the 256 shards of claims has three directors as replicas.
 func fleetOf(caches, directors int) (fleet.Fleet, error) {
-	f := fleet.Fleet{}
+	var f fleet.Fleet
 	var err error
-	add := func(e fleet.Event) {
-		if err == nil {
-			e.No, e.AtMS, e.Who = f.Revision+1, 1, "operator@example"
-			f, err = f.Apply(e)
-		}
-	}
 	for i := range caches {
-		add(fleet.Event{Host: hostOf(i)})
+		if f, err = applyNext(f, fleet.Event{Host: hostOf(i)}); err != nil {
+			return f, err
+		}
 	}
 	if directors == 0 {
-		return f, err
+		return f, nil
 	}
-	all := directorsOf(directors)
-	change := &fleet.MembershipChange{Joined: all}
-	for slot := range fleet.ShardCount {
-		homes := []string{}
-		for home := range 3 {
-			homes = append(homes, all[(slot+home)%directors].ID())
+	joined := directorsOf(directors)
+	return applyNext(f, fleet.Event{Membership: &fleet.MembershipChange{Joined: joined, Shards: shardsOf(joined)}})
+}
+
+// applyNext applies an event under the next revision.
+func applyNext(f fleet.Fleet, event fleet.Event) (fleet.Fleet, error) {
+	event.No = f.Revision + 1
+	event.AtMS = 1
+	event.Who = "operator@example"
+	return f.Apply(event)
+}
+
+func shardsOf(directors []fleet.Director) []fleet.ShardChange {
+	const replicasPerShard = 3
+	var shards []fleet.ShardChange
+	for shard := range fleet.ShardCount {
+		replicas := make([]string, 0, replicasPerShard)
+		for i := range replicasPerShard {
+			replicas = append(replicas, directors[(shard+i)%len(directors)].ID())
 		}
-		change.Shards = append(change.Shards, fleet.ShardChange{Shard: slot, Replicas: homes})
+		shards = append(shards, fleet.ShardChange{Shard: shard, Replicas: replicas})
 	}
-	add(fleet.Event{Membership: change})
-	return f, err
+	return shards
 }
 
-// limitNames are the names of quotas of so many cold caches.
-func limitNames(cold int) []string {
+// limitNames are the names of quotas of caches that are warming up.
+func limitNames(coldCaches int) []string {
 	var names []string
-	for i := range cold {
+	for i := range coldCaches {
 		names = append(names, "cold:"+cacheName(i))
 	}
 	return names
 }
 
-// renewalOf is a holder's renewal with a demand for so many limits.
+// renewalOf is a holder's renewal with a demand for each limit.
 func renewalOf(holder string, seq uint64, limits []string) quota.Renewal {
 	r := quota.Renewal{Holder: holder, Seq: seq, Taken: seq - 1}
 	for _, name := range limits {
@@ -147,3 +199,12 @@
 	}
 	return r
 }
+
+// mustJSON encodes a value of texts and numbers, which can't fail.
+func mustJSON(value any) []byte {
+	encoded, err := json.Marshal(value)
+	if err != nil {
+		panic(err)
+	}
+	return encoded
+}
--- /dev/null
+++ b/internal/tools/capacity/measure/leader_health.go
@@ -0,0 +1,90 @@
+package measure
+
+import (
+	"fmt"
+	"time"
+
+	"stairvane.org/stairvane/internal/health"
+)
+
+// reportingDirectors report on the caches of their zones in turn, each twice a second. One cache in 50 fails at times.
+type reportingDirectors struct {
+	aggregator *health.Aggregator
+	ids        []string
+	places     []health.Place
+	caches     [][]string // by zone
+	seq        uint64
+	next       int
+	now        time.Duration
+}
+
+// newReportingDirectors has each director report once.
+func newReportingDirectors(directors int) *reportingDirectors {
+	r := &reportingDirectors{
+		aggregator: health.NewAggregator(health.DefaultSettings, 1),
+		seq:        1,
+		now:        time.Hour,
+	}
+	for i := range directors {
+		d := directorOf(i)
+		r.ids = append(r.ids, d.ID())
+		r.places = append(r.places, health.Place{Machine: d.Machine, Location: d.Location})
+	}
+	for zone := range expectedZones {
+		var names []string
+		for cache := range cachesPerZone {
+			names = append(names, cacheName(cache*expectedZones+zone))
+		}
+		r.caches = append(r.caches, names)
+	}
+	for range directors {
+		r.reportNext()
+	}
+	return r
+}
+
+// reportNext has the next director report.
+func (r *reportingDirectors) reportNext() {
+	director := r.next
+	zone := director % expectedZones
+	report := health.Report{
+		Holder: r.ids[director],
+		Seq:    r.seq,
+		Caches: make([]health.Outcomes, 0, cachesPerZone),
+	}
+	for cache, name := range r.caches[zone] {
+		outcomes := health.Outcomes{Cache: name, Attempts: 12, LagMS: 12}
+		if (cache*expectedZones+zone)%50 == 0 {
+			outcomes.Failures = float64((director + int(r.seq)) % 12)
+		}
+		report.Caches = append(report.Caches, outcomes)
+	}
+	r.aggregator.Take(report, r.places[director], r.now)
+	r.now += healthReportInterval / time.Duration(len(r.ids))
+	r.next = (r.next + 1) % len(r.ids)
+	if r.next == 0 {
+		r.seq++
+	}
+}
+
+func reportTime(directors int) (float64, error) {
+	r := newReportingDirectors(directors)
+	return timeOf(func(int) { r.reportNext() }), nil
+}
+
+// healthTime aggregates two seconds after the reports before, because an aggregation is cached for a while.
+func healthTime(directors int) (float64, error) {
+	r := newReportingDirectors(directors)
+	reportAll := func() {
+		r.now += 2 * time.Second
+		for range directors {
+			r.reportNext()
+		}
+	}
+	failing := 0
+	took := timeOnce(reportAll, func() { failing += len(r.aggregator.Aggregated(r.now).Caches) })
+	if failing == 0 {
+		return 0, fmt.Errorf("%d directors see no cache that fails", directors)
+	}
+	return took, nil
+}
--- /dev/null
+++ b/internal/tools/capacity/measure/leader_membership.go
@@ -0,0 +1,127 @@
+package measure
+
+import (
+	"encoding/json"
+	"fmt"
+	"runtime"
+	"time"
+
+	"stairvane.org/stairvane/internal/controlplane/adoption"
+	"stairvane.org/stairvane/internal/controlplane/api"
+	"stairvane.org/stairvane/internal/controlplane/membership"
+	"stairvane.org/stairvane/internal/fleet"
+	"stairvane.org/stairvane/internal/quota"
+)
+
+// trackerOf is a tracker that has just recorded a heartbeat of each director.
+func trackerOf(directors int) *membership.Tracker {
+	tracker := membership.New(membershipSettings)
+	for i := range directors {
+		d := directorOf(i)
+		tracker.RecordHeartbeat(membership.Heartbeat{
+			ID:       d.ID(),
+			Director: &d,
+			At:       time.Hour,
+			Applied:  1000,
+			Config:   "9c1185a5c5e9fc54",
+		})
+	}
+	return tracker
+}
+
+// leaseTime is the leader's time for a lease renewal of a replica, without the allocator and the answer.
+func leaseTime(directors int) (float64, error) {
+	var bodies [][]byte
+	for seq := range 4 {
+		bodies = append(bodies, mustJSON(heartbeatsOf(directors, 8, uint64(seq+1))))
+	}
+	tracker := trackerOf(directors)
+	record := adoption.New(recordedEvents, 0)
+	var decodeErr error
+	took := timeOf(func(n int) {
+		var heartbeats api.Heartbeats
+		if err := json.Unmarshal(bodies[n%len(bodies)], &heartbeats); err != nil {
+			decodeErr = err
+			return
+		}
+		now := time.Hour + time.Duration(n)*leaseInterval
+		applied := int64(n + 1)
+		record.Told(applied, now)
+		for _, d := range heartbeats.Directors {
+			at := now - time.Duration(d.AgeMS)*time.Millisecond
+			tracker.RecordHeartbeat(membership.Heartbeat{
+				ID:       d.ID,
+				Director: d.Director,
+				At:       at,
+				Applied:  applied,
+				Config:   d.Config,
+			})
+			record.Heard(d.ID, applied, at)
+		}
+	})
+	return took, decodeErr
+}
+
+// tickTime is the time of one tick of the leader's membership service.
+func tickTime(directors int) (float64, error) {
+	tracker := trackerOf(directors)
+	record := adoption.New(recordedEvents, 0)
+	for i := range directors {
+		record.Heard(directorOf(i).ID(), 0, time.Hour)
+	}
+	reports := newReportingDirectors(directors)
+	allocator := quota.NewAllocator(quotaSettings, 1, time.Hour, true)
+	isMember := func(id string) bool {
+		_, isKnown := tracker.LastHeard(id)
+		return isKnown
+	}
+	took := timeOf(func(int) {
+		allocator.Sweep(time.Hour)
+		reports.aggregator.Sweep(reports.now)
+		record.Gone(isMember, time.Hour)
+		tracker.Observe(1000, time.Hour)
+	})
+	if known := len(tracker.Versions()); known != directors {
+		return 0, fmt.Errorf("%d of %d directors have a version", known, directors)
+	}
+	return took, nil
+}
+
+func membershipCheckTime(directors int) (float64, error) {
+	f, err := fleetOf(0, directors)
+	if err != nil {
+		return 0, err
+	}
+	tracker := trackerOf(directors)
+	var changed *fleet.MembershipChange
+	took := timeOf(func(int) { changed = tracker.Change(f, time.Hour) })
+	if changed != nil {
+		return 0, fmt.Errorf("the membership of %d directors has changed", directors)
+	}
+	return took, nil
+}
+
+// appliedHeap is the heap of a record of when directors applied events; the size is their product.
+func appliedHeap(size int) (float64, error) {
+	directors := size / measuredEvents
+	ids := make([]string, 0, directors)
+	for i := range directors {
+		ids = append(ids, directorOf(i).ID())
+	}
+	heap := heapOf(func() any {
+		record := adoption.New(recordedEvents, 0)
+		for _, id := range ids {
+			record.Heard(id, 0, time.Hour)
+		}
+		for event := int64(1); event <= measuredEvents; event++ {
+			at := time.Hour + time.Duration(event)*purgeInterval
+			record.Told(event, at)
+			for i, id := range ids {
+				record.Heard(id, event, at+time.Duration(i%100)*time.Millisecond)
+			}
+		}
+		return record
+	})
+	runtime.KeepAlive(ids)
+	return heap, nil
+}
--- a/internal/tools/capacity/measure/measure_test.go
+++ b/internal/tools/capacity/measure/measure_test.go
@@ -21,8 +21,9 @@
 	command    = "STAIRVANE_MEASURE=1 go test -run TestMeasureSlopes -v ./internal/tools/capacity/..."
 )
 
-// The points of all laws, by command alone: STAIRVANE_MEASURE=1 measures, and writes them to docs/design/capacity-slopes.json, where
-// laws of other sources stay. STAIRVANE_ONLY takes laws whose names begin so; STAIRVANE_SLOPES writes to another file.
+// TestMeasureSlopes is a measurement, by command alone: with STAIRVANE_MEASURE=1 it measures all laws and writes them to
+// docs/design/capacity-slopes.json, where laws of other sources stay. STAIRVANE_ONLY is the beginning of the names of the laws to
+// measure; STAIRVANE_SLOPES is another file to write to.
 func TestMeasureSlopes(t *testing.T) {
 	if os.Getenv("STAIRVANE_MEASURE") == "" {
 		t.Skip("a measurement, by command: STAIRVANE_MEASURE=1")
@@ -36,17 +37,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	only := os.Getenv("STAIRVANE_ONLY")
-	source := command
-	if only != "" {
-		source = "STAIRVANE_ONLY=" + only + " " + command
+	prefix := os.Getenv("STAIRVANE_ONLY")
+	sourceCommand := command
+	if prefix != "" {
+		sourceCommand = "STAIRVANE_ONLY=" + prefix + " " + command
 	}
 	for _, m := range All() {
-		if !strings.HasPrefix(m.Name, only) {
+		if !strings.HasPrefix(m.Name, prefix) {
 			continue
 		}
 		begin := time.Now()
-		law, err := m.Law(capacity.Source{Command: source, At: begin.UTC().Truncate(time.Second), Machine: machine()})
+		source := capacity.Source{
+			Command: sourceCommand,
+			At:      begin.UTC().Truncate(time.Second),
+			Machine: machine(),
+		}
+		law, err := m.Law(source)
 		if err != nil {
 			t.Error(err)
 			continue
@@ -64,18 +70,17 @@
 }
 
 func readMeasured(path string) (capacity.Measured, error) {
-	file, err := os.Open(path)
+	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return capacity.Measured{Laws: capacity.Laws{}}, nil
 	}
 	if err != nil {
 		return capacity.Measured{}, err
 	}
-	defer file.Close()
-	return capacity.Read(file)
+	return capacity.Read(bytes.NewReader(text))
 }
 
-// machine is how many cores there are, and the load of the last minute.
+// machine is how many cores there are, the load of the last minute and the version of Go.
 func machine() string {
 	load, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
--- /dev/null
+++ b/internal/tools/capacity/measure/relay_quota.go
@@ -0,0 +1,151 @@
+package measure
+
+import (
+	"fmt"
+	"time"
+
+	"stairvane.org/stairvane/internal/controlplane/adoption"
+	"stairvane.org/stairvane/internal/controlplane/relaysession"
+	"stairvane.org/stairvane/internal/quota"
+)
+
+// quotaTree is a leader's allocator and a relay's node with its directors.
+type quotaTree struct {
+	root     *quota.Allocator
+	node     *quota.Node
+	renewals []quota.Renewal
+	now      time.Duration
+	renewed  time.Duration // when the node last renewed
+	granted  float64
+}
+
+// quotaTreeOf is a tree in which all directors have renewed, and have been granted something.
+func quotaTreeOf(directors int) (*quotaTree, error) {
+	t := &quotaTree{
+		root: quota.NewAllocator(relaysession.QuotaSettings, 1, time.Hour, true),
+		node: quota.NewNode("relay-1/1", relaysession.QuotaSettings),
+		now:  time.Hour,
+	}
+	limits := limitNames(limitCount)
+	for i := range directors {
+		renewal := renewalOf(directorOf(i).ID(), 1, limits)
+		demand := float64((i*7919)%directors+1) / float64(directors*directors) // differs from director to director
+		for limit := range renewal.Wants {
+			renewal.Wants[limit].Demand = demand
+		}
+		t.renewals = append(t.renewals, renewal)
+	}
+	t.renewNode()
+	for i := range 3 * directors {
+		t.renew(i)
+	}
+	if t.granted == 0 {
+		return nil, fmt.Errorf("%d directors were granted nothing", directors)
+	}
+	return t, nil
+}
+
+func (t *quotaTree) renewNode() {
+	t.node.Take(t.root.Renew(t.node.Renewal(t.now), t.now), t.now)
+	t.renewed = t.now
+}
+
+// renew has the next director renew, and the node when its interval is over.
+func (t *quotaTree) renew(n int) {
+	t.now += renewalInterval / time.Duration(len(t.renewals))
+	if t.now-t.renewed >= leaseInterval {
+		t.renewNode()
+	}
+	renewal := &t.renewals[n%len(t.renewals)]
+	renewal.Taken = renewal.Seq
+	renewal.Seq++
+	for _, share := range t.node.Renew(*renewal, t.now).Parts {
+		t.granted += share.Part
+	}
+}
+
+func relayRenewalTime(directors int) (float64, error) {
+	t, err := quotaTreeOf(directors)
+	if err != nil {
+		return 0, err
+	}
+	t.granted = 0
+	took := timeOf(t.renew)
+	if t.granted == 0 {
+		return 0, fmt.Errorf("%d directors were granted nothing while it was measured", directors)
+	}
+	return took, nil
+}
+
+func relayRenewalBytes(directors int) (float64, error) {
+	t, err := quotaTreeOf(directors)
+	if err != nil {
+		return 0, err
+	}
+	return float64(len(mustJSON(t.node.Renewal(t.now)))), nil
+}
+
+// renewalOfRelaysTime has relays renew in turn, each once in a lease interval.
+func renewalOfRelaysTime(relays int) (float64, error) {
+	allocator := quota.NewAllocator(relaysession.QuotaSettings, 1, time.Hour, true)
+	renewals := make([]quota.Renewal, relays)
+	for i := range renewals {
+		renewals[i] = relayRenewal(i, relays)
+	}
+	granted := 0.0
+	took := timeOf(func(n int) {
+		renewal := &renewals[n%relays]
+		renewal.Taken = renewal.Seq
+		renewal.TakenFallback = renewal.Seq
+		for limit := range renewal.Wants {
+			renewal.Wants[limit].Taken = renewal.Seq
+		}
+		renewal.Seq++
+		now := time.Hour + time.Duration(n)*leaseInterval/time.Duration(relays)
+		for _, share := range allocator.Renew(*renewal, now).Parts {
+			granted += share.Part
+		}
+	})
+	if granted == 0 {
+		return 0, fmt.Errorf("%d relays were granted nothing", relays)
+	}
+	return took, nil
+}
+
+// relayRenewal is the first renewal of one of several relays, which all have as many directors.
+func relayRenewal(relay, relays int) quota.Renewal {
+	renewal := renewalOf(fmt.Sprintf("relay-%d/1", relay), 1, limitNames(limitCount))
+	renewal.Node = true
+	renewal.Leaves = expectedDirectors / relays
+	for limit := range renewal.Wants {
+		want := &renewal.Wants[limit]
+		want.Demand = 0
+		for i := range demandGroups {
+			group := quota.Group{
+				Demand: float64(i+relay+1) / float64(expectedDirectors*demandGroups),
+				Count:  expectedDirectors / relays / demandGroups,
+			}
+			want.Groups = append(want.Groups, group)
+			want.Demand += group.Demand * float64(group.Count)
+		}
+	}
+	return renewal
+}
+
+// relayAppliedHeap is the heap of a record of when relays applied events.
+func relayAppliedHeap(relays int) (float64, error) {
+	return heapOf(func() any {
+		record := adoption.New(recordedEvents, 0)
+		for event := int64(0); event <= recordedEvents; event++ {
+			at := time.Hour + time.Duration(event)*purgeInterval
+			if event > 0 {
+				record.Told(event, at)
+			}
+			for i := range relays {
+				relay := adoption.RelayTaker(fmt.Sprintf("relay-%d/1", i))
+				record.Heard(relay, event, at+time.Duration(i)*time.Millisecond)
+			}
+		}
+		return record
+	}), nil
+}
--- a/internal/tools/capacity/measure/wire.go
+++ b/internal/tools/capacity/measure/wire.go
@@ -9,54 +9,85 @@
 	"stairvane.org/stairvane/internal/tools/capacity"
 )
 
+var errEmptyAnswer = errors.New("the answer is empty")
+
 var eventCounts = []int{1, 10, 100, 1000, 3000}
 
-// unlimitedEvents is more events than any of these measures has.
+// unlimitedEvents is more events than any measure has, so that a log retains them all.
 const unlimitedEvents = 1 << 20
 
-func wireMeasures() []Measure {
-	return []Measure{
-		{
-			Name: "wire.bytes.purges", About: "the answer with so many purges", XUnit: "purge",
-			Unit: capacity.Bytes, Sizes: eventCounts, At: purgeBytes,
-		},
-		{
-			Name: "wire.bytes.hosts", About: "the answer with so many changes of a cache each", XUnit: "host change",
-			Unit: capacity.Bytes, Sizes: eventCounts, At: hostBytes,
-		},
-		{
-			Name: "wire.bytes.members", About: "the answer with so many directors that join in one event", XUnit: "director that joins",
-			Unit: capacity.Bytes, Sizes: eventCounts, At: func(size int) (float64, error) {
-				return eventBytes(fleet.MembershipChange{Joined: directorsOf(size)})
-			},
+var wireMeasures = []Measure{
+	{
+		Name:  "wire.bytes.purges",
+		About: "the answer with so many purges",
+		XUnit: "purge",
+		Unit:  capacity.Bytes,
+		Sizes: eventCounts,
+		At:    purgeBytes,
+	},
+	{
+		Name:  "wire.bytes.hosts",
+		About: "the answer with so many changes of a cache each",
+		XUnit: "host change",
+		Unit:  capacity.Bytes,
+		Sizes: eventCounts,
+		At:    hostBytes,
+	},
+	{
+		Name:  "wire.bytes.members",
+		About: "the answer with so many directors that join in one event",
+		XUnit: "director that joins",
+		Unit:  capacity.Bytes,
+		Sizes: eventCounts,
+		At: func(size int) (float64, error) {
+			return eventBytes(fleet.MembershipChange{Joined: directorsOf(size)})
 		},
-		{
-			Name: "wire.bytes.gone", About: "the answer with so many directors that leave in one event", XUnit: "director that leaves",
-			Unit: capacity.Bytes, Sizes: eventCounts, At: membersLeftBytes,
+	},
+	{
+		Name:  "wire.bytes.gone",
+		About: "the answer with so many directors that leave in one event",
+		XUnit: "director that leaves",
+		Unit:  capacity.Bytes,
+		Sizes: eventCounts,
+		At:    membersLeftBytes,
+	},
+	{
+		Name:  "wire.bytes.whole",
+		About: "the first answer to a director: 720 caches, 256 slots of claims and so many directors",
+		XUnit: "director",
+		Unit:  capacity.Bytes,
+		Sizes: directorCounts,
+		At: func(size int) (float64, error) {
+			return snapshotBytes(expectedCaches, size)
 		},
-		{
-			Name: "wire.bytes.whole", About: "the first answer to a director: 720 caches, 256 slots of claims and so many directors", XUnit: "director",
-			Unit: capacity.Bytes, Sizes: directorCounts, At: func(size int) (float64, error) { return snapshotBytes(expectedCaches, size) },
+	},
+	{
+		Name:  "wire.bytes.whole_caches",
+		About: "the first answer to a director: so many caches, no director",
+		XUnit: "cache",
+		Unit:  capacity.Bytes,
+		Sizes: cacheCounts,
+		At: func(size int) (float64, error) {
+			return snapshotBytes(size, 0)
 		},
-		{
-			Name: "wire.bytes.whole_caches", About: "the first answer to a director: so many caches, no director", XUnit: "cache",
-			Unit: capacity.Bytes, Sizes: cacheCounts, At: func(size int) (float64, error) { return snapshotBytes(size, 0) },
-		},
-	}
+	},
 }
 
-// logOf is a history that begins after a base of one event, which a watcher is taken to have.
+// maxOverhead is what an answer has besides its events, in bytes.
+const maxOverhead = 1000
+
+// logOf is an event log that begins after one event, which the watcher has applied.
 func logOf(events []fleet.Event) (*eventlog.Log, error) {
 	after := fleet.Fleet{Revision: int64(1 + len(events))}
 	base := fleet.Event{No: 1, Rules: &fleet.Rules{}}
 	return eventlog.New(1, append([]fleet.Event{base}, events...), after, unlimitedEvents)
 }
 
-// answerBytes is the size of the answer to a watcher that announces itself and has all events up to a number.
+// answerBytes is the size of the answer to a watcher that announces itself and has applied all events up to a revision.
 func answerBytes(log *eventlog.Log, after int64) (float64, error) {
 	_, size, err := log.Answer(after, true)
 	if err == nil && size == 0 {
-		err = errors.New("the answer is empty")
+		err = errEmptyAnswer
 	}
 	return float64(size), err
 }
@@ -64,7 +95,7 @@
 func purgeBytes(count int) (float64, error) {
 	var events []fleet.Event
 	for i := range count {
-		events = append(events, purgeEvent(int64(i+2), 1_790_000_000_000))
+		events = append(events, purgeEvent(int64(i+2)))
 	}
 	return answersOf(events)
 }
@@ -72,31 +103,36 @@
 func hostBytes(count int) (float64, error) {
 	var events []fleet.Event
 	for i := range count {
-		events = append(events, fleet.Event{No: int64(i + 2), AtMS: 1, Who: "operator@example", Host: hostOf(i % expectedCaches)})
+		events = append(events, fleet.Event{
+			No:   int64(i + 2),
+			AtMS: 1,
+			Who:  "operator@example",
+			Host: hostOf(i % expectedCaches),
+		})
 	}
 	return answersOf(events)
 }
 
 func membersLeftBytes(count int) (float64, error) {
-	var gone []string
+	var left []string
 	for _, d := range directorsOf(count) {
-		gone = append(gone, d.ID())
+		left = append(left, d.ID())
 	}
-	return eventBytes(fleet.MembershipChange{Left: gone})
+	return eventBytes(fleet.MembershipChange{Left: left})
 }
 
 func eventBytes(change fleet.MembershipChange) (float64, error) {
 	return answersOf([]fleet.Event{{No: 2, AtMS: 1, Who: "leader", Membership: &change}})
 }
 
-// answersOf is the bytes of the answers, one or several, that carry events.
+// answersOf is the size of the answer that carries events. It is an error if one answer can't carry them all.
 func answersOf(events []fleet.Event) (float64, error) {
 	log, err := logOf(events)
 	if err != nil {
 		return 0, err
 	}
 	size, err := answerBytes(log, 1)
-	if err == nil && size > eventlog.MaxAnswer+1000 && len(events) > 1 {
+	if err == nil && size > eventlog.MaxAnswer+maxOverhead && len(events) > 1 {
 		err = fmt.Errorf("%d events take more than one answer", len(events))
 	}
 	return size, err
