--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -20,12 +20,14 @@
 )
 
 const (
-	formJSON   = "json"
-	formText   = "text"
+	formJSON = "json"
+	formText = "text"
+
+	// timeFormat shows milliseconds, because the events of one failure often stand within a second.
 	timeFormat = time.TimeOnly + ".000"
 )
 
-// Setup makes the default logger from the environment. An error names the variable at fault.
+// Setup makes the default logger from the environment. An error names the variable that has an invalid value.
 func Setup() error {
 	logger, err := New(os.Stderr, os.Getenv(FormVar), os.Getenv(LevelVar), isatty.IsTerminal(os.Stderr.Fd()))
 	if err != nil {
@@ -35,8 +37,9 @@
 	return nil
 }
 
-// New makes a logger that writes to w. An empty form is text on a terminal and JSON elsewhere; an empty level is info.
-func New(w io.Writer, form, level string, terminal bool) (*slog.Logger, error) {
+// New makes a logger that writes to w; isTerminal tells whether w is a terminal. An empty form is text on a terminal and JSON
+// elsewhere; an empty level is info. An error names the environment variable of the invalid value.
+func New(w io.Writer, form, level string, isTerminal bool) (*slog.Logger, error) {
 	minLevel := slog.LevelInfo
 	if level != "" {
 		if err := minLevel.UnmarshalText([]byte(level)); err != nil {
@@ -44,17 +47,25 @@
 		}
 	}
 	if form == "" {
-		form = formJSON
-		if terminal {
-			form = formText
-		}
+		form = defaultForm(isTerminal)
 	}
 	switch form {
 	case formJSON:
 		return slog.New(slog.NewJSONHandler(w, &slog.HandlerOptions{Level: minLevel})), nil
 	case formText:
-		options := tint.Options{Level: minLevel, TimeFormat: timeFormat, NoColor: !terminal}
+		options := tint.Options{
+			Level:      minLevel,
+			TimeFormat: timeFormat,
+			NoColor:    !isTerminal,
+		}
 		return slog.New(tint.NewTextHandler(w, &options)), nil
 	}
 	return nil, fmt.Errorf("%s: %q is neither json nor text", FormVar, form)
 }
+
+func defaultForm(isTerminal bool) string {
+	if isTerminal {
+		return formText
+	}
+	return formJSON
+}
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -3,35 +3,56 @@
 import (
 	"bytes"
 	"encoding/json"
+	"io"
 	"strings"
 	"testing"
 )
 
-// Guards against lines that a machine cannot parse, and a wrong variable that is ignored.
-func TestForms(t *testing.T) {
-	var b bytes.Buffer
-	l, err := New(&b, "", "", false)
+// Guards against a log line that a collector can't parse: one JSON object a line, with the event's name alone in msg.
+func TestJSONForm(t *testing.T) {
+	var output bytes.Buffer
+	logger, err := New(&output, "", "", false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.Debug("not.shown")
-	l.Info("watch.lost", "after", 7)
+	logger.Debug("not.shown")
+	logger.Info("watch.lost", "after", 7)
 	var line map[string]any
-	if err := json.Unmarshal(b.Bytes(), &line); err != nil || line["msg"] != "watch.lost" || line["after"] != 7.0 {
-		t.Errorf("%v: %s", err, b.String())
+	if err := json.Unmarshal(output.Bytes(), &line); err != nil {
+		t.Fatalf("%v: %s", err, output.String())
 	}
-	b.Reset()
-	if l, err = New(&b, "", "debug", true); err != nil {
-		t.Fatal(err)
+	if line["msg"] != "watch.lost" || line["after"] != 7.0 {
+		t.Errorf("line is %s", output.String())
 	}
-	l.Debug("attempt.withheld")
-	if s := b.String(); !strings.Contains(s, "attempt.withheld") || strings.HasPrefix(s, "{") {
-		t.Errorf("%q", s)
+}
+
+func TestTextForm(t *testing.T) {
+	var output bytes.Buffer
+	logger, err := New(&output, "", "debug", true)
+	if err != nil {
+		t.Fatal(err)
 	}
-	if _, err = New(&b, "xml", "", false); err == nil || !strings.Contains(err.Error(), FormVar) {
-		t.Error(err)
+	logger.Debug("attempt.withheld")
+	if line := output.String(); !strings.Contains(line, "attempt.withheld") || strings.HasPrefix(line, "{") {
+		t.Errorf("line is %q", line)
 	}
-	if _, err = New(&b, "", "loud", false); err == nil || !strings.Contains(err.Error(), LevelVar) {
-		t.Error(err)
+}
+
+func TestErrorNamesVariable(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		form     string
+		level    string
+		variable string
+	}{
+		{name: "form", form: "xml", variable: FormVar},
+		{name: "level", level: "loud", variable: LevelVar},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			_, err := New(io.Discard, c.form, c.level, false)
+			if err == nil || !strings.Contains(err.Error(), c.variable) {
+				t.Errorf("error is %v, want one that names %s", err, c.variable)
+			}
+		})
 	}
 }
