--- a/internal/tools/capacity/design.go
+++ b/internal/tools/capacity/design.go
@@ -19,7 +19,7 @@
 	HealthFoundEach  time.Duration `json:"HealthFoundEach"` // the part of that interval for each director
 	TickEvery        time.Duration `json:"TickEvery"`       // of the membership service
 	GatherEvery      time.Duration `json:"GatherEvery"`     // the shortest interval from one membership event to the next
-	ReconnectRetry   time.Duration `json:"ReconnectRetry"`  // the longest backoff before a watch is opened again, of a single director
+	ReconnectRetry   time.Duration `json:"ReconnectRetry"`  // the longest backoff of a single director that has lost its watch
 	ReconnectSpread  time.Duration `json:"ReconnectSpread"` // by which that backoff grows for each further director
 	// ReconnectSpreadMax bounds that growth for a director with several addresses.
 	ReconnectSpreadMax   time.Duration `json:"ReconnectSpreadMax"`
