--- a/internal/controlplane/replicas/propagation_test.go
+++ b/internal/controlplane/replicas/propagation_test.go
@@ -47,7 +47,7 @@
 			latest := time.Duration(0)
 			for _, d := range f.directors {
 				for at := 0; ; {
-					event, next, err := d.Event("bulletin.purge", at, patience)
+					event, next, err := d.Event("purge.applied", at, patience)
 					check(t, err)
 					if at = next; int64(event["no"].(float64)) == p.Revision {
 						when, err := time.Parse(time.RFC3339Nano, event["time"].(string))
--- a/internal/controlplane/replicas/relays_test.go
+++ b/internal/controlplane/replicas/relays_test.go
@@ -95,7 +95,7 @@
 	r.t.Helper()
 	for i, d := range r.directors {
 		for at := from[i]; ; {
-			event, next, err := d.Event("bulletin.purge", at, patience)
+			event, next, err := d.Event("purge.applied", at, patience)
 			if err != nil {
 				r.t.Errorf("event %d: %v", no, err)
 				break
