--- a/internal/controlplane/board_test.go
+++ b/internal/controlplane/board_test.go
@@ -323,7 +323,7 @@
 			rules.OnFault, rules.MaxParallelSteps, rules.DrainSettleMS = trouble, 1, 1500
 			check(t, statusError(carry(t, c, planTo(t, c, depot(rules, declared...)))))
 			until(t, "all are seen", func() bool {
-				return len(b.World().Observed) == 5 && !slices.ContainsFunc(declared, func(x fleet.HostSpec) bool { return b.World().Observed[x.Name].Sight != fleet.Up })
+				return len(b.ObservedState().Observed) == 5 && !slices.ContainsFunc(declared, func(x fleet.HostSpec) bool { return b.ObservedState().Observed[x.Name].Sight != fleet.Up })
 			})
 			a, err := c.Submit(planTo(t, c, depot(rules, declared[2], declared[3]))) // drains c-0, then c-1
 			check(t, err)
@@ -433,7 +433,7 @@
 		defer conn.Close()
 		defer other.Close()
 		r.RemoteAddr = "127.0.0.1:1"
-		b.server.Handler.ServeHTTP(w, r.WithContext(context.WithValue(context.Background(), connKey{}, conn)))
+		b.writeServer.Handler.ServeHTTP(w, r.WithContext(context.WithValue(context.Background(), connKey{}, conn)))
 		if w.Code >= 500 || w.Code == 200 && path == "/v1/purges" && b.store.Fleet().Revision == before {
 			t.Errorf("%s %q: %d %s", path, body, w.Code, w.Body)
 		}
--- a/internal/controlplane/kill_test.go
+++ b/internal/controlplane/kill_test.go
@@ -52,7 +52,7 @@
 	}
 	passed := 0
 	set := settingsIn(folder)
-	opt := Options{At: func(string) {
+	opt := Options{KillPoint: func(string) {
 		if passed++; passed == kill {
 			_ = syscall.Kill(os.Getpid(), syscall.SIGKILL)
 			select {}
--- a/internal/controlplane/observer.go
+++ b/internal/controlplane/observer.go
@@ -15,70 +15,82 @@
 )
 
 const (
-	observeTick    = 20 * time.Millisecond
-	observePublish = 50 * time.Millisecond // changes that come together are published together
+	minObserverTick      = 20 * time.Millisecond
+	ticksPerPing         = 20
+	observerPublishDelay = 50 * time.Millisecond // changes that come within it are published together
 )
 
-// observer is the shell of observe.Watcher: it dials and pings on the board's loop. It does nothing while it is switched
-// off.
+// observer is the I/O around observe.Watcher: it connects to the hosts of the fleet and pings them. All of it runs on the server's
+// loop. It does nothing while the operator's file switches it off.
 type observer struct {
-	board   *Server
-	watcher *observe.Watcher
-	conns   map[string]*boxConn
-	tick    transport.Timer
-	publish transport.Timer
-	buf     []byte
+	server       *Server
+	watcher      *observe.Watcher // nil: switched off
+	conns        map[string]*hostConn
+	tickTimer    transport.Timer
+	publishTimer transport.Timer
+	buf          []byte
 }
 
-func newObserver(b *Server) *observer {
-	o := &observer{board: b, conns: map[string]*boxConn{}}
-	if set := b.set.Observer; set.Every > 0 {
-		o.watcher = observe.New(observe.Settings{EveryMS: set.Every.Milliseconds(), TimeoutMS: set.Timeout.Milliseconds(), Misses: set.Misses})
+func newObserver(s *Server) *observer {
+	o := &observer{server: s, conns: map[string]*hostConn{}}
+	if set := s.set.Observer; set.Every > 0 {
+		o.watcher = observe.New(observe.Settings{
+			EveryMS:   set.Every.Milliseconds(),
+			TimeoutMS: set.Timeout.Milliseconds(),
+			Misses:    set.Misses,
+		})
 	}
 	return o
 }
 
-// on tells whether anybody looks.
-func (o *observer) on() bool { return o.watcher != nil }
+// enabled tells whether hosts are observed. It may be called from any goroutine.
+func (o *observer) enabled() bool { return o.watcher != nil }
 
+// start begins to observe the hosts of the store's fleet, before the loop runs.
 func (o *observer) start() {
-	if !o.on() {
+	if !o.enabled() {
 		return
 	}
-	for m := range o.board.store.Fleet().Hosts() {
-		o.watcher.Declare(m.Name, m.Address, false, o.board.clock())
+	for host := range o.server.store.Fleet().Hosts() {
+		o.watcher.Declare(host.Name, host.Address, false, o.server.clock())
 	}
-	o.tick.Fire, o.publish.Fire = o.look, o.tell
-	o.board.loop.Set(&o.tick, o.board.loop.Now())
-	o.board.loop.Set(&o.publish, o.board.loop.Now())
+	o.tickTimer.Fire = o.tick
+	o.publishTimer.Fire = o.publish
+	o.server.loop.Set(&o.tickTimer, o.server.loop.Now())
+	o.server.loop.Set(&o.publishTimer, o.server.loop.Now())
 }
 
-// follow looks at the boxes that events speak of.
-func (o *observer) follow(events []fleet.Event) {
-	if !o.on() {
+// apply follows the hosts that events add, change or remove.
+func (o *observer) apply(events []fleet.Event) {
+	if !o.enabled() {
 		return
 	}
-	for _, e := range events {
-		m := e.Host
-		if m == nil {
-			continue
-		}
-		anew := m.BornMS == e.AtMS && m.State == fleet.InService
-		if c := o.conns[m.Name]; c != nil && (m.State == fleet.Terminated || anew || !o.watcher.Known(m.Name, m.Address)) {
-			c.end()
-		}
-		if m.State == fleet.Terminated {
-			o.watcher.Forget(m.Name)
-		} else {
-			o.watcher.Declare(m.Name, m.Address, anew, o.board.clock())
+	for _, event := range events {
+		if event.Host != nil {
+			o.applyHost(event.Host, event.AtMS)
 		}
 	}
-	o.tell()
+	o.publish()
+}
+
+// applyHost follows one host that an event has set. A host that was born with the event has restarted: it is pinged over a new
+// connection.
+func (o *observer) applyHost(host *fleet.Host, atMS int64) {
+	restarted := host.BornMS == atMS && host.State == fleet.InService
+	removed := host.State == fleet.Terminated
+	if c := o.conns[host.Name]; c != nil && (removed || restarted || !o.watcher.Known(host.Name, host.Address)) {
+		c.close()
+	}
+	if removed {
+		o.watcher.Forget(host.Name)
+		return
+	}
+	o.watcher.Declare(host.Name, host.Address, restarted, o.server.clock())
 }
 
-// renew looks at the boxes of another fleet from now on.
-func (o *observer) renew(f fleet.Fleet) {
-	if !o.on() {
+// replaceFleet observes the hosts of another fleet from now on.
+func (o *observer) replaceFleet(f fleet.Fleet) {
+	if !o.enabled() {
 		return
 	}
 	for name := range o.watcher.Seen() {
@@ -86,111 +98,128 @@
 			o.watcher.Forget(name)
 		}
 	}
-	for m := range f.Hosts() {
-		o.watcher.Declare(m.Name, m.Address, false, o.board.clock())
+	for host := range f.Hosts() {
+		o.watcher.Declare(host.Name, host.Address, false, o.server.clock())
 	}
-	o.tell()
+	o.publish()
 }
 
-func (o *observer) look() {
-	if o.board.Leads() { // the boxes are looked at once for all copies
-		o.do(o.watcher.Tick(o.board.clock()))
-		o.changed()
+// tick does what is due. In a group only the leader observes.
+func (o *observer) tick() {
+	if o.server.Leads() {
+		o.perform(o.watcher.Tick(o.server.clock()))
+		o.schedulePublish()
 	}
-	o.board.loop.Set(&o.tick, o.board.loop.Now()+max(observeTick, o.board.set.Observer.Every/20))
+	o.server.loop.Set(&o.tickTimer, o.server.loop.Now()+max(minObserverTick, o.server.set.Observer.Every/ticksPerPing))
 }
 
-func (o *observer) do(actions []observe.Action) {
-	for _, a := range actions {
-		if a.Address != "" {
-			o.dial(a)
-		} else if c := o.conns[a.Host]; c != nil && c.conn != nil {
-			o.buf = resp.AppendHead(o.buf[:0], 2)
-			o.buf = resp.AppendBulk(o.buf, "ping")
-			o.buf = resp.AppendBulk(o.buf, a.Tag)
-			c.conn.Write(o.buf)
+// perform connects and pings as the watcher has decided.
+func (o *observer) perform(actions []observe.Action) {
+	for _, action := range actions {
+		if action.Address != "" {
+			o.connect(action)
+		} else if c := o.conns[action.Host]; c != nil && c.conn != nil {
+			c.ping(action.Tag)
 		}
 	}
 }
 
-func (o *observer) dial(a observe.Action) {
-	if c := o.conns[a.Host]; c != nil {
-		c.end()
+func (o *observer) connect(action observe.Action) {
+	if c := o.conns[action.Host]; c != nil {
+		c.close()
 	}
-	addr, err := netip.ParseAddrPort(a.Address)
+	addr, err := netip.ParseAddrPort(action.Address)
 	if err == nil {
-		c := &boxConn{observer: o, name: a.Host}
-		if c.conn, err = o.board.loop.Dial(addr, o.board.set.Observer.Timeout, c); err == nil {
-			o.conns[a.Host] = c
+		c := &hostConn{observer: o, host: action.Host}
+		if c.conn, err = o.server.loop.Dial(addr, o.server.set.Observer.Timeout, c); err == nil {
+			o.conns[action.Host] = c
 			return
 		}
 	}
-	o.watcher.Lost(a.Host, errors.Is(err, unix.ECONNREFUSED), o.board.clock())
+	o.watcher.Lost(action.Host, errors.Is(err, unix.ECONNREFUSED), o.server.clock())
 }
 
-// changed has the observations published soon.
-func (o *observer) changed() {
-	if !o.publish.Active() {
-		o.board.loop.Set(&o.publish, o.board.loop.Now()+observePublish)
+// schedulePublish has the observations published soon.
+func (o *observer) schedulePublish() {
+	if !o.publishTimer.Active() {
+		o.server.loop.Set(&o.publishTimer, o.server.loop.Now()+observerPublishDelay)
 	}
 }
 
-func (o *observer) tell() {
-	o.publish.Stop()
-	old := *o.board.observed.Load()
-	fresh, differs := map[string]fleet.Observation{}, false
-	for name, seen := range o.watcher.Seen() {
-		fresh[name] = seen
-		if was := old[name]; was != seen {
-			differs = true
-			if was.Sight != seen.Sight && was.Sight != "" || was.RestartedMS != seen.RestartedMS {
-				slog.Info("box.seen", "box", name, "sight", seen.Sight, "was", was.Sight, "restarted", was.RestartedMS != seen.RestartedMS)
-			}
+// publish makes the observations visible to other goroutines, and wakes the executor if any has changed.
+func (o *observer) publish() {
+	o.publishTimer.Stop()
+	previous := *o.server.observed.Load()
+	observed := map[string]fleet.Observation{}
+	changed := false
+	for name, now := range o.watcher.Seen() {
+		observed[name] = now
+		if before := previous[name]; before != now {
+			changed = true
+			logObservation(name, before, now)
 		}
 	}
-	if differs || len(fresh) != len(old) {
-		o.board.observed.Store(&fresh)
-		o.board.executor.wake()
+	if changed || len(observed) != len(previous) {
+		o.server.observed.Store(&observed)
+		o.server.executor.wake()
 	}
 }
 
-// boxConn is the observer's connection to one box.
-type boxConn struct {
+// logObservation logs a host that is seen otherwise than before. The first observation of a host is not logged.
+func logObservation(host string, before, now fleet.Observation) {
+	restarted := before.RestartedMS != now.RestartedMS
+	if before.Sight != now.Sight && before.Sight != "" || restarted {
+		slog.Info("host.observed", "host", host, "sight", now.Sight, "was", before.Sight, "restarted", restarted)
+	}
+}
+
+// hostConn is the observer's connection to one host. It implements transport.Handler.
+type hostConn struct {
 	observer *observer
 	conn     *transport.Conn
-	name     string
-	words    resp.Words
+	host     string
+	words    resp.Words // of the last answer; kept for its memory
 }
 
-// end closes the connection without a word to the watcher.
-func (c *boxConn) end() {
+// ping sends a ping with a tag that the answer repeats.
+func (c *hostConn) ping(tag string) {
+	o := c.observer
+	o.buf = resp.AppendHead(o.buf[:0], 2)
+	o.buf = resp.AppendBulk(o.buf, "ping")
+	o.buf = resp.AppendBulk(o.buf, tag)
+	c.conn.Write(o.buf)
+}
+
+// close ends the connection without reporting it to the watcher.
+func (c *hostConn) close() {
 	c.conn.Close()
-	if c.observer.conns[c.name] == c {
-		delete(c.observer.conns, c.name)
+	if c.observer.conns[c.host] == c {
+		delete(c.observer.conns, c.host)
 	}
 }
 
 // Opened implements transport.Handler.
-func (c *boxConn) Opened() {
-	c.observer.do(c.observer.watcher.Connected(c.name, c.observer.board.clock()))
+func (c *hostConn) Opened() {
+	c.observer.perform(c.observer.watcher.Connected(c.host, c.observer.server.clock()))
 }
 
 // Flushed implements transport.Handler.
-func (c *boxConn) Flushed() {}
+func (c *hostConn) Flushed() {}
 
 // Closed implements transport.Handler.
-func (c *boxConn) Closed(err error) {
+func (c *hostConn) Closed(err error) {
 	o := c.observer
-	if o.conns[c.name] != c {
+	if o.conns[c.host] != c {
 		return
 	}
-	delete(o.conns, c.name)
-	o.watcher.Lost(c.name, errors.Is(err, unix.ECONNREFUSED), o.board.clock())
-	o.changed()
+	delete(o.conns, c.host)
+	o.watcher.Lost(c.host, errors.Is(err, unix.ECONNREFUSED), o.server.clock())
+	o.schedulePublish()
 }
 
-// Data implements transport.Handler.
-func (c *boxConn) Data(b []byte) (used, need int, err error) {
+// Data implements transport.Handler. An answer to a ping is the ping's tag and UP.
+func (c *hostConn) Data(b []byte) (used, need int, err error) {
+	o := c.observer
 	for {
 		words, n, need, err := resp.Parse(b[used:], c.words)
 		c.words = words
@@ -198,8 +227,8 @@
 			return used, need, err
 		}
 		used += n
-		if len(words) >= 2 && string(words[1]) == "UP" && c.observer.watcher.Pong(c.name, string(words[0]), c.observer.board.clock()) {
-			c.observer.changed()
+		if len(words) >= 2 && string(words[1]) == "UP" && o.watcher.Pong(c.host, string(words[0]), o.server.clock()) {
+			o.schedulePublish()
 		}
 	}
 }
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -1,6 +1,3 @@
-// Package controlplane is the service that keeps the fleet: it serves the history to directors, looks at boxes, takes plans and
-// carries them out. What is decided is decided in internal/fleet and in the pure packages beside this one; here are the
-// sockets, the clock and the store.
 package controlplane
 
 import (
@@ -10,13 +7,9 @@
 	"net"
 	"net/http"
 	"net/netip"
-	"os"
-	"os/signal"
 	"sync/atomic"
-	"syscall"
 	"time"
 
-	"stairvane.org/stairvane/internal/controlplane/api"
 	"stairvane.org/stairvane/internal/controlplane/eventlog"
 	"stairvane.org/stairvane/internal/controlplane/replicas"
 	"stairvane.org/stairvane/internal/controlplane/store"
@@ -26,245 +19,210 @@
 	"stairvane.org/stairvane/internal/transport"
 )
 
-// Options beside the operator's file. Clock and At are for tests; the zero value is the system's clock and no kill points.
+// minKeptEvents is how many events the log for watchers has at least, whatever the operator's file says.
+const minKeptEvents = 1000
+
+// Options are what one start is given beside the operator's file.
 type Options struct {
-	Clock       func() int64
-	At          func(point string)
-	AcceptOlder bool // see store.Options
-	Found       bool // begin a group of copies with this store
-	NewDisk     bool // put the store aside and begin as a new disk, which waits to be let in
+	Clock       func() int64       // milliseconds since the Unix epoch; nil: the system's clock
+	KillPoint   func(point string) // called where a test may end the process, see store.Options; nil: nothing
+	AcceptOlder bool               // see store.Options
+	Found       bool               // found a group with this store as its first replica
+	NewDisk     bool               // set the store aside and begin as a new disk, which waits to be admitted to the group
 }
 
-// Server is one board process.
+// Server is one process of the control plane: the only one, or a replica of a group.
 type Server struct {
-	set        operatorconfig.ControlPlane
-	store      *store.Store
-	loop       *transport.Loop
-	watches    *watch.Server
-	observer   *observer
-	executor   *executor
-	membership *membershipService
-	relays     *relayLeases
-	write      net.Listener
-	server     *http.Server
-	observed   atomic.Pointer[map[string]fleet.Observation]
-	group      *replicas.Group // nil: the board is alone
-	clock      func() int64
-	started    atomic.Bool // the loop runs, or ran
-	stopping   atomic.Bool
-	failed     chan error
+	set           operatorconfig.ControlPlane
+	store         *store.Store
+	loop          *transport.Loop
+	watches       *watch.Server // owned by the loop
+	observer      *observer     // owned by the loop
+	executor      *executor
+	membership    *membershipService
+	relays        *relayLeases
+	writeListener net.Listener
+	writeServer   *http.Server
+	observed      atomic.Pointer[map[string]fleet.Observation] // by host name; the map is replaced and never changed
+	group         *replicas.Group                              // nil: the process runs alone
+	clock         func() int64                                 // milliseconds since the Unix epoch
+	started       atomic.Bool                                  // the loop runs, or ran
+	stopping      atomic.Bool
+	failed        chan error // why the write side ended
 }
 
-// New opens the store and listens. Errors of the store wrap those of its package.
-func New(set operatorconfig.ControlPlane, opt Options) (b *Server, err error) {
-	b = &Server{set: set, clock: opt.Clock, failed: make(chan error, 2)}
-	if b.clock == nil {
-		b.clock = func() int64 { return time.Now().UnixMilli() }
+// New opens the store and listens. Nothing is served before Run. Errors of the store wrap those of its package.
+func New(set operatorconfig.ControlPlane, options Options) (*Server, error) {
+	s := &Server{set: set, clock: options.Clock, failed: make(chan error, 2)}
+	if s.clock == nil {
+		s.clock = func() int64 { return time.Now().UnixMilli() }
 	}
-	b.observed.Store(&map[string]fleet.Observation{})
-	defer func() {
-		if err != nil {
-			b.closeAll()
-			b = nil
-		}
-	}()
-	if b.loop, err = transport.NewLoop(); err != nil {
-		return b, err
+	s.observed.Store(&map[string]fleet.Observation{})
+	if err := s.open(options); err != nil {
+		s.release()
+		return nil, err
 	}
-	if err = b.checkMode(opt); err != nil {
-		return b, err
+	return s, nil
+}
+
+// open makes the parts of the server. What was opened before an error is closed by release.
+func (s *Server) open(options Options) (err error) {
+	if s.loop, err = transport.NewLoop(); err != nil {
+		return fmt.Errorf("make event loop: %w", err)
 	}
-	if b.store, err = store.Open(set.Store, store.Options{
-		SnapshotEvery: set.SnapshotEvery, KeepEvents: set.KeepEvents, Batch: set.Batch, Clock: b.clock,
-		Committed: b.committed, KillPoint: opt.At, AcceptOlder: opt.AcceptOlder, Group: set.Replicas.Self != "", RememberWrites: set.Replicas.RememberWrites,
-	}); err != nil {
-		return b, err
+	if err = s.prepareGroup(options); err != nil {
+		return err
 	}
-	if i, _ := b.store.Identity(); i.Disk != 0 && set.Replicas.Self == "" {
-		return b, fmt.Errorf("%s: %w, as copy %s, and the file lists no copies", set.Store, store.ErrInGroup, i.Name)
+	if err = s.openStore(options); err != nil {
+		return err
 	}
-	b.membership = newMembershipService(b)
-	b.relays = newRelayLeases(b)
-	first, tail := b.store.Tail()
-	log, err := eventlog.New(first, tail, b.store.Fleet(), max(set.KeepEvents, 1000))
+	s.membership = newMembershipService(s)
+	s.relays = newRelayLeases(s)
+	first, tail := s.store.Tail()
+	log, err := s.newEventLog(first, tail, s.store.Fleet())
 	if err != nil {
-		return b, err
+		return err
 	}
-	if b.watches, err = newWatchServer(b, log); err != nil {
-		return b, err
+	if s.watches, err = newWatchServer(s, log); err != nil {
+		return fmt.Errorf("listen for watches: %w", err)
 	}
-	b.observer = newObserver(b)
-	b.executor = newExecutor(b)
-	if set.Replicas.Self != "" {
-		if b.group, err = b.join(opt); err != nil {
-			return b, err
+	s.observer = newObserver(s)
+	s.executor = newExecutor(s)
+	if s.set.Replicas.Self != "" {
+		if s.group, err = s.joinGroup(options); err != nil {
+			return err
 		}
 	}
-	return b, b.listenWrite()
+	return s.listenWrite()
 }
 
-// checkMode refuses options that speak of a group where there is none, and puts a store aside that is to be given up.
-func (b *Server) checkMode(opt Options) error {
-	if b.set.Replicas.Self == "" {
-		if opt.Found || opt.NewDisk {
-			return errors.New("the file lists no copies: (copies ...) is missing in (board ...)")
-		}
-		return nil
-	}
-	// A write beyond a limit of the file's size is to be an error, as a full disk is, and not the end of the process.
-	signal.Ignore(syscall.SIGXFSZ)
-	if !opt.NewDisk {
-		return nil
+func (s *Server) openStore(options Options) (err error) {
+	s.store, err = store.Open(s.set.Store, store.Options{
+		SnapshotEvery:  s.set.SnapshotEvery,
+		KeepEvents:     s.set.KeepEvents,
+		Batch:          s.set.Batch,
+		Clock:          s.clock,
+		Committed:      s.committed,
+		KillPoint:      options.KillPoint,
+		AcceptOlder:    options.AcceptOlder,
+		Group:          s.set.Replicas.Self != "",
+		RememberWrites: s.set.Replicas.RememberWrites,
+	})
+	if err != nil {
+		return err
 	}
-	aside := fmt.Sprintf("%s.old-%d", b.set.Store, b.clock())
-	if err := os.Rename(b.set.Store, aside); err != nil && !errors.Is(err, os.ErrNotExist) {
-		return fmt.Errorf("the store can't be put aside: %w", err)
-	} else if err == nil {
-		slog.Warn("copies.store_put_aside", "as", aside)
+	if identity, _ := s.store.Identity(); identity.Disk != 0 && s.set.Replicas.Self == "" {
+		return fmt.Errorf("%s: %w, as copy %s, and the file lists no copies", s.set.Store, store.ErrInGroup, identity.Name)
 	}
 	return nil
 }
 
-// join makes the board a copy of its group.
-func (b *Server) join(opt Options) (*replicas.Group, error) {
-	set := replicas.Settings{
-		ReplicaGroup: b.set.Replicas, Batch: b.set.Batch, FoundGroup: opt.Found, LeadershipChanged: b.executor.lead, SnapshotInstalled: b.replaced, Acknowledged: b.watches.Acknowledged, Heartbeats: b.membership.Heartbeats, TakeHeartbeats: b.membership.TakeHeartbeats, Grant: b.membership.Grant, TakeLeaseAnswer: b.membership.TakeShares,
-		NotifiedAfter: func() time.Duration {
-			return time.Duration(b.store.Fleet().Rules().NotifiedWithinMS) * time.Millisecond
-		},
-	}
-	set.Client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: time.Minute, DialContext: (&net.Dialer{Timeout: 300 * time.Millisecond}).DialContext}}
-	if keys := b.set.Write.TLS; keys != nil {
-		c, err := api.ClientTLS(api.Credentials{Certificate: keys.Certificate, Key: keys.Key, Authority: keys.Clients})
-		if err != nil {
-			return nil, err
-		}
-		set.Client.Transport.(*http.Transport).TLSClientConfig, set.Scheme = c, "https"
-	}
-	return replicas.New(b.store, set)
+// newEventLog makes the log that watchers are answered from. tail are the events from number first on that led to the fleet.
+func (s *Server) newEventLog(first int64, tail []fleet.Event, f fleet.Fleet) (*eventlog.Log, error) {
+	return eventlog.New(first, tail, f, max(s.set.KeepEvents, minKeptEvents))
 }
 
-// replaced follows a store that was taken over whole from another copy.
-func (b *Server) replaced() {
-	first, tail := b.store.Tail()
-	f := b.store.Fleet()
-	b.post(func() {
-		log, err := eventlog.New(first, tail, f, max(b.set.KeepEvents, 1000))
-		if err != nil {
-			slog.Error("board.history_broken", "err", err)
-			b.Stop()
-			return
-		}
-		b.watches.Replace(log, f)
-		b.observer.renew(f)
-	})
-}
-
-// term numbers the times of leading; it rises with each, at any copy.
-func (b *Server) term() int64 {
-	if b.group == nil {
-		return b.clock() // a board alone: the later start has the later time
-	}
-	return int64(b.group.Status().Term)
-}
+// Addr is where directors watch.
+func (s *Server) Addr() (netip.AddrPort, error) { return s.watches.Addr() }
 
-// Leads tells whether the board carries out changes: one that is alone does.
-func (b *Server) Leads() bool { return b.group == nil || b.group.IsLeader() }
+// WriteAddr is where the write side listens.
+func (s *Server) WriteAddr() net.Addr { return s.writeListener.Addr() }
 
-// Addr is where directors follow.
-func (b *Server) Addr() (netip.AddrPort, error) { return b.watches.Addr() }
-
-// WriteAddr is where changes are taken.
-func (b *Server) WriteAddr() net.Addr { return b.write.Addr() }
-
-// World is what is known at this moment.
-func (b *Server) World() fleet.ObservedState {
-	return fleet.ObservedState{Fleet: b.store.Fleet(), Observed: *b.observed.Load(), NowMS: b.clock()}
+// ObservedState is the fleet as it is declared now, with the last observations of its hosts. It may be called from any goroutine.
+func (s *Server) ObservedState() fleet.ObservedState {
+	return fleet.ObservedState{Fleet: s.store.Fleet(), Observed: *s.observed.Load(), NowMS: s.clock()}
 }
 
-// committed is told by the store of durable events.
-func (b *Server) committed(events []fleet.Event) {
-	f := b.store.Fleet()
-	b.membership.committed(f.Revision)
-	b.post(func() {
-		b.watches.Publish(events, f)
-		b.observer.follow(events)
+// committed is called by the store when events have become durable.
+func (s *Server) committed(events []fleet.Event) {
+	f := s.store.Fleet()
+	s.membership.committed(f.Revision)
+	s.post(func() {
+		s.watches.Publish(events, f)
+		s.observer.apply(events)
 	})
 }
 
-// post runs f on the loop, unless that has ended.
-func (b *Server) post(f func()) {
-	if b.started.Load() {
-		b.loop.Post(f)
+// post runs f on the loop, unless the loop has not begun.
+func (s *Server) post(f func()) {
+	if s.started.Load() {
+		s.loop.Post(f)
 	}
 }
 
-// Run serves until Stop.
-func (b *Server) Run() error {
-	addr, err := b.Addr()
+// Run serves until Stop and then closes everything that New has opened. It may be called once.
+func (s *Server) Run() error {
+	addr, err := s.Addr()
 	if err != nil {
 		return err
 	}
-	b.started.Store(true)
-	if b.group != nil {
-		go b.group.Run()
-	} else if err := b.executor.recover(); err != nil {
-		b.started.Store(false)
-		b.closeAll()
-		return err
-	}
-	if b.stopping.Load() { // told before there was anything to stop
-		b.post(b.loop.Stop)
-	}
-	b.observer.start()
-	if b.group != nil {
-		b.watches.CheckLease()
-	}
-	go func() {
-		if err := b.server.Serve(b.write); !errors.Is(err, http.ErrServerClosed) {
-			b.failed <- fmt.Errorf("write side: %w", err)
-			b.Stop()
-		}
-	}()
-	go b.executor.run()
-	go b.membership.run()
-	slog.Info("board.serves", "bulletin", addr.String(), "write", b.write.Addr().String(), "revision", b.store.Fleet().Revision,
-		"observer", b.set.Observer.Every > 0)
-	err = b.loop.Run()
-	b.executor.stop()
-	close(b.membership.stop)
-	<-b.membership.ended
-	b.server.Close()
-	if b.group != nil {
-		b.group.Stop()
+	s.started.Store(true)
+	if s.group != nil {
+		go s.group.Run()
+	} else if err := s.executor.recover(); err != nil {
+		s.started.Store(false)
+		s.release()
+		return fmt.Errorf("recover apply: %w", err)
+	}
+	if s.stopping.Load() { // Stop came before the loop could be reached
+		s.post(s.loop.Stop)
+	}
+	s.observer.start()
+	if s.group != nil {
+		s.watches.CheckLease()
+	}
+	go s.serveWrites()
+	go s.executor.run()
+	go s.membership.run()
+	slog.Info("board.serves", "bulletin", addr.String(), "write", s.WriteAddr().String(), "revision", s.store.Fleet().Revision,
+		"observer", s.set.Observer.Every > 0)
+	err = s.loop.Run()
+	err = errors.Join(err, s.shutDown())
+	slog.Info("controlplane.stopped", "revision", s.store.Fleet().Revision)
+	return err
+}
+
+// serveWrites serves the write side until it is closed.
+func (s *Server) serveWrites() {
+	if err := s.writeServer.Serve(s.writeListener); !errors.Is(err, http.ErrServerClosed) {
+		s.failed <- fmt.Errorf("write side: %w", err)
+		s.Stop()
 	}
-	if closeErr := b.store.Close(); err == nil {
-		err = closeErr
+}
+
+// shutDown ends the goroutines once the loop has ended, and closes the store last. It gives the failure that stopped the server, too.
+func (s *Server) shutDown() error {
+	s.executor.stop()
+	close(s.membership.stop)
+	<-s.membership.ended
+	_ = s.writeServer.Close() // its listener is given up in any case
+	if s.group != nil {
+		s.group.Stop()
 	}
+	err := s.store.Close()
 	select {
-	case failure := <-b.failed:
+	case failure := <-s.failed:
 		err = errors.Join(err, failure)
 	default:
 	}
-	slog.Info("board.left", "revision", b.store.Fleet().Revision)
 	return err
 }
 
-// Stop ends Run. What was begun goes on at the next start.
-func (b *Server) Stop() {
-	b.stopping.Store(true)
-	b.post(b.loop.Stop)
+// Stop ends Run. An apply that is under way goes on at the next start, or at the next leader.
+func (s *Server) Stop() {
+	s.stopping.Store(true)
+	s.post(s.loop.Stop)
 }
 
-// closeAll gives up what New has opened.
-func (b *Server) closeAll() {
-	if b.write != nil {
-		b.write.Close()
+// release closes what open has opened, for a server that does not run.
+func (s *Server) release() {
+	if s.writeListener != nil {
+		_ = s.writeListener.Close() // the error that led here is reported
 	}
-	if b.loop != nil {
-		b.loop.Release()
+	if s.loop != nil {
+		s.loop.Release()
 	}
-	if b.store != nil {
-		b.store.Close()
+	if s.store != nil {
+		_ = s.store.Close() // the error that led here is reported
 	}
 }
--- a/internal/controlplane/watchowner.go
+++ b/internal/controlplane/watchowner.go
@@ -10,34 +10,35 @@
 	"stairvane.org/stairvane/internal/quota"
 )
 
-const maxWatchers = 8192
+const maxWatchers = 8192 // connections of directors at one time
 
-// watchOwner is the control plane as its watch server sees it.
+// watchOwner is the server as its watch server sees it. It implements watch.Owner.
 type watchOwner struct{ server *Server }
 
-func newWatchServer(b *Server, log *eventlog.Log) (*watch.Server, error) {
-	set := watch.Settings{Listen: b.set.Listen, Allowed: b.set.Watchers, MaxWatchers: maxWatchers}
-	return watch.New(b.loop, set, watchOwner{b}, log, b.store.Fleet().Rules().NotifiedWithinMS)
+func newWatchServer(s *Server, log *eventlog.Log) (*watch.Server, error) {
+	set := watch.Settings{Listen: s.set.Listen, Allowed: s.set.Watchers, MaxWatchers: maxWatchers}
+	return watch.New(s.loop, set, watchOwner{s}, log, s.store.Fleet().Rules().NotifiedWithinMS)
 }
 
-// hasLease tells whether the process may have watchers: a replica may under its lease alone, for it may be cut off from the
-// others and not know of it.
-func (b *Server) hasLease() bool { return b.group == nil || b.group.HasLease() }
+// hasLease tells whether the process may have watchers. A replica may only under its lease, for it may be cut off from the others
+// and not know of it.
+func (s *Server) hasLease() bool { return s.group == nil || s.group.HasLease() }
 
-// watchedRevision is the revision up to which every director has all events, those that watch other replicas included.
-func (b *Server) watchedRevision() int64 {
-	if b.group != nil {
-		return b.group.Acknowledged()
+// watchedRevision is the revision up to which every director has all events, those that watch other replicas included. Directors
+// behind relays are not included, see acknowledgedRevision.
+func (s *Server) watchedRevision() int64 {
+	if s.group != nil {
+		return s.group.Acknowledged()
 	}
-	return b.watches.Acknowledged()
+	return s.watches.Acknowledged()
 }
 
 // HasLease implements watch.Owner.
 func (o watchOwner) HasLease() bool { return o.server.hasLease() }
 
-// Request implements watch.Owner.
-func (o watchOwner) Request(a discovery.Announcement, acknowledged int64) bool {
-	o.server.membership.observe(a, acknowledged)
+// Request implements watch.Owner. There is always capacity for a director: the number of watchers is bounded by maxWatchers.
+func (o watchOwner) Request(announcement discovery.Announcement, acknowledged int64) bool {
+	o.server.membership.observe(announcement, acknowledged)
 	return true
 }
 
@@ -51,7 +52,7 @@
 	return o.server.membership.aggregatedHealth(directorID)
 }
 
-// AcknowledgedChanged implements watch.Owner.
+// AcknowledgedChanged implements watch.Owner. A step of an apply may wait for it.
 func (o watchOwner) AcknowledgedChanged() { o.server.executor.wake() }
 
 // ClockMS implements watch.Owner.
@@ -59,6 +60,6 @@
 
 // Failed implements watch.Owner.
 func (o watchOwner) Failed(err error) {
-	slog.Error("board.history_broken", "err", err)
+	slog.Error("eventlog.invalid", "err", err)
 	o.server.Stop()
 }
