--- a/internal/controlplane/watch/drain.go
+++ b/internal/controlplane/watch/drain.go
@@ -11,35 +11,35 @@
 
 // drain is a server's closing of its watchers before the process ends.
 type drain struct {
-	server    *Server
-	first     int // watchers at the beginning
-	steps     int
-	stepsLeft int
-	timer     transport.Timer
-	done      func()
+	server       *Server
+	initialCount int // watchers at its beginning
+	steps        int
+	stepsLeft    int
+	timer        transport.Timer
+	done         func()
 }
 
-// Drain takes no new watchers and closes those that there are, spread evenly over a time, so that they do not all call elsewhere
+// Drain admits no new watchers and closes those that there are, spread evenly over a time, so that they do not all connect elsewhere
 // at one moment. done runs on the loop when none is left.
 func (s *Server) Drain(over time.Duration, done func()) {
-	slog.Info("followers.drain", "followers", len(s.watchers), "over_ms", over.Milliseconds())
+	slog.Info("watcher.drain_started", "watchers", len(s.watchers), "over_ms", over.Milliseconds())
 	steps := max(1, int(over/drainInterval))
-	d := &drain{server: s, first: len(s.watchers), steps: steps, stepsLeft: steps, done: done}
+	d := &drain{server: s, initialCount: len(s.watchers), steps: steps, stepsLeft: steps, done: done}
 	d.timer.Fire = d.step
 	d.step()
 }
 
-// step closes the part of the watchers that is due.
+// step closes the watchers that are due.
 func (d *drain) step() {
 	s := d.server
-	closed := s.listener.Close() // false where descriptors ran out: it is tried again with the next step
+	closed := s.listener.Close() // false where descriptors ran out: the next step tries again
 	d.stepsLeft = max(0, d.stepsLeft-1)
-	may := d.first * d.stepsLeft / d.steps
-	for c := range s.watchers {
-		if len(s.watchers) <= may {
+	allowed := d.initialCount * d.stepsLeft / d.steps
+	for w := range s.watchers {
+		if len(s.watchers) <= allowed {
 			break
 		}
-		c.close()
+		w.close()
 	}
 	if closed && len(s.watchers) == 0 {
 		d.done()
--- a/internal/controlplane/watch/server.go
+++ b/internal/controlplane/watch/server.go
@@ -1,10 +1,8 @@
-// Package watch is the server of the watch protocol: it answers directors' long polls with what is new in the event log, and
-// keeps account of what they have acknowledged. A replica of the control plane and a relay both serve watches with it. It has
-// no goroutine of its own: all but the methods that say otherwise run on the loop that it was made with.
 package watch
 
 import (
 	"log/slog"
+	"net/http"
 	"net/netip"
 	"sync"
 	"time"
@@ -14,152 +12,146 @@
 	"stairvane.org/stairvane/internal/controlplane/acknowledged"
 	"stairvane.org/stairvane/internal/controlplane/eventlog"
 	"stairvane.org/stairvane/internal/fleet"
-	"stairvane.org/stairvane/internal/health"
-	"stairvane.org/stairvane/internal/protocol/discovery"
-	"stairvane.org/stairvane/internal/quota"
 	"stairvane.org/stairvane/internal/transport"
 )
 
 const (
-	callTimeout    = 10 * time.Second      // for a call to come whole, and for one to come at all
-	refusalTimeout = 2 * time.Second       // for a refused caller to read why
-	maxQueued      = 16 << 20              // bytes that a watcher may leave untaken
-	leaseInterval  = 10 * time.Millisecond // between two looks at the lease
+	requestTimeout     = 10 * time.Second      // for a request to arrive completely, and for the next one to come
+	rejectionTimeout   = 2 * time.Second       // for a rejected caller to read the answer
+	maxQueuedBytes     = 16 << 20              // that a watcher may leave unread
+	leaseCheckInterval = 10 * time.Millisecond // between two checks of the owner's lease
 )
 
-// Owner is the process that serves watches. Its methods are called on the loop, apart from those that say otherwise.
-type Owner interface {
-	// HasLease tells whether the process may have watchers at this moment.
-	HasLease() bool
-	// Request takes in what a director says of itself with a call, and the revision up to which it has all events. False means
-	// that the process has no room for the director, which is then refused.
-	Request(announcement discovery.Announcement, acknowledged int64) bool
-	// Granted is the grant for a director, once; nil if there is none.
-	Granted(directorID string) *quota.Grant
-	// Health are those on caches that a director is to be sent now; nil if nothing is new to it.
-	Health(directorID string) *health.AggregatedHealth
-	// AcknowledgedChanged tells that Acknowledged may have risen. It must not block.
-	AcknowledgedChanged()
-	// ClockMS is the time in milliseconds since the Unix epoch; called from any goroutine.
-	ClockMS() int64
-	// Failed tells of a fault of the program after which no watch can be served.
-	Failed(err error)
-}
-
 // Settings of a server.
 type Settings struct {
 	Listen      netip.AddrPort
-	Allowed     *bart.Lite // addresses that may watch; nil: loopback alone
+	Allowed     *bart.Lite // addresses that may watch; nil: only loopback
 	MaxWatchers int        // connections at one time
-	// Gather is for how long after an answer with something new a watcher gets no further one, so that many events in a row
-	// cost it few calls. An event after a quiet time is answered at once. 0: every event is.
+	// Gather is for how long after an answer with something new a watcher gets no further one, so that many events in a row cost it
+	// few requests. An event after a quiet time is answered at once. 0: every event is.
 	Gather time.Duration
 }
 
-// Server serves watches: one connection, one long poll, and no goroutine for any of them.
+// Server serves watches, each over one connection.
 type Server struct {
-	set      Settings
-	loop     *transport.Loop
-	owner    Owner
-	log      *eventlog.Log
-	listener *transport.Listener
-	watchers map[*watcher]struct{}
-	ids      int64
-	head     []byte
-	lease    transport.Timer
-
-	mu      sync.Mutex // tracker and last are read by other goroutines too
-	tracker *acknowledged.Tracker
-	last    int64
+	set           Settings
+	loop          *transport.Loop
+	owner         Owner
+	log           *eventlog.Log
+	listener      *transport.Listener
+	watchers      map[*watcher]struct{} // those that are admitted
+	lastWatcherID int64
+	headBuffer    []byte
+	leaseTimer    transport.Timer
+
+	mu           sync.Mutex // guards what other goroutines read, too
+	tracker      *acknowledged.Tracker
+	lastRevision int64 // of the log
 }
 
-// New listens on a loop that does not run yet. within is in milliseconds: what a watcher that left then lacks counts as
-// acknowledged after it.
-func New(loop *transport.Loop, set Settings, owner Owner, log *eventlog.Log, within int64) (s *Server, err error) {
-	s = &Server{set: set, loop: loop, owner: owner, log: log, watchers: map[*watcher]struct{}{}, last: log.Last(), tracker: acknowledged.New(within)}
-	s.listener, err = loop.Listen(set.Listen, func() transport.Handler { return &watcher{server: s} },
-		func(c *transport.Conn, h transport.Handler) { s.admit(c, h.(*watcher)) })
-	s.lease.Fire = s.CheckLease
+// New listens on a loop that does not run yet. notifiedWithinMS is in milliseconds: events that a watcher lacked when it left count as
+// acknowledged after that time.
+func New(loop *transport.Loop, set Settings, owner Owner, log *eventlog.Log, notifiedWithinMS int64) (*Server, error) {
+	s := &Server{
+		set:          set,
+		loop:         loop,
+		owner:        owner,
+		log:          log,
+		watchers:     map[*watcher]struct{}{},
+		tracker:      acknowledged.New(notifiedWithinMS),
+		lastRevision: log.Last(),
+	}
+	s.leaseTimer.Fire = s.CheckLease
+	newHandler := func() transport.Handler { return &watcher{server: s} }
+	accept := func(c *transport.Conn, h transport.Handler) { s.accept(c, h.(*watcher)) }
+	var err error
+	s.listener, err = loop.Listen(set.Listen, newHandler, accept)
 	return s, err
 }
 
-// Addr is where directors call.
+// Addr is where directors connect.
 func (s *Server) Addr() (netip.AddrPort, error) { return s.listener.Addr() }
 
-// allowed tells whether an address may watch.
-func (s *Server) allowed(a netip.Addr) bool {
-	if s.set.Allowed == nil {
-		return a.IsLoopback()
+// accept admits a connection, or has its first request answered with an error.
+func (s *Server) accept(conn *transport.Conn, w *watcher) {
+	w.conn = conn
+	w.peer = conn.Peer().Addr().Unmap()
+	if status := s.admit(w.peer); status != http.StatusOK {
+		w.rejectFirstRequest(status)
+		return
 	}
-	return s.set.Allowed.Contains(a)
+	s.lastWatcherID++
+	w.id = s.lastWatcherID
+	s.watchers[w] = struct{}{}
+	s.mu.Lock()
+	s.tracker.Join(w.id, w.peer)
+	s.mu.Unlock()
+	w.timer.Fire = w.timeout
+	s.loop.Set(&w.timer, s.loop.Now()+requestTimeout)
 }
 
-func (s *Server) admit(conn *transport.Conn, c *watcher) {
-	c.conn, c.peer = conn, conn.Peer().Addr().Unmap()
-	status := 0
+// admit decides whether an address may watch now: the status is OK, or that of the rejection.
+func (s *Server) admit(peer netip.Addr) (status int) {
 	switch {
 	case !s.owner.HasLease():
-		status = 503
-	case !s.allowed(c.peer):
-		status = 403
-		slog.Warn("follower.not_allowed", "addr", c.peer.String())
+		return http.StatusServiceUnavailable
+	case !s.allows(peer):
+		slog.Warn("watcher.forbidden", "addr", peer.String())
+		return http.StatusForbidden
 	case len(s.watchers) >= s.set.MaxWatchers:
-		status = 503
-		slog.Warn("follower.turned_away", "followers", len(s.watchers))
+		slog.Warn("watcher.rejected", "watchers", len(s.watchers))
+		return http.StatusServiceUnavailable
 	}
-	if status != 0 {
-		c.refuseCall(status)
-		return
+	return http.StatusOK
+}
+
+// allows tells whether an address may watch at all.
+func (s *Server) allows(peer netip.Addr) bool {
+	if s.set.Allowed == nil {
+		return peer.IsLoopback()
 	}
-	s.ids++
-	c.id = s.ids
-	s.watchers[c] = struct{}{}
-	s.mu.Lock()
-	s.tracker.Join(c.id, c.peer)
-	s.mu.Unlock()
-	c.timer.Fire = c.due
-	s.loop.Set(&c.timer, s.loop.Now()+callTimeout)
+	return s.set.Allowed.Contains(peer)
 }
 
-// Publish takes in durable events and answers those who wait.
+// Publish appends durable events to the log and answers the watchers that wait. after is the fleet that the events lead to.
 func (s *Server) Publish(events []fleet.Event, after fleet.Fleet) {
-	if err := s.log.Add(events, after); err != nil { // a fault of the program: what was sent can't be trusted to go on
+	if err := s.log.Add(events, after); err != nil {
 		s.owner.Failed(err)
 		return
 	}
 	s.mu.Lock()
-	s.last = s.log.Last()
+	s.lastRevision = s.log.Last()
 	s.tracker.Within(after.Rules().NotifiedWithinMS)
 	s.mu.Unlock()
-	for c := range s.watchers {
-		if c.waiting {
-			c.offer()
+	for w := range s.watchers {
+		if w.waiting {
+			w.answerWhenDue()
 		}
 	}
 	s.owner.AcknowledgedChanged()
 }
 
-// PublishHealth answers those who wait and share in what is seen of caches.
+// PublishHealth answers the watchers that wait and share in health reports.
 func (s *Server) PublishHealth() {
-	for c := range s.watchers {
-		if c.waiting && c.call.Announcement != nil && len(c.call.Announcement.HealthReport) > 0 {
-			c.offer()
+	for w := range s.watchers {
+		if w.waiting && w.sharesHealth() {
+			w.answerWhenDue()
 		}
 	}
 }
 
-// CheckLease closes all watchers once the owner's lease is over, so that they go where the log goes on, and looks again soon.
+// CheckLease closes all watchers if the owner has no lease, and schedules the next check.
 func (s *Server) CheckLease() {
 	if !s.owner.HasLease() && len(s.watchers) > 0 {
 		slog.Warn("followers.let_go", "followers", len(s.watchers), "after", s.log.Last())
-		for c := range s.watchers {
-			c.close()
+		for w := range s.watchers {
+			w.close()
 		}
 	}
-	s.loop.Set(&s.lease, s.loop.Now()+leaseInterval)
+	s.loop.Set(&s.leaseTimer, s.loop.Now()+leaseCheckInterval)
 }
 
-// Replace goes on with another log, which has all of this one or what took its place.
+// Replace goes on with another log, which has all events of this one or a snapshot that includes them.
 func (s *Server) Replace(log *eventlog.Log, after fleet.Fleet) {
 	s.log = log
 	s.Publish(nil, after)
@@ -169,10 +161,10 @@
 func (s *Server) Acknowledged() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.tracker.Told(s.last, s.owner.ClockMS())
+	return s.tracker.Told(s.lastRevision, s.owner.ClockMS())
 }
 
-// Count is how many watch. It may be called from any goroutine.
+// Count is how many directors watch. It may be called from any goroutine.
 func (s *Server) Count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controlplane/watch/watch_test.go
+++ b/internal/controlplane/watch/watch_test.go
@@ -20,7 +20,8 @@
 	"stairvane.org/stairvane/internal/transport"
 )
 
-const patience = 20 * time.Second
+// testTimeout bounds each wait of a test, in a slow run too.
+const testTimeout = 20 * time.Second
 
 func TestMain(m *testing.M) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
@@ -34,31 +35,31 @@
 	}
 }
 
-// process is an owner whose lease and room a test sets.
-type process struct {
-	t        *testing.T
-	server   *Server
-	loop     *transport.Loop
-	fleet    fleet.Fleet
-	lost     atomic.Bool
-	full     atomic.Bool
-	requests chan int64 // acknowledged revisions, as calls come
+// testOwner is an owner whose lease and capacity a test sets.
+type testOwner struct {
+	t          *testing.T
+	server     *Server
+	loop       *transport.Loop
+	fleet      fleet.Fleet
+	leaseLost  atomic.Bool
+	atCapacity atomic.Bool
+	requests   chan int64 // acknowledged revisions, as requests come
 }
 
-func (p *process) HasLease() bool { return !p.lost.Load() }
-func (p *process) Request(_ discovery.Announcement, acknowledged int64) bool {
+func (p *testOwner) HasLease() bool { return !p.leaseLost.Load() }
+func (p *testOwner) Request(_ discovery.Announcement, acknowledged int64) bool {
 	p.requests <- acknowledged
-	return !p.full.Load()
+	return !p.atCapacity.Load()
 }
-func (p *process) Granted(string) *quota.Grant            { return nil }
-func (p *process) Health(string) *health.AggregatedHealth { return nil }
-func (p *process) AcknowledgedChanged()                   {}
-func (p *process) ClockMS() int64                         { return time.Now().UnixMilli() }
-func (p *process) Failed(err error)                       { p.t.Error(err) }
+func (p *testOwner) Granted(string) *quota.Grant            { return nil }
+func (p *testOwner) Health(string) *health.AggregatedHealth { return nil }
+func (p *testOwner) AcknowledgedChanged()                   {}
+func (p *testOwner) ClockMS() int64                         { return time.Now().UnixMilli() }
+func (p *testOwner) Failed(err error)                       { p.t.Error(err) }
 
 // serve starts a server on a loop of its own.
-func serve(t *testing.T, set Settings) *process {
-	p := &process{t: t, requests: make(chan int64, 1000)}
+func serve(t *testing.T, set Settings) *testOwner {
+	p := &testOwner{t: t, requests: make(chan int64, 1000)}
 	var err error
 	p.loop, err = transport.NewLoop()
 	check(t, err)
@@ -78,8 +79,8 @@
 	return p
 }
 
-// purge publishes so many purges as single events.
-func (p *process) purge(count int) {
+// publishPurges publishes so many purges, one at a time.
+func (p *testOwner) publishPurges(count int) {
 	done := make(chan struct{})
 	p.loop.Post(func() {
 		defer close(done)
@@ -96,23 +97,23 @@
 	<-done
 }
 
-// director is a client whose calls must be made and answered.
+// director is a client whose requests must be sent and answered.
 type director struct {
 	*watchtest.Client
 	t *testing.T
 }
 
-func (p *process) director(name string) director {
+func (p *testOwner) director(name string) director {
 	addr, err := p.server.Addr()
 	check(p.t, err)
-	c, err := watchtest.Dial(addr, name, patience)
+	c, err := watchtest.Dial(addr, name, testTimeout)
 	check(p.t, err)
 	p.t.Cleanup(c.Close)
 	return director{c, p.t}
 }
 
-// call asks for what comes after the last event and waits until the server has the call.
-func (p *process) call(d director, wait time.Duration) {
+// request asks for the events after the last one and waits until the server has the request.
+func (p *testOwner) request(d director, wait time.Duration) {
 	p.t.Helper()
 	check(p.t, d.Ask(wait))
 	<-p.requests
@@ -121,37 +122,38 @@
 // answer reads an answer: its status and how many events it has.
 func (d director) answer() (status, events int) {
 	d.t.Helper()
-	status, feed, err := d.Answer()
+	status, response, err := d.Answer()
 	check(d.t, err)
-	return status, len(feed.Events)
+	return status, len(response.Events)
 }
 
-func TestGatherAnswersEventsInARowTogetherAndOthersAtOnce(t *testing.T) {
+// Events that follow an answer closely come in one answer. An event after a quiet time is answered at once.
+func TestGatherBatchesEventsInARow(t *testing.T) {
 	const gather = time.Second
 	p := serve(t, Settings{Gather: gather})
 	d := p.director("d")
-	p.purge(1)
-	p.call(d, patience)
+	p.publishPurges(1)
+	p.request(d, testTimeout)
 	if _, n := d.answer(); n == 0 {
-		t.Fatal("the first call was not answered with what there is")
+		t.Fatal("the first request was not answered with the events that there are")
 	}
 	answered := time.Now()
-	p.call(d, patience)
-	p.purge(3)
-	p.purge(2)
+	p.request(d, testTimeout)
+	p.publishPurges(3)
+	p.publishPurges(2)
 	if _, n := d.answer(); n != 5 {
 		t.Errorf("%d events in the answer that follows an answer: 5 came", n)
 	}
 	if took := time.Since(answered); took < gather*9/10 {
 		t.Errorf("answered again after %v, gathering for %v", took, gather)
 	}
-	p.call(d, gather+gather/4) // a quiet time
+	p.request(d, gather+gather/4) // a time without events
 	if _, n := d.answer(); n != 0 {
-		t.Fatalf("%d events out of nothing", n)
+		t.Fatalf("%d events, none came", n)
 	}
-	p.call(d, patience)
+	p.request(d, testTimeout)
 	came := time.Now()
-	p.purge(1)
+	p.publishPurges(1)
 	if _, n := d.answer(); n != 1 {
 		t.Errorf("%d events in the answer, 1 came", n)
 	}
@@ -160,16 +162,16 @@
 	}
 }
 
-// A wait is not made longer than the caller said by what is gathered.
-func TestGatherKeepsTheCallersPatience(t *testing.T) {
+// Gathering does not make a wait longer than the caller has asked for.
+func TestGatherDoesNotExtendTheWait(t *testing.T) {
 	const gather = 5 * time.Second
 	p := serve(t, Settings{Gather: gather})
 	d := p.director("d")
-	p.purge(1)
-	p.call(d, patience)
+	p.publishPurges(1)
+	p.request(d, testTimeout)
 	d.answer()
-	p.call(d, 100*time.Millisecond)
-	p.purge(1)
+	p.request(d, 100*time.Millisecond)
+	p.publishPurges(1)
 	began := time.Now()
 	if _, n := d.answer(); n != 1 {
 		t.Errorf("%d events at the end of the wait, 1 had come", n)
@@ -179,11 +181,11 @@
 	}
 }
 
-func TestWithoutALeaseWatchersAreClosedAndRefused(t *testing.T) {
+func TestWatchersAreClosedWithoutLease(t *testing.T) {
 	p := serve(t, Settings{})
 	d := p.director("d")
-	p.call(d, patience)
-	p.lost.Store(true)
+	p.request(d, testTimeout)
+	p.leaseLost.Store(true)
 	if _, _, err := d.Answer(); err == nil {
 		t.Error("a watcher was answered without a lease")
 	}
@@ -194,24 +196,24 @@
 	}
 }
 
-func TestADirectorForWhomThereIsNoRoomIsRefused(t *testing.T) {
+func TestDirectorBeyondCapacityIsRejected(t *testing.T) {
 	p := serve(t, Settings{})
-	p.full.Store(true)
+	p.atCapacity.Store(true)
 	d := p.director("d")
-	p.call(d, patience)
+	p.request(d, testTimeout)
 	if status, _ := d.answer(); status != 503 {
 		t.Errorf("it got %d", status)
 	}
 }
 
-func TestDrainSpreadsTheEndsOfWatches(t *testing.T) {
+func TestDrainSpreadsClosures(t *testing.T) {
 	const over, watchers = time.Second, 20
 	p := serve(t, Settings{})
 	ends := make(chan time.Duration, watchers)
 	var all []director
 	for i := range watchers {
 		d := p.director(fmt.Sprint("d", i))
-		p.call(d, patience)
+		p.request(d, testTimeout)
 		all = append(all, d)
 	}
 	addr, err := p.server.Addr()
@@ -235,23 +237,23 @@
 		t.Errorf("%d of %d watchers were closed in the first half of %v", early, watchers, over)
 	}
 	if _, err = net.Dial("tcp", addr.String()); err == nil {
-		t.Error("a server that drains takes connections")
+		t.Error("a draining server accepts connections")
 	}
 }
 
-// A caller that is not admitted is answered once its call is whole, not before: an HTTP client that is answered before it has
-// asked takes the connection for broken.
-func TestARefusalAnswersACall(t *testing.T) {
+// A caller that is not admitted is answered once its request is complete, and not before: an HTTP client that is answered before it
+// has sent a request takes the connection for broken.
+func TestRejectionAnswersTheRequest(t *testing.T) {
 	p := serve(t, Settings{})
-	p.lost.Store(true)
+	p.leaseLost.Store(true)
 	addr, err := p.server.Addr()
 	check(t, err)
 	early, err := net.Dial("tcp", addr.String())
 	check(t, err)
-	defer early.Close()
+	defer func() { _ = early.Close() }() // the server may have closed it
 	_, err = early.Write([]byte("GET /bulletins?after=0 HT"))
 	check(t, err)
-	later, err := watchtest.Dial(addr, "later", patience) // its answer shows that the server has read what came before
+	later, err := watchtest.Dial(addr, "later", testTimeout) // its answer shows that the server has read what came before
 	check(t, err)
 	defer later.Close()
 	if status, _, err := later.Poll(0); status != 503 || err != nil {
@@ -259,9 +261,9 @@
 	}
 	check(t, early.SetReadDeadline(time.Now().Add(time.Millisecond)))
 	if n, err := early.Read(make([]byte, 1)); n > 0 || !os.IsTimeout(err) {
-		t.Errorf("%d bytes before the call, %v", n, err)
+		t.Errorf("%d bytes before the request, %v", n, err)
 	}
-	check(t, early.SetDeadline(time.Now().Add(patience)))
+	check(t, early.SetDeadline(time.Now().Add(testTimeout)))
 	_, err = early.Write([]byte("TP/1.1\r\n\r\n"))
 	check(t, err)
 	answer := make([]byte, 12)
--- a/internal/controlplane/watch/watchtest/watchtest.go
+++ b/internal/controlplane/watch/watchtest/watchtest.go
@@ -1,4 +1,4 @@
-// Package watchtest calls a watch server as a director does, for tests.
+// Package watchtest is a client of a watch server that behaves as a director does, for tests.
 package watchtest
 
 import (
@@ -13,15 +13,15 @@
 	"stairvane.org/stairvane/internal/protocol/discovery"
 )
 
-// Client is a director's connection. It is not safe for concurrent use.
+// Client is the connection of one director. It is not safe for concurrent use.
 type Client struct {
 	Name string
-	Last int64 // the last event that it has
+	Last int64 // revision that it has
 	conn net.Conn
 	in   *bufio.Reader
 }
 
-// Dial connects; all calls of the client are over within a time.
+// Dial connects a director with a name. All requests of the client must be over within a time.
 func Dial(addr netip.AddrPort, name string, within time.Duration) (*Client, error) {
 	conn, err := net.Dial("tcp", addr.String())
 	if err != nil {
@@ -31,34 +31,34 @@
 }
 
 // Close ends the connection.
-func (c *Client) Close() { c.conn.Close() }
+func (c *Client) Close() { _ = c.conn.Close() } // the server may have closed it
 
-// Ask asks for what comes after the last event; the server may wait for it for a time.
+// Ask sends a request for the events after the last one. The server may wait for them for a time.
 func (c *Client) Ask(wait time.Duration) error {
 	_, err := fmt.Fprintf(c.conn, "GET /bulletins?after=%d&patience=%d HTTP/1.1\r\n%s: {\"name\":%q,\"inc\":\"1\",\"roll\":%d}\r\n\r\n",
 		c.Last, wait.Milliseconds(), discovery.AnnounceHeader, c.Name, c.Last)
 	return err
 }
 
-// Answer reads the answer to what was asked.
-func (c *Client) Answer() (status int, feed discovery.WatchResponse, err error) {
+// Answer reads the answer to a request. The status is that of HTTP.
+func (c *Client) Answer() (status int, response discovery.WatchResponse, err error) {
 	res, err := http.ReadResponse(c.in, nil)
 	if err != nil {
-		return 0, feed, err
+		return 0, response, err
 	}
 	body, err := io.ReadAll(res.Body)
 	if err != nil {
-		return 0, feed, err
+		return 0, response, err
 	}
-	feed, err = discovery.Decode(body)
-	c.Last = max(c.Last, feed.LastRevision)
-	return res.StatusCode, feed, err
+	response, err = discovery.Decode(body)
+	c.Last = max(c.Last, response.LastRevision)
+	return res.StatusCode, response, err
 }
 
-// Poll asks and reads the answer.
-func (c *Client) Poll(wait time.Duration) (status int, feed discovery.WatchResponse, err error) {
+// Poll sends a request and reads the answer.
+func (c *Client) Poll(wait time.Duration) (status int, response discovery.WatchResponse, err error) {
 	if err := c.Ask(wait); err != nil {
-		return 0, feed, err
+		return 0, response, err
 	}
 	return c.Answer()
 }
