--- /dev/null
+++ b/internal/controlplane/acknowledged/tracker_test.go
@@ -0,0 +1,40 @@
+package acknowledged
+
+import (
+	"net/netip"
+	"testing"
+)
+
+// An event is acknowledged when every watcher has asked for the events after it. A watcher that left counts until its time is over,
+// unless it comes back with the event.
+func TestAcknowledgedUpTo(t *testing.T) {
+	a, b := netip.MustParseAddr("10.0.0.1"), netip.MustParseAddr("10.0.0.2")
+	tracker := New(7000)
+	want := func(nowMS, revision int64) {
+		t.Helper()
+		if got := tracker.Told(10, nowMS); got != revision {
+			t.Errorf("acknowledged up to %d, want %d", got, revision)
+		}
+	}
+	want(0, 10) // nobody watches
+	tracker.Join(1, a)
+	want(0, 10) // a connection without a request is nobody yet
+	tracker.Ack(1, 7)
+	tracker.Join(2, b)
+	tracker.Ack(2, 9)
+	want(0, 7)
+	tracker.Leave(1, 10, 1000)
+	want(1000, 7)
+	tracker.Join(3, b)
+	tracker.Ack(3, 8) // from another address: not the one that left
+	want(1000, 7)
+	tracker.Join(4, a)
+	tracker.Ack(4, 10)
+	want(1000, 8)
+	tracker.Leave(3, 10, 2000)
+	want(8999, 8)
+	want(9000, 9)
+	if tracker.Len() != 2 {
+		t.Error(tracker.Len())
+	}
+}
--- /dev/null
+++ b/internal/controlplane/eventlog/encode.go
@@ -0,0 +1,62 @@
+package eventlog
+
+import (
+	"stairvane.org/stairvane/internal/fleet"
+	"stairvane.org/stairvane/internal/protocol/discovery"
+)
+
+// DiscoveryEvent is an event as directors are sent it, without a change of the membership. An event that concerns the control plane
+// alone is an endpoint list without a change, so that revisions have no gap.
+func DiscoveryEvent(e fleet.Event) discovery.Event {
+	switch {
+	case e.Purge != nil:
+		return purgeEvent(e.No, *e.Purge)
+	case e.Host != nil:
+		return discovery.Event{
+			Revision:  e.No,
+			Endpoints: &discovery.EndpointList{Sequence: e.No, Endpoints: []discovery.Endpoint{endpoint(e.Host)}},
+		}
+	}
+	return discovery.Event{Revision: e.No, Endpoints: &discovery.EndpointList{Sequence: e.No}}
+}
+
+func purgeEvent(revision int64, p fleet.Purge) discovery.Event {
+	return discovery.Event{
+		Revision: revision,
+		Purge:    &discovery.Purge{Object: p.Object, Group: p.Group, IssuedMS: float64(p.IssuedMS)},
+	}
+}
+
+func endpoint(h *fleet.Host) discovery.Endpoint {
+	return discovery.Endpoint{
+		Name:    h.Name,
+		Address: h.Address,
+		Site:    h.Site,
+		Class:   h.Class,
+		Block:   h.Block,
+		Health:  string(h.State),
+		Share:   h.Serving,
+		BornMS:  float64(h.BornMS),
+	}
+}
+
+// membershipChange is the change of the membership in an event. The epoch of a shard is the revision that assigns it.
+func membershipChange(e fleet.Event) *discovery.Membership {
+	change := &discovery.Membership{Left: e.Membership.Left}
+	for _, director := range e.Membership.Joined {
+		change.Joined = append(change.Joined, discovery.Director(director))
+	}
+	for _, s := range e.Membership.Shards {
+		shard := discovery.Shard{
+			Number:           s.Shard,
+			Replicas:         s.Replicas,
+			PreviousReplicas: s.PreviousReplicas,
+			ReadyEpoch:       s.ReadyEpoch,
+		}
+		if s.ReadyEpoch == 0 {
+			shard.Epoch = e.No
+		}
+		change.Shards = append(change.Shards, shard)
+	}
+	return change
+}
--- a/internal/controlplane/eventlog/history_test.go
+++ b/internal/controlplane/eventlog/log_test.go
@@ -14,57 +14,57 @@
 
 func TestMain(m *testing.M) { fleettest.Main(m) }
 
-// follower takes answers in as a director does: by rising numbers, changes of a list, whole lists.
-type follower struct {
-	last  int64
-	hosts map[string]discovery.Endpoint
-	drops []string
+// watcher takes answers in as a director does: events by rising revisions, changes of the endpoint list and snapshots.
+type watcher struct {
+	last   int64
+	hosts  map[string]discovery.Endpoint
+	purges []string
 }
 
-func (f *follower) take(t interface{ Fatalf(string, ...any) }, parts [][]byte) {
+func (w *watcher) take(t interface{ Fatalf(string, ...any) }, parts [][]byte) {
 	var body []byte
 	for _, p := range parts {
 		body = append(body, p...)
 	}
-	feed, err := discovery.Decode(body)
+	response, err := discovery.Decode(body)
 	if err != nil {
 		t.Fatalf("%v: %s", err, body)
 	}
-	for _, i := range feed.Events {
-		if i.Revision <= f.last {
+	for _, event := range response.Events {
+		if event.Revision <= w.last {
 			continue
 		}
-		f.last = i.Revision
-		if i.Endpoints != nil {
-			if i.Endpoints.Snapshot {
-				f.hosts = map[string]discovery.Endpoint{}
+		w.last = event.Revision
+		if event.Endpoints != nil {
+			if event.Endpoints.Snapshot {
+				w.hosts = map[string]discovery.Endpoint{}
 			}
-			for _, h := range i.Endpoints.Endpoints {
-				if f.hosts[h.Name] = h; h.Health == "terminated" {
-					delete(f.hosts, h.Name)
+			for _, h := range event.Endpoints.Endpoints {
+				if w.hosts[h.Name] = h; h.Health == "terminated" {
+					delete(w.hosts, h.Name)
 				}
 			}
 		} else {
-			f.drops = append(f.drops, fmt.Sprintf("%d %s", i.Revision, i.Purge.Object))
+			w.purges = append(w.purges, fmt.Sprintf("%d %s", event.Revision, event.Purge.Object))
 		}
 	}
-	f.last = max(f.last, feed.LastRevision)
+	w.last = max(w.last, response.LastRevision)
 }
 
-// Whenever followers ask, and however much was compacted away meanwhile, each ends with the fleet's list and has got
-// every purge once.
-func TestFollowersCatchUp(t *testing.T) {
+// Whenever watchers ask, and however many events were dropped from the log meanwhile, each ends with the fleet's endpoint list and has
+// got every purge once.
+func TestWatchersCatchUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var f fleet.Fleet
 		l, err := New(1, nil, f, rapid.IntRange(0, 3).Draw(t, "keep"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		followers := []*follower{{hosts: map[string]discovery.Endpoint{}}, {hosts: map[string]discovery.Endpoint{}}}
+		watchers := []*watcher{{hosts: map[string]discovery.Endpoint{}}, {hosts: map[string]discovery.Endpoint{}}}
 		purges := 0
 		for n := range rapid.IntRange(1, 40).Draw(t, "events") {
 			e := fleet.Event{No: f.Revision + 1, AtMS: 1000}
-			name := fmt.Sprintf("c-%d", rapid.IntRange(0, 3).Draw(t, "box"))
+			name := fmt.Sprintf("c-%d", rapid.IntRange(0, 3).Draw(t, "host"))
 			switch m := f.Host(name); {
 			case rapid.IntRange(0, 3).Draw(t, "what") == 0:
 				purges++
@@ -74,7 +74,8 @@
 				to.State = fleet.Terminated
 				e.Host = &to
 			default:
-				e.Host = &fleet.Host{HostSpec: fleet.HostSpec{Name: name, Address: name + ":1"}, State: fleet.InService, Serving: float64(n)}
+				spec := fleet.HostSpec{Name: name, Address: name + ":1"}
+				e.Host = &fleet.Host{HostSpec: spec, State: fleet.InService, Serving: float64(n)}
 			}
 			if f, err = f.Apply(e); err != nil {
 				t.Fatal(err)
@@ -82,11 +83,11 @@
 			if err := l.Add([]fleet.Event{e}, f); err != nil {
 				t.Fatal(err)
 			}
-			if keep := rapid.IntRange(0, 5).Draw(t, "compact"); len(l.items) > keep { // what Add does once it is worth it
-				l.first += int64(len(l.items) - keep)
-				l.items = l.items[len(l.items)-keep:]
+			if keep := rapid.IntRange(0, 5).Draw(t, "compact"); len(l.events) > keep { // as trim does when there are many
+				l.first += int64(len(l.events) - keep)
+				l.events = l.events[len(l.events)-keep:]
 			}
-			if w := followers[rapid.IntRange(0, 1).Draw(t, "who")]; rapid.Bool().Draw(t, "asks") {
+			if w := watchers[rapid.IntRange(0, 1).Draw(t, "who")]; rapid.Bool().Draw(t, "asks") {
 				if parts, _, err := l.Answer(w.last, false); err != nil {
 					t.Fatal(err)
 				} else if parts != nil {
@@ -94,14 +95,14 @@
 				}
 			}
 		}
-		for _, w := range followers {
+		for _, w := range watchers {
 			if parts, _, err := l.Answer(w.last, false); err != nil {
 				t.Fatal(err)
 			} else if parts != nil {
 				w.take(t, parts)
 			}
-			if w.last != f.Revision || len(w.hosts) != f.Len() || len(w.drops) != purges {
-				t.Fatalf("at %d of %d with %d hosts of %d, %v", w.last, f.Revision, len(w.hosts), f.Len(), w.drops)
+			if w.last != f.Revision || len(w.hosts) != f.Len() || len(w.purges) != purges {
+				t.Fatalf("at %d of %d with %d hosts of %d, %v", w.last, f.Revision, len(w.hosts), f.Len(), w.purges)
 			}
 			for m := range f.Hosts() {
 				if w.hosts[m.Name].Share != m.Serving {
@@ -112,7 +113,7 @@
 	})
 }
 
-// A long history is told in answers of bounded size that follow on each other.
+// Many events are sent in answers of bounded size that follow on each other.
 func TestAnswersAreBounded(t *testing.T) {
 	var f fleet.Fleet
 	l, err := New(1, nil, f, 100_000)
@@ -128,7 +129,7 @@
 			t.Fatal(err)
 		}
 	}
-	w, answers := &follower{last: 1}, 0
+	w, answers := &watcher{last: 1}, 0
 	for w.last < f.Revision {
 		parts, size, err := l.Answer(w.last, false)
 		if err != nil || size > MaxAnswer+100 {
@@ -137,7 +138,7 @@
 		w.take(t, parts)
 		answers++
 	}
-	if len(w.drops) != 19_999 || answers < 2 {
-		t.Errorf("%d purges in %d answers", len(w.drops), answers)
+	if len(w.purges) != 19_999 || answers < 2 {
+		t.Errorf("%d purges in %d answers", len(w.purges), answers)
 	}
 }
