--- a/internal/controlplane/observer.go
+++ b/internal/controlplane/observer.go
@@ -20,11 +20,11 @@
 	observerPublishDelay = 50 * time.Millisecond // changes that come within it are published together
 )
 
-// observer is the I/O around observe.Watcher: it connects to the hosts of the fleet and pings them. All of it runs on the server's
+// observer is the I/O around observe.Monitor: it connects to the hosts of the fleet and pings them. All of it runs on the server's
 // loop. It does nothing while the operator's file switches it off.
 type observer struct {
 	server       *Server
-	watcher      *observe.Watcher // nil: switched off
+	monitor      *observe.Monitor // nil: switched off
 	conns        map[string]*hostConn
 	tickTimer    transport.Timer
 	publishTimer transport.Timer
@@ -34,7 +34,7 @@
 func newObserver(s *Server) *observer {
 	o := &observer{server: s, conns: map[string]*hostConn{}}
 	if set := s.set.Observer; set.Every > 0 {
-		o.watcher = observe.New(observe.Settings{
+		o.monitor = observe.New(observe.Settings{
 			EveryMS:   set.Every.Milliseconds(),
 			TimeoutMS: set.Timeout.Milliseconds(),
 			Misses:    set.Misses,
@@ -44,7 +44,7 @@
 }
 
 // enabled tells whether hosts are observed. It may be called from any goroutine.
-func (o *observer) enabled() bool { return o.watcher != nil }
+func (o *observer) enabled() bool { return o.monitor != nil }
 
 // start begins to observe the hosts of the store's fleet, before the loop runs.
 func (o *observer) start() {
@@ -52,7 +52,7 @@
 		return
 	}
 	for host := range o.server.store.Fleet().Hosts() {
-		o.watcher.Declare(host.Name, host.Address, false, o.server.clock())
+		o.monitor.Declare(host.Name, host.Address, false, o.server.clock())
 	}
 	o.tickTimer.Fire = o.tick
 	o.publishTimer.Fire = o.publish
@@ -78,14 +78,14 @@
 func (o *observer) applyHost(host *fleet.Host, atMS int64) {
 	restarted := host.BornMS == atMS && host.State == fleet.InService
 	removed := host.State == fleet.Terminated
-	if c := o.conns[host.Name]; c != nil && (removed || restarted || !o.watcher.Known(host.Name, host.Address)) {
+	if c := o.conns[host.Name]; c != nil && (removed || restarted || !o.monitor.Known(host.Name, host.Address)) {
 		c.close()
 	}
 	if removed {
-		o.watcher.Forget(host.Name)
+		o.monitor.Remove(host.Name)
 		return
 	}
-	o.watcher.Declare(host.Name, host.Address, restarted, o.server.clock())
+	o.monitor.Declare(host.Name, host.Address, restarted, o.server.clock())
 }
 
 // replaceFleet observes the hosts of another fleet from now on.
@@ -93,13 +93,13 @@
 	if !o.enabled() {
 		return
 	}
-	for name := range o.watcher.Seen() {
+	for name := range o.monitor.Observations() {
 		if f.Host(name) == nil {
-			o.watcher.Forget(name)
+			o.monitor.Remove(name)
 		}
 	}
 	for host := range f.Hosts() {
-		o.watcher.Declare(host.Name, host.Address, false, o.server.clock())
+		o.monitor.Declare(host.Name, host.Address, false, o.server.clock())
 	}
 	o.publish()
 }
@@ -107,13 +107,13 @@
 // tick does what is due. In a group only the leader observes.
 func (o *observer) tick() {
 	if o.server.Leads() {
-		o.perform(o.watcher.Tick(o.server.clock()))
+		o.perform(o.monitor.Tick(o.server.clock()))
 		o.schedulePublish()
 	}
 	o.server.loop.Set(&o.tickTimer, o.server.loop.Now()+max(minObserverTick, o.server.set.Observer.Every/ticksPerPing))
 }
 
-// perform connects and pings as the watcher has decided.
+// perform connects and pings as the monitor has decided.
 func (o *observer) perform(actions []observe.Action) {
 	for _, action := range actions {
 		if action.Address != "" {
@@ -136,7 +136,7 @@
 			return
 		}
 	}
-	o.watcher.Lost(action.Host, errors.Is(err, unix.ECONNREFUSED), o.server.clock())
+	o.monitor.Disconnected(action.Host, errors.Is(err, unix.ECONNREFUSED), o.server.clock())
 }
 
 // schedulePublish has the observations published soon.
@@ -152,7 +152,7 @@
 	previous := *o.server.observed.Load()
 	observed := map[string]fleet.Observation{}
 	changed := false
-	for name, now := range o.watcher.Seen() {
+	for name, now := range o.monitor.Observations() {
 		observed[name] = now
 		if before := previous[name]; before != now {
 			changed = true
@@ -190,7 +190,7 @@
 	c.conn.Write(o.buf)
 }
 
-// close ends the connection without reporting it to the watcher.
+// close ends the connection without reporting it to the monitor.
 func (c *hostConn) close() {
 	c.conn.Close()
 	if c.observer.conns[c.host] == c {
@@ -200,7 +200,7 @@
 
 // Opened implements transport.Handler.
 func (c *hostConn) Opened() {
-	c.observer.perform(c.observer.watcher.Connected(c.host, c.observer.server.clock()))
+	c.observer.perform(c.observer.monitor.Connected(c.host, c.observer.server.clock()))
 }
 
 // Flushed implements transport.Handler.
@@ -213,7 +213,7 @@
 		return
 	}
 	delete(o.conns, c.host)
-	o.watcher.Lost(c.host, errors.Is(err, unix.ECONNREFUSED), o.server.clock())
+	o.monitor.Disconnected(c.host, errors.Is(err, unix.ECONNREFUSED), o.server.clock())
 	o.schedulePublish()
 }
 
@@ -227,7 +227,7 @@
 			return used, need, err
 		}
 		used += n
-		if len(words) >= 2 && string(words[1]) == "UP" && o.watcher.Pong(c.host, string(words[0]), o.server.clock()) {
+		if len(words) >= 2 && string(words[1]) == "UP" && o.monitor.Pong(c.host, string(words[0]), o.server.clock()) {
 			o.schedulePublish()
 		}
 	}
--- /dev/null
+++ b/internal/fleet/observe/monitor_test.go
@@ -0,0 +1,113 @@
+package observe
+
+import (
+	"testing"
+
+	"stairvane.org/stairvane/internal/fleet"
+)
+
+// scenario drives a monitor of one host. Its methods are what the host does.
+type scenario struct {
+	t       *testing.T
+	monitor *Monitor
+	nowMS   int64
+	tag     string
+}
+
+func newScenario(t *testing.T) *scenario {
+	s := &scenario{t: t, monitor: New(Settings{EveryMS: 1000, TimeoutMS: 200, Misses: 3})}
+	s.monitor.Declare("c-1", "a:1", false, 0)
+	return s
+}
+
+func (s *scenario) take(actions []Action) (connect bool) {
+	for _, a := range actions {
+		if a.Address != "" {
+			connect = true
+		} else {
+			s.tag = a.Tag
+		}
+	}
+	return connect
+}
+
+func (s *scenario) connect() {
+	s.t.Helper()
+	for range 10 {
+		if s.take(s.monitor.Tick(s.nowMS)) {
+			s.take(s.monitor.Connected("c-1", s.nowMS))
+			s.monitor.Pong("c-1", s.tag, s.nowMS+1)
+			return
+		}
+		s.nowMS += 250
+	}
+	s.t.Fatal("never connected")
+}
+
+func (s *scenario) want(sight fleet.Sight, restarted bool) {
+	s.t.Helper()
+	if o := s.monitor.Observation("c-1"); o.Sight != sight || (o.RestartedMS > 0) != restarted {
+		s.t.Errorf("%+v, want %v, restarted %v", o, sight, restarted)
+	}
+}
+
+// A process that has ended refuses connections. When the host answers again it has restarted.
+func TestRestartAfterRefusedConnection(t *testing.T) {
+	s := newScenario(t)
+	s.want(fleet.Unknown, false)
+	s.connect()
+	s.want(fleet.Up, false)
+	s.nowMS = 5000
+	s.monitor.Disconnected("c-1", false, s.nowMS)
+	s.take(s.monitor.Tick(s.nowMS))
+	s.monitor.Disconnected("c-1", true, s.nowMS)
+	s.want(fleet.Up, false) // one refusal is fewer than three
+	s.connect()
+	s.want(fleet.Up, true)
+}
+
+// A connection that was cut while the host goes on is no restart.
+func TestLostConnectionIsNoRestart(t *testing.T) {
+	s := newScenario(t)
+	s.connect()
+	s.nowMS = 5000
+	s.monitor.Disconnected("c-1", false, s.nowMS)
+	s.connect()
+	s.want(fleet.Up, false)
+}
+
+// A silent host is unreachable after some pings. If it answers over its old connection it has not restarted. If that connection is
+// lost it has.
+func TestUnreachableAfterMissedPings(t *testing.T) {
+	for _, lost := range []bool{false, true} {
+		s := newScenario(t)
+		s.connect()
+		for s.nowMS = 2000; s.monitor.Observation("c-1").Sight == fleet.Up && s.nowMS < 60_000; s.nowMS += 100 {
+			s.take(s.monitor.Tick(s.nowMS))
+		}
+		s.want(fleet.Unreachable, false)
+		if s.nowMS > 4000 {
+			t.Errorf("seen after %d ms", s.nowMS-2000)
+		}
+		if lost {
+			s.monitor.Disconnected("c-1", false, s.nowMS)
+			s.connect()
+		} else {
+			s.nowMS += 1000
+			s.take(s.monitor.Tick(s.nowMS))
+			s.monitor.Pong("c-1", s.tag, s.nowMS)
+		}
+		s.want(fleet.Up, lost)
+	}
+}
+
+// A host that was put in service anew under the same name and address is unknown.
+func TestReplacedHostIsUnknown(t *testing.T) {
+	s := newScenario(t)
+	s.connect()
+	s.monitor.Declare("c-1", "a:1", true, 10)
+	s.want(fleet.Unknown, false)
+	if s.monitor.Pong("c-1", s.tag, 11) {
+		t.Error("the answer over an old connection counts for the new host")
+	}
+}
