--- /dev/null
+++ b/internal/fleet/apply/order_test.go
@@ -0,0 +1,27 @@
+package apply
+
+import (
+	"errors"
+	"testing"
+)
+
+// An order leads to the status that it asks for, or is rejected where the present status does not allow it.
+func TestObey(t *testing.T) {
+	for _, c := range []struct {
+		status Status
+		order  Order
+		want   Status
+		err    error
+	}{
+		{Running, OrderPause, Paused, nil},
+		{Paused, OrderPause, "", ErrNotRunning},
+		{Paused, OrderResume, Running, nil},
+		{Running, OrderResume, "", ErrNotPaused},
+		{Paused, OrderCancel, Cancelled, nil},
+		{Done, OrderCancel, "", ErrEnded},
+	} {
+		if got, err := Obey(Record{Status: c.status}, c.order); got != c.want || !errors.Is(err, c.err) {
+			t.Errorf("%s %s: %s, %v", c.status, c.order, got, err)
+		}
+	}
+}
