--- a/internal/fleet/apply/explore_test.go
+++ b/internal/fleet/apply/explore_test.go
@@ -40,7 +40,7 @@
 		b.WriteString(string(s.Phase[0]))
 	}
 	for m := range w.Hosts() {
-		fmt.Fprintf(&b, " %s%v%v", m.Name, w.IsCold(m), w.Observed[m.Name].Sight)
+		fmt.Fprintf(&b, " %s%v%v", m.Name, w.IsWarmingUp(m), w.Observed[m.Name].Sight)
 	}
 	return b.String()
 }
@@ -160,7 +160,7 @@
 func TestSmallFleetsExhaustively(t *testing.T) {
 	fleetOf := func(bits, floor int) (w fleet.DesiredState, ok bool) {
 		w.Rules = fleettest.Rules()
-		w.Rules.MaxColdShare = 0.5
+		w.Rules.MaxWarmingShare = 0.5
 		w.Hosts = []fleet.HostSpec{origin()}
 		put := func(name string, role fleet.Role, at, site string, share float64) {
 			w.Hosts = append(w.Hosts, fleet.HostSpec{Name: name, Role: role, Address: at, Site: site, Class: "k", Share: share})
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,121 +1,30 @@
-// Package fleet holds what the board knows: boxes, locations and rules as declared by events, what was seen of the
-// boxes, the wished fleet, and the constraints that a change must keep at every moment. It is pure: no I/O, no clock;
-// times are Unix milliseconds and come in as arguments. Plans are made in fleet/plan and carried out in fleet/apply.
 package fleet
 
 import (
-	"fmt"
 	"iter"
+	"slices"
 
 	"github.com/benbjohnson/immutable"
 )
 
-// Role is what a box does.
-type Role string
-
-// Roles. The origin is the central store: it is no box that can die, start cold or lack.
-const (
-	Cache  Role = "cache"
-	Parent Role = "hub"
-	Origin Role = "origin"
-)
-
-// State is a box's state as the bulletin tells it.
-type State string
-
-// States of a box, in the words of the protocol.
-const (
-	InService   State = "in_service"
-	Terminating State = "terminating"
-	Terminated  State = "terminated"
-)
-
-// HostSpec is a box as declared. Share is its capacity in the unit of the operator's file.
-type HostSpec struct {
-	Name    string  `json:"name"`
-	Role    Role    `json:"role"`
-	Address string  `json:"address"`
-	Site    string  `json:"site"`
-	Class   string  `json:"class"`
-	Block   int     `json:"block"`
-	Share   float64 `json:"share"`
-	Running bool    `json:"running,omitempty"` // it ran, warm, before it was added; of no meaning later
-}
-
-// Host is a box in the fleet. Serving is the share that directors are told: less than Share while a cold box enters.
-type Host struct {
-	HostSpec
-	State   State   `json:"state"`
-	Serving float64 `json:"serving"`
-	BornMS  int64   `json:"born_ms"` // when it was put in service late; 0: it was there from the start, warm
-}
-
-// StartsCold tells whether a box that is put in service is cold at first.
-func (b HostSpec) StartsCold() bool { return b.Role != Origin && !b.Running }
-
-// Location is a depot: its caches' site, what must stay in service, what its clients ask for, and where its misses are
-// filled from. Floor and Load are in units of share.
-type Location struct {
-	Name    string   `json:"name"`
-	Floor   float64  `json:"floor"`
-	Load    float64  `json:"load"`
-	Sources []string `json:"sources"`
-}
-
-// Purge drops all copies of an object (16 hex digits) or of a group that are older than IssuedMS.
-type Purge struct {
-	Object   string `json:"object,omitempty"`
-	Group    *int   `json:"group,omitempty"`
-	IssuedMS int64  `json:"issued_ms"`
-}
-
-// Event is one numbered change. Exactly one of Member, Location, Rules, Purge and Roll is set; Who, Apply and Step tell whose
-// change it was.
-type Event struct {
-	No         int64             `json:"no"`
-	AtMS       int64             `json:"at_ms"`
-	Who        string            `json:"who"`
-	Apply      int64             `json:"apply,omitempty"`
-	Step       int               `json:"step,omitempty"`
-	Host       *Host             `json:"member,omitempty"`
-	Location   *Location         `json:"location,omitempty"`
-	Removed    bool              `json:"gone,omitempty"` // the location is given up
-	Rules      *Rules            `json:"rules,omitempty"`
-	Purge      *Purge            `json:"purge,omitempty"`
-	Membership *MembershipChange `json:"roll,omitempty"`
-}
-
-// ChangesEndpoints tells whether directors see the event as a change of the list; purges they see as such.
-func (e Event) ChangesEndpoints() bool { return e.Purge == nil }
-
-// PurgeKeepMS is how long a purge is told again to directors that come with an old number. Every copy that a purge is
-// about has gone from the caches after some seconds; this leaves room for far slower ones.
-const PurgeKeepMS = 10 * 60 * 1000
-
-// PurgeMark is a purge with the number of its event.
-type PurgeMark struct {
-	No int64 `json:"No"`
-	Purge
-}
-
 type (
-	memberMap   = immutable.SortedMap[string, *Host]
+	hostMap     = immutable.SortedMap[string, *Host]
 	locationMap = immutable.SortedMap[string, *Location]
 )
 
-// Fleet is the declared state after the event numbered Revision. It is a value: Apply makes a new one and leaves the
-// old one as it was, sharing what is alike. The zero Fleet is empty.
+// Fleet is the declared state after the event numbered Revision. It is an immutable value: Apply makes a new one and leaves the old one as
+// it was. The zero Fleet is empty.
 type Fleet struct {
 	Revision         int64
-	EndpointRevision int64 // the last event that directors see as a change of the list
+	EndpointRevision int64 // of the last event that directors see as a change of the endpoint list
 	rules            *Rules
-	members          *memberMap
+	hosts            *hostMap // by name
 	locations        *locationMap
-	bySite           *immutable.Map[string, *memberMap]
-	addresses        *immutable.Map[string, string] // address: name
-	purgeMarks       *immutable.List[PurgeMark]
+	bySite           *immutable.Map[string, *hostMap]
+	addresses        *immutable.Map[string, string] // host names by address
+	purgeMarks       *immutable.List[PurgeMark]     // in the order of their revisions
 	directors        *directorMap
-	slots            *[ShardCount]Shard
+	shards           *[ShardCount]Shard
 }
 
 // Rules in force.
@@ -132,13 +41,13 @@
 	return f
 }
 
-// Host finds a box; nil if there is none of that name.
-func (f Fleet) Host(name string) *Host { return get(f.members, name) }
+// Host finds a host; nil if there is none of that name.
+func (f Fleet) Host(name string) *Host { return get(f.hosts, name) }
 
 // Location finds a location; nil if there is none of that name.
 func (f Fleet) Location(name string) *Location { return get(f.locations, name) }
 
-// HostAt finds the box that has an address.
+// HostAt finds the host that has an address; nil if there is none.
 func (f Fleet) HostAt(address string) *Host {
 	if f.addresses == nil {
 		return nil
@@ -147,110 +56,43 @@
 	return f.Host(name)
 }
 
-// Len is how many boxes there are.
+// Len is how many hosts there are.
 func (f Fleet) Len() int {
-	if f.members == nil {
+	if f.hosts == nil {
 		return 0
 	}
-	return f.members.Len()
+	return f.hosts.Len()
 }
 
-// Hosts are all boxes by name.
-func (f Fleet) Hosts() iter.Seq[*Host] { return values(f.members) }
+// Hosts are all hosts by name.
+func (f Fleet) Hosts() iter.Seq[*Host] { return values(f.hosts) }
 
 // Locations are all locations by name.
 func (f Fleet) Locations() iter.Seq[*Location] { return values(f.locations) }
 
-// InSite are the boxes of one site by name.
+// InSite are the hosts of one site by name.
 func (f Fleet) InSite(site string) iter.Seq[*Host] {
 	if f.bySite == nil {
 		return values[Host](nil)
 	}
-	m, _ := f.bySite.Get(site)
-	return values(m)
+	hosts, _ := f.bySite.Get(site)
+	return values(hosts)
 }
 
-// PurgesAfter are the kept purges with numbers over n, in order.
-func (f Fleet) PurgesAfter(n int64) []PurgeMark {
-	var marks []PurgeMark
+// PurgesAfter are the purges that are still sent and have revisions above one, in order.
+func (f Fleet) PurgesAfter(revision int64) []PurgeMark {
 	if f.purgeMarks == nil {
 		return nil
 	}
-	for i := f.purgeMarks.Len() - 1; i >= 0 && f.purgeMarks.Get(i).No > n; i-- {
+	var marks []PurgeMark
+	for i := f.purgeMarks.Len() - 1; i >= 0 && f.purgeMarks.Get(i).No > revision; i-- {
 		marks = append(marks, f.purgeMarks.Get(i))
 	}
-	for i, j := 0, len(marks)-1; i < j; i, j = i+1, j-1 {
-		marks[i], marks[j] = marks[j], marks[i]
-	}
+	slices.Reverse(marks)
 	return marks
 }
 
-// Check tells why an event can't follow on this state; nil if it can.
-func (f Fleet) Check(e Event) error {
-	if e.No != f.Revision+1 {
-		return fmt.Errorf("event %d can't follow event %d", e.No, f.Revision)
-	}
-	set := 0
-	for _, is := range []bool{e.Host != nil, e.Location != nil, e.Rules != nil, e.Purge != nil, e.Membership != nil} {
-		if is {
-			set++
-		}
-	}
-	if set != 1 {
-		return fmt.Errorf("event %d changes %d things, not one", e.No, set)
-	}
-	switch {
-	case e.Host != nil:
-		return f.checkMember(e.Host)
-	case e.Purge != nil:
-		return e.Purge.check()
-	case e.Membership != nil:
-		return e.Membership.check(f)
-	case e.Location != nil && e.Location.Name == "":
-		return fmt.Errorf("event %d: a location without a name", e.No)
-	}
-	return nil
-}
-
-func (f Fleet) checkMember(m *Host) error {
-	old := f.Host(m.Name)
-	switch {
-	case m.Name == "" || m.Address == "":
-		return fmt.Errorf("box %q at %q: name and address are needed", m.Name, m.Address)
-	case m.State != InService && m.State != Terminating && m.State != Terminated:
-		return fmt.Errorf("box %s: unknown state %q", m.Name, m.State)
-	case old == nil && m.State != InService:
-		return fmt.Errorf("box %s is not in the fleet", m.Name)
-	}
-	if other := f.HostAt(m.Address); other != nil && other.Name != m.Name && m.State != Terminated {
-		return fmt.Errorf("box %s: address %s is still that of %s", m.Name, m.Address, other.Name)
-	}
-	return nil
-}
-
-func (p Purge) check() error {
-	if (p.Object == "") == (p.Group == nil) {
-		return fmt.Errorf("a purge names either an object or a group")
-	}
-	if p.Object != "" && !isObject(p.Object) {
-		return fmt.Errorf("object %q is not 16 hex digits", p.Object)
-	}
-	if p.Group != nil && (*p.Group < 0 || *p.Group > 255) {
-		return fmt.Errorf("group %d is not within 0 to 255", *p.Group)
-	}
-	return nil
-}
-
-func isObject(s string) bool {
-	for _, c := range []byte(s) {
-		if (c < '0' || c > '9') && (c < 'a' || c > 'f') {
-			return false
-		}
-	}
-	return len(s) == 16
-}
-
-// Apply is the state after an event.
+// Apply is the state after an event. The error is that of Check.
 func (f Fleet) Apply(e Event) (Fleet, error) {
 	if err := f.Check(e); err != nil {
 		return f, err
@@ -261,70 +103,81 @@
 	}
 	switch {
 	case e.Host != nil:
-		f.setMember(e.Host)
+		f.setHost(e.Host)
 	case e.Location != nil:
-		if f.locations == nil {
-			f.locations = &locationMap{}
-		}
-		if e.Removed {
-			f.locations = f.locations.Delete(e.Location.Name)
-		} else {
-			f.locations = f.locations.Set(e.Location.Name, e.Location)
-		}
+		f.setLocation(e.Location, e.Removed)
 	case e.Rules != nil:
 		f.rules = e.Rules
 	case e.Purge != nil:
 		f.addPurge(PurgeMark{No: e.No, Purge: *e.Purge}, e.AtMS)
 	case e.Membership != nil:
-		f.applyRoll(*e.Membership, e.No)
+		f.applyMembership(*e.Membership, e.No)
 	}
 	return f, nil
 }
 
-func (f *Fleet) setMember(m *Host) {
-	if f.members == nil {
-		f.members, f.bySite = &memberMap{}, &immutable.Map[string, *memberMap]{}
+// setHost adds or replaces a host, or removes it if it is terminated.
+func (f *Fleet) setHost(h *Host) {
+	if f.hosts == nil {
+		f.hosts = &hostMap{}
+		f.bySite = &immutable.Map[string, *hostMap]{}
 		f.addresses = &immutable.Map[string, string]{}
 	}
-	if old := f.Host(m.Name); old != nil {
-		f.members = f.members.Delete(m.Name)
+	if old := f.Host(h.Name); old != nil {
+		f.hosts = f.hosts.Delete(h.Name)
 		f.addresses = f.addresses.Delete(old.Address)
-		f.inSite(old.Site, func(s *memberMap) *memberMap { return s.Delete(m.Name) })
+		f.changeSite(old.Site, func(hosts *hostMap) *hostMap { return hosts.Delete(h.Name) })
 	}
-	if m.State == Terminated {
+	if h.State == Terminated {
 		return
 	}
-	f.members = f.members.Set(m.Name, m)
-	f.addresses = f.addresses.Set(m.Address, m.Name)
-	f.inSite(m.Site, func(s *memberMap) *memberMap { return s.Set(m.Name, m) })
+	f.hosts = f.hosts.Set(h.Name, h)
+	f.addresses = f.addresses.Set(h.Address, h.Name)
+	f.changeSite(h.Site, func(hosts *hostMap) *hostMap { return hosts.Set(h.Name, h) })
 }
 
-func (f *Fleet) inSite(site string, change func(*memberMap) *memberMap) {
-	s, _ := f.bySite.Get(site)
-	if s == nil {
-		s = &memberMap{}
+// changeSite changes the hosts of one site. A site without hosts is not in the map.
+func (f *Fleet) changeSite(site string, change func(*hostMap) *hostMap) {
+	hosts, _ := f.bySite.Get(site)
+	if hosts == nil {
+		hosts = &hostMap{}
 	}
-	if s = change(s); s.Len() == 0 {
+	hosts = change(hosts)
+	if hosts.Len() == 0 {
 		f.bySite = f.bySite.Delete(site)
-	} else {
-		f.bySite = f.bySite.Set(site, s)
+		return
+	}
+	f.bySite = f.bySite.Set(site, hosts)
+}
+
+func (f *Fleet) setLocation(l *Location, removed bool) {
+	if f.locations == nil {
+		f.locations = &locationMap{}
+	}
+	if removed {
+		f.locations = f.locations.Delete(l.Name)
+		return
 	}
+	f.locations = f.locations.Set(l.Name, l)
 }
 
+// addPurge adds a purge and drops those that are no longer sent.
 func (f *Fleet) addPurge(p PurgeMark, nowMS int64) {
 	if f.purgeMarks == nil {
 		f.purgeMarks = immutable.NewList[PurgeMark]()
 	}
-	l, from := f.purgeMarks, 0
-	for from < l.Len() && l.Get(from).IssuedMS < nowMS-PurgeKeepMS {
-		from++
+	marks := f.purgeMarks
+	expired := 0
+	for expired < marks.Len() && marks.Get(expired).IssuedMS < nowMS-PurgeKeepMS {
+		expired++
 	}
-	if from > 0 {
-		l = l.Slice(from, l.Len())
+	if expired > 0 {
+		marks = marks.Slice(expired, marks.Len())
 	}
-	f.purgeMarks = l.Append(p)
+	f.purgeMarks = marks.Append(p)
 }
 
+// get finds a value in a map that may be nil.
 func get[V any](m *immutable.SortedMap[string, *V], name string) *V {
 	if m == nil {
 		return nil
@@ -333,6 +186,7 @@
 	return v
 }
 
+// values are those of a map that may be nil, by key.
 func values[V any](m *immutable.SortedMap[string, *V]) iter.Seq[*V] {
 	return func(yield func(*V) bool) {
 		if m == nil {
--- a/internal/fleet/fleettest/fleettest.go
+++ b/internal/fleet/fleettest/fleettest.go
@@ -21,10 +21,10 @@
 	return r
 }
 
-// DrawWish draws a small wished fleet: two locations that share names, addresses and sources.
-func DrawWish(t *rapid.T, boxes int) fleet.DesiredState {
+// DrawDesiredState draws a small wished fleet: two locations that share names, addresses and sources.
+func DrawDesiredState(t *rapid.T, boxes int) fleet.DesiredState {
 	w := fleet.DesiredState{Rules: Rules()}
-	w.Rules.MaxColdShare = rapid.SampledFrom([]float64{0.25, 0.5, 1}).Draw(t, "cold-most")
+	w.Rules.MaxWarmingShare = rapid.SampledFrom([]float64{0.25, 0.5, 1}).Draw(t, "cold-most")
 	hubs := rapid.IntRange(0, 2).Draw(t, "hubs")
 	w.Hosts = append(w.Hosts, fleet.HostSpec{Name: "store", Role: fleet.Origin, Address: "10.9.0.1:1", Site: "north", Class: "store", Share: 20})
 	sources := []string{"store"}
@@ -106,7 +106,7 @@
 			caches++
 			serving += m.Serving
 			capacity += m.Share
-			if w.IsCold(m) {
+			if w.IsWarmingUp(m) {
 				cold += m.Share
 				n++
 			} else {
@@ -127,11 +127,11 @@
 		if l.Load == 0 || warm == 0 && (death != "" || caches == 1) {
 			continue
 		}
-		if most := w.Rules().MaxColdShare * capacity; death == "" && n > 1 && cold > most+1e-9 {
+		if most := w.Rules().MaxWarmingShare * capacity; death == "" && n > 1 && cold > most+1e-9 {
 			all["cold-most "+l.Name] = cold - most
 		}
 		for m := range w.InSite(l.Name) {
-			if m.Role == fleet.Cache && serves(m) && w.IsCold(m) {
+			if m.Role == fleet.Cache && serves(m) && w.IsWarmingUp(m) {
 				if asked, bears := l.Load*m.Serving/serving, w.Rules().Cache.OverloadFactor*w.Rules().Cache.InitialShare*m.Share; asked > bears+1e-9 {
 					all["cold "+m.Name] = asked - bears
 				}
--- a/internal/fleet/plan/diff.go
+++ b/internal/fleet/plan/diff.go
@@ -111,7 +111,7 @@
 	}
 	d.nodes.join(home(b), home(b))
 	c := d.put(&change{Step: Step{Kind: Add, Wait: Warm, Host: &fleet.Host{HostSpec: *b, State: fleet.InService, Serving: b.Share}}, urge: urgeAdd})
-	if !b.StartsCold() {
+	if !b.NeedsWarmUp() {
 		c.Wait = Notified
 	}
 	d.adds[b.Name] = c
--- a/internal/fleet/plan/ledger.go
+++ b/internal/fleet/plan/ledger.go
@@ -137,7 +137,7 @@
 		p.caches++
 		p.raw += m.Serving
 		p.capacity += m.Share
-		if w.IsCold(m) {
+		if w.IsWarmingUp(m) {
 			p.cold = append(p.cold, coldBox{m.Name, m.Share, m.Serving})
 		} else {
 			p.warm.add(m.Serving)
@@ -164,7 +164,7 @@
 	if m := w.Host(name); m != nil {
 		s.role, s.share = m.Role, m.Share
 		if w.Serves(m) {
-			s.cold = w.IsCold(m)
+			s.cold = w.IsWarmingUp(m)
 			if s.enters = m.Serving; !s.cold {
 				s.serving = m.Serving
 			}
@@ -176,23 +176,23 @@
 // measure appends the constraints of a location to l.
 func (b *book) measure(p *place, l []fleet.Slack) []fleet.Slack {
 	have := p.warm.sum - p.warm.most()
-	l = append(l, fleet.Slack{Constraint: fleet.FloorHolds, Thing: p.name, Have: have, Need: p.floor, Slack: have - p.floor, Raw: p.raw})
+	l = append(l, fleet.Slack{Constraint: fleet.FloorConstraint, Thing: p.name, Have: have, Need: p.floor, Slack: have - p.floor, Raw: p.raw})
 	if p.caches+len(p.least) > 0 {
 		n := float64(b.live(p))
-		l = append(l, fleet.Slack{Constraint: fleet.SourceHolds, Thing: p.name, Have: n, Need: 1, Slack: n - 1})
+		l = append(l, fleet.Slack{Constraint: fleet.SourceConstraint, Thing: p.name, Have: n, Need: 1, Slack: n - 1})
 	}
 	if p.load == 0 {
 		return l
 	}
 	cold := p.coldCapacity()
 	if len(p.cold) > 1 {
-		allowed := b.rules.MaxColdShare * p.capacity
+		allowed := b.rules.MaxWarmingShare * p.capacity
 		if p.warmAt <= 1 { // whichever is warm first changes what the others are asked
 			allowed = 0
 		}
-		l = append(l, fleet.Slack{Constraint: fleet.ColdAtOnce, Thing: p.name, Have: cold, Need: allowed, Slack: allowed - cold})
+		l = append(l, fleet.Slack{Constraint: fleet.WarmingCapacityConstraint, Thing: p.name, Have: cold, Need: allowed, Slack: allowed - cold})
 	} else if p.warmAt <= 1 && p.coming > 0 && p.running > 0 { // the warm one changes what the cold one may be asked
-		l = append(l, fleet.Slack{Constraint: fleet.ColdAtOnce, Thing: p.name, Have: cold, Slack: -cold})
+		l = append(l, fleet.Slack{Constraint: fleet.WarmingCapacityConstraint, Thing: p.name, Have: cold, Slack: -cold})
 	}
 	if p.warmAt == 0 && p.caches == 1 { // the first one, or the last
 		return l
@@ -208,7 +208,7 @@
 			all += c.serving
 		}
 		plain := p.load * c.serving / max(all, c.serving)
-		l = append(l, fleet.Slack{Constraint: fleet.ColdBears, Thing: c.name, Have: asked, Need: bears, Slack: bears - asked, Raw: bears - plain})
+		l = append(l, fleet.Slack{Constraint: fleet.WarmingCacheConstraint, Thing: c.name, Have: asked, Need: bears, Slack: bears - asked, Raw: bears - plain})
 	}
 	return l
 }
@@ -255,7 +255,7 @@
 		}
 	}
 	need := b.rules.Parent.BearableLoad(h.share)
-	return append(l, fleet.Slack{Constraint: fleet.ColdHubBears, Thing: h.name, Have: asked, Need: need, Slack: need - asked, Raw: need - plain})
+	return append(l, fleet.Slack{Constraint: fleet.WarmingParentConstraint, Thing: h.name, Have: asked, Need: need, Slack: need - asked, Raw: need - plain})
 }
 
 // touched are the locations and sources whose constraints a change bears on.
@@ -351,7 +351,7 @@
 		}
 	case Add:
 		p.caches++
-		if !c.Host.StartsCold() {
+		if !c.Host.NeedsWarmUp() {
 			p.running++
 			return func() { p.caches--; p.running-- }
 		}
@@ -429,7 +429,7 @@
 	switch c.Kind {
 	case Add:
 		s.role, s.share, s.enters = c.Host.Role, c.Host.Share, c.Host.Serving
-		s.cold = c.Host.StartsCold()
+		s.cold = c.Host.NeedsWarmUp()
 	case Drain:
 		s.serving, s.cold = 0, false
 	case Raise, Lower:
--- a/internal/fleet/plan/plan.go
+++ b/internal/fleet/plan/plan.go
@@ -57,7 +57,7 @@
 	e := fleet.Event{No: no, AtMS: nowMS, Who: who, Apply: apply, Step: s.ID, Location: s.Location, Rules: s.Rules, Removed: s.Kind == Forget}
 	if s.Host != nil {
 		m := *s.Host
-		if s.Kind == Add && m.StartsCold() {
+		if s.Kind == Add && m.NeedsWarmUp() {
 			m.BornMS = nowMS
 		}
 		e.Host = &m
--- a/internal/fleet/plan/plan_test.go
+++ b/internal/fleet/plan/plan_test.go
@@ -96,7 +96,7 @@
 func TestPlansKeepConstraintsAtEveryPrefix(t *testing.T) {
 	made, steps := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		from, to := fleettest.DrawWish(t, 8), fleettest.DrawWish(t, 8)
+		from, to := fleettest.DrawDesiredState(t, 8), fleettest.DrawDesiredState(t, 8)
 		w := fleet.ObservedState{Fleet: fleettest.Build(t, from), NowMS: 1_000_000, Observed: map[string]fleet.Observation{}}
 		for m := range w.Hosts() {
 			switch rapid.IntRange(0, 15).Draw(t, "seen") {
--- a/internal/fleet/plan/schedule.go
+++ b/internal/fleet/plan/schedule.go
@@ -119,7 +119,7 @@
 	}
 	join := func(l *fleet.Location) {
 		for _, name := range l.Sources {
-			if m := s.world.Host(name); hot[name] || m != nil && s.world.IsCold(m) {
+			if m := s.world.Host(name); hot[name] || m != nil && s.world.IsWarmingUp(m) {
 				s.nodes.join(fleet.LocationKey(l.Name), fleet.HostKey(name))
 			}
 		}
@@ -292,7 +292,7 @@
 func (s *scheduler) squeeze(b *book, q *queue) []*change {
 	for _, part := range entering {
 		for c := range q.all {
-			if c.Kind != Add || !c.Host.StartsCold() {
+			if c.Kind != Add || !c.Host.NeedsWarmUp() {
 				continue
 			}
 			full := c.Host
@@ -341,13 +341,13 @@
 		l := by.l
 		x.Why = l.String()
 		switch l.Constraint {
-		case fleet.FloorHolds:
+		case fleet.FloorConstraint:
 			x.Remedy = fmt.Sprintf("add share %.4g to %s first, or lower its floor to %.4g", l.Need-l.Have, l.Thing, max(0, l.Have))
-		case fleet.SourceHolds:
+		case fleet.SourceConstraint:
 			x.Remedy = fmt.Sprintf("give %s another source first", l.Thing)
-		case fleet.ColdAtOnce:
+		case fleet.WarmingCapacityConstraint:
 			x.Remedy = fmt.Sprintf("wait until what is cold in %s is warm, or raise cold-most", l.Thing)
-		case fleet.ColdBears:
+		case fleet.WarmingCacheConstraint:
 			x.Remedy = fmt.Sprintf("wait until %s is warm, add warm share to its location, or lower the location's load", l.Thing)
 			x.Boxes = append(x.Boxes, l.Thing)
 		default:
--- a/internal/operatorconfig/fleet.go
+++ b/internal/operatorconfig/fleet.go
@@ -143,7 +143,7 @@
 		{name: "cold", read: cold(&u.Cache)},
 		{name: "cold-hub", read: cold(&u.Parent)},
 		{name: "miss", read: r.number(&u.MissShare, 0, 1)},
-		{name: "cold-most", read: r.number(&u.MaxColdShare, 0, 1)},
+		{name: "cold-most", read: r.number(&u.MaxWarmingShare, 0, 1)},
 		{name: "width", read: r.integer(&u.MaxParallelSteps, 1, 1000)},
 		{name: "on-trouble", read: r.choice(&u.OnFault, fleet.Pause, fleet.Revert)},
 		{name: "drain-settle", read: r.milliseconds(&u.DrainSettleMS, 0, longest)},
--- a/internal/tools/capacity/capacity_test.go
+++ b/internal/tools/capacity/capacity_test.go
@@ -146,7 +146,7 @@
 		{"internal/health/tell.go", `evidenceEvery = (\d+) \* time.Millisecond`, milliseconds(d.HealthEvery)},
 		{"internal/health/signals.go", `foundFor += (\d+) \* time.Millisecond`, milliseconds(d.HealthFoundEvery)},
 		{"internal/health/signals.go", `foundEach = (\d+) \* time.Microsecond`, strconv.FormatInt(d.HealthFoundEach.Microseconds(), 10)},
-		{"internal/fleet/fleet.go", `PurgeKeepMS = (\d+) \* 60 \* 1000`, strconv.Itoa(int(d.PurgeKept.Minutes()))},
+		{"internal/fleet/event.go", `PurgeKeepMS = (\d+) \* 60 \* 1000`, strconv.Itoa(int(d.PurgeKept.Minutes()))},
 		{"internal/protocol/discovery/bulletin.go", `maxBody = (\d+) << 20`, strconv.Itoa(int(d.LargestAnswer) >> 20)},
 	} {
 		text, err := os.ReadFile(root + x.file)
