--- a/internal/fleet/plan/codec_test.go
+++ b/internal/fleet/plan/codec_test.go
@@ -13,18 +13,29 @@
 
 func TestMain(m *testing.M) { fleettest.Main(m) }
 
-// many is a wished fleet of so many boxes in locations of twenty.
-func many(boxes int, skip func(i int) bool) fleet.DesiredState {
+// cachesBy20 is a fleet of so many caches in locations of twenty, without those to skip.
+func cachesBy20(caches int, skip func(i int) bool) fleet.DesiredState {
 	w := fleet.DesiredState{Rules: fleet.DefaultRules()}
-	w.Hosts = append(w.Hosts, fleet.HostSpec{Name: "store", Role: fleet.Origin, Address: "9.0.0.1:1", Site: "hub", Class: "origin", Share: 1e6})
-	for i := range boxes {
+	w.Hosts = append(w.Hosts, fleet.HostSpec{
+		Name:    "store",
+		Role:    fleet.Origin,
+		Address: "9.0.0.1:1",
+		Site:    "hub",
+		Class:   "origin",
+		Share:   1e6,
+	})
+	for i := range caches {
 		site := fmt.Sprintf("depot-%05d", i/20)
 		if i%20 == 0 {
 			w.Locations = append(w.Locations, fleet.Location{Name: site, Floor: 24, Load: 24, Sources: []string{"store"}})
 		}
 		if !skip(i) {
 			w.Hosts = append(w.Hosts, fleet.HostSpec{
-				Name: fmt.Sprintf("c-%06d", i), Role: fleet.Cache, Site: site, Class: "std", Share: 4,
+				Name:    fmt.Sprintf("c-%06d", i),
+				Role:    fleet.Cache,
+				Site:    site,
+				Class:   "std",
+				Share:   4,
 				Address: fmt.Sprintf("10.%d.%d.%d:1", i>>16, i>>8&255, i&255),
 			})
 		}
@@ -33,15 +44,16 @@
 	return w
 }
 
-// tenth is a world of so many boxes, and a wish in which a tenth is drained and a tenth added.
-func tenth(t testing.TB, boxes int) (fleet.ObservedState, fleet.DesiredState) {
-	from := many(boxes, func(i int) bool { return i%10 == 3 })
-	return fleet.ObservedState{Fleet: fleettest.Build(t, from), NowMS: 1}, many(boxes, func(i int) bool { return i%10 == 7 })
+// tenthChanged is a fleet of so many caches, and a desired state in which a tenth is drained and a tenth added.
+func tenthChanged(t testing.TB, caches int) (fleet.ObservedState, fleet.DesiredState) {
+	from := cachesBy20(caches, func(i int) bool { return i%10 == 3 })
+	return fleet.ObservedState{Fleet: fleettest.Build(t, from), NowMS: 1}, cachesBy20(caches, func(i int) bool { return i%10 == 7 })
 }
 
-func sample(t testing.TB) []byte {
-	w, wish := tenth(t, 40)
-	p, err := Make(w, wish, "fleet.scm")
+// samplePlanFile is a plan file with steps of several kinds.
+func samplePlanFile(t testing.TB) []byte {
+	state, desired := tenthChanged(t, 40)
+	p, err := Make(state, desired, "fleet.scm")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,8 +65,8 @@
 }
 
 // A plan file that was changed anywhere, cut or lengthened is damaged; one of a later version is newer.
-func TestPlanFileIsGuarded(t *testing.T) {
-	file := sample(t)
+func TestDecodeRejectsChangedFiles(t *testing.T) {
+	file := samplePlanFile(t)
 	for at := range file {
 		b := bytes.Clone(file)
 		b[at] ^= 4
@@ -72,11 +84,11 @@
 	}
 }
 
-// 10,000 steps are planned, with no more of them to a wave than stated, and each after those it needs.
-func TestTenThousandSteps(t *testing.T) {
-	w, wish := tenth(t, 34_000)
+// A plan of 10,000 steps has no wave with more steps than the rules allow.
+func TestWavesOfTenThousandSteps(t *testing.T) {
+	state, desired := tenthChanged(t, 34_000)
 	start := time.Now()
-	p, err := Make(w, wish, "")
+	p, err := Make(state, desired, "")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -95,13 +107,14 @@
 	}
 }
 
+// What is decoded can be described, and is encoded to the same bytes.
 func FuzzDecode(f *testing.F) {
-	file := sample(f)
+	file := samplePlanFile(f)
 	f.Add(file)
 	end := bytes.IndexByte(file, '\n')
 	f.Add(file[end+1:])
 	f.Fuzz(func(t *testing.T, b []byte) {
-		// The checksum would keep the fuzzer from the reader behind it: what is no plan file is tried as the body of one.
+		// The checksum would keep the fuzzer from the decoder behind it: what is no plan file is tried as the body of one.
 		p, err := Decode(b)
 		if err != nil {
 			p, err = Decode(frame(b))
@@ -114,27 +127,27 @@
 			_ = s.Event(1, 1, "x", 1)
 		}
 		if again, err := Encode(p); err != nil || !bytes.Equal(again, b) && !bytes.Equal(again, frame(b)) {
-			t.Errorf("read and written again it differs: %v", err)
+			t.Errorf("decoded and encoded again it differs: %v", err)
 		}
 	})
 }
 
 func BenchmarkPlan(b *testing.B) {
-	for _, boxes := range []int{10, 1_000, 100_000} {
-		b.Run(fmt.Sprint(boxes), func(b *testing.B) {
-			w, wish := tenth(b, boxes)
+	for _, caches := range []int{10, 1_000, 100_000} {
+		b.Run(fmt.Sprint(caches), func(b *testing.B) {
+			state, desired := tenthChanged(b, caches)
 			b.ReportAllocs()
 			b.ResetTimer()
 			steps := 0
 			for b.Loop() {
-				p, err := Make(w, wish, "")
+				p, err := Make(state, desired, "")
 				if err != nil {
 					b.Fatal(err)
 				}
 				steps = len(p.Steps)
 			}
 			b.ReportMetric(float64(steps), "steps")
-			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(boxes), "ns/box")
+			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(caches), "ns/cache")
 		})
 	}
 }
--- a/internal/fleet/plan/compatibility_test.go
+++ b/internal/fleet/plan/compatibility_test.go
@@ -18,7 +18,7 @@
 	golden.JSON[Impossible](t, "impossible")
 	var made []byte
 	if golden.Updating() {
-		made = sample(t)
+		made = samplePlanFile(t)
 	}
 	file := golden.Bytes(t, "landed.plan", made)
 	p, err := Decode(file)
--- /dev/null
+++ b/internal/fleet/plan/impossible.go
@@ -0,0 +1,96 @@
+package plan
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+
+	"stairvane.org/stairvane/internal/fleet"
+)
+
+// Blocked is a change that no order of steps makes possible, and why.
+type Blocked struct {
+	Change string   `json:"change"`
+	Why    string   `json:"why"`
+	Hosts  []string `json:"boxes,omitempty"` // names of the hosts that it is about
+	Remedy string   `json:"remedy"`
+}
+
+// Impossible is the error that there is no plan.
+type Impossible struct {
+	Blocked []Blocked `json:"blocked"`
+}
+
+func (e *Impossible) Error() string {
+	lines := []string{"no order of steps keeps the constraints"}
+	for _, b := range e.Blocked {
+		lines = append(lines, fmt.Sprintf("  %s: %s; %s", b.Change, b.Why, b.Remedy))
+	}
+	return strings.Join(lines, "\n")
+}
+
+// validate gives an *Impossible for a desired state that is wrong in itself.
+func validate(desired fleet.DesiredState) error {
+	invalid := desired.Validate()
+	if len(invalid) == 0 {
+		return nil
+	}
+	e := &Impossible{}
+	for _, v := range invalid {
+		e.Blocked = append(e.Blocked, Blocked{Change: "the wish itself, " + v.Thing, Why: v.Message, Remedy: "correct the file"})
+	}
+	return e
+}
+
+// rejection is a change that could not be placed, and the constraint that it would break.
+type rejection struct {
+	change *change
+	broken *fleet.Slack
+}
+
+// explain gives the constraint and the hosts that stand in the way of a change, and what would make it possible.
+func (r rejection) explain() Blocked {
+	b := Blocked{Change: r.change.String(), Why: r.broken.String()}
+	if r.change.Host != nil {
+		b.Hosts = []string{r.change.Host.Name}
+	}
+	thing := r.broken.Thing
+	switch r.broken.Constraint {
+	case fleet.FloorConstraint:
+		b.Remedy = fmt.Sprintf("add share %.4g to %s first, or lower its floor to %.4g",
+			r.broken.Need-r.broken.Have, thing, max(0, r.broken.Have))
+	case fleet.SourceConstraint:
+		b.Remedy = fmt.Sprintf("give %s another source first", thing)
+	case fleet.WarmingCapacityConstraint:
+		b.Remedy = fmt.Sprintf("wait until what is cold in %s is warm, or raise cold-most", thing)
+	case fleet.WarmingCacheConstraint:
+		b.Remedy = fmt.Sprintf("wait until %s is warm, add warm share to its location, or lower the location's load", thing)
+		b.Hosts = append(b.Hosts, thing)
+	default:
+		b.Remedy = fmt.Sprintf("wait until hub %s is warm, or let fewer locations fill from it", thing)
+		b.Hosts = append(b.Hosts, thing)
+	}
+	slices.Sort(b.Hosts)
+	b.Hosts = slices.Compact(b.Hosts)
+	return b
+}
+
+// explainBlocked explains why none of the changes that are left can be placed. Without a rejection they wait for each other.
+func explainBlocked(changes []*change, rejected []rejection) (blocked []Blocked) {
+	for _, r := range rejected {
+		blocked = append(blocked, r.explain())
+	}
+	if len(rejected) > 0 {
+		return blocked
+	}
+	for _, c := range changes {
+		if !c.done {
+			blocked = append(blocked, Blocked{
+				Change: c.String(),
+				Why:    "it waits for steps that wait for it",
+				Remedy: "make the change in two plans",
+			})
+		}
+	}
+	return blocked
+}
--- a/internal/fleet/plan/plan_test.go
+++ b/internal/fleet/plan/plan_test.go
@@ -15,12 +15,12 @@
 	"stairvane.org/stairvane/internal/fleet/fleettest"
 )
 
-// run carries a plan out in a random order that its graph allows, and looks at the world after each event.
-func run(t *rapid.T, w fleet.ObservedState, p *Plan, look func(before, after fleet.ObservedState, s Step)) fleet.ObservedState {
+// applyInRandomOrder applies a plan in a random order that its graph allows. It calls check with the state before and after each event.
+func applyInRandomOrder(t *rapid.T, w fleet.ObservedState, p *Plan, check func(before, after fleet.ObservedState, s Step)) fleet.ObservedState {
 	const pending, effected, done = 0, 1, 2
 	state := make([]int, len(p.Steps)+1)
 	for left := 2 * len(p.Steps); left > 0; left-- {
-		if rapid.IntRange(0, 9).Draw(t, "time") == 0 { // what was cold turns warm at any moment
+		if rapid.IntRange(0, 9).Draw(t, "time") == 0 { // what warms up may be warm at any moment
 			w.NowMS += 20_000
 		}
 		var can []int
@@ -55,11 +55,11 @@
 		if w.Fleet, err = w.Apply(e); err != nil {
 			t.Fatal(err)
 		}
-		if s.Kind == Remove || s.Kind == Add { // the observer forgets a box that is gone, and does not know a new one
+		if s.Kind == Remove || s.Kind == Add { // the observer forgets a host that was removed, and does not know a new one
 			w.Observed = maps.Clone(w.Observed)
 			delete(w.Observed, s.Host.Name)
 		}
-		look(before, w, s)
+		check(before, w, s)
 	}
 	return w
 }
@@ -79,21 +79,21 @@
 	return b.String()
 }
 
-// sameAsWished compares what is declared with the wish.
-func sameAsWished(f fleet.Fleet, wish fleet.DesiredState) bool {
-	wish.Normalize()
+// isDesired tells whether a fleet is as desired.
+func isDesired(f fleet.Fleet, desired fleet.DesiredState) bool {
+	desired.Normalize()
 	is := f.DesiredState()
-	for _, boxes := range [][]fleet.HostSpec{is.Hosts, wish.Hosts} {
-		for i := range boxes {
-			boxes[i].Running = false // of no meaning once a box is there
+	for _, hosts := range [][]fleet.HostSpec{is.Hosts, desired.Hosts} {
+		for i := range hosts {
+			hosts[i].Running = false // without meaning once a host is there
 		}
 	}
-	return fleet.Sum(is) == fleet.Sum(wish)
+	return fleet.Sum(is) == fleet.Sum(desired)
 }
 
-// For random worlds and wishes: the plan makes the wish, a second plan is empty, and in every order that the graph
-// allows no prefix breaks a constraint with any one box dying. Boxes may be dead already.
-func TestPlansKeepConstraintsAtEveryPrefix(t *testing.T) {
+// For random states and desired states: the plan leads to the desired state, and a second plan is empty. In any order of steps that the
+// graph allows, no step breaks a constraint with any one host dying. Hosts may be dead before.
+func TestPlansKeepConstraintsAtEveryStep(t *testing.T) {
 	made, steps := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		from, to := fleettest.DrawDesiredState(t, 8), fleettest.DrawDesiredState(t, 8)
@@ -132,7 +132,7 @@
 				deaths = append(deaths, b.Name)
 			}
 		}
-		end := run(t, w, p, func(before, after fleet.ObservedState, s Step) {
+		end := applyInRandomOrder(t, w, p, func(before, after fleet.ObservedState, s Step) {
 			if s.Kind == SetRules { // what the constraints are is the operator's
 				return
 			}
@@ -154,8 +154,8 @@
 				}
 			}
 		})
-		if !sameAsWished(end.Fleet, to) {
-			t.Fatalf("the plan does not make the wish: %+v, %+v", end.DesiredState(), to)
+		if !isDesired(end.Fleet, to) {
+			t.Fatalf("the plan does not lead to the desired state: %+v, %+v", end.DesiredState(), to)
 		}
 		end.Observed = nil
 		if second, err := Make(end, to, ""); err != nil || len(second.Steps) > 0 {
@@ -164,6 +164,6 @@
 	})
 	t.Logf("%d plans with %d steps", made, steps)
 	if made < 20 {
-		t.Errorf("only %d wishes had a plan", made)
+		t.Errorf("only %d desired states had a plan", made)
 	}
 }
