--- a/internal/operatorconfig/compatibility_test.go
+++ b/internal/operatorconfig/compatibility_test.go
@@ -27,19 +27,19 @@
 		}
 	}
 	for _, path := range programs {
-		program, faults := ReadProgram(path, os.ReadFile)
-		checkRead(t, path, faults, program)
+		program, errors := ReadProgram(path, os.ReadFile)
+		checkRead(t, path, errors, program)
 	}
 	for _, path := range fleets {
-		desired, faults := ReadFleet(path, os.ReadFile)
-		checkRead(t, path, faults, desired)
+		desired, errors := ReadFleet(path, os.ReadFile)
+		checkRead(t, path, errors, desired)
 	}
 }
 
-func checkRead(t *testing.T, path string, faults sexpr.Faults, read any) {
+func checkRead(t *testing.T, path string, errors sexpr.Faults, read any) {
 	t.Helper()
-	if len(faults) > 0 {
-		t.Errorf("%s: %v", path, faults)
+	if len(errors) > 0 {
+		t.Errorf("%s: %v", path, errors)
 	}
 	name := filepath.Base(filepath.Dir(path)) + "-" + strings.TrimSuffix(filepath.Base(path), ".scm")
 	golden.Text(t, name+".txt", golden.Values(read))
--- a/internal/operatorconfig/relay_test.go
+++ b/internal/operatorconfig/relay_test.go
@@ -8,34 +8,38 @@
 	"time"
 )
 
-const relayForm = "(relay (name r1) (machine m-1) (site s-1) (region north) (listen 127.0.0.1:8600) (upstream 127.0.0.1:8501 127.0.0.1:8502)%s)"
+const relayForm = "(relay (name r1) (machine m-1) (site s-1) (region north) (listen 127.0.0.1:8600) " +
+	"(upstream 127.0.0.1:8501 127.0.0.1:8502)%s)"
 
 func readRelay(text string) (Relay, error) {
-	p, faults := ReadProgram("etc/relay.scm", files(map[string]string{"etc/relay.scm": text}))
-	if len(faults) > 0 {
-		return p.Relay, faults
+	p, errors := ReadProgram("etc/relay.scm", files(map[string]string{"etc/relay.scm": text}))
+	if len(errors) > 0 {
+		return p.Relay, errors
 	}
 	return p.Relay, nil
 }
 
-func TestRelayIsRead(t *testing.T) {
+func TestReadRelay(t *testing.T) {
 	r, err := readRelay(fmt.Sprintf(relayForm, ""))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Name != "r1" || r.Region != "north" || len(r.Upstream) != 2 || r.Gather != 100*time.Millisecond || r.MaxWatchers != 2000 || r.Watchers != nil {
+	if r.Name != "r1" || r.Region != "north" || len(r.Upstream) != 2 || r.Gather != 100*time.Millisecond ||
+		r.MaxWatchers != 2000 || r.Watchers != nil {
 		t.Errorf("%+v", r)
 	}
-	r, err = readRelay(fmt.Sprintf(relayForm, " (watchers 10.0.0.0/8) (gather 0) (max-watchers 400) (keep 500) (leave-over 5s) (tls (certificate a) (key b) (authority c))"))
+	r, err = readRelay(fmt.Sprintf(relayForm, " (watchers 10.0.0.0/8) (gather 0) (max-watchers 400) (keep 500) (leave-over 5s) "+
+		"(tls (certificate a) (key b) (authority c))"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Gather != 0 || r.MaxWatchers != 400 || r.KeepEvents != 500 || r.DrainTime != 5*time.Second || r.TLS == nil || r.TLS.Authority != "etc/c" || r.Watchers == nil {
+	if r.Gather != 0 || r.MaxWatchers != 400 || r.KeepEvents != 500 || r.DrainTime != 5*time.Second ||
+		r.TLS == nil || r.TLS.Authority != "etc/c" || r.Watchers == nil {
 		t.Errorf("%+v", r)
 	}
 }
 
-func TestFaultsOfARelayNameTheirKey(t *testing.T) {
+func TestRelayErrorsNameTheirKey(t *testing.T) {
 	for change, want := range map[[2]string]string{
 		{"(name r1) ", ""}:                           "relay.name: missing",
 		{"(region north) ", ""}:                      "relay.region: missing",
@@ -49,7 +53,8 @@
 		{"(site s-1)", "(site s-1) (tls (key k))"}:   "relay.tls.certificate: missing",
 	} {
 		_, err := readRelay(strings.Replace(fmt.Sprintf(relayForm, ""), change[0], change[1], 1))
-		if err == nil || !slices.ContainsFunc(strings.Split(err.Error(), "\n"), func(line string) bool { return strings.Contains(line, want) }) {
+		hasWanted := func(line string) bool { return strings.Contains(line, want) }
+		if err == nil || !slices.ContainsFunc(strings.Split(err.Error(), "\n"), hasWanted) {
 			t.Errorf("%v: %v", change, err)
 		}
 	}
--- /dev/null
+++ b/internal/operatorconfig/values.go
@@ -0,0 +1,198 @@
+package operatorconfig
+
+import (
+	"math"
+	"net/netip"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"time"
+
+	"github.com/gaissmai/bart"
+
+	"stairvane.org/stairvane/internal/sexpr"
+)
+
+// The functions in this file make readers for forms with values. A reader sets a variable, and leaves it as it was after an error.
+
+// one gives the only argument of a form; nil after an error.
+func (d *decoder) one(n *sexpr.Node, args []*sexpr.Node, key string) *sexpr.Node {
+	if len(args) != 1 {
+		d.report(n, key, "one value is wanted, %d are given", len(args))
+		return nil
+	}
+	return args[0]
+}
+
+// word gives the text of a node that must be a word.
+func (d *decoder) word(n *sexpr.Node, key string) (string, bool) {
+	s, ok := n.Text()
+	if !ok || s == "" {
+		d.report(n, key, "a word is wanted here")
+		return "", false
+	}
+	return s, true
+}
+
+// single reads a form with one argument. set gets the argument and its text.
+func (d *decoder) single(set func(arg *sexpr.Node, text, key string)) formReader {
+	return func(n *sexpr.Node, args []*sexpr.Node, key string) {
+		if arg := d.one(n, args, key); arg != nil {
+			text, _ := arg.Text()
+			set(arg, text, key)
+		}
+	}
+}
+
+// text reads a word.
+func (d *decoder) text(to *string) formReader {
+	return d.single(func(arg *sexpr.Node, _, key string) {
+		if s, ok := d.word(arg, key); ok {
+			*to = s
+		}
+	})
+}
+
+// number reads a number in a range.
+func (d *decoder) number(to *float64, least, most float64) formReader {
+	return d.single(func(arg *sexpr.Node, text, key string) {
+		v, err := strconv.ParseFloat(text, 64)
+		if err != nil || math.IsNaN(v) || v < least || v > most {
+			d.report(arg, key, "%q is not a number from %v to %v", text, least, most)
+			return
+		}
+		*to = v
+	})
+}
+
+// integer reads an integer in a range.
+func (d *decoder) integer(to *int, least, most int) formReader {
+	return d.single(func(arg *sexpr.Node, text, key string) {
+		v, err := strconv.Atoi(text)
+		if err != nil || v < least || v > most {
+			d.report(arg, key, "%q is not a whole number from %d to %d", text, least, most)
+			return
+		}
+		*to = v
+	})
+}
+
+// duration reads a time with its unit, as in 500ms or 2m, in a range.
+func (d *decoder) duration(to *time.Duration, least, most time.Duration) formReader {
+	return d.single(func(arg *sexpr.Node, text, key string) {
+		v, err := time.ParseDuration(text)
+		if err != nil || v < least || v > most {
+			d.report(arg, key, "%q is not a time from %v to %v with its unit, as in 500ms", text, least, most)
+			return
+		}
+		*to = v
+	})
+}
+
+// milliseconds reads a time of at most maxRuleTime into a number of milliseconds.
+func (d *decoder) milliseconds(to *int64, least time.Duration) formReader {
+	return func(n *sexpr.Node, args []*sexpr.Node, key string) {
+		v := time.Duration(*to) * time.Millisecond
+		d.duration(&v, least, maxRuleTime)(n, args, key)
+		*to = v.Milliseconds()
+	}
+}
+
+// choice reads one of some words.
+func (d *decoder) choice(to *string, words ...string) formReader {
+	return d.single(func(arg *sexpr.Node, text, key string) {
+		if !slices.Contains(words, text) {
+			d.reportUnknown(arg, key, "choice", text, words)
+			return
+		}
+		*to = text
+	})
+}
+
+// flag reads a form that is there or not.
+func (d *decoder) flag(to *bool) formReader {
+	return func(n *sexpr.Node, args []*sexpr.Node, key string) {
+		*to = true
+		if len(args) > 0 {
+			d.report(n, key, "it takes no value")
+		}
+	}
+}
+
+// words reads any number of words, and appends them.
+func (d *decoder) words(to *[]string) formReader {
+	return func(_ *sexpr.Node, args []*sexpr.Node, key string) {
+		for _, arg := range args {
+			if s, ok := d.word(arg, key); ok {
+				*to = append(*to, s)
+			}
+		}
+	}
+}
+
+// path reads a path. A relative one is in the folder.
+func (d *decoder) path(to *string, folder string) formReader {
+	return func(n *sexpr.Node, args []*sexpr.Node, key string) {
+		var s string
+		d.text(&s)(n, args, key)
+		switch {
+		case s == "":
+		case filepath.IsAbs(s):
+			*to = s
+		default:
+			*to = filepath.Join(folder, s)
+		}
+	}
+}
+
+// address reads an IP address with a port.
+func (d *decoder) address(to *netip.AddrPort) formReader {
+	return d.single(func(arg *sexpr.Node, text, key string) {
+		v, err := netip.ParseAddrPort(text)
+		if err != nil {
+			d.report(arg, key, "%q is not an IP address with a port, as in 10.1.0.9:9090", text)
+			return
+		}
+		*to = v
+	})
+}
+
+// networks reads any number of networks into a table.
+func (d *decoder) networks(to **bart.Lite) formReader {
+	return func(_ *sexpr.Node, args []*sexpr.Node, key string) {
+		table := &bart.Lite{}
+		for _, prefix := range d.prefixes(args, key) {
+			table.Insert(prefix)
+		}
+		*to = table
+	}
+}
+
+// prefixes reads networks. An address without a length is a network of its own.
+func (d *decoder) prefixes(args []*sexpr.Node, key string) (all []netip.Prefix) {
+	for _, arg := range args {
+		text, _ := arg.Text()
+		prefix, err := parsePrefix(text)
+		switch {
+		case err != nil:
+			d.report(arg, key, "%q is not a network, as in 10.1.0.0/24", text)
+		case prefix.Masked() != prefix:
+			d.report(arg, key, "%q has bits set beyond its length; the network is %v", text, prefix.Masked())
+		default:
+			all = append(all, prefix)
+		}
+	}
+	return all
+}
+
+func parsePrefix(text string) (netip.Prefix, error) {
+	prefix, err := netip.ParsePrefix(text)
+	if err == nil {
+		return prefix, nil
+	}
+	addr, err := netip.ParseAddr(text)
+	if err != nil {
+		return netip.Prefix{}, err
+	}
+	return addr.Prefix(addr.BitLen())
+}
--- a/internal/sexpr/format.go
+++ b/internal/sexpr/format.go
@@ -1,46 +1,47 @@
 package sexpr
 
 import (
+	"slices"
 	"strings"
 	"unicode/utf8"
 )
 
 const (
-	lineWidth = 100
-	indentBy  = 2
+	maxLineWidth = 100 // characters
+	indentWidth  = 2   // characters a level
 )
 
-// Format writes a tree in the one form: comments stay where they were, a list that stood on one line stays there if it
-// fits, others are broken with two more spaces a level, and a blank line between forms is kept as one.
+// Format writes a tree in the canonical form. Comments stay where they were. A list that stood on one line stays there if it fits; others
+// are broken, and indented by two spaces a level. Blank lines between forms become one.
 func Format(f *File) string {
 	w := &writer{}
 	w.items(f.Items, 0, nil)
-	if w.b.Len() == 0 {
+	if w.text.Len() == 0 {
 		return ""
 	}
-	return w.b.String() + "\n"
+	return w.text.String() + "\n"
 }
 
-type writer struct{ b strings.Builder }
+type writer struct{ text strings.Builder }
 
-// items writes nodes one a line; a comment that stood behind its neighbour stays behind it.
+// items writes nodes, one a line. before is the node in front of them; nil: none. A comment that followed a node on its line still does.
 func (w *writer) items(items []*Node, indent int, before *Node) {
 	for i, n := range items {
-		prev := before
+		previous := before
 		if i > 0 {
-			prev = items[i-1]
+			previous = items[i-1]
 		}
 		switch {
-		case prev == nil:
-		case n.Comment != nil && n.Pos.Line == prev.lastLine() && prev.Comment == nil:
-			w.b.WriteString("  " + comment(n))
+		case previous == nil:
+		case n.Comment != nil && n.Pos.Line == previous.lastLine() && previous.Comment == nil:
+			w.text.WriteString("  " + comment(n))
 			continue
 		default:
-			w.b.WriteByte('\n')
-			if n.Pos.Line > prev.lastLine()+1 {
-				w.b.WriteByte('\n')
+			w.text.WriteByte('\n')
+			if n.Pos.Line > previous.lastLine()+1 {
+				w.text.WriteByte('\n')
 			}
-			w.b.WriteString(strings.Repeat(" ", indent))
+			w.text.WriteString(strings.Repeat(" ", indent))
 		}
 		w.node(n, indent)
 	}
@@ -49,65 +50,61 @@
 func (w *writer) node(n *Node, indent int) {
 	switch {
 	case n.Comment != nil:
-		w.b.WriteString(comment(n))
+		w.text.WriteString(comment(n))
 	case n.List == nil:
-		w.b.WriteString(flat(n))
+		w.text.WriteString(flat(n))
 	case fits(n, indent):
-		w.b.WriteString(flat(n))
+		w.text.WriteString(flat(n))
 	default:
 		w.list(n, indent)
 	}
 }
 
+// list writes a list on several lines. The atoms and strings that it begins with are on the first line.
 func (w *writer) list(n *Node, indent int) {
 	items := n.List.Items
-	w.b.WriteByte('(')
+	w.text.WriteByte('(')
 	first := 0
 	for first < len(items) && items[first].List == nil && items[first].Comment == nil {
 		if first > 0 {
-			w.b.WriteByte(' ')
+			w.text.WriteByte(' ')
 		}
-		w.b.WriteString(flat(items[first]))
+		w.text.WriteString(flat(items[first]))
 		first++
 	}
 	var before *Node
 	if first > 0 {
 		before = items[first-1]
 	}
-	w.items(items[first:], indent+indentBy, before)
+	w.items(items[first:], indent+indentWidth, before)
 	if last := items[len(items)-1]; last.Comment != nil {
-		w.b.WriteString("\n" + strings.Repeat(" ", indent))
+		w.text.WriteString("\n" + strings.Repeat(" ", indent))
 	}
-	w.b.WriteByte(')')
+	w.text.WriteByte(')')
 }
 
+// comment is the text of a comment.
 func comment(n *Node) string { return strings.TrimRight(*n.Comment, " \t\r\v\f") }
 
-// fits tells whether a list goes on one line: it has no comments, is short enough, and was written so or has no lists
-// inside.
+// fits tells whether a list goes on one line: it has no comments and is short enough, and was on one line or has no lists inside.
 func fits(n *Node, indent int) bool {
 	if len(n.List.Items) == 0 {
 		return true
 	}
-	nested := false
-	for _, i := range n.List.Items {
-		nested = nested || i.List != nil
-	}
-	return !commented(n) && (!nested || n.Pos.Line == n.lastLine()) && indent+utf8.RuneCountInString(flat(n)) <= lineWidth
+	isNested := slices.ContainsFunc(n.List.Items, func(item *Node) bool { return item.List != nil })
+	mayBeFlat := !isNested || n.Pos.Line == n.lastLine()
+	return mayBeFlat && !hasComment(n) && indent+utf8.RuneCountInString(flat(n)) <= maxLineWidth
 }
 
-func commented(n *Node) bool {
+// hasComment tells whether a node is a comment or has one inside.
+func hasComment(n *Node) bool {
 	if n.List == nil {
 		return n.Comment != nil
 	}
-	for _, i := range n.List.Items {
-		if commented(i) {
-			return true
-		}
-	}
-	return false
+	return slices.ContainsFunc(n.List.Items, hasComment)
 }
 
+// flat is a node on one line.
 func flat(n *Node) string {
 	switch {
 	case n.Atom != nil:
--- a/internal/sexpr/sexpr_test.go
+++ b/internal/sexpr/format_test.go
@@ -1,7 +1,6 @@
 package sexpr
 
 import (
-	"strings"
 	"testing"
 )
 
@@ -18,10 +17,11 @@
  b)
 `
 
-func TestFormatKeepsCommentsAndIsStable(t *testing.T) {
-	f, faults := Parse("x", sample)
-	if len(faults) > 0 {
-		t.Fatal(faults)
+// Comments stay where they were, and what fits on a line is not broken.
+func TestFormatKeepsComments(t *testing.T) {
+	f, errors := Parse("x", sample)
+	if len(errors) > 0 {
+		t.Fatal(errors)
 	}
 	got := Format(f)
 	want := `; the north
@@ -40,36 +40,19 @@
 	}
 }
 
-// All faults of a text are told at once, each at its own place, and what is whole is still read.
-func TestAllFaultsAtOnce(t *testing.T) {
-	f, faults := Parse("x", "(a 1)\n(b (c)\n(d \"open)\n(e 2))\n(f 3)\n")
-	var at []int
-	for _, x := range faults {
-		at = append(at, x.Line)
-	}
-	if len(at) != 3 || at[0] != 2 || at[1] != 3 || at[2] != 4 {
-		t.Errorf("%v", faults)
-	}
-	if len(f.Items) != 2 || f.Items[1].Head() != "f" || f.Items[1].Pos.Line != 5 {
-		t.Errorf("%d items", len(f.Items))
-	}
-	if _, faults = Parse("x", strings.Repeat("(", 1<<20)); len(faults) != 1 || !strings.Contains(faults[0].Message, "deeper") {
-		t.Errorf("%.200v", faults)
-	}
-}
-
+// A formatted text has the same tree, and is formatted to itself.
 func FuzzFormat(f *testing.F) {
 	f.Add(sample)
 	f.Add("(a ;x\n) ;y\n;z\n\n\n\"s\\\"\"(((b)))")
 	f.Fuzz(func(t *testing.T, text string) {
-		tree, faults := Parse("x", text)
-		if len(faults) > 0 {
+		tree, errors := Parse("x", text)
+		if len(errors) > 0 {
 			return
 		}
 		once := Format(tree)
-		again, faults := Parse("x", once)
-		if len(faults) > 0 {
-			t.Fatalf("%q became %q: %v", text, once, faults)
+		again, errors := Parse("x", once)
+		if len(errors) > 0 {
+			t.Fatalf("%q became %q: %v", text, once, errors)
 		}
 		if twice := Format(again); twice != once {
 			t.Fatalf("not stable: %q, %q, %q", text, once, twice)
@@ -80,6 +63,7 @@
 	})
 }
 
+// shape is a tree without its places.
 func shape(items []*Node) string {
 	s := ""
 	for _, n := range items {
--- /dev/null
+++ b/internal/sexpr/parse.go
@@ -0,0 +1,92 @@
+package sexpr
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+
+	"github.com/alecthomas/participle/v2"
+	"github.com/alecthomas/participle/v2/lexer"
+)
+
+// Limits of a text. The parser is recursive: deep nesting, which no operator writes, would use up its stack.
+const (
+	MaxBytes = 32 << 20
+	MaxDepth = 64
+
+	maxSyntaxErrors = 20
+)
+
+var (
+	tokens = lexer.MustSimple([]lexer.SimpleRule{
+		{Name: "Comment", Pattern: `;[^\n]*`},
+		{Name: "String", Pattern: `"(\\.|[^"\\\n])*"`},
+		{Name: "Paren", Pattern: `[()]`},
+		{Name: "Atom", Pattern: `[^\s()";]+`},
+		{Name: "space", Pattern: `\s+`},
+	})
+	grammar = participle.MustBuild[File](participle.Lexer(tokens))
+)
+
+// Parse parses a text. After a syntax error it goes on at the next line that opens a form in the first column, so that all errors are
+// reported at once. The tree lacks the forms with errors.
+func Parse(name, text string) (*File, Faults) {
+	if len(text) > MaxBytes {
+		return &File{}, Faults{{File: name, Line: 1, Col: 1, Message: fmt.Sprintf("longer than %d bytes", MaxBytes)}}
+	}
+	var found Faults
+	for {
+		file, syntaxError := parse(name, text)
+		if syntaxError == nil {
+			return file, found
+		}
+		found = append(found, *syntaxError)
+		rest, remains := blankForm(text, syntaxError.Line)
+		if !remains || len(found) == maxSyntaxErrors {
+			return &File{}, found
+		}
+		text = rest
+	}
+}
+
+// parse gives the tree of a text, or its first error.
+func parse(name, text string) (*File, *FileError) {
+	if e := checkBalance(name, text); e != nil {
+		return nil, e
+	}
+	file, err := grammar.ParseString(name, text)
+	if err == nil {
+		return file, nil
+	}
+	e := &FileError{File: name, Line: 1, Col: 1, Message: err.Error()}
+	var at participle.Error
+	if errors.As(err, &at) {
+		e.Line = at.Position().Line
+		e.Col = at.Position().Column
+		e.Message = at.Message()
+	}
+	return nil, e
+}
+
+// blankForm blanks the top-level form that contains a line, and leaves the places of all others. It tells whether text remains that may
+// be parsed again.
+func blankForm(text string, line int) (rest string, remains bool) {
+	lines := strings.SplitAfter(text, "\n")
+	from := min(max(line, 1), len(lines)) - 1
+	for from > 0 && !strings.HasPrefix(lines[from], "(") {
+		from--
+	}
+	to := max(from+1, line)
+	for to < len(lines) && !strings.HasPrefix(lines[to], "(") {
+		to++
+	}
+	for i := from; i < to; i++ {
+		if strings.HasSuffix(lines[i], "\n") {
+			lines[i] = "\n"
+		} else {
+			lines[i] = ""
+		}
+	}
+	rest = strings.Join(lines, "")
+	return rest, rest != text && strings.TrimSpace(rest) != ""
+}
--- a/internal/tools/capacity/capacity_test.go
+++ b/internal/tools/capacity/capacity_test.go
@@ -133,13 +133,13 @@
 	d := Current()
 	milliseconds := func(t time.Duration) string { return strconv.FormatInt(t.Milliseconds(), 10) }
 	for _, x := range []struct{ file, pattern, value string }{
-		{"internal/operatorconfig/relay.go", `Gather: (\d+) \* time.Millisecond`, milliseconds(d.RelayGather)},
+		{"internal/operatorconfig/relay.go", `Gather: +(\d+) \* time.Millisecond`, milliseconds(d.RelayGather)},
 		{"internal/director/timing.go", `announcedPatience = (\d+) \* time.Millisecond`, milliseconds(d.WatchPatience)},
 		{"internal/director/timing.go", `RetryMax: +(\d+) \* time.Millisecond, // while`, milliseconds(d.ReconnectRetry)},
 		{"internal/director/timing.go", `watchRetrySpread = (\d+) \* time.Microsecond`, strconv.FormatInt(d.ReconnectSpread.Microseconds(), 10)},
 		{"internal/director/timing.go", `SpreadMax: (\d+) \* time.Millisecond`, milliseconds(d.ReconnectSpreadMax)},
-		{"internal/operatorconfig/program.go", ` KeepEvents: (\d+)_000`, strconv.Itoa(d.HistoryKept / 1000)},
-		{"internal/operatorconfig/program.go", `c.Lease, .* = (\d+)\*time.Millisecond`, milliseconds(d.ReplicaLease)},
+		{"internal/operatorconfig/control_plane.go", `defaultKeepEvents += (\d+)_000`, strconv.Itoa(d.HistoryKept / 1000)},
+		{"internal/operatorconfig/control_plane.go", `defaultReplicaLease += (\d+) \* time.Millisecond`, milliseconds(d.ReplicaLease)},
 		{"internal/controlplane/membership.go", `adoptionKept = (\d+)`, strconv.Itoa(d.AdoptionKept)},
 		{"internal/controlplane/membership.go", `rollEvery += (\d+) \* time.Millisecond`, milliseconds(d.TickEvery)},
 		{"internal/controlplane/membership.go", `rollGather += (\d+) \* time.Millisecond`, milliseconds(d.GatherEvery)},
