--- a/internal/operatorconfig/fleet_test.go
+++ b/internal/operatorconfig/fleet_test.go
@@ -75,8 +75,9 @@
 
 // A desired state that is wrong in itself is reported at its place, as a floor that the death of one host breaks.
 func TestInvalidDesiredState(t *testing.T) {
+	const floorError = "location west.floor: floor 8.5 can't be kept: with c-3 dying 8 of 16 is left"
 	for change, want := range map[[2]string]string{
-		{"(floor 8)", "(floor 8.5)"}:                              "location west.floor: floor 8.5 can't be kept: with c-3 dying 8 of 16 is left",
+		{"(floor 8)", "(floor 8.5)"}:                              floorError,
 		{"(sources h-1 store)", "(sources c-1)"}:                  "source c-1 is a cache",
 		{"(sources h-1 store)", "(sources)"}:                      "no source",
 		{"cache c-2", "cache c-1"}:                                "declared twice",
