--- a/internal/fleet/plan/plan_test.go
+++ b/internal/fleet/plan/plan_test.go
@@ -16,7 +16,9 @@
 )
 
 // applyInRandomOrder applies a plan in a random order that its graph allows. It calls check with the state before and after each event.
-func applyInRandomOrder(t *rapid.T, w fleet.ObservedState, p *Plan, check func(before, after fleet.ObservedState, s Step)) fleet.ObservedState {
+func applyInRandomOrder(
+	t *rapid.T, w fleet.ObservedState, p *Plan, check func(before, after fleet.ObservedState, s Step),
+) fleet.ObservedState {
 	const pending, effected, done = 0, 1, 2
 	state := make([]int, len(p.Steps)+1)
 	for left := 2 * len(p.Steps); left > 0; left-- {
