--- a/internal/controlplane/apply_test.go
+++ b/internal/controlplane/apply_test.go
@@ -59,7 +59,8 @@
 	s, c := start(t, settingsIn(t.TempDir()))
 	rules := rulesWithoutWaits()
 	rules.Cache = fleet.SlowStart{InitialShare: 0.5, WarmUpMS: 500, OverloadFactor: 4}
-	rules.NotifiedWithinMS, rules.DrainSettleMS = 7000, 700
+	rules.NotifiedWithinMS = 7000
+	rules.DrainSettleMS = 700
 	spec := func(n int, running bool) fleet.HostSpec {
 		return fleet.HostSpec{Name: fmt.Sprintf("c-%d", n), Address: caches[n].Addr(), Running: running}
 	}
@@ -130,10 +131,7 @@
 func TestConcurrentSubmissionsBeginOneApply(t *testing.T) {
 	_, c := start(t, settingsIn(t.TempDir()))
 	rules := rulesWithoutWaits()
-	check(t, func() error {
-		a := applyPlan(t, c, planTo(t, c, desiredState(rules, cacheSpec(0, true), cacheSpec(1, true))))
-		return notDone(a)
-	}())
+	check(t, notDone(applyPlan(t, c, planTo(t, c, desiredState(rules, cacheSpec(0, true), cacheSpec(1, true))))))
 	slow := rules
 	slow.DrainSettleMS = 300
 	grow := planTo(t, c, desiredState(slow, cacheSpec(0, true), cacheSpec(2, true), cacheSpec(3, true))) // both drain, and so last
@@ -207,7 +205,9 @@
 				declared = append(declared, fleet.HostSpec{Name: fmt.Sprintf("c-%d", n), Address: s.Addr(), Running: true})
 			}
 			rules := rulesWithoutWaits()
-			rules.OnFault, rules.MaxParallelSteps, rules.DrainSettleMS = onFault, 1, 1500
+			rules.OnFault = onFault
+			rules.MaxParallelSteps = 1
+			rules.DrainSettleMS = 1500
 			check(t, notDone(applyPlan(t, c, planTo(t, c, desiredState(rules, declared...)))))
 			until(t, "all are seen", func() bool {
 				observed := s.ObservedState().Observed
--- a/internal/controlplane/harness_test.go
+++ b/internal/controlplane/harness_test.go
@@ -74,19 +74,21 @@
 
 // start runs a server until the test ends, and gives a client of it.
 func start(t testing.TB, set operatorconfig.ControlPlane) (*Server, *api.Client) {
+	t.Helper()
+	return startServer(t, set), client(t, set, "")
+}
+
+// startServer runs a server until the test ends.
+func startServer(t testing.TB, set operatorconfig.ControlPlane) *Server {
 	t.Helper()
 	s, err := New(set, Options{})
 	check(t, err)
-	ended := make(chan error, 1)
-	go func() { ended <- s.Run() }()
+	run(t, s)
 	until(t, "the server runs", func() bool { return s.started.Load() })
-	t.Cleanup(func() {
-		s.Stop()
-		check(t, <-ended)
-	})
-	return s, client(t, set, "")
+	return s
 }
 
+// client makes a client that gives itself a name, over the server's socket.
 func client(t testing.TB, set operatorconfig.ControlPlane, who string) *api.Client {
 	t.Helper()
 	c, err := api.NewClient("unix:"+set.Write.Unix, who, api.Credentials{})
@@ -94,16 +96,18 @@
 	return c
 }
 
-// run runs a server or a relay until the test ends.
-func run(t *testing.T, process interface {
+// process is a server or a relay.
+type process interface {
 	Run() error
 	Stop()
-},
-) {
+}
+
+// run runs a process until the test ends.
+func run(t testing.TB, p process) {
 	ended := make(chan error, 1)
-	go func() { ended <- process.Run() }()
+	go func() { ended <- p.Run() }()
 	t.Cleanup(func() {
-		process.Stop()
+		p.Stop()
 		check(t, <-ended)
 	})
 }
@@ -111,7 +115,10 @@
 // rulesWithoutWaits are rules under which no step of an apply waits.
 func rulesWithoutWaits() fleet.Rules {
 	r := fleet.DefaultRules()
-	r.Cache.WarmUpMS, r.Parent.WarmUpMS, r.DrainSettleMS, r.NotifiedWithinMS = 0, 0, 0, 0
+	r.Cache.WarmUpMS = 0
+	r.Parent.WarmUpMS = 0
+	r.DrainSettleMS = 0
+	r.NotifiedWithinMS = 0
 	return r
 }
 
@@ -139,15 +146,26 @@
 // planTo makes the plan file that leads from the present state to a desired one.
 func planTo(t testing.TB, c *api.Client, desired fleet.DesiredState) []byte {
 	t.Helper()
-	known, err := c.State()
+	file, err := makePlan(c, desired)
 	check(t, err)
+	return file
+}
+
+// makePlan is planTo for a process that runs no test.
+func makePlan(c *api.Client, desired fleet.DesiredState) ([]byte, error) {
+	known, err := c.State()
+	if err != nil {
+		return nil, err
+	}
 	state, err := known.ObservedState()
-	check(t, err)
+	if err != nil {
+		return nil, err
+	}
 	p, err := plan.Make(state, desired, "")
-	check(t, err)
-	file, err := plan.Encode(p)
-	check(t, err)
-	return file
+	if err != nil {
+		return nil, err
+	}
+	return plan.Encode(p)
 }
 
 // applyPlan submits a plan and waits until its apply no longer runs.
--- a/internal/controlplane/linearizable_test.go
+++ b/internal/controlplane/linearizable_test.go
@@ -59,7 +59,8 @@
 					r.revision = w.Fleet.Revision
 				} else {
 					p, err := c.Purge(fleet.Purge{Object: fmt.Sprintf("%016x", own.Uint64())})
-					if r.revision = p.Revision; err != nil {
+					r.revision = p.Revision
+					if err != nil {
 						time.Sleep(5 * time.Millisecond)
 						if errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, os.ErrNotExist) {
 							continue // it was not sent
@@ -67,7 +68,8 @@
 						r.unknown = true
 					}
 				}
-				op.Output, op.Return = r, time.Since(begin).Nanoseconds()
+				op.Output = r
+				op.Return = time.Since(begin).Nanoseconds()
 				mu.Lock()
 				ops = append(ops, op)
 				mu.Unlock()
--- a/internal/controlplane/recovery_test.go
+++ b/internal/controlplane/recovery_test.go
@@ -17,7 +17,6 @@
 	"stairvane.org/stairvane/internal/controlplane/api"
 	"stairvane.org/stairvane/internal/fleet"
 	"stairvane.org/stairvane/internal/fleet/apply"
-	"stairvane.org/stairvane/internal/fleet/plan"
 )
 
 // The environment of a child process: what it does, in which folder, and at which passing of a kill point it dies.
@@ -91,19 +90,7 @@
 			return err
 		}
 		if len(all) <= i {
-			known, err := c.State()
-			if err != nil {
-				return err
-			}
-			state, err := known.ObservedState()
-			if err != nil {
-				return err
-			}
-			p, err := plan.Make(state, to, "")
-			if err != nil {
-				return err
-			}
-			file, err := plan.Encode(p)
+			file, err := makePlan(c, to)
 			if err != nil {
 				return err
 			}
@@ -111,22 +98,26 @@
 				return err
 			}
 		}
-		for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
-			a, err := c.Apply(int64(i + 1))
-			if err != nil {
-				return err
-			}
-			if a.Status == apply.Done {
-				break
-			}
-			if a.Status != apply.Running || time.Now().After(end) {
-				return fmt.Errorf("apply %d is %s: %s", a.ID, a.Status, a.Reason)
-			}
+		if err := waitUntilDone(c, int64(i+1)); err != nil {
+			return err
 		}
 	}
 	return nil
 }
 
+// waitUntilDone gives an error for an apply that stops otherwise, or not in time.
+func waitUntilDone(c *api.Client, id int64) error {
+	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+		a, err := c.Apply(id)
+		if err != nil || a.Status == apply.Done {
+			return err
+		}
+		if a.Status != apply.Running || time.Now().After(end) {
+			return notDone(a)
+		}
+	}
+}
+
 // childProcess makes a child that ends with the test.
 func childProcess(t *testing.T, mode, folder string, kill int) *exec.Cmd {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*patience)
--- a/internal/controlplane/tls_test.go
+++ b/internal/controlplane/tls_test.go
@@ -71,29 +71,28 @@
 
 func (a *authority) file(name string) string { return filepath.Join(a.dir, name) }
 
+// startOverTLS runs a server with the certificate "board" of an authority, whose write side wants certificates of the same.
+func startOverTLS(t *testing.T, a *authority) *Server {
+	t.Helper()
+	set := settingsIn(t.TempDir())
+	set.Write = operatorconfig.Write{TCP: loopback(), TLS: &operatorconfig.TLS{
+		Certificate: a.file("board.crt"),
+		Key:         a.file("board.key"),
+		Clients:     a.file("ca.crt"),
+	}}
+	return startServer(t, set)
+}
+
 // Over TLS the write side accepts only callers with a certificate of its authority, and only TLS 1.3. It records the name in the
 // certificate.
 func TestWriteSideOverTLS(t *testing.T) {
-	own, other := newAuthority(t, "ca"), newAuthority(t, "ca")
+	own := newAuthority(t, "ca")
+	other := newAuthority(t, "ca")
 	for _, name := range []string{"board", "anna"} {
 		own.issue(name, own.cert, own.key)
 	}
 	other.issue("mallory", other.cert, other.key)
-	set := settingsIn(t.TempDir())
-	set.Write = operatorconfig.Write{TCP: loopback(), TLS: &operatorconfig.TLS{
-		Certificate: own.file("board.crt"),
-		Key:         own.file("board.key"),
-		Clients:     own.file("ca.crt"),
-	}}
-	s, err := New(set, Options{})
-	check(t, err)
-	ended := make(chan error, 1)
-	go func() { ended <- s.Run() }()
-	defer func() {
-		s.Stop()
-		check(t, <-ended)
-	}()
-	until(t, "the server runs", func() bool { return s.started.Load() })
+	s := startOverTLS(t, own)
 	purge := func(a *authority, name string) error {
 		c, err := api.NewClient(s.WriteAddr().String(), "", api.Credentials{
 			Certificate: a.file(name + ".crt"),
@@ -137,23 +136,18 @@
 
 // A relay with a certificate of the control plane's authority gets a lease and serves. One with another certificate never does.
 func TestRelayOverTLS(t *testing.T) {
-	own, other := newAuthority(t, "ca"), newAuthority(t, "ca")
+	own := newAuthority(t, "ca")
+	other := newAuthority(t, "ca")
 	own.issue("board", own.cert, own.key)
 	own.issue("relay", own.cert, own.key)
 	other.issue("relay", other.cert, other.key)
-	set := settingsIn(t.TempDir())
-	set.Write = operatorconfig.Write{TCP: loopback(), TLS: &operatorconfig.TLS{
-		Certificate: own.file("board.crt"),
-		Key:         own.file("board.key"),
-		Clients:     own.file("ca.crt"),
-	}}
-	s, err := New(set, Options{})
-	check(t, err)
-	run(t, s)
+	s := startOverTLS(t, own)
 	check(t, storePurge(s.store, 1))
 	begin := func(a *authority, name string) netip.AddrPort {
 		set := operatorconfig.DefaultRelay()
-		set.Name, set.Listen, set.Upstream = name, loopback(), []netip.AddrPort{netip.MustParseAddrPort(s.WriteAddr().String())}
+		set.Name = name
+		set.Listen = loopback()
+		set.Upstream = []netip.AddrPort{netip.MustParseAddrPort(s.WriteAddr().String())}
 		set.TLS = &operatorconfig.ClientTLS{Certificate: a.file("relay.crt"), Key: a.file("relay.key"), Authority: own.file("ca.crt")}
 		r, err := relayserver.New(set)
 		check(t, err)
--- a/internal/controlplane/writeside_test.go
+++ b/internal/controlplane/writeside_test.go
@@ -60,16 +60,7 @@
 
 // FuzzWriteSide sends any bodies to the write side. None may cause a fault of the server, and what is accepted must be in the event log.
 func FuzzWriteSide(f *testing.F) {
-	set := settingsIn(f.TempDir())
-	s, err := New(set, Options{})
-	check(f, err)
-	ended := make(chan error, 1)
-	go func() { ended <- s.Run() }()
-	until(f, "the server runs", func() bool { return s.started.Load() })
-	f.Cleanup(func() {
-		s.Stop()
-		check(f, <-ended)
-	})
+	s := startServer(f, settingsIn(f.TempDir()))
 	f.Add("/v1/purges", []byte(`{"group":3}`))
 	f.Add("/v1/applies", []byte("stairvane-plan 1 0 x\n"))
 	f.Add("/v1/applies/1/pause", []byte{})
