--- a/internal/tools/capacity/capacity_test.go
+++ b/internal/tools/capacity/capacity_test.go
@@ -14,21 +14,22 @@
 func TestDesignIsTheProgram(t *testing.T) {
 	d := Current()
 	milliseconds := func(t time.Duration) string { return strconv.FormatInt(t.Milliseconds(), 10) }
+	microseconds := func(t time.Duration) string { return strconv.FormatInt(t.Microseconds(), 10) }
 	for _, x := range []struct{ file, pattern, value string }{
-		{"internal/operatorconfig/relay.go", `Gather: (\d+) \* time.Millisecond`, milliseconds(d.RelayGather)},
+		{"internal/operatorconfig/relay.go", `Gather: +(\d+) \* time.Millisecond`, milliseconds(d.RelayGather)},
 		{"internal/director/timing.go", `announcedPollTimeout = (\d+) \* time.Millisecond`, milliseconds(d.WatchPatience)},
 		{"internal/director/timing.go", `RetryMax: +(\d+) \* time.Millisecond, // while`, milliseconds(d.ReconnectRetry)},
-		{"internal/director/timing.go", `watchRetrySpread = (\d+) \* time.Microsecond`, strconv.FormatInt(d.ReconnectSpread.Microseconds(), 10)},
+		{"internal/director/timing.go", `watchRetrySpread = (\d+) \* time.Microsecond`, microseconds(d.ReconnectSpread)},
 		{"internal/director/timing.go", `SpreadMax: +(\d+) \* time.Millisecond`, milliseconds(d.ReconnectSpreadMax)},
-		{"internal/operatorconfig/program.go", ` KeepEvents: (\d+)_000`, strconv.Itoa(d.HistoryKept / 1000)},
-		{"internal/operatorconfig/program.go", `c.Lease, .* = (\d+)\*time.Millisecond`, milliseconds(d.ReplicaLease)},
+		{"internal/operatorconfig/control_plane.go", `defaultKeepEvents += (\d+)_000`, strconv.Itoa(d.HistoryKept / 1000)},
+		{"internal/operatorconfig/control_plane.go", `defaultReplicaLease += (\d+) \* time.Millisecond`, milliseconds(d.ReplicaLease)},
 		{"internal/controlplane/adoption.go", `adoptionKept = (\d+)`, strconv.Itoa(d.AdoptionKept)},
 		{"internal/controlplane/directors.go", `membershipTick = (\d+) \* time.Millisecond`, milliseconds(d.TickEvery)},
 		{"internal/controlplane/members.go", `membershipGather = (\d+) \* time.Millisecond`, milliseconds(d.GatherEvery)},
 		{"internal/health/reporter.go", `reportInterval = (\d+) \* time.Millisecond`, milliseconds(d.HealthEvery)},
 		{"internal/health/aggregator.go", `aggregateInterval += (\d+) \* time.Millisecond`, milliseconds(d.HealthFoundEvery)},
-		{"internal/health/aggregator.go", `aggregateIntervalPerDirector = (\d+) \* time.Microsecond`, strconv.FormatInt(d.HealthFoundEach.Microseconds(), 10)},
-		{"internal/fleet/fleet.go", `PurgeKeepMS = (\d+) \* 60 \* 1000`, strconv.Itoa(int(d.PurgeKept.Minutes()))},
+		{"internal/health/aggregator.go", `aggregateIntervalPerDirector = (\d+) \* time.Microsecond`, microseconds(d.HealthFoundEach)},
+		{"internal/fleet/event.go", `PurgeKeepMS = (\d+) \* 60 \* 1000`, strconv.Itoa(int(d.PurgeKept.Minutes()))},
 		{"internal/protocol/discovery/client.go", `maxBody = (\d+) << 20`, strconv.Itoa(int(d.LargestAnswer) >> 20)},
 	} {
 		text, err := os.ReadFile(root + x.file)
