--- a/cmd/stairvane-fleet/audit.go
+++ b/cmd/stairvane-fleet/audit.go
@@ -46,7 +46,7 @@
 
 func showAdoption(s streams, event adoption.Event) error {
 	var rows [][]string
-	for _, d := range event.Taken {
+	for _, d := range event.Applied {
 		rows = append(rows, []string{d.Director, fmt.Sprintf("%d ms", d.AfterMS)})
 	}
 	for _, director := range event.Missing {
@@ -59,8 +59,8 @@
 		return err
 	}
 	s.printf("event %d, accepted %d ms ago: taken by %d (p50 %d ms, p99 %d ms, last %d ms), ",
-		event.No, event.AgeMS, len(event.Taken), event.P50MS, event.P99MS, event.LastMS)
-	s.printf("not by %d, %d are lost; %d came later and had it\n", len(event.Missing), len(event.Lost), event.Had)
+		event.No, event.AgeMS, len(event.Applied), event.P50MS, event.P99MS, event.LastMS)
+	s.printf("not by %d, %d are lost; %d came later and had it\n", len(event.Missing), len(event.Lost), event.HadInitially)
 	return nil
 }
 
--- a/cmd/stairvane-fleet/capacity.go
+++ b/cmd/stairvane-fleet/capacity.go
@@ -47,16 +47,16 @@
 	if c.Write != "" {
 		return writeCapacityPage(c.Write, size, design, measured)
 	}
-	figures := capacity.Table(size, design, measured)
+	figures := capacity.Figures(size, design, measured)
 	if c.json() {
 		return writeJSON(s.out, capacityReport{Size: size, Design: design, Figures: figures})
 	}
-	return writeTable(s, capacity.Text(figures), "role", "figure", "at size", "budget", "verdict", "laws read")
+	return writeTable(s, capacity.TableRows(figures), "role", "figure", "at size", "budget", "verdict", "laws read")
 }
 
 // sizeAndDesign are the operators' size and the program's design, with the values of the flags in place of theirs.
 func (c capacityCmd) sizeAndDesign() (capacity.Size, capacity.Design, error) {
-	size, design := capacity.Operators(), capacity.Current()
+	size, design := capacity.ExpectedSize(), capacity.CurrentDesign()
 	for name, value := range c.Size {
 		if err := size.Set(name, value); err != nil {
 			return size, design, fmt.Errorf("--size: %w", err)
--- a/cmd/stairvane-fleet/capacity_test.go
+++ b/cmd/stairvane-fleet/capacity_test.go
@@ -33,7 +33,7 @@
 			machines = f
 		}
 	}
-	if report.Size.Directors != 1000 || machines.Value != 16 || machines.Verdict != capacity.Broken {
+	if report.Size.Directors != 1000 || machines.Value != 16 || machines.Verdict != capacity.OverBudget {
 		t.Errorf("%+v, %+v", report.Size, machines)
 	}
 	if out, status := run(); status != exitDone || !strings.Contains(out, "quota renewals with 8 limits") {
@@ -72,7 +72,7 @@
 	}
 	for _, f := range report.Figures {
 		if f.Name == "processor time of control, whole process, with relays, no cold cache" && f.Role == capacity.Director {
-			if math.Abs(f.Value-20) > 1e-9 || f.Verdict != capacity.Broken || f.Terms[0].Beyond != 2 {
+			if math.Abs(f.Value-20) > 1e-9 || f.Verdict != capacity.OverBudget || f.Terms[0].Beyond != 2 {
 				t.Errorf("%+v", f)
 			}
 			return
--- a/cmd/stairvane-fleet/control_plane.go
+++ b/cmd/stairvane-fleet/control_plane.go
@@ -29,7 +29,7 @@
 	if !settings.ControlPlane.Listen.IsValid() {
 		return fmt.Errorf("%s: (board ...) is missing", c.Config)
 	}
-	options := controlplane.Options{AcceptOlder: c.AcceptOlder, Found: c.Found, NewDisk: c.NewDisk}
+	options := controlplane.Options{AcceptOlder: c.AcceptOlder, FoundGroup: c.Found, NewDisk: c.NewDisk}
 	server, err := controlplane.New(settings.ControlPlane, options)
 	if err != nil {
 		return err
--- a/cmd/stairvane-fleet/files.go
+++ b/cmd/stairvane-fleet/files.go
@@ -21,9 +21,9 @@
 
 // Run tells all faults of all files at once.
 func (c validateCmd) Run(s streams) error {
-	faults := sexpr.Faults{}
+	faults := sexpr.FileErrors{}
 	for _, name := range c.Files {
-		var found sexpr.Faults
+		var found sexpr.FileErrors
 		if c.Program {
 			_, found = operatorconfig.ReadProgram(name, os.ReadFile)
 		} else {
--- a/cmd/stairvane-fleet/health.go
+++ b/cmd/stairvane-fleet/health.go
@@ -66,8 +66,8 @@
 	for _, status := range caches {
 		for _, report := range status.By {
 			rows = append(rows, []string{
-				status.Cache, report.Holder, report.Machine, fmt.Sprintf("%.0f", report.Tried), fmt.Sprintf("%.0f", report.Bad),
-				percent(report.Share), fmt.Sprintf("%.0f ms", report.LagMS), fmt.Sprintf("%d ms ago", report.AgeMS),
+				status.Cache, report.Holder, report.Machine, fmt.Sprintf("%.0f", report.Attempts), fmt.Sprintf("%.0f", report.Failures),
+				percent(report.FailureShare), fmt.Sprintf("%.0f ms", report.LagMS), fmt.Sprintf("%d ms ago", report.AgeMS),
 			})
 		}
 	}
--- a/cmd/stairvane-fleet/plan.go
+++ b/cmd/stairvane-fleet/plan.go
@@ -42,7 +42,7 @@
 		return err
 	}
 	p, err := plan.Make(state, desired, path)
-	var impossible *plan.Impossible
+	var impossible *plan.ImpossibleError
 	if errors.As(err, &impossible) && c.json() {
 		if err := writeJSON(s.out, impossible); err != nil {
 			return err
--- a/cmd/stairvane-fleet/quotas.go
+++ b/cmd/stairvane-fleet/quotas.go
@@ -33,7 +33,7 @@
 			a.Limit,
 			string(a.Kind),
 			a.Holder,
-			fmt.Sprintf("%.3f", a.Part),
+			fmt.Sprintf("%.3f", a.Fraction),
 			fmt.Sprintf("%.3f", a.Demand),
 			fmt.Sprintf("%d ms", a.Left.Milliseconds()),
 		})
--- a/cmd/stairvane-fleet/state.go
+++ b/cmd/stairvane-fleet/state.go
@@ -52,7 +52,7 @@
 		observer = "on"
 	}
 	s.printf("revision %d, %d boxes, %d followers told up to event %d, observer %s\n",
-		state.Revision, state.Len(), answer.Followers, answer.AcknowledgedUpTo, observer)
+		state.Revision, state.Len(), answer.Watchers, answer.AcknowledgedUpTo, observer)
 	if r := answer.LeaseHolder; r != nil {
 		s.println("under way:", recordLine(*r))
 	}
@@ -64,7 +64,7 @@
 	if sight == "" {
 		sight = string(fleet.Unknown)
 	}
-	if until := state.ColdUntil(host); until > state.NowMS {
+	if until := state.WarmAtMS(host); until > state.NowMS {
 		sight += ", cold for " + strconv.FormatInt((until-state.NowMS+999)/1000, 10) + " s"
 	}
 	return sight
--- a/cmd/stairvane/platform_linux_amd64_test.go
+++ b/cmd/stairvane/platform_linux_amd64_test.go
@@ -110,7 +110,7 @@
 	defer stop.Stop()
 	var tally fakes.Tally
 	reloaded := false
-	serving := regexp.MustCompile(`"director.serves".*"addr":"([^"]+)"`)
+	serving := regexp.MustCompile(`"director.started".*"addr":"([^"]+)"`)
 	for lines := bufio.NewScanner(log); lines.Scan(); {
 		if m := serving.FindStringSubmatch(lines.Text()); m != nil {
 			if tally, err = fakes.Load(m[1], 100, 300*time.Millisecond); err != nil {
--- a/cmd/stairvane/process_linux_test.go
+++ b/cmd/stairvane/process_linux_test.go
@@ -90,7 +90,7 @@
 	read := make(chan struct{})
 	go func() {
 		defer close(read)
-		serving := regexp.MustCompile(`"director.serves".*"addr":"([^"]+)"`)
+		serving := regexp.MustCompile(`"director.started".*"addr":"([^"]+)"`)
 		for lines := bufio.NewScanner(out); lines.Scan(); {
 			p.mu.Lock()
 			p.log.WriteString(lines.Text() + "\n")
--- a/internal/claims/exploration_test.go
+++ b/internal/claims/exploration_test.go
@@ -19,7 +19,7 @@
 func newExploration() *exploration {
 	e := &exploration{nodes: map[string]*Node{}, applied: map[string]bool{}, groups: map[string]bool{}, now: time.Hour}
 	for _, id := range []string{"a", "b", "c"} {
-		n := New(id, Settings{Shards: 1, Slack: time.Second, MaxWindow: time.Minute, MaxClaims: 10, Again: 10 * ms})
+		n := New(id, Settings{Shards: 1, Slack: time.Second, MaxWindow: time.Minute, MaxClaims: 10, ResendAfter: 10 * ms})
 		n.ApplyMembership([]string{"a", "b", "c"}, nil, true, []ShardState{{Epoch: 1, Replicas: []string{"a", "b"}}}, e.now)
 		n.Lease(e.now + time.Hour)
 		e.nodes[id] = n
--- a/internal/claims/node.go
+++ b/internal/claims/node.go
@@ -7,11 +7,11 @@
 
 // Settings of a Node.
 type Settings struct {
-	Shards    int           // the same at all directors
-	Slack     time.Duration // added to a claim's lifetime: an attempt may be sent a little after the claim was granted
-	MaxWindow time.Duration // the longest window of any claim
-	MaxClaims int           // claims of this node, as primary and as replica
-	Again     time.Duration // after which an unanswered message is sent again
+	Shards      int           // the same at all directors
+	Slack       time.Duration // added to a claim's lifetime: an attempt may be sent a little after the claim was granted
+	MaxWindow   time.Duration // the longest window of any claim
+	MaxClaims   int           // claims of this node, as primary and as replica
+	ResendAfter time.Duration // after which an unanswered message is sent again
 }
 
 // lifetime returns how long a claim lasts. A director that is answered with HeldElsewhere may be the first to send, up to the
@@ -179,7 +179,7 @@
 			delete(n.unconfirmed, seq)
 			continue
 		}
-		if now-p.sentAt < n.set.Again {
+		if now-p.sentAt < n.set.ResendAfter {
 			continue
 		}
 		p.sentAt = now
--- a/internal/claims/request.go
+++ b/internal/claims/request.go
@@ -57,7 +57,7 @@
 		switch {
 		case now >= r.deadline:
 			n.finishRequest(seq, Outcome{Key: r.key, Verdict: Unreachable, RequestedAt: r.firstSentAt})
-		case !r.awaitingReply && unanswered >= n.set.Again/2, unanswered >= 4*n.set.Again:
+		case !r.awaitingReply && unanswered >= n.set.ResendAfter/2, unanswered >= 4*n.set.ResendAfter:
 			n.sendRequest(seq, r, now)
 		}
 	}
--- a/internal/claims/simulation_test.go
+++ b/internal/claims/simulation_test.go
@@ -94,7 +94,7 @@
 		requests: map[uint64]clientRequest{},
 		skew:     time.Duration(s.rng.IntN(1000)) * time.Second,
 	}
-	n.node = New(id, Settings{Shards: 2, Slack: sendAfter + 200*ms, MaxWindow: s.window, MaxClaims: 1000, Again: 30 * ms})
+	n.node = New(id, Settings{Shards: 2, Slack: sendAfter + 200*ms, MaxWindow: s.window, MaxClaims: 1000, ResendAfter: 30 * ms})
 	s.nodes[id] = n
 }
 
@@ -198,7 +198,7 @@
 		shard := &s.shards[ready[i]]
 		if shard.Epoch == ready[i+1] && len(shard.PreviousReplicas) > 0 {
 			shard.PreviousReplicas = nil
-			s.log = append(s.log, membershipEvent{shards: []ShardState{{Shard: int(ready[i]), Complete: ready[i+1]}}})
+			s.log = append(s.log, membershipEvent{shards: []ShardState{{Shard: int(ready[i]), ReadyEpoch: ready[i+1]}}})
 		}
 	}
 }
@@ -215,7 +215,7 @@
 		}
 		if s.now >= n.cutUntil && s.rng.IntN(8) == 0 { // it calls the control plane, which answers
 			n.heardAt = s.now
-			s.recordReady(n.node.Incomplete())
+			s.recordReady(n.node.ReadyShards())
 			for ; n.appliedEvents < len(s.log); n.appliedEvents++ {
 				l := s.log[n.appliedEvents]
 				n.node.ApplyMembership(l.joined, l.left, false, l.shards, s.clock(n))
@@ -223,8 +223,8 @@
 			n.node.Lease(s.clock(n) + simLease)
 		}
 		n.node.Tick(s.clock(n))
-		if all := n.node.Incomplete(); s.skipsWait && len(all) > 0 {
-			n.node.ApplyMembership(nil, nil, false, []ShardState{{Shard: int(all[0]), Complete: all[1]}}, s.clock(n))
+		if all := n.node.ReadyShards(); s.skipsWait && len(all) > 0 {
+			n.node.ApplyMembership(nil, nil, false, []ShardState{{Shard: int(all[0]), ReadyEpoch: all[1]}}, s.clock(n))
 		}
 		if s.rng.IntN(25) == 0 { // a client's request or retry
 			w := clientRequest{
--- a/internal/claims/takeover.go
+++ b/internal/claims/takeover.go
@@ -12,7 +12,7 @@
 	Epoch            int64
 	Replicas         []string // IDs; the first is the primary
 	PreviousReplicas []string // of the last epoch that was ready, until this one is
-	Complete         int64    // set without the rest: this epoch is ready, all its replicas are filled
+	ReadyEpoch       int64    // set without the rest: this epoch is ready, all its replicas are filled
 }
 
 // ApplyMembership applies a change of the members and of the shards. A snapshot replaces all members.
@@ -38,13 +38,13 @@
 
 func (n *Node) applyShard(state ShardState, now time.Duration) {
 	s := &n.shards[state.Shard]
-	becomesReady := state.Complete > 0 && state.Complete == s.epoch
-	isSnapshotOfReady := state.Complete == 0 && state.Epoch == s.epoch && len(state.PreviousReplicas) == 0
+	becomesReady := state.ReadyEpoch > 0 && state.ReadyEpoch == s.epoch
+	isSnapshotOfReady := state.ReadyEpoch == 0 && state.Epoch == s.epoch && len(state.PreviousReplicas) == 0
 	switch {
 	case becomesReady, isSnapshotOfReady:
 		s.previousReplicas = nil
 		n.dropIfNotReplica(s)
-	case state.Complete == 0 && state.Epoch > s.epoch:
+	case state.ReadyEpoch == 0 && state.Epoch > s.epoch:
 		n.beginEpoch(state, now)
 	}
 }
@@ -155,8 +155,8 @@
 	}
 }
 
-// Incomplete returns the shards, as pairs of shard and epoch, that are ready and that the event log does not show as ready yet.
-func (n *Node) Incomplete() []int64 {
+// ReadyShards returns the shards, as pairs of shard and epoch, that are ready and that the event log does not show as ready yet.
+func (n *Node) ReadyShards() []int64 {
 	var pairs []int64
 	for i := range n.shards {
 		if s := &n.shards[i]; s.ready && len(s.previousReplicas) > 0 {
--- a/internal/claims/takeover_test.go
+++ b/internal/claims/takeover_test.go
@@ -11,7 +11,7 @@
 // force, so nothing is granted until the longest window is over. If one has sent its claims, granting begins at once.
 func TestPreviousReplicasLostDuringTakeover(t *testing.T) {
 	for _, sent := range []bool{false, true} {
-		set := Settings{Shards: 1, MaxClaims: 100, MaxWindow: 4 * time.Second, Slack: time.Second, Again: 50 * ms}
+		set := Settings{Shards: 1, MaxClaims: 100, MaxWindow: 4 * time.Second, Slack: time.Second, ResendAfter: 50 * ms}
 		n := New("c", set)
 		n.Lease(time.Hour)
 		shard := ShardState{Epoch: 2, Replicas: []string{"c"}, PreviousReplicas: []string{"a", "b"}}
@@ -27,8 +27,8 @@
 		n.ApplyMembership(nil, []string{"a", "b"}, false, nil, 2*time.Millisecond)
 		for at := 2 * time.Millisecond; at < 10*time.Second; at += 500 * time.Millisecond {
 			n.Tick(at)
-			if all := n.Incomplete(); len(all) > 0 {
-				n.ApplyMembership(nil, nil, false, []ShardState{{Shard: int(all[0]), Complete: all[1]}}, at)
+			if all := n.ReadyShards(); len(all) > 0 {
+				n.ApplyMembership(nil, nil, false, []ShardState{{Shard: int(all[0]), ReadyEpoch: all[1]}}, at)
 			}
 			wanted := Claim{Token: fmt.Sprint(at), Window: time.Second}
 			n.Receive("d", Message{Kind: RequestClaim, Seq: uint64(at), Epoch: 2, Claims: []Claim{wanted}}, at)
--- a/internal/controlplane/acknowledged/tracker.go
+++ b/internal/controlplane/acknowledged/tracker.go
@@ -83,8 +83,8 @@
 	return n
 }
 
-// Told is the revision up to which all watchers have every event, at most last.
-func (t *Tracker) Told(last, nowMS int64) int64 {
+// AcknowledgedUpTo is the revision up to which all watchers have every event, at most last.
+func (t *Tracker) AcknowledgedUpTo(last, nowMS int64) int64 {
 	t.departed = slices.DeleteFunc(t.departed, func(d departure) bool { return nowMS >= d.leftMS+t.notifiedWithinMS })
 	for _, d := range t.departed {
 		last = min(last, d.acknowledged)
--- a/internal/controlplane/acknowledged/tracker_test.go
+++ b/internal/controlplane/acknowledged/tracker_test.go
@@ -12,7 +12,7 @@
 	tracker := New(7000)
 	want := func(nowMS, revision int64) {
 		t.Helper()
-		if got := tracker.Told(10, nowMS); got != revision {
+		if got := tracker.AcknowledgedUpTo(10, nowMS); got != revision {
 			t.Errorf("acknowledged up to %d, want %d", got, revision)
 		}
 	}
--- a/internal/controlplane/adoption.go
+++ b/internal/controlplane/adoption.go
@@ -39,7 +39,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.current != nil {
-		s.current.Told(last, now)
+		s.current.RecordCommitted(last, now)
 	}
 }
 
@@ -48,7 +48,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.current != nil {
-		s.current.Heard(id, applied, at)
+		s.current.RecordApplied(id, applied, at)
 	}
 }
 
@@ -57,7 +57,7 @@
 	if u.Directors == 0 {
 		return
 	}
-	reporter := adoption.RelayTaker(u.Relay.ID())
+	reporter := adoption.RelayReporter(u.Relay.ID())
 	stale := make([]adoption.Stale, len(u.Stale))
 	for i, d := range u.Stale {
 		stale[i] = adoption.Stale{Director: d.ID, Revision: d.Revision}
@@ -67,7 +67,7 @@
 	if s.current == nil {
 		return
 	}
-	s.current.Heard(reporter, u.Current, now)
+	s.current.RecordApplied(reporter, u.Current, now)
 	s.current.SetStale(reporter, stale)
 }
 
@@ -79,8 +79,8 @@
 		return
 	}
 	s.current.ForgetServed(members.ServedByRelay)
-	s.current.Gone(func(reporter string) bool {
-		_, known := members.LastHeard(reporter)
+	s.current.MarkGone(func(reporter string) bool {
+		_, known := members.LastContact(reporter)
 		return known || members.HasRelaySession(adoption.RelayOf(reporter))
 	}, now)
 }
--- a/internal/controlplane/adoption/event.go
+++ b/internal/controlplane/adoption/event.go
@@ -15,15 +15,15 @@
 
 // Event is what is recorded of one event.
 type Event struct {
-	No      int64       `json:"no"`
-	AgeMS   int64       `json:"age_ms"` // since it was committed
-	Taken   []AppliedBy `json:"taken,omitempty"`
-	Missing []string    `json:"missing,omitempty"` // members that have not applied it
-	Lost    []string    `json:"lost,omitempty"`    // members no more, and had not applied it
-	Had     int         `json:"had"`               // reporters that had it with their first report
-	P50MS   int64       `json:"p50_ms"`
-	P99MS   int64       `json:"p99_ms"`
-	LastMS  int64       `json:"last_ms"`
+	No           int64       `json:"no"`
+	AgeMS        int64       `json:"age_ms"` // since it was committed
+	Applied      []AppliedBy `json:"taken,omitempty"`
+	Missing      []string    `json:"missing,omitempty"` // members that have not applied it
+	Lost         []string    `json:"lost,omitempty"`    // members no more, and had not applied it
+	HadInitially int         `json:"had"`               // reporters that had it with their first report
+	P50MS        int64       `json:"p50_ms"`
+	P99MS        int64       `json:"p99_ms"`
+	LastMS       int64       `json:"last_ms"`
 }
 
 // Event returns what is recorded of an event. It also returns the first and the last event of the record; without the event,
@@ -35,16 +35,16 @@
 	}
 	e = Event{No: no, AgeMS: (now - committedAt).Milliseconds()}
 	for reporter, appliedAt := range r.appliedAt[no] {
-		e.Taken = append(e.Taken, AppliedBy{Director: reporter, AfterMS: (appliedAt - committedAt).Milliseconds()})
+		e.Applied = append(e.Applied, AppliedBy{Director: reporter, AfterMS: (appliedAt - committedAt).Milliseconds()})
 	}
-	slices.SortFunc(e.Taken, func(a, b AppliedBy) int {
+	slices.SortFunc(e.Applied, func(a, b AppliedBy) int {
 		return cmp.Or(cmp.Compare(a.AfterMS, b.AfterMS), cmp.Compare(a.Director, b.Director))
 	})
 	r.addOthers(&e)
-	if n := len(e.Taken); n > 0 {
-		e.P50MS = e.Taken[n/2].AfterMS
-		e.P99MS = e.Taken[n*99/100].AfterMS
-		e.LastMS = e.Taken[n-1].AfterMS
+	if n := len(e.Applied); n > 0 {
+		e.P50MS = e.Applied[n/2].AfterMS
+		e.P99MS = e.Applied[n*99/100].AfterMS
+		e.LastMS = e.Applied[n-1].AfterMS
 	}
 	return e, r.first, r.last, true
 }
@@ -56,7 +56,7 @@
 		switch {
 		case applied:
 		case r.initial[reporter] >= e.No:
-			e.Had++
+			e.HadInitially++
 		case r.goneSince[reporter] > 0:
 			e.Lost = append(e.Lost, reporter)
 		default:
--- a/internal/controlplane/adoption/record.go
+++ b/internal/controlplane/adoption/record.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// Told records that all events up to last are committed. It is to be called before any director gets them.
-func (r *Record) Told(last int64, now time.Duration) {
+// RecordCommitted records that all events up to last are committed. It is to be called before any director gets them.
+func (r *Record) RecordCommitted(last int64, now time.Duration) {
 	for ; r.last < last; r.last++ {
 		r.committedAt[r.last+1] = now
 		delete(r.committedAt, r.last+1-r.keep)
@@ -52,9 +52,9 @@
 	r.first = max(r.first, r.last-r.keep+1)
 }
 
-// Heard records that a reporter has applied all events up to one, at a moment. A report of more than is committed is ignored: it
+// RecordApplied records that a reporter has applied all events up to one, at a moment. A report of more than is committed is ignored: it
 // is of another event log.
-func (r *Record) Heard(reporter string, applied int64, at time.Duration) {
+func (r *Record) RecordApplied(reporter string, applied int64, at time.Duration) {
 	previous, known := r.applied[reporter]
 	if !known {
 		r.initial[reporter] = applied
@@ -74,9 +74,9 @@
 	}
 }
 
-// RelayTaker returns the name by which a relay reports. A relay has applied an event when all of its directors have that are not
+// RelayReporter returns the name by which a relay reports. A relay has applied an event when all of its directors have that are not
 // stale. So the size of the record grows with relays, and not with the directors behind them.
-func RelayTaker(relayID string) string { return relayPrefix + relayID }
+func RelayReporter(relayID string) string { return relayPrefix + relayID }
 
 // RelayOf returns the ID of the relay that reports by a name; empty if the reporter is a director.
 func RelayOf(reporter string) string {
@@ -117,8 +117,8 @@
 	delete(r.stale, reporter)
 }
 
-// Gone marks the reporters that are no members any more, and forgets them after a while. What they have applied stays recorded.
-func (r *Record) Gone(isMember func(reporter string) bool, now time.Duration) {
+// MarkGone marks the reporters that are no members any more, and forgets them after a while. What they have applied stays recorded.
+func (r *Record) MarkGone(isMember func(reporter string) bool, now time.Duration) {
 	for reporter := range r.initial {
 		since, isGone := r.goneSince[reporter]
 		switch {
--- a/internal/controlplane/adoption/record_test.go
+++ b/internal/controlplane/adoption/record_test.go
@@ -21,15 +21,15 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 50).Draw(t, "time")) * ms
 			if out := rapid.IntRange(0, 8).Draw(t, "gone"); out < 4 {
-				r.Gone(func(id string) bool { return id != fmt.Sprint("d", out) }, now+1)
+				r.MarkGone(func(id string) bool { return id != fmt.Sprint("d", out) }, now+1)
 			}
 			if rapid.Bool().Draw(t, "told") {
 				last += rapid.Int64Range(1, 3).Draw(t, "events")
-				r.Told(last, now)
+				r.RecordCommitted(last, now)
 				continue
 			}
 			id, n := fmt.Sprint("d", rapid.IntRange(0, 3).Draw(t, "director")), rapid.Int64Range(0, last+2).Draw(t, "acts")
-			r.Heard(id, n, now-20*ms)
+			r.RecordApplied(id, n, now-20*ms)
 			if _, known := applied[id]; !known {
 				joined[id] = n
 			}
@@ -42,12 +42,12 @@
 			if is != (no > begin && no > last-keep && no <= last) || is && (no < from || no > to) {
 				t.Fatalf("event %d of %d after %d: recorded %v, from %d to %d", no, last, begin, is, from, to)
 			}
-			for _, x := range e.Taken {
+			for _, x := range e.Applied {
 				if x.AfterMS < 0 || applied[x.Director] < no || joined[x.Director] >= no {
 					t.Fatalf("event %d: %+v, it has applied %d and began at %d", no, x, applied[x.Director], joined[x.Director])
 				}
 			}
-			if is && e.Had+len(e.Taken)+len(e.Missing)+len(e.Lost) != len(r.applied) {
+			if is && e.HadInitially+len(e.Applied)+len(e.Missing)+len(e.Lost) != len(r.applied) {
 				t.Fatalf("event %d: %+v of %d directors", no, e, len(r.applied))
 			}
 			for _, id := range append(e.Missing, e.Lost...) {
@@ -66,26 +66,26 @@
 // any more, and a relay that ends is lost with what it has not applied.
 func TestRelayIsReporter(t *testing.T) {
 	r := New(10, 0)
-	taker, gone := RelayTaker("r1/1"), RelayTaker("r2/1")
+	taker, gone := RelayReporter("r1/1"), RelayReporter("r2/1")
 	for _, id := range []string{taker, gone, "d1/1", "d2/1"} {
-		r.Heard(id, 0, 0)
+		r.RecordApplied(id, 0, 0)
 	}
-	r.Told(3, 10*ms)
-	r.Heard(taker, 3, 50*ms)
-	r.Heard("d2/1", 2, 30*ms)
+	r.RecordCommitted(3, 10*ms)
+	r.RecordApplied(taker, 3, 50*ms)
+	r.RecordApplied("d2/1", 2, 30*ms)
 	r.SetStale(taker, []Stale{{"d3/1", 2}, {"d4/1", 0}})
 	r.ForgetServed(func(id string) bool { return id == "d1/1" })
-	r.Gone(func(id string) bool { return id != gone }, 60*ms)
+	r.MarkGone(func(id string) bool { return id != gone }, 60*ms)
 	e, _, _, _ := r.Event(3, 70*ms)
-	if fmt.Sprint(e.Taken, e.Missing, e.Lost) != "[{relay:r1/1 40}] [d2/1 d3/1 d4/1] [relay:r2/1]" {
+	if fmt.Sprint(e.Applied, e.Missing, e.Lost) != "[{relay:r1/1 40}] [d2/1 d3/1 d4/1] [relay:r2/1]" {
 		t.Fatalf("%+v", e)
 	}
-	if e, _, _, _ = r.Event(2, 70*ms); fmt.Sprint(e.Missing) != "[d4/1]" || len(e.Taken) != 2 {
+	if e, _, _, _ = r.Event(2, 70*ms); fmt.Sprint(e.Missing) != "[d4/1]" || len(e.Applied) != 2 {
 		t.Fatalf("%+v", e)
 	}
 	r.SetStale(taker, nil)
-	r.Gone(func(id string) bool { return false }, 80*ms)
-	r.Gone(func(id string) bool { return false }, 80*ms+goneExpiry+1)
+	r.MarkGone(func(id string) bool { return false }, 80*ms)
+	r.MarkGone(func(id string) bool { return false }, 80*ms+goneExpiry+1)
 	if len(r.applied)+len(r.initial)+len(r.goneSince)+len(r.stale) != 0 {
 		t.Fatalf("%v, %v", r.applied, r.stale)
 	}
--- a/internal/controlplane/api/messages.go
+++ b/internal/controlplane/api/messages.go
@@ -28,7 +28,7 @@
 	Observed         map[string]fleet.Observation `json:"observed"` // by host name
 	NowMS            int64                        `json:"now_ms"`   // by the server's clock
 	Observer         bool                         `json:"observer"` // hosts are observed
-	Followers        int                          `json:"followers"`
+	Watchers         int                          `json:"followers"`
 	AcknowledgedUpTo int64                        `json:"told_up_to"`       // revision up to which all directors have all events
 	LeaseHolder      *apply.Record                `json:"holder,omitempty"` // the apply that runs or is paused
 }
--- a/internal/controlplane/apply_test.go
+++ b/internal/controlplane/apply_test.go
@@ -39,7 +39,7 @@
 	ended := make(chan error, 1)
 	go func() { ended <- p.Run() }()
 	t.Cleanup(func() {
-		p.Post(p.Leave)
+		p.Post(p.Shutdown)
 		check(t, <-ended)
 	})
 	return addr.String()
@@ -120,7 +120,7 @@
 		t.Error("an added cache got nothing")
 	}
 	// The same plan again changes nothing, whoever submits it.
-	again, err := client(t, s.set, "somebody").Submit(file)
+	again, err := client(t, s.settings, "somebody").Submit(file)
 	if err != nil || !again.Already || again.ID != a.ID || s.store.Fleet().Host("c-1") != nil {
 		t.Errorf("%+v %v", again, err)
 	}
--- a/internal/controlplane/directors.go
+++ b/internal/controlplane/directors.go
@@ -23,7 +23,7 @@
 	membershipTick = 25 * time.Millisecond
 )
 
-// membershipService passes what directors and relays say to the services that own it, and writes the membership events of the
+// directorServices passes what directors and relays say to the services that own it, and writes the membership events of the
 // leader. It owns no state of directors itself:
 //
 //   - members: which directors there are, and the sessions of relays
@@ -35,7 +35,7 @@
 // Each of them has its own lock. A call locks one service at a time, except that adoption is swept under the lock of
 // members. Locks are taken in the order relayRequests, leadership, members, adoption; those of the group, of relay leases and of
 // the event loop come last.
-type membershipService struct {
+type directorServices struct {
 	server *Server
 	stop   chan struct{} // closed by the owner to end run
 	ended  chan struct{} // closed when run has ended
@@ -57,12 +57,12 @@
 	adoption *adoptionService
 }
 
-func newMembershipService(server *Server) *membershipService {
-	return &membershipService{
+func newDirectorServices(server *Server) *directorServices {
+	return &directorServices{
 		server:   server,
 		stop:     make(chan struct{}),
 		ended:    make(chan struct{}),
-		members:  newMemberService(server.set.Replicas.Lease, server.relayLease()),
+		members:  newMemberService(server.settings.Replicas.Lease, server.relayLease()),
 		quotas:   newQuotaService(server.hasLease),
 		health:   newHealthService(func() { server.loop.Post(server.watches.PublishHealth) }),
 		shards:   newShardService(),
@@ -71,7 +71,7 @@
 }
 
 // observe takes what a director says of itself with a watch request. It is called before the request is answered.
-func (s *membershipService) observe(a discovery.Announcement, applied int64) {
+func (s *directorServices) observe(a discovery.Announcement, applied int64) {
 	now := replicas.Now()
 	s.leadership.RLock()
 	defer s.leadership.RUnlock()
@@ -83,15 +83,15 @@
 }
 
 // takeGrant returns the quota grant for a director, once; nil if there is none.
-func (s *membershipService) takeGrant(id string) *quota.Grant { return s.quotas.takeGrant(id) }
+func (s *directorServices) takeGrant(id string) *quota.Grant { return s.quotas.takeGrant(id) }
 
 // aggregatedHealth returns what a director that sends health reports is to be notified of now; nil if nothing is new to it.
-func (s *membershipService) aggregatedHealth(id string) *health.AggregatedHealth {
+func (s *directorServices) aggregatedHealth(id string) *health.AggregatedHealth {
 	return s.health.notification(id, replicas.Now())
 }
 
 // Heartbeats returns what this replica reports to the leader of the directors that watch it.
-func (s *membershipService) Heartbeats() api.Heartbeats {
+func (s *directorServices) Heartbeats() api.Heartbeats {
 	now := replicas.Now()
 	s.leadership.RLock()
 	defer s.leadership.RUnlock()
@@ -104,7 +104,7 @@
 }
 
 // TakeHeartbeats takes, at the leader, what another replica reports of the directors that watch it.
-func (s *membershipService) TakeHeartbeats(h api.Heartbeats) {
+func (s *directorServices) TakeHeartbeats(h api.Heartbeats) {
 	now := replicas.Now()
 	s.leadership.RLock()
 	defer s.leadership.RUnlock()
@@ -119,7 +119,7 @@
 
 // Grant answers, at the leader, the renewals of directors that watch other replicas. It is called right after it was proven that
 // this replica leads. The answer is empty if the services do not know yet that it does.
-func (s *membershipService) Grant(renewals []quota.Renewal) api.LeaseAnswer {
+func (s *directorServices) Grant(renewals []quota.Renewal) api.LeaseAnswer {
 	now := replicas.Now()
 	s.leadership.RLock()
 	defer s.leadership.RUnlock()
@@ -130,8 +130,8 @@
 	return api.LeaseAnswer{QuotaGrants: grants, AggregatedHealth: s.health.aggregated(now)}
 }
 
-// TakeShares takes, at a replica, what the leader has granted to directors that watch it, and the aggregated health of caches.
-func (s *membershipService) TakeShares(a api.LeaseAnswer) {
+// TakeLeaseAnswer takes, at a replica, what the leader has granted to directors that watch it, and the aggregated health of caches.
+func (s *directorServices) TakeLeaseAnswer(a api.LeaseAnswer) {
 	now := replicas.Now()
 	s.leadership.RLock()
 	defer s.leadership.RUnlock()
@@ -142,29 +142,31 @@
 }
 
 // Members returns the members, as this replica knows them if it leads.
-func (s *membershipService) Members() api.Members {
+func (s *directorServices) Members() api.Members {
 	return s.members.status(s.server.store.Fleet(), replicas.Now())
 }
 
-// Held returns the quota allocations that are in force; nil if this replica does not lead.
-func (s *membershipService) Held() []quota.Allocation { return s.quotas.allocations(replicas.Now()) }
+// QuotaAllocations returns the quota allocations that are in force; nil if this replica does not lead.
+func (s *directorServices) QuotaAllocations() []quota.Allocation {
+	return s.quotas.allocations(replicas.Now())
+}
 
-// Signals returns what is known of the health of all caches; nil if this replica does not lead.
-func (s *membershipService) Signals() []health.CacheStatus { return s.health.caches(replicas.Now()) }
+// CacheHealth returns what is known of the health of all caches; nil if this replica does not lead.
+func (s *directorServices) CacheHealth() []health.CacheStatus { return s.health.caches(replicas.Now()) }
 
 // Adoption returns when each director applied an event. The error is store.ErrNotLeader, or names the events that are recorded.
-func (s *membershipService) Adoption(revision int64) (adoption.Event, error) {
+func (s *directorServices) Adoption(revision int64) (adoption.Event, error) {
 	return s.adoption.event(revision, replicas.Now())
 }
 
 // committed is called with the last durable event, before any director gets the event.
-func (s *membershipService) committed(last int64) { s.adoption.committed(last, replicas.Now()) }
+func (s *directorServices) committed(last int64) { s.adoption.committed(last, replicas.Now()) }
 
 // settled reports whether this replica leads and all leases are over that an earlier leader may have given.
-func (s *membershipService) settled() bool { return s.members.settled(replicas.Now()) }
+func (s *directorServices) settled() bool { return s.members.settled(replicas.Now()) }
 
 // run follows the leadership of the server and writes changes until stop is closed.
-func (s *membershipService) run() {
+func (s *directorServices) run() {
 	defer close(s.ended)
 	ticker := time.NewTicker(membershipTick)
 	defer ticker.Stop()
@@ -181,8 +183,8 @@
 }
 
 // writeChanges writes the changes of the members and of their claim shards, if this replica leads.
-func (s *membershipService) writeChanges() error {
-	isLeader := s.server.Leads()
+func (s *directorServices) writeChanges() error {
+	isLeader := s.server.IsLeader()
 	now := replicas.Now()
 	f := s.server.store.Fleet()
 	s.followLeadership(isLeader, f, now)
@@ -198,7 +200,7 @@
 }
 
 // followLeadership has all services begin or cease to lead at once. While they lead, it has them forget what is over.
-func (s *membershipService) followLeadership(isLeader bool, f fleet.Fleet, now time.Duration) {
+func (s *directorServices) followLeadership(isLeader bool, f fleet.Fleet, now time.Duration) {
 	switch {
 	case isLeader && !s.isLeader:
 		s.lead(f, now)
@@ -212,11 +214,11 @@
 	s.isLeader = isLeader
 }
 
-func (s *membershipService) lead(f fleet.Fleet, now time.Duration) {
+func (s *directorServices) lead(f fleet.Fleet, now time.Duration) {
 	term := s.server.term()
-	settings := quotaSettings(s.server.set.Relays)
+	settings := quotaSettings(s.server.settings.Relays)
 	// What the leader before granted is over once its own lease and the lease of what it granted are.
-	earlierLeaderUntil := now + s.server.set.Replicas.Lease
+	earlierLeaderUntil := now + s.server.settings.Replicas.Lease
 	noEarlierLeader := f.Membership() == nil
 
 	s.leadership.Lock()
@@ -228,7 +230,7 @@
 	s.shards.setLeader(true)
 }
 
-func (s *membershipService) cease() {
+func (s *directorServices) cease() {
 	s.leadership.Lock()
 	defer s.leadership.Unlock()
 	s.members.cease()
@@ -239,9 +241,9 @@
 }
 
 // write makes a change durable.
-func (s *membershipService) write(w membershipWrite) error {
+func (s *directorServices) write(w membershipWrite) error {
 	err := s.server.store.Do(func(t *store.Tx) error {
-		change := w.change(t.Fleet(), 1+s.server.set.ClaimReplicas)
+		change := w.change(t.Fleet(), 1+s.server.settings.ClaimReplicas)
 		if change == nil {
 			return nil
 		}
@@ -253,7 +255,7 @@
 	}
 	if w.members != nil {
 		s.members.markAnnounced(replicas.Now())
-		slog.Info("roll.changed", "joined", len(w.members.Joined), "gone", w.members.Left)
+		slog.Info("membership.changed", "joined", len(w.members.Joined), "gone", w.members.Left)
 	}
 	return nil
 }
--- a/internal/controlplane/directors_test.go
+++ b/internal/controlplane/directors_test.go
@@ -18,10 +18,10 @@
 )
 
 // newFollower makes services of their own for a server, which do not lead and of which no goroutine runs.
-func newFollower(t *testing.T) (*Server, *membershipService) {
+func newFollower(t *testing.T) (*Server, *directorServices) {
 	t.Helper()
 	server, _ := start(t, settingsIn(t.TempDir()))
-	return server, newMembershipService(server)
+	return server, newDirectorServices(server)
 }
 
 func relayRequest(sequence, registration uint64) relaysession.Request {
@@ -99,7 +99,7 @@
 		func(round int) { s.observe(director, int64(round)) },
 		func(int) { s.TakeHeartbeats(s.Heartbeats()) },
 		func(round int) {
-			s.TakeShares(s.Grant([]quota.Renewal{{Holder: fmt.Sprint("e/", round), Seq: 1}}))
+			s.TakeLeaseAnswer(s.Grant([]quota.Renewal{{Holder: fmt.Sprint("e/", round), Seq: 1}}))
 			s.takeGrant(director.ID())
 		},
 		func(round int) {
@@ -114,7 +114,7 @@
 		},
 		func(int) {
 			_ = s.Members()
-			_, _, _ = s.Held(), s.Signals(), s.settled()
+			_, _, _ = s.QuotaAllocations(), s.CacheHealth(), s.settled()
 			_ = s.aggregatedHealth(director.ID())
 		},
 		func(round int) { s.followLeadership(round%3 > 0, server.store.Fleet(), replicas.Now()) },
--- a/internal/controlplane/eventlog/encode.go
+++ b/internal/controlplane/eventlog/encode.go
@@ -29,14 +29,14 @@
 
 func endpoint(h *fleet.Host) discovery.Endpoint {
 	return discovery.Endpoint{
-		Name:    h.Name,
-		Address: h.Address,
-		Site:    h.Site,
-		Class:   h.Class,
-		Block:   h.Block,
-		Health:  string(h.State),
-		Share:   h.Serving,
-		BornMS:  float64(h.BornMS),
+		Name:        h.Name,
+		Address:     h.Address,
+		Site:        h.Site,
+		Class:       h.Class,
+		Cell:        h.Block,
+		Health:      string(h.State),
+		Weight:      h.Serving,
+		StartedAtMS: float64(h.BornMS),
 	}
 }
 
--- a/internal/controlplane/eventlog/log.go
+++ b/internal/controlplane/eventlog/log.go
@@ -159,14 +159,14 @@
 // newAnswer makes the body of an answer that brings a watcher to a revision.
 func newAnswer(events [][]byte, last int64) answer {
 	parts := make([][]byte, 0, 2*len(events)+2)
-	parts = append(parts, discovery.Opening(last))
+	parts = append(parts, discovery.ResponseStart(last))
 	for i, event := range events {
 		if i > 0 {
 			parts = append(parts, []byte{','})
 		}
 		parts = append(parts, event)
 	}
-	parts = append(parts, []byte(discovery.Closing))
+	parts = append(parts, []byte(discovery.ResponseEnd))
 	size := 0
 	for _, part := range parts {
 		size += len(part)
--- a/internal/controlplane/eventlog/log_test.go
+++ b/internal/controlplane/eventlog/log_test.go
@@ -105,7 +105,7 @@
 				t.Fatalf("at %d of %d with %d hosts of %d, %v", w.last, f.Revision, len(w.hosts), f.Len(), w.purges)
 			}
 			for m := range f.Hosts() {
-				if w.hosts[m.Name].Share != m.Serving {
+				if w.hosts[m.Name].Weight != m.Serving {
 					t.Fatalf("%v is not %v", w.hosts[m.Name], m)
 				}
 			}
--- a/internal/controlplane/executor.go
+++ b/internal/controlplane/executor.go
@@ -178,11 +178,11 @@
 func (x *executor) recover() error {
 	var m *apply.Machine
 	err := x.server.store.Do(func(t *store.Tx) error {
-		holder, err := t.Holder()
+		holder, err := t.LeaseHolder()
 		if err != nil || holder == nil {
 			return err
 		}
-		record, err := t.Lease(*holder)
+		record, err := t.AcquireLease(*holder)
 		if err != nil {
 			return err
 		}
--- a/internal/controlplane/executor_decisions.go
+++ b/internal/controlplane/executor_decisions.go
@@ -118,11 +118,11 @@
 		if err := t.SetRecord(reverted); err != nil {
 			return err
 		}
-		t.Hold(record)
+		t.KeepLease(record)
 		next, err = apply.New(record, p, nil)
 		return err
 	})
-	var impossible *plan.Impossible
+	var impossible *plan.ImpossibleError
 	if errors.As(err, &impossible) {
 		return x.setStatus(m, apply.Paused, reason+"; and there is no plan back: "+impossible.Error())
 	}
--- a/internal/controlplane/executor_requests.go
+++ b/internal/controlplane/executor_requests.go
@@ -51,11 +51,11 @@
 
 // submitIn decides about a plan in a transaction, and stores its apply. It is called with executor.mu locked.
 func (x *executor) submitIn(t *store.Tx, p *plan.Plan, sum, who string) (submission, error) {
-	earlier, err := t.ByPlan(sum)
+	earlier, err := t.LastApplyOfPlan(sum)
 	if err != nil {
 		return submission{}, err
 	}
-	holder, err := t.Holder()
+	holder, err := t.LeaseHolder()
 	if err != nil {
 		return submission{}, err
 	}
--- a/internal/controlplane/group.go
+++ b/internal/controlplane/group.go
@@ -23,8 +23,8 @@
 
 // prepareGroup rejects options that speak of a group where the file has none, and sets aside a store that is given up.
 func (s *Server) prepareGroup(options Options) error {
-	if s.set.Replicas.Self == "" {
-		if options.Found || options.NewDisk {
+	if s.settings.Replicas.Self == "" {
+		if options.FoundGroup || options.NewDisk {
 			return errors.New("the file lists no copies: (copies ...) is missing in (board ...)")
 		}
 		return nil
@@ -39,8 +39,8 @@
 
 // setStoreAside renames the store, if there is one.
 func (s *Server) setStoreAside() error {
-	aside := fmt.Sprintf("%s.old-%d", s.set.Store, s.clock())
-	err := os.Rename(s.set.Store, aside)
+	aside := fmt.Sprintf("%s.old-%d", s.settings.Store, s.clock())
+	err := os.Rename(s.settings.Store, aside)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
 	}
@@ -59,7 +59,7 @@
 		DialContext:         (&net.Dialer{Timeout: peerConnectTimeout}).DialContext,
 	}
 	scheme := ""
-	if keys := s.set.Write.TLS; keys != nil {
+	if keys := s.settings.Write.TLS; keys != nil {
 		config, err := api.ClientTLS(api.Credentials{Certificate: keys.Certificate, Key: keys.Key, Authority: keys.Clients})
 		if err != nil {
 			return nil, fmt.Errorf("keys for calls to other replicas: %w", err)
@@ -68,18 +68,18 @@
 		scheme = "https"
 	}
 	return replicas.New(s.store, replicas.Settings{
-		ReplicaGroup:      s.set.Replicas,
-		Batch:             s.set.Batch,
-		FoundGroup:        options.Found,
+		ReplicaGroup:      s.settings.Replicas,
+		Batch:             s.settings.Batch,
+		FoundGroup:        options.FoundGroup,
 		Client:            &http.Client{Transport: transport},
 		Scheme:            scheme,
 		LeadershipChanged: s.executor.setLeader,
 		SnapshotInstalled: s.snapshotInstalled,
 		Acknowledged:      s.watches.Acknowledged,
-		Heartbeats:        s.membership.Heartbeats,
-		TakeHeartbeats:    s.membership.TakeHeartbeats,
-		Grant:             s.membership.Grant,
-		TakeLeaseAnswer:   s.membership.TakeShares,
+		Heartbeats:        s.directors.Heartbeats,
+		TakeHeartbeats:    s.directors.TakeHeartbeats,
+		Grant:             s.directors.Grant,
+		TakeLeaseAnswer:   s.directors.TakeLeaseAnswer,
 		NotifiedAfter: func() time.Duration {
 			return time.Duration(s.store.Fleet().Rules().NotifiedWithinMS) * time.Millisecond
 		},
@@ -110,5 +110,5 @@
 	return int64(s.group.Status().Term)
 }
 
-// Leads tells whether this process carries changes out. One that runs alone always does.
-func (s *Server) Leads() bool { return s.group == nil || s.group.IsLeader() }
+// IsLeader tells whether this process carries changes out. One that runs alone always does.
+func (s *Server) IsLeader() bool { return s.group == nil || s.group.IsLeader() }
--- a/internal/controlplane/harness_test.go
+++ b/internal/controlplane/harness_test.go
@@ -19,8 +19,8 @@
 	"stairvane.org/stairvane/internal/operatorconfig"
 )
 
-// patience bounds each wait of a test, in a slow run too.
-const patience = 20 * time.Second
+// testTimeout bounds each wait of a test, in a slow run too.
+const testTimeout = 20 * time.Second
 
 func TestMain(m *testing.M) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
@@ -40,7 +40,7 @@
 // until waits until a condition holds, and fails the test if it never does.
 func until(t testing.TB, what string, is func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !is(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !is(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("%s: never", what)
 		}
--- a/internal/controlplane/members.go
+++ b/internal/controlplane/members.go
@@ -46,7 +46,7 @@
 
 // memberLookup answers which directors and relays are known.
 type memberLookup interface {
-	LastHeard(id string) (at time.Duration, known bool)
+	LastContact(id string) (at time.Duration, known bool)
 	ServedByRelay(id string) bool
 	HasRelaySession(id string) bool
 }
@@ -203,7 +203,7 @@
 			Shards:          primaries[d.ID()],
 			Suspected:       s.tracker.Suspected(d.ID(), now),
 		}
-		if at, known := s.tracker.LastHeard(d.ID()); known {
+		if at, known := s.tracker.LastContact(d.ID()); known {
 			m.LastHeardMS = (now - at).Milliseconds()
 		}
 		out.Directors = append(out.Directors, m)
--- a/internal/controlplane/membership/status.go
+++ b/internal/controlplane/membership/status.go
@@ -11,8 +11,8 @@
 // lostExpiry is the time for which a director that was lost is listed.
 const lostExpiry = 10 * time.Minute
 
-// LastHeard returns when a director was known to be there last; false if it is not known.
-func (t *Tracker) LastHeard(id string) (at time.Duration, known bool) {
+// LastContact returns when a director was known to be there last; false if it is not known.
+func (t *Tracker) LastContact(id string) (at time.Duration, known bool) {
 	d := t.directors[id]
 	if d == nil {
 		return 0, false
--- a/internal/controlplane/observer.go
+++ b/internal/controlplane/observer.go
@@ -33,7 +33,7 @@
 
 func newObserver(s *Server) *observer {
 	o := &observer{server: s, conns: map[string]*hostConn{}}
-	if set := s.set.Observer; set.Every > 0 {
+	if set := s.settings.Observer; set.Every > 0 {
 		o.monitor = observe.New(observe.Settings{
 			EveryMS:   set.Every.Milliseconds(),
 			TimeoutMS: set.Timeout.Milliseconds(),
@@ -106,11 +106,11 @@
 
 // tick does what is due. In a group only the leader observes.
 func (o *observer) tick() {
-	if o.server.Leads() {
+	if o.server.IsLeader() {
 		o.perform(o.monitor.Tick(o.server.clock()))
 		o.schedulePublish()
 	}
-	o.server.loop.Set(&o.tickTimer, o.server.loop.Now()+max(minObserverTick, o.server.set.Observer.Every/ticksPerPing))
+	o.server.loop.Set(&o.tickTimer, o.server.loop.Now()+max(minObserverTick, o.server.settings.Observer.Every/ticksPerPing))
 }
 
 // perform connects and pings as the monitor has decided.
@@ -131,7 +131,7 @@
 	addr, err := netip.ParseAddrPort(action.Address)
 	if err == nil {
 		c := &hostConn{observer: o, host: action.Host}
-		if c.conn, err = o.server.loop.Dial(addr, o.server.set.Observer.Timeout, c); err == nil {
+		if c.conn, err = o.server.loop.Dial(addr, o.server.settings.Observer.Timeout, c); err == nil {
 			o.conns[action.Host] = c
 			return
 		}
--- a/internal/controlplane/recovery_test.go
+++ b/internal/controlplane/recovery_test.go
@@ -107,7 +107,7 @@
 
 // waitUntilDone gives an error for an apply that stops otherwise, or not in time.
 func waitUntilDone(c *api.Client, id int64) error {
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		a, err := c.Apply(id)
 		if err != nil || a.Status == apply.Done {
 			return err
@@ -120,7 +120,7 @@
 
 // childProcess makes a child that ends with the test.
 func childProcess(t *testing.T, mode, folder string, kill int) *exec.Cmd {
-	ctx, cancel := context.WithTimeout(context.Background(), 2*patience)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*testTimeout)
 	t.Cleanup(cancel)
 	cmd := exec.CommandContext(ctx, os.Args[0], "-test.run=^$")
 	cmd.Env = append(os.Environ(), childMode+"="+mode, childFolder+"="+folder, childKillPoint+"="+strconv.Itoa(kill))
--- a/internal/controlplane/relay_leases.go
+++ b/internal/controlplane/relay_leases.go
@@ -11,7 +11,7 @@
 
 // relayLease returns the time for which a relay may serve after a request that was answered.
 func (s *Server) relayLease() time.Duration {
-	if group := s.set.Replicas.Lease; s.set.Replicas.Self != "" {
+	if group := s.settings.Replicas.Lease; s.settings.Replicas.Self != "" {
 		return min(relaysession.Lease, group) // the group counts no lease for longer
 	}
 	return relaysession.Lease
@@ -29,19 +29,19 @@
 
 func newRelayLeases(s *Server) *relayLeases {
 	lessor := replica.NewLessor(replica.Lease{Length: s.relayLease(), Drift: clockDrift})
-	lessor.Lead(true, replicas.Now())
+	lessor.SetLeader(true, replicas.Now())
 	return &relayLeases{server: s, lessor: lessor}
 }
 
 // give records a lease before it is sent to the relay.
 func (l *relayLeases) give(session uint64, acknowledged int64) {
 	if l.server.group != nil {
-		l.server.group.GiveSession(session, acknowledged)
+		l.server.group.GrantSession(session, acknowledged)
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lessor.Give(session, acknowledged, replicas.Now())
+	l.lessor.Grant(session, acknowledged, replicas.Now())
 }
 
 // acknowledged returns, without a group, the lowest revision that all watchers have acknowledged, given that of the server's own.
@@ -57,11 +57,11 @@
 func (s *Server) acknowledgedRevision() int64 {
 	own := s.watchedRevision()
 	within := time.Duration(s.store.Fleet().Rules().NotifiedWithinMS) * time.Millisecond
-	if s.set.Relays && within > 0 && !s.membership.settled() {
+	if s.settings.Relays && within > 0 && !s.directors.settled() {
 		return 0
 	}
 	if s.group != nil {
 		return own
 	}
-	return s.relays.acknowledged(own, within)
+	return s.relayLeases.acknowledged(own, within)
 }
--- a/internal/controlplane/relay_requests.go
+++ b/internal/controlplane/relay_requests.go
@@ -36,16 +36,16 @@
 		ctx, cancel := context.WithTimeout(r.Context(), s.relayLease())
 		defer cancel()
 		if err := s.group.Barrier(ctx); err != nil {
-			s.failWith(w, store.ErrNotLeader)
+			s.writeError(w, store.ErrNotLeader)
 			return
 		}
 	}
 	missing, err := s.missingEvents(request.Revision)
 	if err != nil {
-		s.failWith(w, err)
+		s.writeError(w, err)
 		return
 	}
-	answer, err := s.membership.takeRelay(request, missing.complete)
+	answer, err := s.directors.takeRelay(request, missing.complete)
 	if err != nil {
 		s.rejectRelay(w, request, err)
 		return
@@ -53,7 +53,7 @@
 	answer.Revision = missing.revision
 	answer.Events = missing.events
 	answer.Snapshot = missing.snapshot
-	reply(w, answer)
+	writeJSON(w, answer)
 }
 
 // rejectRelay answers a request that was not taken.
@@ -71,7 +71,7 @@
 		slog.Warn("relay.rejected", "relay", request.Relay.ID(), "err", err)
 		fail(w, http.StatusBadRequest, e)
 	default:
-		s.failWith(w, err)
+		s.writeError(w, err)
 	}
 }
 
@@ -125,7 +125,7 @@
 
 // takeRelay takes a relay's request, right after it was proven that this replica leads. With complete the relay gets a lease; without,
 // it must first take the events that it lacks. The error is store.ErrNotLeader or one of membership.Tracker.Update.
-func (s *membershipService) takeRelay(request relaysession.Request, complete bool) (relaysession.Answer, error) {
+func (s *directorServices) takeRelay(request relaysession.Request, complete bool) (relaysession.Answer, error) {
 	s.relayRequests.Lock()
 	defer s.relayRequests.Unlock()
 	s.leadership.RLock()
@@ -147,7 +147,7 @@
 		return relaysession.Answer{}, err
 	}
 	if complete {
-		s.server.relays.give(request.Session, request.Acknowledged)
+		s.server.relayLeases.give(request.Session, request.Acknowledged)
 		answer.LeaseMS = s.server.relayLease().Milliseconds()
 	}
 	return answer, nil
--- a/internal/controlplane/relay_requests_test.go
+++ b/internal/controlplane/relay_requests_test.go
@@ -107,7 +107,7 @@
 		_, err := c.Purge(fleet.Purge{Object: fmt.Sprintf("%016x", i)})
 		check(t, err)
 	}
-	until(t, "the membership begins", b.membership.settled)
+	until(t, "the membership begins", b.directors.settled)
 	r := newTestRelay(t, b, "r1", 7, 40)
 	if a := r.call(); a.Snapshot == nil || a.LeaseMS != 0 || !a.NeedFull {
 		t.Fatalf("%+v", a)
@@ -115,7 +115,7 @@
 	if a := r.call(); a.Snapshot != nil || a.LeaseMS != relaysession.Lease.Milliseconds() || a.NeedFull || len(r.last.Joined) != 40 {
 		t.Fatalf("%+v after %+v", a, r.last)
 	}
-	members := func() api.Members { return b.membership.Members() }
+	members := func() api.Members { return b.directors.Members() }
 	r.calls("all are members", func() bool { return len(members().Directors) == 40 })
 	m := members()
 	if len(m.Relays) != 1 || m.Relays[0].Directors != 40 || m.Relays[0].Name != "r1" || !m.Relays[0].Complete ||
@@ -126,8 +126,8 @@
 	check(t, err)
 	r.calls("the relay has the purge", func() bool { return r.revision >= purged.Revision })
 	r.calls("the relay is recorded to have taken it", func() bool {
-		e, err := b.membership.Adoption(purged.Revision)
-		return err == nil && len(e.Taken) == 1 && e.Taken[0].Director == "relay:r1/7" && len(e.Missing) == 0
+		e, err := b.directors.Adoption(purged.Revision)
+		return err == nil && len(e.Applied) == 1 && e.Applied[0].Director == "relay:r1/7" && len(e.Missing) == 0
 	})
 	silent := replicas.Now()
 	until(t, "the directors are gone", func() bool { return len(members().Directors) == 0 })
@@ -139,9 +139,9 @@
 // A purge counts as acknowledged everywhere only when the directors behind relays have it, and the one that lags is named.
 func TestAcknowledgedWaitsForRelays(t *testing.T) {
 	b, c := start(t, settingsIn(t.TempDir()))
-	until(t, "the membership begins", b.membership.settled)
+	until(t, "the membership begins", b.directors.settled)
 	r := newTestRelay(t, b, "r1", 7, 3)
-	r.calls("all are members", func() bool { return len(b.membership.Members().Directors) == 3 })
+	r.calls("all are members", func() bool { return len(b.directors.Members().Directors) == 3 })
 	r.behind["d-1"] = r.revision
 	r.call()
 	purged, err := c.Purge(fleet.Purge{Object: "00000000000000ff"})
@@ -150,12 +150,12 @@
 	if r.last.Stale[0].ID != r.directors[1].ID() || r.last.Current < purged.Revision || b.acknowledgedRevision() != r.behind["d-1"] {
 		t.Fatalf("acknowledged %d of %d: %+v", b.acknowledgedRevision(), purged.Revision, r.last)
 	}
-	e, err := b.membership.Adoption(purged.Revision)
+	e, err := b.directors.Adoption(purged.Revision)
 	check(t, err)
-	if len(e.Taken) != 1 || !slices.Equal(e.Missing, []string{r.directors[1].ID()}) {
+	if len(e.Applied) != 1 || !slices.Equal(e.Missing, []string{r.directors[1].ID()}) {
 		t.Fatalf("%+v", e)
 	}
-	for _, d := range b.membership.Members().Directors {
+	for _, d := range b.directors.Members().Directors {
 		if lags := d.Name == "d-1"; lags != (d.AppliedRevision < purged.Revision) || lags != (d.BehindMS > 0) {
 			t.Fatalf("%+v", d)
 		}
@@ -167,7 +167,7 @@
 // Requests that come late, twice or malformed, and too many sessions, are rejected; health reports are aggregated and answered.
 func TestRelayRequestsRejected(t *testing.T) {
 	b, _ := start(t, settingsIn(t.TempDir()))
-	until(t, "the membership begins", b.membership.settled)
+	until(t, "the membership begins", b.directors.settled)
 	r := newTestRelay(t, b, "r1", 7, 1)
 	r.call()
 	kind := func(body []byte, code int) string {
@@ -228,9 +228,9 @@
 	for _, directors := range []int{50, 100, 200, 400, 800} {
 		b.Run(fmt.Sprint(directors), func(b *testing.B) {
 			s, _ := start(b, settingsIn(b.TempDir()))
-			until(b, "the membership begins", s.membership.settled)
+			until(b, "the membership begins", s.directors.settled)
 			r := newTestRelay(b, s, "r1", 7, directors)
-			r.calls("all are members", func() bool { return len(s.membership.Members().Directors) == directors })
+			r.calls("all are members", func() bool { return len(s.directors.Members().Directors) == directors })
 			size := 0
 			for b.Loop() {
 				b.StopTimer()
--- a/internal/controlplane/relayserver/server.go
+++ b/internal/controlplane/relayserver/server.go
@@ -36,7 +36,7 @@
 	session     *relaysession.Session
 	upstream    *upstream
 	events      *eventLog
-	lease       replica.Holder
+	lease       replica.LeaseHolder
 	hadLease    bool // what checkLease found last
 	leaseTimer  transport.Timer
 	lingerTimer transport.Timer
@@ -112,7 +112,7 @@
 		defer close(called)
 		s.keepSession()
 	}()
-	slog.Info("relay.serves", "watch", addr.String(), "name", s.set.Name, "region", s.set.Region)
+	slog.Info("relay.started", "watch", addr.String(), "name", s.set.Name, "region", s.set.Region)
 	err = s.loop.Run()
 	close(s.loopEnded)
 	<-called
@@ -137,14 +137,14 @@
 func (s *Server) Stop() { s.loop.Post(s.loop.Stop) }
 
 // hasLease reports whether the relay may answer directors at this moment.
-func (s *Server) hasLease() bool { return s.lease.Holds(replicas.Now()) }
+func (s *Server) hasLease() bool { return s.lease.HasLease(replicas.Now()) }
 
 // checkLease logs when the lease is gained and lost.
 func (s *Server) checkLease() {
 	if leased := s.hasLease(); leased != s.hadLease {
 		s.hadLease = leased
 		if leased {
-			slog.Info("relay.back", "name", s.set.Name, "revision", s.events.fleet.Revision)
+			slog.Info("relay.lease_gained", "name", s.set.Name, "revision", s.events.fleet.Revision)
 		} else {
 			slog.Warn("relay.lease_lost", "name", s.set.Name, "revision", s.events.fleet.Revision, "directors", s.session.DirectorCount())
 		}
@@ -169,7 +169,7 @@
 	}
 	if a.LeaseMS > 0 {
 		length := min(relaysession.Lease, time.Duration(a.LeaseMS)*time.Millisecond)
-		s.lease.Got(replica.Lease{Length: length, Drift: clockDrift}, requestedAt)
+		s.lease.Renew(replica.Lease{Length: length, Drift: clockDrift}, requestedAt)
 	}
 	return a.LeaseMS == 0 || a.NeedFull || s.session.Pending()
 }
@@ -196,7 +196,7 @@
 // it. The next request asks for all events.
 func (s *Server) resetEventLog(cause error) {
 	slog.Error("relay.event_log_reset", "name", s.set.Name, "err", cause, "revision", s.events.fleet.Revision)
-	s.lease.End()
+	s.lease.Release()
 	empty, err := newEventLog(s.set.KeepEvents)
 	if err != nil {
 		s.fail(err)
@@ -209,6 +209,6 @@
 // fail ends the relay, since what it would answer can't be trusted. It loses nothing: a relay starts with an empty log.
 func (s *Server) fail(err error) {
 	s.failure = errors.Join(s.failure, fmt.Errorf("relay %s: %w", s.set.Name, err))
-	s.lease.End()
+	s.lease.Release()
 	s.loop.Stop()
 }
--- a/internal/controlplane/relayserver/server_test.go
+++ b/internal/controlplane/relayserver/server_test.go
@@ -163,8 +163,8 @@
 	}
 	l.set(leader(purges(1, 7), 2))
 	w := dial(t, r)
-	if w.Last != 7 {
-		t.Errorf("the first answer goes up to event %d of 7", w.Last)
+	if w.Revision != 7 {
+		t.Errorf("the first answer goes up to event %d of 7", w.Revision)
 	}
 	l.until(t, "the director's joining", func(q relaysession.Request) bool { return q.Directors == 1 && q.Revision == 7 })
 	l.set(leader(purges(1, 9), 100))
@@ -195,7 +195,7 @@
 		}
 		return http.StatusOK, a
 	})
-	for w.Last < 41 {
+	for w.Revision < 41 {
 		_, _, err := w.Poll(5 * time.Second)
 		check(t, err)
 	}
@@ -215,8 +215,8 @@
 		t.Errorf("the watcher was closed after %v", took)
 	}
 	l.set(leader(purges(1, 4), 100))
-	if w = dial(t, r); w.Last != 4 {
-		t.Errorf("back at event %d of 4", w.Last)
+	if w = dial(t, r); w.Revision != 4 {
+		t.Errorf("back at event %d of 4", w.Revision)
 	}
 }
 
@@ -227,7 +227,7 @@
 	w := dial(t, r)
 	b.set(notLeader)
 	c.set(leader(purges(1, 2), 100))
-	for w.Last < 2 {
+	for w.Revision < 2 {
 		if _, _, err := w.Poll(time.Second); err != nil {
 			w = dial(t, r) // the lease has ended
 		}
@@ -245,7 +245,7 @@
 		}
 		return http.StatusOK, relaysession.Answer{Sequence: q.Sequence, Revision: 6, LeaseMS: 200, Events: purges(5, 2)}
 	})
-	for w.Last < 6 {
+	for w.Revision < 6 {
 		_, response, err := w.Poll(5 * time.Second)
 		if err != nil {
 			w = dial(t, r)
@@ -266,9 +266,9 @@
 	l := newReplica(t, leader(purges(1, 3), 100))
 	r := start(t, l)
 	w := dial(t, r)
-	check(t, w.Ask(5*time.Second))
+	check(t, w.SendRequest(5*time.Second))
 	r.Leave()
-	if _, _, err := w.Answer(); err == nil {
+	if _, _, err := w.ReadAnswer(); err == nil {
 		t.Error("the watch was answered and not closed")
 	}
 	select {
--- a/internal/controlplane/relaysession/model_test.go
+++ b/internal/controlplane/relaysession/model_test.go
@@ -58,7 +58,7 @@
 	cutUntil      time.Duration // from the leader
 	restartAt     time.Duration // of a dead one
 	session       *relaysession.Session
-	holder        replica.Holder
+	holder        replica.LeaseHolder
 	revision      int64
 	number        uint64
 	asked, called time.Duration
@@ -162,7 +162,7 @@
 	})
 	m.tracker.Begin(m.fleet, m.now)
 	m.leases = replica.NewLessor(replica.Lease{Length: relaysession.Lease, Drift: drift})
-	m.leases.Lead(true, m.now)
+	m.leases.SetLeader(true, m.now)
 }
 
 // serveRequest is the leader's side of a request.
@@ -179,7 +179,7 @@
 			d.lapsed = false
 		}
 	}
-	m.leases.Give(q.Session, q.Acknowledged, m.now)
+	m.leases.Grant(q.Session, q.Acknowledged, m.now)
 	answer := relaysession.Answer{
 		Sequence:     q.Sequence,
 		NeedFull:     registered.NeedFull,
@@ -197,7 +197,7 @@
 		if r.waits == answer.Sequence {
 			r.waits = 0
 			r.revision = max(r.revision, answer.Revision)
-			r.holder.Got(replica.Lease{Length: relaysession.Lease}, r.asked)
+			r.holder.Renew(replica.Lease{Length: relaysession.Lease}, r.asked)
 		}
 	})
 }
@@ -240,7 +240,7 @@
 // serveCall is a relay's side of a director's call. A connection has one call at a time: one that the director gave up is not read.
 func (m *model) serveCall(d *modelDirector, r *modelRelay, a discovery.Announcement, number int, called time.Duration, acknowledged int64) {
 	now := r.at(m.now)
-	if !r.alive || !r.holder.Holds(now) || d.calling != number {
+	if !r.alive || !r.holder.HasLease(now) || d.calling != number {
 		return
 	}
 	r.session.Observe(a, acknowledged, now)
--- a/internal/controlplane/relaysession/session_test.go
+++ b/internal/controlplane/relaysession/session_test.go
@@ -37,7 +37,7 @@
 }
 
 func (f *fakeQuota) Renewal(time.Duration) quota.Renewal {
-	r := quota.Renewal{Holder: "relay-1/ABCDEFGHIJKLMNOPQRSTUVWXYZ", Seq: 1 << 40, Taken: 1 << 40}
+	r := quota.Renewal{Holder: "relay-1/ABCDEFGHIJKLMNOPQRSTUVWXYZ", Seq: 1 << 40, InUse: 1 << 40}
 	for i := range f.limits {
 		r.Wants = append(r.Wants, quota.Want{Limit: fmt.Sprint("cold:cache-", i), Kind: quota.Rate, Demand: 0.123456789})
 	}
--- a/internal/controlplane/replica/admission.go
+++ b/internal/controlplane/replica/admission.go
@@ -27,7 +27,7 @@
 		return nil, rejectf("copy %s had disk %x: a machine that comes back with another disk is let in by hand, "+
 			"with: stairvane copies replace %s", name, old, name)
 	}
-	if p.Spare {
+	if p.IsStandby {
 		return v.admitStandby(*p, disk, silence, replaceAfter)
 	}
 	for d, m := range v.Members {
--- a/internal/controlplane/replica/lease.go
+++ b/internal/controlplane/replica/lease.go
@@ -16,20 +16,20 @@
 	return time.Duration(float64(l.Length) * (1 + 2*l.Drift))
 }
 
-// Holder is the side of the one that serves watchers under a lease. The zero Holder has no lease.
-type Holder struct{ until time.Duration }
+// LeaseHolder is the side of the one that serves watchers under a lease. The zero Holder has no lease.
+type LeaseHolder struct{ until time.Duration }
 
-// Got records a lease that was granted on a request sent at a moment: it counts from that moment
+// Renew records a lease that was granted on a request sent at a moment: it counts from that moment
 // on.
-func (h *Holder) Got(l Lease, requestedAt time.Duration) {
+func (h *LeaseHolder) Renew(l Lease, requestedAt time.Duration) {
 	h.until = max(h.until, requestedAt+l.Length)
 }
 
-// End gives up the lease.
-func (h *Holder) End() { h.until = 0 }
+// Release gives up the lease.
+func (h *LeaseHolder) Release() { h.until = 0 }
 
-// Holds reports whether the lease is in force.
-func (h *Holder) Holds(now time.Duration) bool { return now < h.until }
+// HasLease reports whether the lease is in force.
+func (h *LeaseHolder) HasLease(now time.Duration) bool { return now < h.until }
 
 // Lessor is the leader's side: it records who holds a lease, and what the holders' watchers have
 // acknowledged.
@@ -49,8 +49,8 @@
 // NewLessor makes the lessor of a replica that does not lead.
 func NewLessor(l Lease) *Lessor { return &Lessor{lease: l, grants: map[uint64]*grant{}} }
 
-// Lead begins or ends a time of leadership.
-func (l *Lessor) Lead(isLeader bool, now time.Duration) {
+// SetLeader begins or ends a time of leadership.
+func (l *Lessor) SetLeader(isLeader bool, now time.Duration) {
 	if isLeader && !l.isLeader {
 		l.leaderSince = now
 		clear(l.grants)
@@ -58,9 +58,9 @@
 	l.isLeader = isLeader
 }
 
-// Give records a lease after it was granted. holder is the disk of a replica or the session of a
+// Grant records a lease after it was granted. holder is the disk of a replica or the session of a
 // relay; acknowledged is the lowest revision that the holder's watchers have acknowledged.
-func (l *Lessor) Give(holder uint64, acknowledged int64, now time.Duration) {
+func (l *Lessor) Grant(holder uint64, acknowledged int64, now time.Duration) {
 	l.grants[holder] = &grant{acknowledged: acknowledged, until: now + l.lease.maxValidity()}
 }
 
--- a/internal/controlplane/replica/lease_test.go
+++ b/internal/controlplane/replica/lease_test.go
@@ -22,11 +22,11 @@
 	clock := []float64{rate(), rate(), rate()}
 	at := func(who int, t time.Duration) time.Duration { return time.Duration(float64(t)*clock[who]) + time.Hour }
 	lessors := []*Lessor{NewLessor(lease), NewLessor(lease)}
-	var holder Holder
+	var holder LeaseHolder
 	lastEvent := int64(1)
 	watchersHave := int64(1) // last event that the holder's watchers have
 	leader := 0
-	lessors[0].Lead(true, at(0, 0)-time.Hour)
+	lessors[0].SetLeader(true, at(0, 0)-time.Hour)
 	type request struct {
 		sentAt       time.Duration // by the holder's clock
 		acknowledged int64
@@ -38,9 +38,9 @@
 	var requests []*request
 	for t := time.Duration(0); t < 5*time.Second; t += 5 * time.Millisecond {
 		if rng.IntN(100) == 0 { // the old leader may not know of the new one, but it grants no lease
-			lessors[leader].Lead(false, at(leader, t))
+			lessors[leader].SetLeader(false, at(leader, t))
 			leader = 1 - leader
-			lessors[leader].Lead(true, at(leader, t))
+			lessors[leader].SetLeader(true, at(leader, t))
 			if l.noWaitAtElection {
 				lessors[leader].leaderSince = -time.Hour
 			}
@@ -54,7 +54,7 @@
 		}
 		for _, r := range requests {
 			if !r.isGranted && t >= r.arrivesAt && r.to == leader { // only a replica that proves that it leads grants a lease
-				lessors[r.to].Give(2, r.acknowledged, at(r.to, t))
+				lessors[r.to].Grant(2, r.acknowledged, at(r.to, t))
 				r.isGranted = true
 				r.answeredAt = t + time.Duration(rng.IntN(180))*time.Millisecond
 			}
@@ -63,14 +63,14 @@
 				if l.countFromReceipt {
 					asked = at(2, t)
 				}
-				holder.Got(lease, asked)
+				holder.Renew(lease, asked)
 				r.answeredAt = 0
 			}
 		}
 		if rng.IntN(40) == 0 {
 			watchersHave = lastEvent
 		}
-		if lessors[leader].Acknowledged(lastEvent, at(leader, t), 0) > watchersHave && holder.Holds(at(2, t)) {
+		if lessors[leader].Acknowledged(lastEvent, at(leader, t), 0) > watchersHave && holder.HasLease(at(2, t)) {
 			return true
 		}
 	}
@@ -105,11 +105,11 @@
 // the time for its watchers to reconnect.
 func TestALostHolderIsWaitedForOnce(t *testing.T) {
 	lessor := NewLessor(Lease{Length: 200 * time.Millisecond, Drift: 0.02})
-	lessor.Lead(true, 0)
+	lessor.SetLeader(true, 0)
 	if n := lessor.Acknowledged(9, 100*time.Millisecond, 0); n != 0 {
 		t.Errorf("a leader that has just begun counts %d as acknowledged", n)
 	}
-	lessor.Give(5, 7, time.Second)
+	lessor.Grant(5, 7, time.Second)
 	for _, c := range []struct {
 		at, within time.Duration
 		want       int64
@@ -118,7 +118,7 @@
 			t.Errorf("at %v: acknowledged up to %d, not %d", c.at, n, c.want)
 		}
 	}
-	lessor.Give(5, 7, 2*time.Second)
+	lessor.Grant(5, 7, 2*time.Second)
 	if n := lessor.Acknowledged(9, 4*time.Second, 7*time.Second); n != 7 {
 		t.Errorf("watchers of a lost replica count at once as having acknowledged: %d", n)
 	}
--- a/internal/controlplane/replica/membership_test.go
+++ b/internal/controlplane/replica/membership_test.go
@@ -20,7 +20,7 @@
 		for i := range n {
 			places = append(places, Place{
 				Name: fmt.Sprintf("c%d", i), Machine: fmt.Sprint("m", rapid.IntRange(0, 11).Draw(t, "machine")),
-				Site: fmt.Sprint("s", rapid.IntRange(0, 3).Draw(t, "site")), Spare: rapid.IntRange(0, 9).Draw(t, "spare") == 0,
+				Site: fmt.Sprint("s", rapid.IntRange(0, 3).Draw(t, "site")), IsStandby: rapid.IntRange(0, 9).Draw(t, "spare") == 0,
 			})
 		}
 		if len(ValidatePlaces(places)) > 0 {
@@ -31,7 +31,7 @@
 		serving := 0
 		for _, p := range places {
 			machines[p.Machine]++
-			if !p.Spare {
+			if !p.IsStandby {
 				sites[p.Site]++
 				serving++
 			}
@@ -67,7 +67,7 @@
 		"2 copies besides spares": {
 			{Name: "a", Machine: "m1", Site: "x"},
 			{Name: "b", Machine: "m2", Site: "y"},
-			{Name: "c", Machine: "m3", Site: "z", Spare: true},
+			{Name: "c", Machine: "m3", Site: "z", IsStandby: true},
 		},
 		"3 of 5 copies are in site": {
 			{Name: "a", Machine: "m1", Site: "x"},
@@ -96,7 +96,7 @@
 		},
 	}
 	for i, name := range []string{"a", "b", "c", "d"} {
-		v.Places = append(v.Places, Place{Name: name, Machine: "m" + name, Site: "s" + name, Spare: name == "d"})
+		v.Places = append(v.Places, Place{Name: name, Machine: "m" + name, Site: "s" + name, IsStandby: name == "d"})
 		if name != "d" {
 			v.Members[uint64(i+1)] = Member{Name: name, Machine: "m" + name, Site: "s" + name}
 			v.Progress[uint64(i+1)] = Progress{Match: 1000, IsActive: true}
--- a/internal/controlplane/replica/place.go
+++ b/internal/controlplane/replica/place.go
@@ -7,10 +7,10 @@
 
 // Place is a replica as the operator's file lists it.
 type Place struct {
-	Name    string
-	Machine string
-	Site    string
-	Spare   bool // it is a standby, which replaces a replica that is lost
+	Name      string
+	Machine   string
+	Site      string
+	IsStandby bool // it is a standby, which replaces a replica that is lost
 }
 
 // ValidatePlaces returns what is wrong with a list of places; nil if nothing. The group must
@@ -31,7 +31,7 @@
 				other, p.Name, p.Machine))
 		}
 		nameByMachine[p.Machine] = p.Name
-		if !p.Spare {
+		if !p.IsStandby {
 			replicas++
 			replicasBySite[p.Site]++
 		}
--- a/internal/controlplane/replicas/health_test.go
+++ b/internal/controlplane/replicas/health_test.go
@@ -85,7 +85,7 @@
 		sums[forms] = sum
 		t.Logf("%q: %d fills rejected, second by second %v", forms, sum, each)
 		for _, d := range f.directors { // each is notified in the time that the test has, and none without the setting
-			if isNotified := d.Count("signals.doubted") > 0; isNotified != (forms != "") {
+			if isNotified := d.Count("health.suspected") > 0; isNotified != (forms != "") {
 				t.Errorf("%q: that %s was notified of a suspected host is %v", forms, d.Name, isNotified)
 			}
 		}
--- a/internal/controlplane/replicas/leases.go
+++ b/internal/controlplane/replicas/leases.go
@@ -23,8 +23,8 @@
 type leases struct {
 	terms  replica.Lease // not changed
 	mu     sync.Mutex
-	holder replica.Holder  // guarded by mu
-	lessor *replica.Lessor // guarded by mu
+	holder replica.LeaseHolder // guarded by mu
+	lessor *replica.Lessor     // guarded by mu
 }
 
 func newLeases(terms replica.Lease) leases {
@@ -34,25 +34,25 @@
 func (l *leases) setLeader(isLeader bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lessor.Lead(isLeader, Now())
+	l.lessor.SetLeader(isLeader, Now())
 }
 
 func (l *leases) isHeld() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.holder.Holds(Now())
+	return l.holder.HasLease(Now())
 }
 
 func (l *leases) renewed(requestedAt time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.holder.Got(l.terms, requestedAt)
+	l.holder.Renew(l.terms, requestedAt)
 }
 
 func (l *leases) grant(holder uint64, acknowledged int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lessor.Give(holder, acknowledged, Now())
+	l.lessor.Grant(holder, acknowledged, Now())
 }
 
 func (l *leases) granted() map[uint64]replica.ActiveLease {
@@ -78,10 +78,10 @@
 	return g.leases.acknowledged(own, departedAfter)
 }
 
-// GiveSession records the lease of a relay's session, beside those of replicas: Acknowledged waits
+// GrantSession records the lease of a relay's session, beside those of replicas: Acknowledged waits
 // for its directors too. The leader calls it once a Barrier has passed, and before it sends the
 // lease to the relay.
-func (g *Group) GiveSession(session uint64, acknowledged int64) {
+func (g *Group) GrantSession(session uint64, acknowledged int64) {
 	g.leases.grant(session, acknowledged)
 }
 
--- a/internal/controlplane/replicas/local_replica_test.go
+++ b/internal/controlplane/replicas/local_replica_test.go
@@ -66,7 +66,7 @@
 // write.
 func startReplica(t *testing.T, settings replicas.Settings, killPoint func(string), stored storedState) *localReplica {
 	t.Helper()
-	s, err := store.Open(filepath.Join(t.TempDir(), "store.db"), store.Options{Group: true, NoSync: true, KillPoint: killPoint})
+	s, err := store.Open(filepath.Join(t.TempDir(), "store.db"), store.Options{IsReplica: true, NoSync: true, KillPoint: killPoint})
 	check(t, err)
 	first := store.AppliedState{At: store.Position{Index: stored.position, Term: stored.position}}
 	first.ConfState, err = proto.Marshal(stored.confState)
--- a/internal/controlplane/replicas/measure_test.go
+++ b/internal/controlplane/replicas/measure_test.go
@@ -77,7 +77,7 @@
 	p, err := testharness.Start("alone", program, []string{"board", path}, nil)
 	check(t, err)
 	t.Cleanup(p.Kill)
-	serves, _, err := p.Event("board.serves", 0, patience)
+	serves, _, err := p.Event("controlplane.started", 0, patience)
 	check(t, err)
 	address, _ = serves["write"].(string)
 	return address
--- a/internal/controlplane/replicas/quota_test.go
+++ b/internal/controlplane/replicas/quota_test.go
@@ -160,9 +160,9 @@
 	sum := 0.0
 	busy := 0.0
 	for _, a := range allocations {
-		sum += a.Part
+		sum += a.Fraction
 		if a.Holder[:3] == "d-0" {
-			busy = a.Part
+			busy = a.Fraction
 		}
 	}
 	t.Logf("%d allocations add up to %.2f; the busy director has %.2f of it", len(allocations), sum, busy)
--- a/internal/controlplane/replicas/recovery.go
+++ b/internal/controlplane/replicas/recovery.go
@@ -28,7 +28,7 @@
 // old group can't take part in the new one, which has another number.
 func Recover(settings operatorconfig.ControlPlane, isConfirmed bool) (r Recovery, err error) {
 	s, err := store.Open(settings.Store, store.Options{
-		Group:         true,
+		IsReplica:     true,
 		SnapshotEvery: settings.SnapshotEvery,
 		KeepEvents:    settings.KeepEvents,
 	})
--- a/internal/controlplane/replicas/relays_test.go
+++ b/internal/controlplane/replicas/relays_test.go
@@ -218,7 +218,7 @@
 		check(r.t, err)
 		sum = 0
 		for _, a := range allocations {
-			sum += a.Part
+			sum += a.Fraction
 		}
 		if sum > 1.000001 {
 			r.t.Errorf("%s: the allocations add up to %f: %+v", when, sum, allocations)
@@ -248,12 +248,12 @@
 		t.Cleanup(func() { _ = leader.Wait(patience) })
 	}, first, second)
 	r.during("a relay is cut off", func() { second.Cut(true) }, first)
-	if second.Count("relay.lease_lost") == 0 || second.Count("followers.let_go") == 0 {
+	if second.Count("relay.lease_lost") == 0 || second.Count("watcher.lease_lost") == 0 {
 		t.Error("the relay that was cut off has closed no watch")
 	}
 	cutUntil := second.Lines()
 	second.Cut(false)
-	if _, _, err := second.Event("relay.back", cutUntil, patience); err != nil {
+	if _, _, err := second.Event("relay.lease_gained", cutUntil, patience); err != nil {
 		t.Error(err)
 	}
 	r.during("a relay leaves", func() { check(t, first.Leave(patience)) }, second)
--- a/internal/controlplane/replicas/stale_director_test.go
+++ b/internal/controlplane/replicas/stale_director_test.go
@@ -75,7 +75,7 @@
 		time.Sleep(300 * time.Millisecond)
 		var event adoption.Event
 		out, err = audit("event", last, "-o", "json").Output()
-		if err != nil || json.Unmarshal(out, &event) != nil || len(event.Taken) != 1 || event.LastMS < 500 {
+		if err != nil || json.Unmarshal(out, &event) != nil || len(event.Applied) != 1 || event.LastMS < 500 {
 			t.Errorf("the director that woke applied event %s: %v\n%s", last, err, out)
 		}
 		if out, err := audit("event", "99999").CombinedOutput(); err == nil || !strings.Contains(string(out), "is not recorded") {
@@ -91,7 +91,7 @@
 		if tally.Lost+tally.Doubled > 0 || tally.Served+tally.Refused+tally.Failed != tally.Sent {
 			t.Errorf("not one answer for each: %+v", tally)
 		}
-		if forms != "" && (tally.Refused == 0 || !strings.Contains(strings.Join(d.Log(), " "), "straggler.shut")) {
+		if forms != "" && (tally.Refused == 0 || !strings.Contains(strings.Join(d.Log(), " "), "director.stale")) {
 			t.Errorf("it did not reject requests: %+v", tally)
 		}
 		cluster.Close()
--- a/internal/controlplane/replicas/status.go
+++ b/internal/controlplane/replicas/status.go
@@ -35,7 +35,7 @@
 		Revision: g.store.Fleet().Revision,
 	}}
 	for _, place := range g.settings.Replicas {
-		if !place.Spare {
+		if !place.IsStandby {
 			s.Configured++
 		}
 	}
--- a/internal/controlplane/replicas/watch_test.go
+++ b/internal/controlplane/replicas/watch_test.go
@@ -23,10 +23,10 @@
 	if err != nil || status != 200 {
 		t.Fatalf("%d, %v", status, err)
 	}
-	check(t, watcher.Ask(wait))
+	check(t, watcher.SendRequest(wait))
 	asked := time.Now()
 	cut.Cut(false, false)
-	if _, _, err := watcher.Answer(); err == nil {
+	if _, _, err := watcher.ReadAnswer(); err == nil {
 		t.Error("the watch was answered")
 	}
 	closed := time.Now()
@@ -34,10 +34,10 @@
 		t.Errorf("the watch was closed after %v", took)
 	}
 	// The log comes through a pipe, so its line may be read after the watch has closed; it must have been written before.
-	event, _, err := cut.Event("followers.let_go", 0, patience)
+	event, _, err := cut.Event("watcher.lease_lost", 0, patience)
 	check(t, err)
 	text, _ := event["time"].(string)
 	if written, err := time.Parse(time.RFC3339Nano, text); err != nil || written.After(closed) {
-		t.Errorf("followers.let_go was written at %v, %v, after the watch was closed at %v", written, err, closed)
+		t.Errorf("watcher.lease_lost was written at %v, %v, after the watch was closed at %v", written, err, closed)
 	}
 }
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -27,20 +27,20 @@
 	Clock       func() int64       // milliseconds since the Unix epoch; nil: the system's clock
 	KillPoint   func(point string) // called where a test may end the process, see store.Options; nil: nothing
 	AcceptOlder bool               // see store.Options
-	Found       bool               // found a group with this store as its first replica
+	FoundGroup  bool               // found a group with this store as its first replica
 	NewDisk     bool               // set the store aside and begin as a new disk, which waits to be admitted to the group
 }
 
 // Server is one process of the control plane: the only one, or a replica of a group.
 type Server struct {
-	set           operatorconfig.ControlPlane
+	settings      operatorconfig.ControlPlane
 	store         *store.Store
 	loop          *transport.Loop
 	watches       *watch.Server // owned by the loop
 	observer      *observer     // owned by the loop
 	executor      *executor
-	membership    *membershipService
-	relays        *relayLeases
+	directors     *directorServices
+	relayLeases   *relayLeases
 	writeListener net.Listener
 	writeServer   *http.Server
 	observed      atomic.Pointer[map[string]fleet.Observation] // by host name; the map is replaced and never changed
@@ -53,7 +53,7 @@
 
 // New opens the store and listens. Nothing is served before Run. Errors of the store wrap those of its package.
 func New(set operatorconfig.ControlPlane, options Options) (*Server, error) {
-	s := &Server{set: set, clock: options.Clock, failed: make(chan error, 2)}
+	s := &Server{settings: set, clock: options.Clock, failed: make(chan error, 2)}
 	if s.clock == nil {
 		s.clock = func() int64 { return time.Now().UnixMilli() }
 	}
@@ -76,8 +76,8 @@
 	if err = s.openStore(options); err != nil {
 		return err
 	}
-	s.membership = newMembershipService(s)
-	s.relays = newRelayLeases(s)
+	s.directors = newDirectorServices(s)
+	s.relayLeases = newRelayLeases(s)
 	first, tail := s.store.Tail()
 	log, err := s.newEventLog(first, tail, s.store.Fleet())
 	if err != nil {
@@ -88,7 +88,7 @@
 	}
 	s.observer = newObserver(s)
 	s.executor = newExecutor(s)
-	if s.set.Replicas.Self != "" {
+	if s.settings.Replicas.Self != "" {
 		if s.group, err = s.joinGroup(options); err != nil {
 			return err
 		}
@@ -97,29 +97,29 @@
 }
 
 func (s *Server) openStore(options Options) (err error) {
-	s.store, err = store.Open(s.set.Store, store.Options{
-		SnapshotEvery:  s.set.SnapshotEvery,
-		KeepEvents:     s.set.KeepEvents,
-		Batch:          s.set.Batch,
+	s.store, err = store.Open(s.settings.Store, store.Options{
+		SnapshotEvery:  s.settings.SnapshotEvery,
+		KeepEvents:     s.settings.KeepEvents,
+		Batch:          s.settings.Batch,
 		Clock:          s.clock,
 		Committed:      s.committed,
 		KillPoint:      options.KillPoint,
 		AcceptOlder:    options.AcceptOlder,
-		Group:          s.set.Replicas.Self != "",
-		RememberWrites: s.set.Replicas.RememberWrites,
+		IsReplica:      s.settings.Replicas.Self != "",
+		RememberWrites: s.settings.Replicas.RememberWrites,
 	})
 	if err != nil {
 		return err
 	}
-	if identity, _ := s.store.Identity(); identity.Disk != 0 && s.set.Replicas.Self == "" {
-		return fmt.Errorf("%s: %w, as copy %s, and the file lists no copies", s.set.Store, store.ErrInGroup, identity.Name)
+	if identity, _ := s.store.Identity(); identity.Disk != 0 && s.settings.Replicas.Self == "" {
+		return fmt.Errorf("%s: %w, as copy %s, and the file lists no copies", s.settings.Store, store.ErrInGroup, identity.Name)
 	}
 	return nil
 }
 
 // newEventLog makes the log that watchers are answered from. tail are the events from number first on that led to the fleet.
 func (s *Server) newEventLog(first int64, tail []fleet.Event, f fleet.Fleet) (*eventlog.Log, error) {
-	return eventlog.New(first, tail, f, max(s.set.KeepEvents, minKeptEvents))
+	return eventlog.New(first, tail, f, max(s.settings.KeepEvents, minKeptEvents))
 }
 
 // Addr is where directors watch.
@@ -136,7 +136,7 @@
 // committed is called by the store when events have become durable.
 func (s *Server) committed(events []fleet.Event) {
 	f := s.store.Fleet()
-	s.membership.committed(f.Revision)
+	s.directors.committed(f.Revision)
 	s.post(func() {
 		s.watches.Publish(events, f)
 		s.observer.apply(events)
@@ -173,9 +173,9 @@
 	}
 	go s.serveWrites()
 	go s.executor.run()
-	go s.membership.run()
-	slog.Info("board.serves", "bulletin", addr.String(), "write", s.WriteAddr().String(), "revision", s.store.Fleet().Revision,
-		"observer", s.set.Observer.Every > 0)
+	go s.directors.run()
+	slog.Info("controlplane.started", "bulletin", addr.String(), "write", s.WriteAddr().String(), "revision", s.store.Fleet().Revision,
+		"observer", s.settings.Observer.Every > 0)
 	err = s.loop.Run()
 	err = errors.Join(err, s.shutDown())
 	slog.Info("controlplane.stopped", "revision", s.store.Fleet().Revision)
@@ -193,8 +193,8 @@
 // shutDown ends the goroutines once the loop has ended, and closes the store last. It gives the failure that stopped the server, too.
 func (s *Server) shutDown() error {
 	s.executor.stop()
-	close(s.membership.stop)
-	<-s.membership.ended
+	close(s.directors.stop)
+	<-s.directors.ended
 	_ = s.writeServer.Close() // its listener is given up in any case
 	if s.group != nil {
 		s.group.Stop()
--- a/internal/controlplane/store/compatibility_test.go
+++ b/internal/controlplane/store/compatibility_test.go
@@ -86,7 +86,7 @@
 			if err != nil {
 				return err
 			}
-			if r, err = t.Lease(r); err != nil {
+			if r, err = t.AcquireLease(r); err != nil {
 				return err
 			}
 			if !running {
@@ -119,10 +119,10 @@
 		records, err := v.Records()
 		check(t, err)
 		show("applies", records)
-		holder, err := v.Holder()
+		holder, err := v.LeaseHolder()
 		check(t, err)
 		show("holder", holder)
-		byPlan, err := v.ByPlan(holder.PlanSum)
+		byPlan, err := v.LastApplyOfPlan(holder.PlanSum)
 		check(t, err)
 		show("by plan", byPlan)
 		before, err := v.DesiredBefore(holder.ID)
@@ -187,7 +187,7 @@
 // an older one wrote.
 func TestLandedStoreOfAReplicaIsRead(t *testing.T) {
 	options := landedOptions
-	options.Group = true
+	options.IsReplica = true
 	s := openLanded(t, "replica.db", options, func(path string) { writeReplica(t, path, options) })
 	golden.Text(t, "replica.txt", landedContent(t, s))
 	persisted, err := s.PersistedState()
--- a/internal/controlplane/store/open.go
+++ b/internal/controlplane/store/open.go
@@ -40,7 +40,7 @@
 	if err := s.open(); err != nil {
 		return nil, fmt.Errorf("store %s: %w", path, err)
 	}
-	if options.Group {
+	if options.IsReplica {
 		removeReceivedSnapshots(path)
 		close(s.stopped) // there is no writer: the replica's owner writes
 	} else {
@@ -75,7 +75,7 @@
 
 func (s *Store) openFile() error {
 	options := &bolt.Options{Timeout: lockTimeout, NoSync: s.options.NoSync, FreelistType: bolt.FreelistMapType}
-	if s.options.Group {
+	if s.options.IsReplica {
 		options.InitialMmapSize = replicaMmapBytes
 	}
 	db, err := bolt.Open(s.path, 0o600, options)
--- a/internal/controlplane/store/raft_log_test.go
+++ b/internal/controlplane/store/raft_log_test.go
@@ -8,7 +8,7 @@
 // Guards against entries that are in the file although their write failed at its last sync: they
 // must not follow on later, shorter ones.
 func TestLogEndsWhereTheFileDoes(t *testing.T) {
-	s, err := Open(filepath.Join(t.TempDir(), "s"), Options{Group: true})
+	s, err := Open(filepath.Join(t.TempDir(), "s"), Options{IsReplica: true})
 	check(t, err)
 	defer closeStore(t, s)
 	check(t, s.BecomeReplica(Identity{Group: 7, Disk: 1, Name: "a"}, &AppliedState{At: Position{Index: 1, Term: 1}}))
--- a/internal/controlplane/store/store.go
+++ b/internal/controlplane/store/store.go
@@ -38,7 +38,7 @@
 	Clock          func() int64        // Unix milliseconds (the system's)
 	Committed      func([]fleet.Event) // called with durable events, in order, before their changes return; must not call the store
 	KillPoint      func(point string)  // called at each point at which a test may kill the process
-	Group          bool                // the store of a replica: nothing is written but what the group has committed
+	IsReplica      bool                // the store of a replica: nothing is written but what the group has committed
 	RememberWrites time.Duration       // how long outcomes are remembered for repeated writes (10 min)
 }
 
--- a/internal/controlplane/store/transfer_test.go
+++ b/internal/controlplane/store/transfer_test.go
@@ -12,7 +12,7 @@
 // earlier starts have left: a received snapshot can be installed after another one was discarded.
 func TestReceivedSnapshotsAreSeparate(t *testing.T) {
 	folder := t.TempDir()
-	from, err := Open(filepath.Join(folder, "from"), Options{Group: true})
+	from, err := Open(filepath.Join(folder, "from"), Options{IsReplica: true})
 	check(t, err)
 	defer closeStore(t, from)
 	check(t, from.BecomeReplica(Identity{Group: 7, Disk: 1, Name: "a"}, &AppliedState{At: Position{Index: 1, Term: 1}}))
@@ -20,7 +20,7 @@
 	path := filepath.Join(folder, "to")
 	left := path + receivedInfix + "of-before"
 	check(t, os.WriteFile(left, []byte("part of a snapshot"), 0o600))
-	to, err := Open(path, Options{Group: true})
+	to, err := Open(path, Options{IsReplica: true})
 	check(t, err)
 	defer closeStore(t, to)
 	check(t, to.BecomeReplica(Identity{Disk: 2, Name: "b"}, nil))
--- a/internal/controlplane/store/writer.go
+++ b/internal/controlplane/store/writer.go
@@ -23,7 +23,7 @@
 	case <-s.stop:
 		return ErrClosed
 	}
-	if s.options.Group {
+	if s.options.IsReplica {
 		select {
 		case err := <-r.done:
 			return err
--- a/internal/controlplane/tls_test.go
+++ b/internal/controlplane/tls_test.go
@@ -158,14 +158,14 @@
 	}
 	strange, known := begin(other, "strange"), begin(own, "known")
 	serves := func(addr netip.AddrPort) bool {
-		d, err := watchtest.Dial(addr, "d", patience)
+		d, err := watchtest.Dial(addr, "d", testTimeout)
 		check(t, err)
 		defer d.Close()
 		status, _, err := d.Poll(0)
-		return err == nil && status == http.StatusOK && d.Last == 1
+		return err == nil && status == http.StatusOK && d.Revision == 1
 	}
 	until(t, "the relay serves", func() bool { return serves(known) })
-	if serves(strange) || len(s.membership.Members().Relays) != 1 {
-		t.Errorf("a strange certificate was taken: %+v", s.membership.Members().Relays)
+	if serves(strange) || len(s.directors.Members().Relays) != 1 {
+		t.Errorf("a strange certificate was taken: %+v", s.directors.Members().Relays)
 	}
 }
--- a/internal/controlplane/watch/answer.go
+++ b/internal/controlplane/watch/answer.go
@@ -39,7 +39,7 @@
 	}
 	parts, size = w.complete(parts, size)
 	w.waiting = false
-	s.headBuffer = discovery.AppendHead(s.headBuffer[:0], http.StatusOK, size, w.request.Close)
+	s.headBuffer = discovery.AppendResponseHead(s.headBuffer[:0], http.StatusOK, size, w.request.Close)
 	w.conn.Write(append([][]byte{s.headBuffer}, parts...)...)
 	switch {
 	case w.request.Close:
@@ -61,7 +61,7 @@
 		w.nextReady = s.loop.Now() + s.set.Gather
 	}
 	if parts == nil {
-		empty := append(discovery.Opening(max(s.log.Last(), 0)), discovery.Closing...)
+		empty := append(discovery.ResponseStart(max(s.log.Last(), 0)), discovery.ResponseEnd...)
 		parts = [][]byte{empty}
 		size = len(empty)
 	}
--- a/internal/controlplane/watch/server.go
+++ b/internal/controlplane/watch/server.go
@@ -143,7 +143,7 @@
 // CheckLease closes all watchers if the owner has no lease, and schedules the next check.
 func (s *Server) CheckLease() {
 	if !s.owner.HasLease() && len(s.watchers) > 0 {
-		slog.Warn("followers.let_go", "followers", len(s.watchers), "after", s.log.Last())
+		slog.Warn("watcher.lease_lost", "watchers", len(s.watchers), "after", s.log.Last())
 		for w := range s.watchers {
 			w.close()
 		}
@@ -161,7 +161,7 @@
 func (s *Server) Acknowledged() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.tracker.Told(s.lastRevision, s.owner.ClockMS())
+	return s.tracker.AcknowledgedUpTo(s.lastRevision, s.owner.ClockMS())
 }
 
 // Count is how many directors watch. It may be called from any goroutine.
--- a/internal/controlplane/watch/watch_test.go
+++ b/internal/controlplane/watch/watch_test.go
@@ -115,14 +115,14 @@
 // request asks for the events after the last one and waits until the server has the request.
 func (p *testOwner) request(d director, wait time.Duration) {
 	p.t.Helper()
-	check(p.t, d.Ask(wait))
+	check(p.t, d.SendRequest(wait))
 	<-p.requests
 }
 
 // answer reads an answer: its status and how many events it has.
 func (d director) answer() (status, events int) {
 	d.t.Helper()
-	status, response, err := d.Answer()
+	status, response, err := d.ReadAnswer()
 	check(d.t, err)
 	return status, len(response.Events)
 }
@@ -186,11 +186,11 @@
 	d := p.director("d")
 	p.request(d, testTimeout)
 	p.leaseLost.Store(true)
-	if _, _, err := d.Answer(); err == nil {
+	if _, _, err := d.ReadAnswer(); err == nil {
 		t.Error("a watcher was answered without a lease")
 	}
 	late := p.director("late")
-	check(t, late.Ask(0))
+	check(t, late.SendRequest(0))
 	if status, _ := late.answer(); status != 503 {
 		t.Errorf("a new watcher got %d", status)
 	}
@@ -221,7 +221,7 @@
 	began, done := time.Now(), make(chan struct{})
 	for _, d := range all {
 		go func() {
-			_, _, _ = d.Answer()
+			_, _, _ = d.ReadAnswer()
 			ends <- time.Since(began)
 		}()
 	}
--- a/internal/controlplane/watch/watcher.go
+++ b/internal/controlplane/watch/watcher.go
@@ -156,7 +156,7 @@
 func (w *watcher) reject(status int) {
 	w.ended = true
 	body := []byte(`{"no":0,"items":[]}`)
-	w.conn.Write(discovery.AppendHead(nil, status, len(body), true), body)
+	w.conn.Write(discovery.AppendResponseHead(nil, status, len(body), true), body)
 	w.conn.CloseAfterFlush(0)
 	w.timer.Fire = w.conn.Close // if the caller does not read
 	w.server.loop.Set(&w.timer, w.server.loop.Now()+rejectionTimeout)
--- a/internal/controlplane/watch/watchtest/watchtest.go
+++ b/internal/controlplane/watch/watchtest/watchtest.go
@@ -15,10 +15,10 @@
 
 // Client is the connection of one director. It is not safe for concurrent use.
 type Client struct {
-	Name string
-	Last int64 // revision that it has
-	conn net.Conn
-	in   *bufio.Reader
+	Name     string
+	Revision int64 // revision that it has
+	conn     net.Conn
+	in       *bufio.Reader
 }
 
 // Dial connects a director with a name. All requests of the client must be over within a time.
@@ -33,15 +33,15 @@
 // Close ends the connection.
 func (c *Client) Close() { _ = c.conn.Close() } // the server may have closed it
 
-// Ask sends a request for the events after the last one. The server may wait for them for a time.
-func (c *Client) Ask(wait time.Duration) error {
+// SendRequest sends a request for the events after the last one. The server may wait for them for a time.
+func (c *Client) SendRequest(wait time.Duration) error {
 	_, err := fmt.Fprintf(c.conn, "GET /bulletins?after=%d&patience=%d HTTP/1.1\r\n%s: {\"name\":%q,\"inc\":\"1\",\"roll\":%d}\r\n\r\n",
-		c.Last, wait.Milliseconds(), discovery.AnnounceHeader, c.Name, c.Last)
+		c.Revision, wait.Milliseconds(), discovery.AnnounceHeader, c.Name, c.Revision)
 	return err
 }
 
-// Answer reads the answer to a request. The status is that of HTTP.
-func (c *Client) Answer() (status int, response discovery.WatchResponse, err error) {
+// ReadAnswer reads the answer to a request. The status is that of HTTP.
+func (c *Client) ReadAnswer() (status int, response discovery.WatchResponse, err error) {
 	res, err := http.ReadResponse(c.in, nil)
 	if err != nil {
 		return 0, response, err
@@ -51,14 +51,14 @@
 		return 0, response, err
 	}
 	response, err = discovery.Decode(body)
-	c.Last = max(c.Last, response.LastRevision)
+	c.Revision = max(c.Revision, response.LastRevision)
 	return res.StatusCode, response, err
 }
 
 // Poll sends a request and reads the answer.
 func (c *Client) Poll(wait time.Duration) (status int, response discovery.WatchResponse, err error) {
-	if err := c.Ask(wait); err != nil {
+	if err := c.SendRequest(wait); err != nil {
 		return 0, response, err
 	}
-	return c.Answer()
+	return c.ReadAnswer()
 }
--- a/internal/controlplane/watches_test.go
+++ b/internal/controlplane/watches_test.go
@@ -20,7 +20,7 @@
 	} {
 		conn, err := net.Dial("tcp", addr.String())
 		check(t, err)
-		check(t, conn.SetDeadline(time.Now().Add(patience)))
+		check(t, conn.SetDeadline(time.Now().Add(testTimeout)))
 		_, err = conn.Write([]byte(text))
 		check(t, err)
 		var got []byte
--- a/internal/controlplane/watchowner.go
+++ b/internal/controlplane/watchowner.go
@@ -16,7 +16,7 @@
 type watchOwner struct{ server *Server }
 
 func newWatchServer(s *Server, log *eventlog.Log) (*watch.Server, error) {
-	set := watch.Settings{Listen: s.set.Listen, Allowed: s.set.Watchers, MaxWatchers: maxWatchers}
+	set := watch.Settings{Listen: s.settings.Listen, Allowed: s.settings.Watchers, MaxWatchers: maxWatchers}
 	return watch.New(s.loop, set, watchOwner{s}, log, s.store.Fleet().Rules().NotifiedWithinMS)
 }
 
@@ -38,18 +38,18 @@
 
 // Request implements watch.Owner. There is always capacity for a director: the number of watchers is bounded by maxWatchers.
 func (o watchOwner) Request(announcement discovery.Announcement, acknowledged int64) bool {
-	o.server.membership.observe(announcement, acknowledged)
+	o.server.directors.observe(announcement, acknowledged)
 	return true
 }
 
 // Granted implements watch.Owner.
 func (o watchOwner) Granted(directorID string) *quota.Grant {
-	return o.server.membership.takeGrant(directorID)
+	return o.server.directors.takeGrant(directorID)
 }
 
 // Health implements watch.Owner.
 func (o watchOwner) Health(directorID string) *health.AggregatedHealth {
-	return o.server.membership.aggregatedHealth(directorID)
+	return o.server.directors.aggregatedHealth(directorID)
 }
 
 // AcknowledgedChanged implements watch.Owner. A step of an apply may wait for it.
--- a/internal/controlplane/writeside.go
+++ b/internal/controlplane/writeside.go
@@ -26,8 +26,8 @@
 // listenWrite opens the write side.
 func (s *Server) listenWrite() error {
 	var err error
-	if s.set.Write.Unix != "" {
-		err = s.listenUnix(s.set.Write.Unix)
+	if s.settings.Write.Unix != "" {
+		err = s.listenUnix(s.settings.Write.Unix)
 	} else {
 		err = s.listenTCP()
 	}
@@ -58,7 +58,7 @@
 
 // listenTCP opens a TCP port. Beyond loopback it takes only callers with a client certificate.
 func (s *Server) listenTCP() (err error) {
-	set := s.set.Write
+	set := s.settings.Write
 	if set.TLS == nil && !set.TCP.Addr().IsLoopback() {
 		return fmt.Errorf("%v is not loopback, and there is no TLS", set.TCP)
 	}
@@ -102,10 +102,10 @@
 	return func(w http.ResponseWriter, r *http.Request) {
 		out, err := f(r)
 		if err != nil {
-			s.failWith(w, err)
+			s.writeError(w, err)
 			return
 		}
-		reply(w, out)
+		writeJSON(w, out)
 	}
 }
 
@@ -117,7 +117,7 @@
 			ctx, cancel := context.WithTimeout(r.Context(), barrierTimeout)
 			defer cancel()
 			if err := s.group.Barrier(ctx); err != nil {
-				s.failWith(w, store.ErrNotLeader)
+				s.writeError(w, store.ErrNotLeader)
 				return
 			}
 		}
@@ -127,10 +127,10 @@
 
 // withRelays rejects requests of relays where the operator's file does not allow them.
 func (s *Server) withRelays(next http.HandlerFunc) http.HandlerFunc {
-	if s.set.Relays {
+	if s.settings.Relays {
 		return next
 	}
 	return func(w http.ResponseWriter, _ *http.Request) {
-		s.failWith(w, rejectRequest(api.NotAllowed, "no relays are let in: (relays) is missing in (board ...)"))
+		s.writeError(w, rejectRequest(api.NotAllowed, "no relays are let in: (relays) is missing in (board ...)"))
 	}
 }
--- a/internal/controlplane/writeside_callers.go
+++ b/internal/controlplane/writeside_callers.go
@@ -31,7 +31,7 @@
 		name, err := s.identify(r)
 		if err != nil {
 			slog.Warn("write.forbidden", "err", err)
-			s.failWith(w, rejectRequest(api.NotAllowed, "%v", err))
+			s.writeError(w, rejectRequest(api.NotAllowed, "%v", err))
 			return
 		}
 		if claimed := r.Header.Get(api.WhoHeader); isPrintableName(claimed) {
@@ -75,7 +75,7 @@
 
 // allowsAddress tells whether an address may call. Without a list of writers, and without certificates, only loopback may.
 func (s *Server) allowsAddress(ip netip.Addr) bool {
-	set := s.set.Write
+	set := s.settings.Write
 	if set.Writers != nil {
 		return set.Writers.Contains(ip)
 	}
--- a/internal/controlplane/writeside_errors.go
+++ b/internal/controlplane/writeside_errors.go
@@ -101,8 +101,8 @@
 	return e
 }
 
-// failWith answers with an error.
-func (s *Server) failWith(w http.ResponseWriter, err error) {
+// writeError answers with an error.
+func (s *Server) writeError(w http.ResponseWriter, err error) {
 	e := s.apiError(err)
 	fail(w, statusOf(e.Kind), e)
 }
@@ -114,8 +114,8 @@
 	_ = json.NewEncoder(w).Encode(e) // a caller that is gone reads no error
 }
 
-// reply answers with a value.
-func reply(w http.ResponseWriter, v any) {
+// writeJSON answers with a value.
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(v); err != nil {
 		slog.Info("write.response_failed", "err", err)
--- a/internal/controlplane/writeside_reads.go
+++ b/internal/controlplane/writeside_reads.go
@@ -21,24 +21,24 @@
 		Observed:         state.Observed,
 		NowMS:            state.NowMS,
 		Observer:         s.observer.enabled(),
-		Followers:        s.watches.Count(),
+		Watchers:         s.watches.Count(),
 		AcknowledgedUpTo: s.acknowledgedRevision(),
 	}
 	err := s.store.View(func(v *store.View) (err error) {
-		out.LeaseHolder, err = v.Holder()
+		out.LeaseHolder, err = v.LeaseHolder()
 		return err
 	})
 	return out, err
 }
 
-func (s *Server) getMembers(*http.Request) (api.Members, error) { return s.membership.Members(), nil }
+func (s *Server) getMembers(*http.Request) (api.Members, error) { return s.directors.Members(), nil }
 
 func (s *Server) getQuotas(*http.Request) ([]quota.Allocation, error) {
-	return s.membership.Held(), nil
+	return s.directors.QuotaAllocations(), nil
 }
 
 func (s *Server) getHealth(*http.Request) ([]health.CacheStatus, error) {
-	return s.membership.Signals(), nil
+	return s.directors.CacheHealth(), nil
 }
 
 // getAdoption answers when each director applied an event.
@@ -47,7 +47,7 @@
 	if err != nil || revision < 1 {
 		return adoption.Event{}, rejectRequest(api.BadRequest, "event: a number from 1 on is wanted")
 	}
-	event, err := s.membership.Adoption(revision)
+	event, err := s.directors.Adoption(revision)
 	if err != nil && !errors.Is(err, store.ErrNotLeader) {
 		return event, rejectRequest(api.NotFound, "%v", err)
 	}
--- a/internal/director/apply_events.go
+++ b/internal/director/apply_events.go
@@ -53,10 +53,10 @@
 			Endpoint: decision.Endpoint{
 				Zone:      e.Site,
 				Kind:      e.Class,
-				Cell:      e.Block,
+				Cell:      e.Cell,
 				Readiness: readiness,
-				Weight:    e.Share,
-				StartedAt: fromUnixMS(e.BornMS),
+				Weight:    e.Weight,
+				StartedAt: fromUnixMS(e.StartedAtMS),
 			},
 		})
 	}
--- a/internal/director/claims_service.go
+++ b/internal/director/claims_service.go
@@ -57,11 +57,11 @@
 	s.self = self
 	s.self.Claims = addr.String()
 	s.node = claims.New(s.self.ID(), claims.Settings{
-		Shards:    claimsShards,
-		Slack:     routing.ClaimSendTimeout + claimsClockSlack,
-		MaxWindow: longestDedupWindow(c.Settings),
-		MaxClaims: c.Claims.MaxClaims,
-		Again:     claimsRetryInterval,
+		Shards:      claimsShards,
+		Slack:       routing.ClaimSendTimeout + claimsClockSlack,
+		MaxWindow:   longestDedupWindow(c.Settings),
+		MaxClaims:   c.Claims.MaxClaims,
+		ResendAfter: claimsRetryInterval,
 	})
 	s.tickTimer.Fire = s.tick
 	p.loop.Set(&s.tickTimer, p.loop.Now()+claimsTickInterval)
@@ -111,7 +111,7 @@
 			Epoch:            shard.Epoch,
 			Replicas:         shard.Replicas,
 			PreviousReplicas: shard.PreviousReplicas,
-			Complete:         shard.ReadyEpoch,
+			ReadyEpoch:       shard.ReadyEpoch,
 		})
 	}
 	return states
--- a/internal/director/config/config.go
+++ b/internal/director/config/config.go
@@ -43,16 +43,16 @@
 
 // Config is the configuration of a director. The last three fields come from the operator's file; see OperatorSettings.
 type Config struct {
-	Name        string
-	Listen      netip.AddrPort
-	Discovery   netip.AddrPort // of the event stream
-	Seed        uint64
-	MemoryMB    int
-	Sockets     int
-	Known       discovery.WatchResponse // the events at the start
-	Settings    decision.Settings
-	Connections simulator.SocketSettings
-	Fingerprint string // equal for files with equal settings
+	Name          string
+	Listen        netip.AddrPort
+	Discovery     netip.AddrPort // of the event stream
+	Seed          uint64
+	MemoryMB      int
+	Sockets       int
+	InitialEvents discovery.WatchResponse // the events at the start
+	Settings      decision.Settings
+	Connections   simulator.SocketSettings
+	Fingerprint   string // equal for files with equal settings
 
 	ControlPlanes []netip.AddrPort // further addresses of the event stream
 	Membership    *Membership      // nil: the director does not announce itself
@@ -98,7 +98,7 @@
 	if listen != "" {
 		f.Listen = listen
 	}
-	c := Config{Name: f.Name, Known: f.Known, Fingerprint: fingerprint(f.Settings)}
+	c := Config{Name: f.Name, InitialEvents: f.Known, Fingerprint: fingerprint(f.Settings)}
 	var err error
 	if c.Listen, err = netip.ParseAddrPort(f.Listen); err != nil {
 		return Config{}, fmt.Errorf("listen (or %s): %w", listenVar, err)
--- a/internal/director/config/config_test.go
+++ b/internal/director/config/config_test.go
@@ -19,7 +19,7 @@
 		t.Fatal(err)
 	}
 	if c.Listen.String() != "127.0.0.2:9090" || c.MemoryMB != 64 || c.Sockets != 256 || c.Seed != 0x8c1f30d27a5be964 ||
-		c.Known.LastRevision != 3 || c.Connections.ConnIdle != 15*time.Second || c.Connections.Streams != 32 ||
+		c.InitialEvents.LastRevision != 3 || c.Connections.ConnIdle != 15*time.Second || c.Connections.Streams != 32 ||
 		!slices.Equal(c.Connections.Reports, []string{"cpu_share", "x1"}) {
 		t.Errorf("%+v", c)
 	}
--- a/internal/director/director_harness_test.go
+++ b/internal/director/director_harness_test.go
@@ -94,7 +94,7 @@
 
 // finishDraining ends the acceptPeriod of a shutdown.
 func (w *testDirector) finishDraining() {
-	w.program.Leave()
+	w.program.Shutdown()
 	w.program.shutdownStep()
 }
 
--- a/internal/director/group.go
+++ b/internal/director/group.go
@@ -181,7 +181,7 @@
 func (g *Group) Addr() (netip.AddrPort, error) { return g.cores[0].prog.Addr() }
 
 // Shutdown begins the graceful shutdown on all cores.
-func (g *Group) Shutdown() { g.onAllCores((*Program).Leave) }
+func (g *Group) Shutdown() { g.onAllCores((*Program).Shutdown) }
 
 // Reload applies a configuration that was read again. The first core alone watches the event stream.
 func (g *Group) Reload(c config.Config) {
--- a/internal/director/health.go
+++ b/internal/director/health.go
@@ -55,7 +55,7 @@
 	h.prog.loop.Set(&h.timer, h.prog.loop.Now()+healthInterval)
 	for _, c := range h.tracker.Changes(bootTime()) {
 		if c.FailureShare == 0 || c.Previous == 0 {
-			slog.Info("signals.doubted", "box", c.Cache, "bad", math.Round(100*c.FailureShare)/100)
+			slog.Info("health.suspected", "host", c.Cache, "failure_share", math.Round(100*c.FailureShare)/100)
 		}
 		h.prog.director.SetAggregatedHealth(c.Cache, c.FailureShare)
 	}
--- a/internal/director/membership.go
+++ b/internal/director/membership.go
@@ -101,7 +101,7 @@
 		Config:             m.prog.config.Fingerprint,
 	}
 	if m.claims != nil {
-		a.ReadyShards = m.claims.node.Incomplete()
+		a.ReadyShards = m.claims.node.ReadyShards()
 	}
 	if !m.leaving {
 		m.quota.updateDemands()
@@ -193,10 +193,10 @@
 	if stale != m.fenced {
 		m.fenced = stale
 		if stale {
-			slog.Error("straggler.shut", "news_ms", age.Milliseconds(), "most_ms", m.maxStaleness.Milliseconds(),
+			slog.Error("director.stale", "age_ms", age.Milliseconds(), "limit_ms", m.maxStaleness.Milliseconds(),
 				"after", m.prog.watch.applied)
 		} else {
-			slog.Info("straggler.back", "after", m.prog.watch.applied)
+			slog.Info("director.fresh", "after", m.prog.watch.applied)
 		}
 	}
 	return stale
--- a/internal/director/program.go
+++ b/internal/director/program.go
@@ -76,7 +76,7 @@
 		p.watch.publish = p.core.publish
 	}
 	p.watch.membership = p.membership
-	p.watch.apply(p.config.Known)
+	p.watch.apply(p.config.InitialEvents)
 }
 
 func (p *Program) initFrontend(limits programLimits, isStale func() bool) error {
@@ -100,7 +100,7 @@
 	if err != nil {
 		return err
 	}
-	slog.Info("director.serves", "name", p.config.Name, "addr", addr.String())
+	slog.Info("director.started", "name", p.config.Name, "addr", addr.String())
 	err = p.loop.Run()
 	p.PrintCounts()
 	return err
--- a/internal/director/quota.go
+++ b/internal/director/quota.go
@@ -11,12 +11,12 @@
 
 // QuotaSettings are those of leased shares of common limits. The control plane has the same.
 var QuotaSettings = quota.Settings{
-	Lease:   MembershipLease,
-	Drift:   0.02,
-	Reserve: 0.2,
-	Fades:   20 * time.Second,
-	Floor:   0.2,
-	Hold:    0.05,
+	Lease:        MembershipLease,
+	Drift:        0.02,
+	Reserve:      0.2,
+	FallbackFade: 20 * time.Second,
+	Floor:        0.2,
+	MinChange:    0.05,
 }
 
 const (
@@ -92,7 +92,7 @@
 func (q *quotaClient) publish() {
 	now := bootTime()
 	for cache, published := range q.shares {
-		if share := q.holder.Part(slowStartLimitPrefix+cache, now); share != published {
+		if share := q.holder.Available(slowStartLimitPrefix+cache, now); share != published {
 			q.shares[cache] = share
 			q.prog.director.SetQuotaShare(cache, share)
 		}
@@ -104,5 +104,5 @@
 // paused since.
 func (q *quotaClient) shareExpired(cache string) bool {
 	published, warming := q.shares[cache]
-	return warming && published > 0 && q.holder.Part(slowStartLimitPrefix+cache, bootTime()) < published/2
+	return warming && published > 0 && q.holder.Available(slowStartLimitPrefix+cache, bootTime()) < published/2
 }
--- a/internal/director/shutdown.go
+++ b/internal/director/shutdown.go
@@ -17,9 +17,9 @@
 	shutdownInterval = 5 * time.Millisecond
 )
 
-// Leave begins the graceful shutdown: the director serves what still comes for a while, answers all requests, says that
+// Shutdown begins the graceful shutdown: the director serves what still comes for a while, answers all requests, says that
 // it leaves, and ends Run.
-func (p *Program) Leave() {
+func (p *Program) Shutdown() {
 	if p.frontend.draining {
 		return
 	}
--- a/internal/director/shutdown_test.go
+++ b/internal/director/shutdown_test.go
@@ -112,9 +112,9 @@
 	if id, _ := upstream.request(); id != requestB {
 		t.Fatalf("request %s", id)
 	}
-	w.onLoop(w.program.Leave)
+	w.onLoop(w.program.Shutdown)
 	w.onLoop(func() { w.program.Reload(w.program.config) })
-	w.onLoop(w.program.Leave)
+	w.onLoop(w.program.Shutdown)
 	seen := map[int32]int{}
 	for range 2 {
 		seen[client.reply().seq]++
@@ -169,7 +169,7 @@
 	client.submit(requestA, objectA, "mem", "9000") // large, so that it does not time out during the test
 	upstream := c.accept()
 	upstream.request()
-	w.program.Post(w.program.Leave)
+	w.program.Post(w.program.Shutdown)
 	late := w.client()
 	late.submit(requestB, objectB)
 	id, _ := upstream.request()
--- a/internal/director/timing.go
+++ b/internal/director/timing.go
@@ -4,12 +4,12 @@
 
 // WatchTiming is the timing of a director's watch of the event stream.
 type WatchTiming struct {
-	Patience  time.Duration // for which a poll may wait for events
-	Silence   time.Duration // after which a poll without a response is given up
-	Dial      time.Duration // within which a connection must come up
-	RetryMin  time.Duration // first pause between two connections
-	RetryMax  time.Duration // longest pause; it doubles each time that all addresses have been tried
-	SpreadMax time.Duration // over which directors that lost their connections at one moment spread, at most
+	PollTimeout    time.Duration // for which a poll may wait for events
+	SilenceTimeout time.Duration // after which a poll without a response is given up
+	DialTimeout    time.Duration // within which a connection must come up
+	RetryMin       time.Duration // first pause between two connections
+	RetryMax       time.Duration // longest pause; it doubles each time that all addresses have been tried
+	SpreadMax      time.Duration // over which directors that lost their connections at one moment spread, at most
 }
 
 // watchRetrySpread is by how much each further director widens the time over which all reconnect.
@@ -21,34 +21,34 @@
 // An event counts as delivered 7 s after it was published. A silent stream must be noticed, the pause be over and a
 // connection be up well before that, however many directors there are.
 var oneAddressTiming = WatchTiming{
-	Patience:  2 * time.Second,
-	Silence:   3 * time.Second,
-	Dial:      time.Second,
-	RetryMin:  20 * time.Millisecond,
-	RetryMax:  500 * time.Millisecond,
-	SpreadMax: 2 * time.Second,
+	PollTimeout:    2 * time.Second,
+	SilenceTimeout: 3 * time.Second,
+	DialTimeout:    time.Second,
+	RetryMin:       20 * time.Millisecond,
+	RetryMax:       500 * time.Millisecond,
+	SpreadMax:      2 * time.Second,
 }
 
 // With several addresses, a silent one is given up soon enough that a purge still arrives in time over the next. Directors
 // that lost one must be back before their membership lease ends.
 var severalAddressesTiming = WatchTiming{
-	Patience:  announcedPollTimeout,
-	Silence:   2 * announcedPollTimeout,
-	Dial:      200 * time.Millisecond,
-	RetryMin:  20 * time.Millisecond,
-	RetryMax:  40 * time.Millisecond, // while replicas elect a leader, all reject their watchers for half a second
-	SpreadMax: 200 * time.Millisecond,
+	PollTimeout:    announcedPollTimeout,
+	SilenceTimeout: 2 * announcedPollTimeout,
+	DialTimeout:    200 * time.Millisecond,
+	RetryMin:       20 * time.Millisecond,
+	RetryMax:       40 * time.Millisecond, // while replicas elect a leader, all reject their watchers for half a second
+	SpreadMax:      200 * time.Millisecond,
 }
 
-// TimingOfWatch is the timing for a number of addresses. announced says that the director announces itself as a member.
-func TimingOfWatch(addresses int, announced bool) WatchTiming {
+// WatchTimingFor is the timing for a number of addresses. announced says that the director announces itself as a member.
+func WatchTimingFor(addresses int, announced bool) WatchTiming {
 	if addresses > 1 {
 		return severalAddressesTiming
 	}
 	t := oneAddressTiming
 	if announced {
-		t.Patience = announcedPollTimeout
-		t.Silence = 2 * announcedPollTimeout
+		t.PollTimeout = announcedPollTimeout
+		t.SilenceTimeout = 2 * announcedPollTimeout
 	}
 	return t
 }
@@ -61,5 +61,5 @@
 	return retry/2 + time.Duration(random*float64(retry+spread))
 }
 
-// Longer is the retry time after all addresses were tried once more.
-func (t WatchTiming) Longer(retry time.Duration) time.Duration { return min(2*retry, t.RetryMax) }
+// NextRetry is the retry time after all addresses were tried once more.
+func (t WatchTiming) NextRetry(retry time.Duration) time.Duration { return min(2*retry, t.RetryMax) }
--- a/internal/director/timing_test.go
+++ b/internal/director/timing_test.go
@@ -58,8 +58,8 @@
 		noticed   time.Duration
 		within    time.Duration
 	}{
-		{1, oneAddressTiming.Silence + oneAddressTiming.Dial, delivered},
-		{3, severalAddressesTiming.Silence, memberUntil},
+		{1, oneAddressTiming.SilenceTimeout + oneAddressTiming.DialTimeout, delivered},
+		{3, severalAddressesTiming.SilenceTimeout, memberUntil},
 	} {
 		longest := time.Duration(0)
 		for seed := range directors {
--- a/internal/director/watch.go
+++ b/internal/director/watch.go
@@ -51,7 +51,7 @@
 
 // timing is that of a director with these addresses.
 func (w *watchClient) timing() WatchTiming {
-	return TimingOfWatch(len(w.addresses), w.membership != nil)
+	return WatchTimingFor(len(w.addresses), w.membership != nil)
 }
 
 // timerFired ends a poll without a response, or the pause between two connections. A connection that is coming up has a
@@ -68,7 +68,7 @@
 
 func (w *watchClient) connect() {
 	w.timer.Stop()
-	conn, err := w.loop.Dial(w.address(), w.timing().Dial, w)
+	conn, err := w.loop.Dial(w.address(), w.timing().DialTimeout, w)
 	if err != nil {
 		w.connectionLost(err)
 		return
@@ -107,7 +107,7 @@
 	w.loop.Set(&w.timer, w.loop.Now()+w.retryPause())
 	w.addressIndex = (w.addressIndex + 1) % len(w.addresses)
 	if w.addressIndex == 0 { // all addresses were tried
-		w.retry = w.timing().Longer(w.retry)
+		w.retry = w.timing().NextRetry(w.retry)
 	}
 }
 
@@ -130,7 +130,7 @@
 
 func (w *watchClient) poll() {
 	timing := w.timing()
-	timeout := timing.Patience
+	timeout := timing.PollTimeout
 	var announcement []byte
 	if w.membership != nil {
 		announcement = w.membership.announcement()
@@ -142,7 +142,7 @@
 	}
 	w.request = discovery.AppendRequest(w.request[:0], w.address().String(), w.applied, timeout.Milliseconds(), announcement)
 	w.conn.Write(w.request)
-	w.loop.Set(&w.timer, w.loop.Now()+timing.Silence)
+	w.loop.Set(&w.timer, w.loop.Now()+timing.SilenceTimeout)
 }
 
 // announceNow reconnects, so that a changed announcement is sent at once.
--- a/internal/director/watch_test.go
+++ b/internal/director/watch_test.go
@@ -109,7 +109,7 @@
 			since := time.Now()
 			p.write(text)
 			b.acceptPoll(1)
-			if took := time.Since(since); took > oneAddressTiming.Silence-time.Second/2 {
+			if took := time.Since(since); took > oneAddressTiming.SilenceTimeout-time.Second/2 {
 				t.Errorf("the connection was closed after %v", took)
 			}
 			w.wantServedBy(c)
--- a/internal/fleet/apply/explore_test.go
+++ b/internal/fleet/apply/explore_test.go
@@ -77,7 +77,7 @@
 		n := x.machine(steps)
 		after := w
 		if s := x.plan.Steps[i]; s.Wait == plan.Warm {
-			after.NowMS = max(after.NowMS, after.ColdUntil(after.Host(s.Host.Name)))
+			after.NowMS = max(after.NowMS, after.WarmAtMS(after.Host(s.Host.Name)))
 		}
 		n.MarkFinished(i+1, after.NowMS)
 		x.walk(after, n.Steps(), dead)
@@ -202,7 +202,7 @@
 				}
 				w := fleet.ObservedState{Fleet: fleettest.Build(t, a), NowMS: 1_000_000}
 				p, err := plan.Make(w, b, "")
-				var no *plan.Impossible
+				var no *plan.ImpossibleError
 				if errors.As(err, &no) {
 					impossible++
 					continue
--- a/internal/fleet/apply/machine.go
+++ b/internal/fleet/apply/machine.go
@@ -196,7 +196,7 @@
 	if host == nil {
 		return false, nowMS + absentRetryMS
 	}
-	if warmMS := in.State.ColdUntil(host); warmMS > nowMS {
+	if warmMS := in.State.WarmAtMS(host); warmMS > nowMS {
 		return false, warmMS
 	}
 	if in.HasObserver && in.State.Observed[name].Sight != fleet.Up {
--- a/internal/fleet/observed.go
+++ b/internal/fleet/observed.go
@@ -29,8 +29,8 @@
 	return h.State == InService && s.Observed[h.Name].Sight != Unreachable
 }
 
-// ColdUntil is when the host will have warmed up; 0 if it needed no warm-up.
-func (s ObservedState) ColdUntil(h *Host) int64 {
+// WarmAtMS is when the host will have warmed up; 0 if it needed no warm-up.
+func (s ObservedState) WarmAtMS(h *Host) int64 {
 	started := max(h.BornMS, s.Observed[h.Name].RestartedMS)
 	if started == 0 || h.Role == Origin {
 		return 0
@@ -39,4 +39,4 @@
 }
 
 // IsWarmingUp tells whether the host does not have all of its capacity yet.
-func (s ObservedState) IsWarmingUp(h *Host) bool { return s.ColdUntil(h) > s.NowMS }
+func (s ObservedState) IsWarmingUp(h *Host) bool { return s.WarmAtMS(h) > s.NowMS }
--- a/internal/fleet/plan/compatibility_test.go
+++ b/internal/fleet/plan/compatibility_test.go
@@ -15,7 +15,7 @@
 	golden.Check[Plan](t, "plan.cbor", fleet.Encode, cbor.Unmarshal)
 	golden.JSON[Plan](t, "plan")
 	golden.JSON[StaleRead](t, "moved")
-	golden.JSON[Impossible](t, "impossible")
+	golden.JSON[ImpossibleError](t, "impossible")
 	var made []byte
 	if golden.Updating() {
 		made = samplePlanFile(t)
--- a/internal/fleet/plan/impossible.go
+++ b/internal/fleet/plan/impossible.go
@@ -16,12 +16,12 @@
 	Remedy string   `json:"remedy"`
 }
 
-// Impossible is the error that there is no plan.
-type Impossible struct {
+// ImpossibleError is the error that there is no plan.
+type ImpossibleError struct {
 	Blocked []Blocked `json:"blocked"`
 }
 
-func (e *Impossible) Error() string {
+func (e *ImpossibleError) Error() string {
 	lines := []string{"no order of steps keeps the constraints"}
 	for _, b := range e.Blocked {
 		lines = append(lines, fmt.Sprintf("  %s: %s; %s", b.Change, b.Why, b.Remedy))
@@ -35,7 +35,7 @@
 	if len(invalid) == 0 {
 		return nil
 	}
-	e := &Impossible{}
+	e := &ImpossibleError{}
 	for _, v := range invalid {
 		e.Blocked = append(e.Blocked, Blocked{Change: "the wish itself, " + v.Thing, Why: v.Message, Remedy: "correct the file"})
 	}
--- a/internal/fleet/plan/plan_test.go
+++ b/internal/fleet/plan/plan_test.go
@@ -42,7 +42,7 @@
 		s := p.Steps[rapid.SampledFrom(can).Draw(t, "next")-1]
 		if state[s.ID] == effected {
 			if m := w.Host(thingName(s)); s.Wait == Warm && m != nil {
-				w.NowMS = max(w.NowMS, w.ColdUntil(m))
+				w.NowMS = max(w.NowMS, w.WarmAtMS(m))
 			}
 			state[s.ID] = done
 			continue
@@ -109,7 +109,7 @@
 			}
 		}
 		p, err := Make(w, to, "")
-		var impossible *Impossible
+		var impossible *ImpossibleError
 		if errors.As(err, &impossible) {
 			if len(impossible.Blocked) == 0 {
 				t.Fatal("no reason")
--- a/internal/fleet/plan/schedule.go
+++ b/internal/fleet/plan/schedule.go
@@ -39,7 +39,7 @@
 			locations[root] = append(locations[root], name)
 		}
 	}
-	impossible := &Impossible{}
+	impossible := &ImpossibleError{}
 	for i, root := range slices.Sorted(maps.Keys(byGroup)) {
 		slices.Sort(locations[root])
 		blocked := s.placeGroup(i+1, byGroup[root], locations[root])
--- a/internal/health/aggregator.go
+++ b/internal/health/aggregator.go
@@ -155,13 +155,13 @@
 		for _, director := range slices.Sorted(maps.Keys(a.caches[cache])) {
 			o := a.caches[cache][director]
 			status.By = append(status.By, ReportedOutcomes{
-				Holder:  director,
-				Machine: o.Machine,
-				Tried:   o.attempts,
-				Bad:     o.failures,
-				Share:   o.failureShare,
-				LagMS:   o.lagMS,
-				AgeMS:   (now - o.updatedAt).Milliseconds(),
+				Holder:       director,
+				Machine:      o.Machine,
+				Attempts:     o.attempts,
+				Failures:     o.failures,
+				FailureShare: o.failureShare,
+				LagMS:        o.lagMS,
+				AgeMS:        (now - o.updatedAt).Milliseconds(),
 			})
 		}
 		all = append(all, status)
--- a/internal/health/messages.go
+++ b/internal/health/messages.go
@@ -85,13 +85,13 @@
 
 // ReportedOutcomes is what one director has reported of a cache.
 type ReportedOutcomes struct {
-	Holder  string  `json:"director"`
-	Machine string  `json:"machine"`
-	Tried   float64 `json:"tried"`  // attempts in all
-	Bad     float64 `json:"bad"`    // failures in all
-	Share   float64 `json:"share"`  // of the last few attempts that failed
-	LagMS   float64 `json:"lag_ms"` // as reported last
-	AgeMS   int64   `json:"age_ms"` // of the last report
+	Holder       string  `json:"director"`
+	Machine      string  `json:"machine"`
+	Attempts     float64 `json:"tried"`  // attempts in all
+	Failures     float64 `json:"bad"`    // failures in all
+	FailureShare float64 `json:"share"`  // of the last few attempts that failed
+	LagMS        float64 `json:"lag_ms"` // as reported last
+	AgeMS        int64   `json:"age_ms"` // of the last report
 }
 
 // CacheStatus is all that is known of a cache, for the operator.
--- a/internal/operatorconfig/compatibility_test.go
+++ b/internal/operatorconfig/compatibility_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func checkRead(t *testing.T, path string, errors sexpr.Faults, read any) {
+func checkRead(t *testing.T, path string, errors sexpr.FileErrors, read any) {
 	t.Helper()
 	if len(errors) > 0 {
 		t.Errorf("%s: %v", path, errors)
--- a/internal/operatorconfig/control_plane.go
+++ b/internal/operatorconfig/control_plane.go
@@ -205,7 +205,7 @@
 			{name: "address", need: true, read: d.address(&r.Address)},
 			{name: "machine", need: true, read: d.text(&r.Machine)},
 			{name: "site", need: true, read: d.text(&r.Site)},
-			{name: "spare", read: d.flag(&r.Spare)},
+			{name: "spare", read: d.flag(&r.IsStandby)},
 		})
 		*to = append(*to, r)
 	}
--- a/internal/operatorconfig/decode.go
+++ b/internal/operatorconfig/decode.go
@@ -12,7 +12,7 @@
 )
 
 // decoder reads forms and collects errors.
-type decoder struct{ errors sexpr.Faults }
+type decoder struct{ errors sexpr.FileErrors }
 
 // formReader reads one form. args are what follows its first word, and key names the form in errors.
 type formReader func(form *sexpr.Node, args []*sexpr.Node, key string)
--- a/internal/operatorconfig/fleet.go
+++ b/internal/operatorconfig/fleet.go
@@ -36,7 +36,7 @@
 }
 
 // ReadFleet reads the file of the desired state, and the files that it includes. The errors are in the order of files and lines.
-func ReadFleet(name string, read ReadFile) (fleet.DesiredState, sexpr.Faults) {
+func ReadFleet(name string, read ReadFile) (fleet.DesiredState, sexpr.FileErrors) {
 	r := &fleetReader{
 		read:      read,
 		included:  map[string]bool{},
--- a/internal/operatorconfig/program.go
+++ b/internal/operatorconfig/program.go
@@ -14,11 +14,11 @@
 }
 
 // ReadProgram reads the file of a program. What the file does not say has its default.
-func ReadProgram(name string, read ReadFile) (Program, sexpr.Faults) {
+func ReadProgram(name string, read ReadFile) (Program, sexpr.FileErrors) {
 	p := Program{ControlPlane: defaultControlPlane(), Director: defaultDirector(), Relay: DefaultRelay()}
 	text, err := read(name)
 	if err != nil {
-		return p, sexpr.Faults{{File: name, Line: 1, Col: 1, Message: "can't be read: " + err.Error()}}
+		return p, sexpr.FileErrors{{File: name, Line: 1, Col: 1, Message: "can't be read: " + err.Error()}}
 	}
 	tree, syntaxErrors := sexpr.Parse(name, string(text))
 	d := &decoder{errors: syntaxErrors}
--- a/internal/protocol/discovery/messages.go
+++ b/internal/protocol/discovery/messages.go
@@ -54,14 +54,14 @@
 
 // Endpoint is one entry of an endpoint list.
 type Endpoint struct {
-	Name    string  `json:"host"`
-	Address string  `json:"dial"`
-	Site    string  `json:"site"`
-	Class   string  `json:"class"`
-	Block   int     `json:"block"`  // the cell within the site
-	Health  string  `json:"health"` // InService, Terminating or Terminated
-	Share   float64 `json:"share"`  // its weight
-	BornMS  float64 `json:"born_ms"`
+	Name        string  `json:"host"`
+	Address     string  `json:"dial"`
+	Site        string  `json:"site"`
+	Class       string  `json:"class"`
+	Cell        int     `json:"block"`  // the cell within the site
+	Health      string  `json:"health"` // InService, Terminating or Terminated
+	Weight      float64 `json:"share"`  // its weight
+	StartedAtMS float64 `json:"born_ms"`
 }
 
 // Purge voids an object, or a group of objects, that was generated before IssuedMS of Unix time.
--- a/internal/protocol/discovery/server.go
+++ b/internal/protocol/discovery/server.go
@@ -120,8 +120,8 @@
 	503:      "Service Unavailable",
 }
 
-// AppendHead appends the head of a response with a body of some bytes. last says that the connection is closed after it.
-func AppendHead(b []byte, status, length int, last bool) []byte {
+// AppendResponseHead appends the head of a response with a body of some bytes. last says that the connection is closed after it.
+func AppendResponseHead(b []byte, status, length int, last bool) []byte {
 	b = fmt.Appendf(b, "HTTP/1.1 %d %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n", status, statusTexts[status], length)
 	if last {
 		b = append(b, "Connection: close\r\n"...)
@@ -129,12 +129,14 @@
 	return append(b, lineEnd...)
 }
 
-// Opening is the start of a WatchResponse, up to the events. Commas stand between the events, and Closing ends the
+// ResponseStart is the start of a WatchResponse, up to the events. Commas stand between the events, and Closing ends the
 // response.
-func Opening(lastRevision int64) []byte { return fmt.Appendf(nil, `{"no":%d,"items":[`, lastRevision) }
+func ResponseStart(lastRevision int64) []byte {
+	return fmt.Appendf(nil, `{"no":%d,"items":[`, lastRevision)
+}
 
-// Closing is the end of a WatchResponse.
-const Closing = "]}"
+// ResponseEnd is the end of a WatchResponse.
+const ResponseEnd = "]}"
 
 var errMalformedEvent = errors.New("discovery: an event has either an endpoint list or a purge")
 
--- a/internal/protocol/discovery/server_test.go
+++ b/internal/protocol/discovery/server_test.go
@@ -43,17 +43,17 @@
 func TestEventsAreDecodedAsEncoded(t *testing.T) {
 	group := 17
 	var body []byte
-	body = append(body, Opening(43)...)
+	body = append(body, ResponseStart(43)...)
 	for i, event := range []Event{
 		{Revision: 41, Endpoints: &EndpointList{Sequence: 7, Endpoints: []Endpoint{{
-			Name:    "s-1",
-			Address: "10.1.0.9:9090",
-			Site:    "east",
-			Class:   "std",
-			Block:   2,
-			Health:  InService,
-			Share:   4,
-			BornMS:  1764576000123,
+			Name:        "s-1",
+			Address:     "10.1.0.9:9090",
+			Site:        "east",
+			Class:       "std",
+			Cell:        2,
+			Health:      InService,
+			Weight:      4,
+			StartedAtMS: 1764576000123,
 		}}}},
 		{Revision: 42, Purge: &Purge{Object: "7f3a9c21e0b4d655", IssuedMS: 1764576000123}},
 		{Revision: 43, Purge: &Purge{Group: &group, IssuedMS: 1764576000480}},
@@ -67,14 +67,14 @@
 		}
 		body = append(body, b...)
 	}
-	body = append(body, Closing...)
-	response := append(AppendHead(nil, 200, len(body), false), body...)
+	body = append(body, ResponseEnd...)
+	response := append(AppendResponseHead(nil, 200, len(body), false), body...)
 	r, used, _, err := ParseResponse(response)
 	if err != nil || used != len(response) {
 		t.Fatal(err, used)
 	}
 	f, err := Decode(r.Body)
-	if err != nil || f.LastRevision != 43 || len(f.Events) != 3 || f.Events[0].Endpoints.Endpoints[0].BornMS != 1764576000123 ||
+	if err != nil || f.LastRevision != 43 || len(f.Events) != 3 || f.Events[0].Endpoints.Endpoints[0].StartedAtMS != 1764576000123 ||
 		f.Events[1].Purge.Object != "7f3a9c21e0b4d655" || *f.Events[2].Purge.Group != 17 || f.Events[2].Purge.IssuedMS != 1764576000480 {
 		t.Errorf("%v %s", err, r.Body)
 	}
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -36,7 +36,7 @@
 	for _, name := range wanted {
 		shared := 1 - a.set.Reserve
 		of := budget{share: shared, evenShare: shared / float64(max(1, a.limits[name].weight))}
-		answer.Parts = append(answer.Parts, a.grantShare(name, r, of, now))
+		answer.Shares = append(answer.Shares, a.grantShare(name, r, of, now))
 	}
 	reserve := a.set.Reserve
 	if now < a.beganAt+a.set.nodeLeaseAtRoot()+a.set.fadeAtAllocator() {
--- a/internal/quota/allocator_test.go
+++ b/internal/quota/allocator_test.go
@@ -19,7 +19,7 @@
 }
 
 func testSettings() Settings {
-	return Settings{Lease: 400 * ms, Drift: 0.02, Reserve: 0.2, Fades: 10 * time.Second, Floor: 0.2, Hold: 0.05}
+	return Settings{Lease: 400 * ms, Drift: 0.02, Reserve: 0.2, FallbackFade: 10 * time.Second, Floor: 0.2, MinChange: 0.05}
 }
 
 // scenario is some holders, an allocator that may be replaced, and messages that take any time or are lost.
@@ -138,7 +138,7 @@
 	s.inFlight = left
 	sum, wanted := 0.0, 0.0
 	for _, h := range s.holders {
-		sum += h.holder.Part("box", s.clock(h))
+		sum += h.holder.Available("box", s.clock(h))
 		wanted += h.demand
 	}
 	s.worst = max(s.worst, sum)
@@ -189,10 +189,10 @@
 	after.Want(Want{Limit: "box", Kind: Rate, Demand: 1})
 	late := allocator.Renew(before.Renewal(0), 0)
 	after.Renewal(0)
-	if after.Take(late, ms); after.Part("box", ms) != 0 {
-		t.Errorf("it took over %v", after.Part("box", ms))
+	if after.Take(late, ms); after.Available("box", ms) != 0 {
+		t.Errorf("it took over %v", after.Available("box", ms))
 	}
-	if before.Take(late, ms); before.Part("box", ms) == 0 {
+	if before.Take(late, ms); before.Available("box", ms) == 0 {
 		t.Error("the one that asked got nothing")
 	}
 }
@@ -219,7 +219,7 @@
 		}
 		want := maxMin(capped, settings.Floor/float64(len(demands)))
 		for i, h := range holders {
-			if got := h.Part("x", now) / (1 - settings.Reserve); got < 0.94*want[i] || got > 1.06*want[i] {
+			if got := h.Available("x", now) / (1 - settings.Reserve); got < 0.94*want[i] || got > 1.06*want[i] {
 				t.Errorf("demands %v: %d has %v, fair is %v", demands, i, got, want[i])
 			}
 		}
@@ -250,7 +250,7 @@
 			h.Take(allocator.Renew(h.Renewal(now), now), now)
 		}
 		for i, h := range holders {
-			if h.Part("look", now) > 0 {
+			if h.Available("look", now) > 0 {
 				holding++
 				if !had[i] {
 					had[i], since = true, now
--- a/internal/quota/divider.go
+++ b/internal/quota/divider.go
@@ -113,7 +113,7 @@
 		}
 	}
 	l.setWeight(a, weight)
-	l.acknowledge(a, max(r.Taken, want.Taken), now)
+	l.acknowledge(a, max(r.InUse, want.InUse), now)
 }
 
 // recordFallback updates the holder's account of the reserve. A holder's fallback fades from when it was requested. Behind a node,
@@ -128,7 +128,7 @@
 		weight = max(0, r.Leaves)
 	}
 	d.reserve.setWeight(a, weight)
-	d.reserve.acknowledge(a, max(r.Taken, r.TakenFallback), now)
+	d.reserve.acknowledge(a, max(r.InUse, r.FallbackInUse), now)
 }
 
 // grantLifetime returns for how long a share counts that answers a renewal.
@@ -159,7 +159,7 @@
 		share = d.rateShare(l, a, of, now)
 	}
 	l.grant(a, r.Seq, share, now)
-	answer := Share{Limit: name, Part: share}
+	answer := Share{Limit: name, Fraction: share}
 	if r.Node {
 		answer.EvenFraction = of.evenShare
 	}
@@ -184,7 +184,7 @@
 		for _, id := range slices.Sorted(maps.Keys(l.accounts)) {
 			a := l.accounts[id]
 			l.recount(a, now)
-			x := Allocation{Limit: name, Kind: l.kind, Holder: id, Part: a.used}
+			x := Allocation{Limit: name, Kind: l.kind, Holder: id, Fraction: a.used}
 			for _, group := range a.demands {
 				x.Demand += group.Demand * float64(group.Count)
 			}
--- a/internal/quota/division.go
+++ b/internal/quota/division.go
@@ -17,7 +17,7 @@
 	target := l.division.shareOf(d.appendScaled(nil, a.demands))
 	usedByOthers := l.used - a.used
 	previous := a.newest()
-	isNear := target-previous < d.set.Hold*previous && previous-target < d.set.Hold*previous
+	isNear := target-previous < d.set.MinChange*previous && previous-target < d.set.MinChange*previous
 	if previous > 0 && len(a.demands) > 0 && isNear && usedByOthers+previous <= of.share {
 		target = previous
 	}
--- a/internal/quota/explore_test.go
+++ b/internal/quota/explore_test.go
@@ -113,7 +113,7 @@
 	}
 }
 
-var exploreSet = Settings{Lease: 400 * ms, Drift: 0.02, Reserve: 0.2, Fades: 900 * ms, Floor: 0.2, Hold: 0.05}
+var exploreSet = Settings{Lease: 400 * ms, Drift: 0.02, Reserve: 0.2, FallbackFade: 900 * ms, Floor: 0.2, MinChange: 0.05}
 
 var exploreSeed = maphash.MakeSeed()
 
@@ -180,7 +180,7 @@
 				visited[k] = true
 				sum := 0.0
 				for i, h := range c.holders {
-					sum += h.Part("box", c.clock(i))
+					sum += h.Available("box", c.clock(i))
 				}
 				worst = max(worst, sum)
 				next = append(next, c)
--- a/internal/quota/holder.go
+++ b/internal/quota/holder.go
@@ -58,7 +58,7 @@
 		}
 	}
 	h.requestedAt[h.seq] = now
-	r := Renewal{Holder: h.id, Seq: h.seq, Taken: h.inUse}
+	r := Renewal{Holder: h.id, Seq: h.seq, InUse: h.inUse}
 	for _, w := range h.wants {
 		r.Wants = append(r.Wants, w)
 	}
@@ -82,29 +82,29 @@
 	h.inUse = g.Seq
 	h.inUseSince = requestedAt
 	h.fallback = g.Fallback
-	h.shares = make(map[string]leasedShare, len(g.Parts))
-	for _, p := range g.Parts {
+	h.shares = make(map[string]leasedShare, len(g.Shares))
+	for _, p := range g.Shares {
 		if _, wanted := h.wants[p.Limit]; wanted && g.Seq > h.releasedAt[p.Limit] {
-			h.shares[p.Limit] = leasedShare{share: p.Part, even: p.EvenFraction, until: requestedAt + h.set.Lease}
+			h.shares[p.Limit] = leasedShare{share: p.Fraction, even: p.EvenFraction, until: requestedAt + h.set.Lease}
 		}
 	}
 	return true
 }
 
-// Part returns what may be used of a limit at this moment: the share in force, or else the fallback, which fades. Without a grant
+// Available returns what may be used of a limit at this moment: the share in force, or else the fallback, which fades. Without a grant
 // it is 0. It must be asked for just before each use.
-func (h *Holder) Part(limit string, now time.Duration) float64 {
+func (h *Holder) Available(limit string, now time.Duration) float64 {
 	if s, found := h.shares[limit]; found && now < s.until {
 		return s.share
 	}
-	if h.wants[limit].Kind != Rate || h.set.Fades <= 0 {
+	if h.wants[limit].Kind != Rate || h.set.FallbackFade <= 0 {
 		return 0
 	}
-	return h.fallback * max(0, 1-float64(now-h.inUseSince)/float64(h.set.Fades))
+	return h.fallback * max(0, 1-float64(now-h.inUseSince)/float64(h.set.FallbackFade))
 }
 
-// Granted reports whether what may be used is a share in force, and no fallback.
-func (h *Holder) Granted(limit string, now time.Duration) bool {
+// HasShare reports whether what may be used is a share in force, and no fallback.
+func (h *Holder) HasShare(limit string, now time.Duration) bool {
 	s, found := h.shares[limit]
 	return found && now < s.until
 }
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -24,8 +24,8 @@
 	// Groups are, for a node, the demands of its holders, and Demand is their sum. The sum alone would not do: one holder that
 	// demands all of a limit among many that demand little would make each of them seem to demand more than it does.
 	Groups []Group `json:"groups,omitempty"`
-	// Taken is, for a node, the renewal whose grant of this limit covers all that its holders may use.
-	Taken uint64 `json:"taken,omitempty"`
+	// InUse is, for a node, the renewal whose grant of this limit covers all that its holders may use.
+	InUse uint64 `json:"taken,omitempty"`
 }
 
 // Group is so many holders that demand about the same of a limit.
@@ -53,18 +53,18 @@
 type Renewal struct {
 	Holder string `json:"holder"`
 	Seq    uint64 `json:"seq"`   // rises with each renewal
-	Taken  uint64 `json:"taken"` // the renewal whose grant is in use: the holder uses no older grant any more
+	InUse  uint64 `json:"taken"` // the renewal whose grant is in use: the holder uses no older grant any more
 	Wants  []Want `json:"wants,omitempty"`
 
 	Node          bool   `json:"node,omitempty"`           // the holder is a node
 	Leaves        int    `json:"leaves,omitempty"`         // holders behind a node that have renewed within their lease
-	TakenFallback uint64 `json:"taken_fallback,omitempty"` // the renewal whose fallback covers those of the node's holders
+	FallbackInUse uint64 `json:"taken_fallback,omitempty"` // the renewal whose fallback covers those of the node's holders
 }
 
 // Share is the grant of one limit.
 type Share struct {
 	Limit        string  `json:"limit"`
-	Part         float64 `json:"part"`           // of the limit; of a semaphore 1 or 0
+	Fraction     float64 `json:"part"`           // of the limit; of a semaphore 1 or 0
 	EvenFraction float64 `json:"even,omitempty"` // to nodes: an even share of the limit for each holder of the tree
 }
 
@@ -74,17 +74,17 @@
 	Source string  `json:"source,omitempty"` // the node that grants; empty: the root
 	Epoch  int64   `json:"epoch"`            // of the root: a holder takes no grant of an earlier one; 0 from nodes
 	Seq    uint64  `json:"seq"`              // of the renewal; 0: nothing is granted and no holder takes it
-	Parts  []Share `json:"parts,omitempty"`
+	Shares []Share `json:"parts,omitempty"`
 	// Fallback is the share of each rate that may be used where no share is in force; it fades.
 	Fallback float64 `json:"fallback,omitempty"`
 }
 
 // Allocation is a share in force, as the allocator counts it.
 type Allocation struct {
-	Limit  string        `json:"limit"`
-	Kind   Kind          `json:"kind"`
-	Holder string        `json:"holder"`
-	Part   float64       `json:"part"`   // of the limit; of a semaphore 1 or 0
-	Demand float64       `json:"demand"` // in parts of the limit
-	Left   time.Duration `json:"left_ns"`
+	Limit    string        `json:"limit"`
+	Kind     Kind          `json:"kind"`
+	Holder   string        `json:"holder"`
+	Fraction float64       `json:"part"`   // of the limit; of a semaphore 1 or 0
+	Demand   float64       `json:"demand"` // in parts of the limit
+	Left     time.Duration `json:"left_ns"`
 }
--- a/internal/quota/node.go
+++ b/internal/quota/node.go
@@ -65,10 +65,10 @@
 		n.fallbackInUse = n.parent.inUse
 	}
 	r := n.parent.Renewal(now)
-	r.Taken = 0 // each want names its own
+	r.InUse = 0 // each want names its own
 	r.Node = true
 	r.Leaves = n.reserve.live
-	r.TakenFallback = n.fallbackInUse
+	r.FallbackInUse = n.fallbackInUse
 	return r
 }
 
@@ -79,8 +79,8 @@
 	if l.used <= n.parent.shares[name].share {
 		n.inUse[name] = n.parent.inUse
 	}
-	want := Want{Limit: name, Kind: Rate, Taken: n.inUse[name]}
-	n.inUse[name] = want.Taken
+	want := Want{Limit: name, Kind: Rate, InUse: n.inUse[name]}
+	n.inUse[name] = want.InUse
 	var demands []Group
 	for _, a := range l.order {
 		if a.live > 0 {
@@ -145,7 +145,7 @@
 	}
 	answer.Seq = r.Seq
 	for _, name := range wanted {
-		answer.Parts = append(answer.Parts, n.shareOf(name, r, now))
+		answer.Shares = append(answer.Shares, n.shareOf(name, r, now))
 	}
 	answer.Fallback = n.grantFallback(r, n.parent.fallback, now)
 	return answer
--- a/internal/quota/node_test.go
+++ b/internal/quota/node_test.go
@@ -44,7 +44,7 @@
 				part -= further
 			}
 			seq := node.Renewal(tr.now).Seq
-			node.Take(Grant{Holder: node.id, Seq: seq, Parts: []Share{{"box", part, part / 2}}}, tr.now)
+			node.Take(Grant{Holder: node.id, Seq: seq, Shares: []Share{{"box", part, part / 2}}}, tr.now)
 			turn, little := tr.leaves[i/2%2], i > 20 && i%2 == 1
 			if turn.demand = 1; little {
 				turn.demand = 0.001
@@ -189,7 +189,7 @@
 	if second.Seq != 0 || leaf.Take(second, now) || !leaf.Take(first, now) {
 		t.Errorf("%+v, then %+v", first, second)
 	}
-	if rate, semaphore := leaf.Part("box", now), leaf.Part("look", now); rate < 0.79 || semaphore != 0 {
+	if rate, semaphore := leaf.Available("box", now), leaf.Available("look", now); rate < 0.79 || semaphore != 0 {
 		t.Errorf("%v of the rate, %v of the semaphore", rate, semaphore)
 	}
 	r = leaf.Renewal(now)
@@ -201,7 +201,7 @@
 	}
 	// A grant without a limit replaces the one that had it.
 	leaf.Renewal(now)
-	if !leaf.Take(Grant{Holder: leaf.id, Seq: r.Seq + 1, Source: node.id}, now) || leaf.Part("box", now) != 0 {
+	if !leaf.Take(Grant{Holder: leaf.id, Seq: r.Seq + 1, Source: node.id}, now) || leaf.Available("box", now) != 0 {
 		t.Error("the part before is still in use")
 	}
 }
--- a/internal/quota/settings.go
+++ b/internal/quota/settings.go
@@ -10,12 +10,12 @@
 	Drift float64
 	// Reserve is the share of each rate that is set aside for the fallback of holders without a share in force.
 	Reserve float64
-	// Fades is the time in which a fallback sinks to nothing. 0: there is no fallback.
-	Fades time.Duration
+	// FallbackFade is the time in which a fallback sinks to nothing. 0: there is no fallback.
+	FallbackFade time.Duration
 	// Floor is what each holder that demands anything gets at least, as a share of an even share.
 	Floor float64
-	// Hold is the least change of a share, as a share of it: smaller ones are not made.
-	Hold float64
+	// MinChange is the least change of a share, as a share of it: smaller ones are not made.
+	MinChange float64
 	// NodeLease is what Lease is for nodes, which lease from the allocator what they divide. It must be longer than Lease by
 	// the time that an answer of the allocator may take and several renewals. 0: there are no nodes.
 	NodeLease time.Duration
@@ -33,4 +33,4 @@
 func (s Settings) nodeLeaseAtRoot() time.Duration { return s.withDrift(s.NodeLease) }
 
 // fadeAtAllocator returns in what time a fallback fades where it was granted.
-func (s Settings) fadeAtAllocator() time.Duration { return s.withDrift(s.Fades) }
+func (s Settings) fadeAtAllocator() time.Duration { return s.withDrift(s.FallbackFade) }
--- a/internal/quota/tree_test.go
+++ b/internal/quota/tree_test.go
@@ -8,7 +8,15 @@
 )
 
 func treeSettings() Settings {
-	return Settings{Lease: 400 * ms, Drift: 0.02, Reserve: 0.2, Fades: 3 * time.Second, Floor: 0.2, Hold: 0.05, NodeLease: 1200 * ms}
+	return Settings{
+		Lease:        400 * ms,
+		Drift:        0.02,
+		Reserve:      0.2,
+		FallbackFade: 3 * time.Second,
+		Floor:        0.2,
+		MinChange:    0.05,
+		NodeLease:    1200 * ms,
+	}
 }
 
 // process is any process of a tree. Its clock runs up to 1 % off true time, so that any two are up to 2 % apart.
@@ -218,10 +226,10 @@
 func (t *tree) inForce(leaves ...*process) (shares, fallbacks float64) {
 	for _, p := range leaves {
 		now := t.clock(p)
-		if p.leaf.Granted("box", now) {
-			shares += p.leaf.Part("box", now)
+		if p.leaf.HasShare("box", now) {
+			shares += p.leaf.Available("box", now)
 		}
-		fallbacks += p.leaf.fallback * max(0, 1-float64(now-p.leaf.inUseSince)/float64(treeSettings().Fades))
+		fallbacks += p.leaf.fallback * max(0, 1-float64(now-p.leaf.inUseSince)/float64(treeSettings().FallbackFade))
 	}
 	return shares, fallbacks
 }
--- a/internal/sexpr/errors.go
+++ b/internal/sexpr/errors.go
@@ -26,10 +26,10 @@
 	return s
 }
 
-// Faults are all errors of a file, in the order of their places. As an error it has a line for each.
-type Faults []FileError
+// FileErrors are all errors of a file, in the order of their places. As an error it has a line for each.
+type FileErrors []FileError
 
-func (e Faults) Error() string {
+func (e FileErrors) Error() string {
 	lines := make([]string, len(e))
 	for i := range e {
 		lines[i] = e[i].Error()
--- a/internal/sexpr/parse.go
+++ b/internal/sexpr/parse.go
@@ -30,11 +30,11 @@
 
 // Parse parses a text. After a syntax error it goes on at the next line that opens a form in the first column, so that all errors are
 // reported at once. The tree lacks the forms with errors.
-func Parse(name, text string) (*File, Faults) {
+func Parse(name, text string) (*File, FileErrors) {
 	if len(text) > MaxBytes {
-		return &File{}, Faults{{File: name, Line: 1, Col: 1, Message: fmt.Sprintf("longer than %d bytes", MaxBytes)}}
+		return &File{}, FileErrors{{File: name, Line: 1, Col: 1, Message: fmt.Sprintf("longer than %d bytes", MaxBytes)}}
 	}
-	var found Faults
+	var found FileErrors
 	for {
 		file, syntaxError := parse(name, text)
 		if syntaxError == nil {
--- a/internal/tools/capacity/capacity_test.go
+++ b/internal/tools/capacity/capacity_test.go
@@ -12,25 +12,25 @@
 
 // The design's values are those of the program's constants.
 func TestDesignIsTheProgram(t *testing.T) {
-	d := Current()
+	d := CurrentDesign()
 	milliseconds := func(t time.Duration) string { return strconv.FormatInt(t.Milliseconds(), 10) }
 	microseconds := func(t time.Duration) string { return strconv.FormatInt(t.Microseconds(), 10) }
 	for _, x := range []struct{ file, pattern, value string }{
-		{"internal/operatorconfig/relay.go", `Gather: +(\d+) \* time.Millisecond`, milliseconds(d.RelayGather)},
-		{"internal/director/timing.go", `announcedPollTimeout = (\d+) \* time.Millisecond`, milliseconds(d.WatchPatience)},
+		{"internal/operatorconfig/relay.go", `Gather: +(\d+) \* time.Millisecond`, milliseconds(d.RelayGatherTime)},
+		{"internal/director/timing.go", `announcedPollTimeout = (\d+) \* time.Millisecond`, milliseconds(d.WatchTimeout)},
 		{"internal/director/timing.go", `RetryMax: +(\d+) \* time.Millisecond, // while`, milliseconds(d.ReconnectRetry)},
 		{"internal/director/timing.go", `watchRetrySpread = (\d+) \* time.Microsecond`, microseconds(d.ReconnectSpread)},
 		{"internal/director/timing.go", `SpreadMax: +(\d+) \* time.Millisecond`, milliseconds(d.ReconnectSpreadMax)},
-		{"internal/operatorconfig/control_plane.go", `defaultKeepEvents += (\d+)_000`, strconv.Itoa(d.HistoryKept / 1000)},
+		{"internal/operatorconfig/control_plane.go", `defaultKeepEvents += (\d+)_000`, strconv.Itoa(d.HistoryLength / 1000)},
 		{"internal/operatorconfig/control_plane.go", `defaultReplicaLease += (\d+) \* time.Millisecond`, milliseconds(d.ReplicaLease)},
-		{"internal/controlplane/adoption.go", `adoptionKept = (\d+)`, strconv.Itoa(d.AdoptionKept)},
-		{"internal/controlplane/directors.go", `membershipTick = (\d+) \* time.Millisecond`, milliseconds(d.TickEvery)},
-		{"internal/controlplane/members.go", `membershipGather = (\d+) \* time.Millisecond`, milliseconds(d.GatherEvery)},
-		{"internal/health/reporter.go", `reportInterval = (\d+) \* time.Millisecond`, milliseconds(d.HealthEvery)},
-		{"internal/health/aggregator.go", `aggregateInterval += (\d+) \* time.Millisecond`, milliseconds(d.HealthFoundEvery)},
-		{"internal/health/aggregator.go", `aggregateIntervalPerDirector = (\d+) \* time.Microsecond`, microseconds(d.HealthFoundEach)},
-		{"internal/fleet/event.go", `PurgeKeepMS = (\d+) \* 60 \* 1000`, strconv.Itoa(int(d.PurgeKept.Minutes()))},
-		{"internal/protocol/discovery/client.go", `maxBody = (\d+) << 20`, strconv.Itoa(int(d.LargestAnswer) >> 20)},
+		{"internal/controlplane/adoption.go", `adoptionKept = (\d+)`, strconv.Itoa(d.AppliedRecordLength)},
+		{"internal/controlplane/directors.go", `membershipTick = (\d+) \* time.Millisecond`, milliseconds(d.MembershipTick)},
+		{"internal/controlplane/members.go", `membershipGather = (\d+) \* time.Millisecond`, milliseconds(d.MembershipEventInterval)},
+		{"internal/health/reporter.go", `reportInterval = (\d+) \* time.Millisecond`, milliseconds(d.HealthReportInterval)},
+		{"internal/health/aggregator.go", `aggregateInterval += (\d+) \* time.Millisecond`, milliseconds(d.HealthAggregationInterval)},
+		{"internal/health/aggregator.go", `aggregateIntervalPerDirector = (\d+) \* time.Microsecond`, microseconds(d.HealthPerDirector)},
+		{"internal/fleet/event.go", `PurgeKeepMS = (\d+) \* 60 \* 1000`, strconv.Itoa(int(d.PurgeRetention.Minutes()))},
+		{"internal/protocol/discovery/client.go", `maxBody = (\d+) << 20`, strconv.Itoa(int(d.MaxAnswerBytes) >> 20)},
 	} {
 		text, err := os.ReadFile(root + x.file)
 		if err != nil {
--- a/internal/tools/capacity/director.go
+++ b/internal/tools/capacity/director.go
@@ -5,7 +5,7 @@
 func directorCoresBudget(s Size, _ Design) float64  { return s.DirectorCores }
 func directorMemoryBudget(s Size, _ Design) float64 { return s.DirectorBytes }
 func directorBytesBudget(s Size, _ Design) float64  { return s.DirectorBytesPerSecond }
-func answerBudget(_ Size, d Design) float64         { return d.LargestAnswer }
+func answerBudget(_ Size, d Design) float64         { return d.MaxAnswerBytes }
 
 // directorCallCores is the processor time of a director's watch requests.
 func (c *calculation) directorCallCores(s scenario) float64 {
@@ -33,7 +33,7 @@
 
 // reportBytes is what a director's health reports cost, a second.
 func (c *calculation) reportBytes() float64 {
-	return perSecond(c.HealthEvery) * c.valueAt(lawReportBytes, float64(c.ReportedCaches))
+	return perSecond(c.HealthReportInterval) * c.valueAt(lawReportBytes, float64(c.ReportedCaches))
 }
 
 // controlBytes is all that control costs a director, both ways, a second.
--- a/internal/tools/capacity/failures.go
+++ b/internal/tools/capacity/failures.go
@@ -91,7 +91,7 @@
 			"no measurement",
 		working: "an hour of events / events kept",
 		value: func(c *calculation) float64 {
-			return c.eventsPerSecond() * c.PartitionDuration.Seconds() / float64(c.HistoryKept)
+			return c.eventsPerSecond() * c.PartitionDuration.Seconds() / float64(c.HistoryLength)
 		},
 	},
 	{
--- a/internal/tools/capacity/figure.go
+++ b/internal/tools/capacity/figure.go
@@ -37,7 +37,7 @@
 // Verdicts.
 const (
 	WithinBudget Verdict = "kept"
-	Broken       Verdict = "broken" // over its budget
+	OverBudget   Verdict = "broken" // over its budget
 	NotMeasured  Verdict = "not measured"
 	// Collapsed means that a scale run collapsed at this size or a smaller one, so that the value of a law does not count.
 	Collapsed Verdict = "collapsed"
@@ -98,8 +98,8 @@
 	{Failures, failureFormulas},
 }
 
-// Table works out all figures, role by role.
-func Table(size Size, design Design, measured Measured) []Figure {
+// Figures works out all figures, role by role.
+func Figures(size Size, design Design, measured Measured) []Figure {
 	var figures []Figure
 	for _, group := range formulasByRole {
 		for _, f := range group.formulas {
@@ -117,7 +117,7 @@
 
 // overBudget are the figures over their budgets, the one with the highest ratio first.
 func overBudget(figures []Figure) []Figure {
-	over := withVerdict(figures, Broken)
+	over := withVerdict(figures, OverBudget)
 	slices.SortStableFunc(over, func(a, b Figure) int { return cmp.Compare(b.BudgetRatio(), a.BudgetRatio()) })
 	return over
 }
--- a/internal/tools/capacity/figure_tables.go
+++ b/internal/tools/capacity/figure_tables.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Text is all figures as the rows of one table for a terminal, role by role.
-func Text(figures []Figure) [][]string {
+// TableRows is all figures as the rows of one table for a terminal, role by role.
+func TableRows(figures []Figure) [][]string {
 	rows := [][]string{}
 	for _, f := range figures {
 		rows = append(rows, []string{
@@ -84,7 +84,7 @@
 
 func verdictText(f Figure) string {
 	switch f.Verdict {
-	case Broken:
+	case OverBudget:
 		return "**broken**, " + significant(f.BudgetRatio()) + " times"
 	case Collapsed:
 		return "**collapsed** at " + strconv.Itoa(f.CollapsedAt) + " directors"
--- a/internal/tools/capacity/figure_test.go
+++ b/internal/tools/capacity/figure_test.go
@@ -6,7 +6,7 @@
 )
 
 func expectedSizeWith(directors int) Size {
-	size := Operators()
+	size := ExpectedSize()
 	size.Directors = directors
 	return size
 }
@@ -14,7 +14,7 @@
 // directorCoresFigure is the figure that the law in TestVerdicts is about.
 func directorCoresFigure(t *testing.T, directors int, laws Laws, rows ...Row) Figure {
 	t.Helper()
-	for _, f := range Table(expectedSizeWith(directors), Current(), Measured{Laws: laws, Rows: rows}) {
+	for _, f := range Figures(expectedSizeWith(directors), CurrentDesign(), Measured{Laws: laws, Rows: rows}) {
 		if f.Name == "processor time of control, whole process, without relays, no cold cache" {
 			return f
 		}
@@ -42,7 +42,7 @@
 		t.Errorf("250 directors were not measured: %+v", f)
 	}
 	f = directorCoresFigure(t, 1000, laws)
-	if f.Verdict != Broken || f.Terms[0].Beyond != 2 || math.Abs(f.BudgetRatio()-0.1/0.039) > 1e-9 {
+	if f.Verdict != OverBudget || f.Terms[0].Beyond != 2 || math.Abs(f.BudgetRatio()-0.1/0.039) > 1e-9 {
 		t.Errorf("1,000 directors: %+v", f)
 	}
 	if f := directorCoresFigure(t, 301, laws); f.Terms[0].Measured != 0.03 {
@@ -62,7 +62,7 @@
 	if f.Verdict != Collapsed || f.CollapsedAt != 600 || f.BudgetRatio() != 0 {
 		t.Errorf("1,000 directors, where 600 collapsed: %+v", f)
 	}
-	if f := directorCoresFigure(t, 1000, laws, collapsed, Row{Directors: 1002}); f.Verdict != Broken {
+	if f := directorCoresFigure(t, 1000, laws, collapsed, Row{Directors: 1002}); f.Verdict != OverBudget {
 		t.Errorf("1,000 directors, where 1,002 did not collapse: %+v", f)
 	}
 	if f := directorCoresFigure(t, 1000, laws, Row{Directors: 900}, collapsed); f.Verdict != Collapsed {
@@ -74,7 +74,7 @@
 	withColdCaches.ColdCaches = 8
 	withFault := collapsed
 	withFault.Fault = "kill-leader"
-	if f := directorCoresFigure(t, 1000, laws, withRelays, withColdCaches, withFault); f.Verdict != Broken {
+	if f := directorCoresFigure(t, 1000, laws, withRelays, withColdCaches, withFault); f.Verdict != OverBudget {
 		t.Errorf("where 600 with relays, with cold caches or with a fault collapsed: %+v", f)
 	}
 	if f := directorCoresFigure(t, 250, laws, collapsed); f.Verdict != WithinBudget {
--- a/internal/tools/capacity/formula.go
+++ b/internal/tools/capacity/formula.go
@@ -44,7 +44,7 @@
 	case f.budget == nil:
 		figure.Verdict = NoBudget
 	case figure.Value > figure.Budget:
-		figure.Verdict = Broken
+		figure.Verdict = OverBudget
 	default:
 		figure.Verdict = WithinBudget
 	}
--- a/internal/tools/capacity/keys_test.go
+++ b/internal/tools/capacity/keys_test.go
@@ -27,8 +27,8 @@
 		value any
 		want  string
 	}{
-		{"size", Operators(), sizeJSON},
-		{"design", Current(), designJSON},
+		{"size", ExpectedSize(), sizeJSON},
+		{"design", CurrentDesign(), designJSON},
 	} {
 		got, err := json.Marshal(c.value)
 		if err != nil {
--- a/internal/tools/capacity/leader.go
+++ b/internal/tools/capacity/leader.go
@@ -39,15 +39,15 @@
 
 // healthCores is the processor time for health reports and their aggregation.
 func (c *calculation) healthCores() float64 {
-	reports := c.directors() * perSecond(c.HealthEvery) * c.valueAt(lawReportTime, c.directors())
-	aggregationInterval := max(c.HealthFoundEvery, time.Duration(c.Directors)*c.HealthFoundEach)
+	reports := c.directors() * perSecond(c.HealthReportInterval) * c.valueAt(lawReportTime, c.directors())
+	aggregationInterval := max(c.HealthAggregationInterval, time.Duration(c.Directors)*c.HealthPerDirector)
 	return reports + perSecond(aggregationInterval)*c.valueAt(lawHealthTime, c.directors())
 }
 
 // membershipCores is the processor time of the membership service.
 func (c *calculation) membershipCores() float64 {
-	return perSecond(c.TickEvery)*c.valueAt(lawTickTime, c.directors()) +
-		perSecond(c.GatherEvery)*c.valueAt(lawMembershipEventTime, c.directors())
+	return perSecond(c.MembershipTick)*c.valueAt(lawTickTime, c.directors()) +
+		perSecond(c.MembershipEventInterval)*c.valueAt(lawMembershipEventTime, c.directors())
 }
 
 // lockedCores is the leader's processor time under one lock, without relays.
@@ -64,7 +64,7 @@
 
 // appliedMemory is the record of when each director applied the last events.
 func (c *calculation) appliedMemory() float64 {
-	return c.valueAt(lawAppliedMemory, c.directors()*float64(c.AdoptionKept))
+	return c.valueAt(lawAppliedMemory, c.directors()*float64(c.AppliedRecordLength))
 }
 
 // sessionMemory is the leader's state of health and membership.
--- a/internal/tools/capacity/measure/director_process.go
+++ b/internal/tools/capacity/measure/director_process.go
@@ -65,14 +65,14 @@
 	loopback := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), 0)
 	unusedPort := netip.AddrPortFrom(loopback.Addr(), 1)
 	return director.New(config.Config{
-		Name:      "director-0000",
-		Listen:    loopback,
-		Discovery: unusedPort,
-		Seed:      1,
-		MemoryMB:  192,
-		Sockets:   1024,
-		Known:     response,
-		Settings:  settings(expectedDirectors),
+		Name:          "director-0000",
+		Listen:        loopback,
+		Discovery:     unusedPort,
+		Seed:          1,
+		MemoryMB:      192,
+		Sockets:       1024,
+		InitialEvents: response,
+		Settings:      settings(expectedDirectors),
 		Membership: &config.Membership{
 			Machine:     "machine-0000",
 			Site:        "site-000",
@@ -85,7 +85,7 @@
 
 // stopDirector shuts a director down, which takes about a second.
 func stopDirector(p *director.Program) error {
-	p.Post(p.Leave)
+	p.Post(p.Shutdown)
 	return p.Run()
 }
 
--- a/internal/tools/capacity/measure/director_routing.go
+++ b/internal/tools/capacity/measure/director_routing.go
@@ -48,7 +48,7 @@
 		endpoint := routing.Endpoint{Name: cache.Name, Address: cache.Address}
 		endpoint.Zone = cache.Site
 		endpoint.Kind = cache.Class
-		endpoint.Cell = cache.Block
+		endpoint.Cell = cache.Cell
 		endpoint.Readiness = "IN"
 		endpoint.Weight = 1
 		endpoints = append(endpoints, endpoint)
--- a/internal/tools/capacity/measure/director_watch.go
+++ b/internal/tools/capacity/measure/director_watch.go
@@ -59,17 +59,17 @@
 func (c *watchClient) answer() []byte {
 	grant := quota.Grant{Holder: c.identity.ID(), Epoch: 12, Seq: c.sequence, Fallback: 5.714285714285714e-05}
 	for _, name := range c.limits {
-		grant.Parts = append(grant.Parts, quota.Share{Limit: name, Part: 0.00022857142857142857})
+		grant.Shares = append(grant.Shares, quota.Share{Limit: name, Fraction: 0.00022857142857142857})
 	}
 	return appendGrantAnswer(nil, watchedRevision, grant)
 }
 
 // appendGrantAnswer appends an answer with a grant and no event.
 func appendGrantAnswer(dst []byte, lastRevision int64, grant quota.Grant) []byte {
-	body := append(discovery.Opening(lastRevision), `],"turns":`...)
+	body := append(discovery.ResponseStart(lastRevision), `],"turns":`...)
 	body = append(body, mustJSON(grant)...)
 	body = append(body, '}')
-	return append(discovery.AppendHead(dst, 200, len(body), false), body...)
+	return append(discovery.AppendResponseHead(dst, 200, len(body), false), body...)
 }
 
 // readGrant reads an answer with a grant.
@@ -108,7 +108,7 @@
 	if readErr != nil {
 		return 0, readErr
 	}
-	if coldCaches > 0 && !c.holder.Granted(c.limits[0], c.now) {
+	if coldCaches > 0 && !c.holder.HasShare(c.limits[0], c.now) {
 		return 0, errors.New("the holder has not applied the grant")
 	}
 	return took, nil
--- a/internal/tools/capacity/measure/event_log.go
+++ b/internal/tools/capacity/measure/event_log.go
@@ -45,7 +45,7 @@
 				answerErr = errEmptyAnswer
 				return
 			}
-			out = discovery.AppendHead(out[:0], 200, size, false)
+			out = discovery.AppendResponseHead(out[:0], 200, size, false)
 			for _, part := range parts {
 				out = append(out, part...)
 			}
--- a/internal/tools/capacity/measure/fixtures.go
+++ b/internal/tools/capacity/measure/fixtures.go
@@ -25,12 +25,12 @@
 
 // quotaSettings are those of directors and leader; see internal/director.
 var quotaSettings = quota.Settings{
-	Lease:   400 * time.Millisecond,
-	Drift:   0.02,
-	Reserve: 0.2,
-	Fades:   20 * time.Second,
-	Floor:   0.2,
-	Hold:    0.05,
+	Lease:        400 * time.Millisecond,
+	Drift:        0.02,
+	Reserve:      0.2,
+	FallbackFade: 20 * time.Second,
+	Floor:        0.2,
+	MinChange:    0.05,
 }
 
 // settings are those of a director of one zone, with the operators' times.
@@ -81,9 +81,9 @@
 			Address: cacheAddress(i),
 			Site:    zoneName(i),
 			Class:   "cache",
-			Block:   i % 8,
+			Cell:    i % 8,
 			Health:  "in_service",
-			Share:   1,
+			Weight:  1,
 		})
 	}
 	return endpoints
@@ -193,7 +193,7 @@
 
 // renewalOf is a holder's renewal with a demand for each limit.
 func renewalOf(holder string, seq uint64, limits []string) quota.Renewal {
-	r := quota.Renewal{Holder: holder, Seq: seq, Taken: seq - 1}
+	r := quota.Renewal{Holder: holder, Seq: seq, InUse: seq - 1}
 	for _, name := range limits {
 		r.Wants = append(r.Wants, quota.Want{Limit: name, Kind: quota.Rate, Demand: 0.0123})
 	}
--- a/internal/tools/capacity/measure/leader_membership.go
+++ b/internal/tools/capacity/measure/leader_membership.go
@@ -46,7 +46,7 @@
 		}
 		now := time.Hour + time.Duration(n)*leaseInterval
 		applied := int64(n + 1)
-		record.Told(applied, now)
+		record.RecordCommitted(applied, now)
 		for _, d := range heartbeats.Directors {
 			at := now - time.Duration(d.AgeMS)*time.Millisecond
 			tracker.RecordHeartbeat(membership.Heartbeat{
@@ -56,7 +56,7 @@
 				Applied:  applied,
 				Config:   d.Config,
 			})
-			record.Heard(d.ID, applied, at)
+			record.RecordApplied(d.ID, applied, at)
 		}
 	})
 	return took, decodeErr
@@ -67,18 +67,18 @@
 	tracker := trackerOf(directors)
 	record := adoption.New(recordedEvents, 0)
 	for i := range directors {
-		record.Heard(directorOf(i).ID(), 0, time.Hour)
+		record.RecordApplied(directorOf(i).ID(), 0, time.Hour)
 	}
 	reports := newReportingDirectors(directors)
 	allocator := quota.NewAllocator(quotaSettings, 1, time.Hour, true)
 	isMember := func(id string) bool {
-		_, isKnown := tracker.LastHeard(id)
+		_, isKnown := tracker.LastContact(id)
 		return isKnown
 	}
 	took := timeOf(func(int) {
 		allocator.Sweep(time.Hour)
 		reports.aggregator.Sweep(reports.now)
-		record.Gone(isMember, time.Hour)
+		record.MarkGone(isMember, time.Hour)
 		tracker.Observe(1000, time.Hour)
 	})
 	if known := len(tracker.Versions()); known != directors {
@@ -111,13 +111,13 @@
 	heap := heapOf(func() any {
 		record := adoption.New(recordedEvents, 0)
 		for _, id := range ids {
-			record.Heard(id, 0, time.Hour)
+			record.RecordApplied(id, 0, time.Hour)
 		}
 		for event := int64(1); event <= measuredEvents; event++ {
 			at := time.Hour + time.Duration(event)*purgeInterval
-			record.Told(event, at)
+			record.RecordCommitted(event, at)
 			for i, id := range ids {
-				record.Heard(id, event, at+time.Duration(i%100)*time.Millisecond)
+				record.RecordApplied(id, event, at+time.Duration(i%100)*time.Millisecond)
 			}
 		}
 		return record
--- a/internal/tools/capacity/measure/leader_quota.go
+++ b/internal/tools/capacity/measure/leader_quota.go
@@ -28,7 +28,7 @@
 	granted := 0.0
 	took := timeOf(func(n int) {
 		renewal := &renewals[n%holders]
-		renewal.Taken = renewal.Seq
+		renewal.InUse = renewal.Seq
 		renewal.Seq++
 		now := time.Hour + time.Duration(n)*leaseInterval/time.Duration(holders)
 		granted += allocator.Renew(*renewal, now).Fallback
--- a/internal/tools/capacity/measure/operator.go
+++ b/internal/tools/capacity/measure/operator.go
@@ -55,15 +55,15 @@
 	record := adoption.New(recordedEvents, 0)
 	members := directorsOf(directors)
 	for _, d := range members {
-		record.Heard(d.ID(), 0, time.Hour)
+		record.RecordApplied(d.ID(), 0, time.Hour)
 	}
-	record.Told(1, time.Hour)
+	record.RecordCommitted(1, time.Hour)
 	for i, d := range members {
-		record.Heard(d.ID(), 1, time.Hour+time.Duration(i%100)*time.Millisecond)
+		record.RecordApplied(d.ID(), 1, time.Hour+time.Duration(i%100)*time.Millisecond)
 	}
 	event, _, _, isRecorded := record.Event(1, time.Hour+time.Second)
-	if !isRecorded || len(event.Taken) != directors {
-		return 0, fmt.Errorf("%d of %d directors have applied it", len(event.Taken), directors)
+	if !isRecorded || len(event.Applied) != directors {
+		return 0, fmt.Errorf("%d of %d directors have applied it", len(event.Applied), directors)
 	}
 	return float64(len(mustJSON(event))), nil
 }
--- a/internal/tools/capacity/measure/relay_quota.go
+++ b/internal/tools/capacity/measure/relay_quota.go
@@ -57,10 +57,10 @@
 		t.renewNode()
 	}
 	renewal := &t.renewals[n%len(t.renewals)]
-	renewal.Taken = renewal.Seq
+	renewal.InUse = renewal.Seq
 	renewal.Seq++
-	for _, share := range t.node.Renew(*renewal, t.now).Parts {
-		t.granted += share.Part
+	for _, share := range t.node.Renew(*renewal, t.now).Shares {
+		t.granted += share.Fraction
 	}
 }
 
@@ -95,15 +95,15 @@
 	granted := 0.0
 	took := timeOf(func(n int) {
 		renewal := &renewals[n%relays]
-		renewal.Taken = renewal.Seq
-		renewal.TakenFallback = renewal.Seq
+		renewal.InUse = renewal.Seq
+		renewal.FallbackInUse = renewal.Seq
 		for limit := range renewal.Wants {
-			renewal.Wants[limit].Taken = renewal.Seq
+			renewal.Wants[limit].InUse = renewal.Seq
 		}
 		renewal.Seq++
 		now := time.Hour + time.Duration(n)*leaseInterval/time.Duration(relays)
-		for _, share := range allocator.Renew(*renewal, now).Parts {
-			granted += share.Part
+		for _, share := range allocator.Renew(*renewal, now).Shares {
+			granted += share.Fraction
 		}
 	})
 	if granted == 0 {
@@ -139,11 +139,11 @@
 		for event := int64(0); event <= recordedEvents; event++ {
 			at := time.Hour + time.Duration(event)*purgeInterval
 			if event > 0 {
-				record.Told(event, at)
+				record.RecordCommitted(event, at)
 			}
 			for i := range relays {
-				relay := adoption.RelayTaker(fmt.Sprintf("relay-%d/1", i))
-				record.Heard(relay, event, at+time.Duration(i)*time.Millisecond)
+				relay := adoption.RelayReporter(fmt.Sprintf("relay-%d/1", i))
+				record.RecordApplied(relay, event, at+time.Duration(i)*time.Millisecond)
 			}
 		}
 		return record
--- a/internal/tools/capacity/measure/watch_server.go
+++ b/internal/tools/capacity/measure/watch_server.go
@@ -67,7 +67,7 @@
 		tracker.Ack(int64(i), int64(1000+i))
 	}
 	lowest := int64(0)
-	took := timeOf(func(int) { lowest = tracker.Told(1_000_000, 0) })
+	took := timeOf(func(int) { lowest = tracker.AcknowledgedUpTo(1_000_000, 0) })
 	if lowest != 1000 {
 		return 0, fmt.Errorf("the lowest acknowledged revision is %d", lowest)
 	}
--- a/internal/tools/capacity/page.go
+++ b/internal/tools/capacity/page.go
@@ -49,7 +49,7 @@
 
 // generatedParts are the generated parts of a page by their names.
 func generatedParts(size Size, design Design, measured Measured) map[string]string {
-	figures := Table(size, design, measured)
+	figures := Figures(size, design, measured)
 	parts := map[string]string{
 		"size":    sizeTable(size),
 		"runs":    runTable(measured.Rows),
--- a/internal/tools/capacity/page_test.go
+++ b/internal/tools/capacity/page_test.go
@@ -33,7 +33,7 @@
 // Guards against a page that was not generated again after a measurement or a change of a formula.
 func TestPageIsWhatTheLawsGive(t *testing.T) {
 	measured, page := load(t)
-	want, err := Rewrite(page, Operators(), Current(), measured)
+	want, err := Rewrite(page, ExpectedSize(), CurrentDesign(), measured)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,7 +47,7 @@
 func TestNoFigureLacksItsPoints(t *testing.T) {
 	measured, _ := load(t)
 	readLaws := map[string]bool{}
-	for _, f := range Table(Operators(), Current(), measured) {
+	for _, f := range Figures(ExpectedSize(), CurrentDesign(), measured) {
 		isOfConstants := strings.Contains(f.Mechanism, "no measurement") || f.Unit == Machines
 		if len(f.Terms) == 0 && len(f.Missing) == 0 && f.CollapsedAt == 0 && !isOfConstants {
 			t.Errorf("%s, %s rests on nothing", f.Role, f.Name)
@@ -85,7 +85,7 @@
 		"not closed":   page + "<!-- capacity: size -->\n",
 		"none":         "no part",
 	} {
-		if _, err := Rewrite(changed, Operators(), Current(), measured); !errors.Is(err, ErrMarkers) {
+		if _, err := Rewrite(changed, ExpectedSize(), CurrentDesign(), measured); !errors.Is(err, ErrMarkers) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/internal/tools/capacity/rates.go
+++ b/internal/tools/capacity/rates.go
@@ -42,7 +42,7 @@
 // is left out, so that the result is an upper bound.
 func (c *calculation) callsPerSecond(gather time.Duration) float64 {
 	events := c.eventsPerSecond()
-	timeout := c.WatchPatience.Seconds()
+	timeout := c.WatchTimeout.Seconds()
 	gathering := min(gather.Seconds(), timeout)
 	waiting := (math.Exp(-events*gathering) - math.Exp(-events*timeout)) / events
 	return 1 / (gathering + waiting)
@@ -69,7 +69,9 @@
 }
 
 // controlPlanePurges is how many purges the control plane retains for directors that come back.
-func (c *calculation) controlPlanePurges() float64 { return c.PurgesPerSecond * c.PurgeKept.Seconds() }
+func (c *calculation) controlPlanePurges() float64 {
+	return c.PurgesPerSecond * c.PurgeRetention.Seconds()
+}
 
 // openRequests is the most requests that one director has in flight at the peak: each until its deadline.
 func (c *calculation) openRequests() float64 {
@@ -78,7 +80,7 @@
 
 // maxHistoryEvents is the most events that a replica has in memory between two cuts of its log.
 func (c *calculation) maxHistoryEvents() float64 {
-	return historyGrowth*float64(c.HistoryKept) + historyExcess
+	return historyGrowth*float64(c.HistoryLength) + historyExcess
 }
 
 // snapshotBytes is the first answer that a director gets: the complete endpoint list with the membership, and the retained purges.
--- a/internal/tools/capacity/rates_test.go
+++ b/internal/tools/capacity/rates_test.go
@@ -9,9 +9,9 @@
 // Guards the formula's two ends: a relay that gathers for as long as a watch request lasts gets one request of each director in
 // that time; a server that does not gather gets one for each event.
 func TestCallsPerSecond(t *testing.T) {
-	c := &calculation{Size: Operators(), Design: Current()}
+	c := &calculation{Size: ExpectedSize(), Design: CurrentDesign()}
 	events := c.eventsPerSecond()
-	timeout := c.WatchPatience.Seconds()
+	timeout := c.WatchTimeout.Seconds()
 	for gather, want := range map[time.Duration]float64{
 		0:                      events / (1 - math.Exp(-events*timeout)),
 		100 * time.Millisecond: 10,
--- a/internal/tools/capacity/relay.go
+++ b/internal/tools/capacity/relay.go
@@ -17,7 +17,7 @@
 
 // relayRenewalCores is the processor time in which a relay divides its quotas among its directors.
 func (c *calculation) relayRenewalCores() float64 {
-	return c.renewalCores(lawRelayRenewalTime, c.directorsPer(c.Relays), c.callsPerSecond(c.RelayGather))
+	return c.renewalCores(lawRelayRenewalTime, c.directorsPer(c.Relays), c.callsPerSecond(c.RelayGatherTime))
 }
 
 // relayLeaderBytes is what a relay sends to the leader, a second.
--- a/internal/tools/capacity/scenario.go
+++ b/internal/tools/capacity/scenario.go
@@ -45,7 +45,7 @@
 func (c *calculation) calls(s scenario) float64 {
 	gather := time.Duration(0)
 	if s.hasRelays {
-		gather = c.RelayGather
+		gather = c.RelayGatherTime
 	}
 	return c.callsPerSecond(gather)
 }
--- a/internal/tools/capacity/settings_test.go
+++ b/internal/tools/capacity/settings_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestSet(t *testing.T) {
-	size, design := Operators(), Current()
+	size, design := ExpectedSize(), CurrentDesign()
 	for _, err := range []error{
 		size.Set("directors", "10"),
 		size.Set("purge-within", "2s"),
--- a/internal/tools/capacity/size.go
+++ b/internal/tools/capacity/size.go
@@ -26,8 +26,8 @@
 	DirectorBytesPerSecond float64 `json:"DirectorBytesPerSecond"` // that a director may spend on control
 }
 
-// Operators is the size that the operators expect.
-func Operators() Size {
+// ExpectedSize is the size that the operators expect.
+func ExpectedSize() Size {
 	return Size{
 		Directors:         3500,
 		Sites:             210,
--- a/internal/tools/fleetsim/fleetsim.go
+++ b/internal/tools/fleetsim/fleetsim.go
@@ -106,12 +106,12 @@
 
 // QuotaSettings are the settings of the model; those of the real ones.
 var QuotaSettings = quota.Settings{
-	Lease:   400 * time.Millisecond,
-	Drift:   0.02,
-	Reserve: 0.2,
-	Fades:   20 * time.Second,
-	Floor:   0.2,
-	Hold:    0.05,
+	Lease:        400 * time.Millisecond,
+	Drift:        0.02,
+	Reserve:      0.2,
+	FallbackFade: 20 * time.Second,
+	Floor:        0.2,
+	MinChange:    0.05,
 }
 
 type director struct {
@@ -307,7 +307,7 @@
 	if m.cfg.EvenShares {
 		return 1 / float64(m.cfg.Directors)
 	}
-	return d.holder.Part(limit, m.clock(d))
+	return d.holder.Available(limit, m.clock(d))
 }
 
 // sample takes a point of the result.
--- a/internal/tools/scale/cluster.go
+++ b/internal/tools/scale/cluster.go
@@ -130,7 +130,7 @@
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			return err
 		}
-		spec := processSpec{name: name, args: []string{"relay", file}, event: "relay.serves", addressKey: "watch"}
+		spec := processSpec{name: name, args: []string{"relay", file}, event: "relay.started", addressKey: "watch"}
 		relay, err := c.start(spec, RoleRelay)
 		if err != nil {
 			return err
@@ -170,7 +170,7 @@
 
 // replicaWatch is the address of a replica's own watch server.
 func replicaWatch(b *testharness.Replica) (netip.AddrPort, error) {
-	serves, _, err := b.Event("board.serves", 0, startTimeout)
+	serves, _, err := b.Event("controlplane.started", 0, startTimeout)
 	if err != nil {
 		return netip.AddrPort{}, err
 	}
--- a/internal/tools/scale/parse_test.go
+++ b/internal/tools/scale/parse_test.go
@@ -33,8 +33,8 @@
 
 func TestReadLog(t *testing.T) {
 	gone, losses := readLog([]string{
-		`{"msg":"roll.changed","joined":1,"gone":["a/1","b/2"]}`, `not JSON`, `{"msg":"followers.let_go","followers":3}`,
-		`{"msg":"roll.changed","joined":2,"gone":null}`, `{"msg":"other","gone":["c/3"]}`,
+		`{"msg":"membership.changed","joined":1,"gone":["a/1","b/2"]}`, `not JSON`, `{"msg":"watcher.lease_lost","followers":3}`,
+		`{"msg":"membership.changed","joined":2,"gone":null}`, `{"msg":"other","gone":["c/3"]}`,
 	})
 	if !slices.Equal(gone, []string{"a/1", "b/2"}) || losses != 1 {
 		t.Errorf("%v, %d", gone, losses)
--- a/internal/tools/scale/simulated/director.go
+++ b/internal/tools/scale/simulated/director.go
@@ -96,7 +96,7 @@
 
 func (d *simulatedDirector) connect() {
 	d.timer.Stop()
-	conn, err := d.process.loop.Dial(d.process.settings.Addresses[d.at], d.process.timing.Dial, d)
+	conn, err := d.process.loop.Dial(d.process.settings.Addresses[d.at], d.process.timing.DialTimeout, d)
 	if err != nil {
 		d.lost(err)
 		return
@@ -117,7 +117,7 @@
 	if d.tried%addresses != 0 {
 		return
 	}
-	d.retry = d.process.timing.Longer(d.retry)
+	d.retry = d.process.timing.NextRetry(d.retry)
 }
 
 // Opened implements transport.Handler.
@@ -134,12 +134,12 @@
 
 func (d *simulatedDirector) poll() {
 	address := d.process.settings.Addresses[d.at].String()
-	d.request = discovery.AppendRequest(d.request[:0], address, d.last, d.process.timing.Patience.Milliseconds(), d.announcement())
+	d.request = discovery.AppendRequest(d.request[:0], address, d.last, d.process.timing.PollTimeout.Milliseconds(), d.announcement())
 	traffic := &d.process.count.traffic[d.at]
 	traffic.Requests++
 	traffic.BytesUp += int64(len(d.request))
 	d.conn.Write(d.request)
-	d.process.loop.Set(&d.timer, d.process.loop.Now()+d.process.timing.Silence)
+	d.process.loop.Set(&d.timer, d.process.loop.Now()+d.process.timing.SilenceTimeout)
 }
 
 // announcement is the director's header: who it is, and its quota renewal with the demands of this moment.
--- a/internal/tools/scale/simulated/process.go
+++ b/internal/tools/scale/simulated/process.go
@@ -62,7 +62,7 @@
 	}
 	p := &Process{
 		settings: set,
-		timing:   director.TimingOfWatch(len(set.Addresses), true),
+		timing:   director.WatchTimingFor(len(set.Addresses), true),
 		answers:  newAnswers(),
 		loop:     loop,
 		count:    newCounters(set, Now()),
@@ -144,7 +144,7 @@
 // watching counts the directors that were answered within the silence limit.
 func (p *Process) watching(now time.Duration) (count int) {
 	for _, d := range p.directors {
-		if d.answered > 0 && now-d.answered < p.timing.Silence {
+		if d.answered > 0 && now-d.answered < p.timing.SilenceTimeout {
 			count++
 		}
 	}
@@ -173,8 +173,8 @@
 			r.Lapsed++
 		}
 		for cache := range r.PartSums {
-			if d.renewer.Granted(limitName(cache), now) {
-				r.PartSums[cache] += d.renewer.Part(limitName(cache), now)
+			if d.renewer.HasShare(limitName(cache), now) {
+				r.PartSums[cache] += d.renewer.Available(limitName(cache), now)
 			}
 		}
 	}
--- a/internal/tools/scale/window.go
+++ b/internal/tools/scale/window.go
@@ -340,9 +340,9 @@
 			continue
 		}
 		switch event.Message {
-		case "roll.changed":
+		case "membership.changed":
 			gone = append(gone, event.Gone...)
-		case "followers.let_go":
+		case "watcher.lease_lost":
 			leaseLosses++
 		}
 	}
--- a/internal/tools/testharness/director.go
+++ b/internal/tools/testharness/director.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		return nil, err
 	}
-	serves, _, err := p.Event("director.serves", 0, startTimeout)
+	serves, _, err := p.Event("director.started", 0, startTimeout)
 	if err != nil {
 		p.Kill()
 		return nil, fmt.Errorf("%w\n%s", err, strings.Join(p.Log(), "\n"))
--- a/internal/tools/testharness/relay.go
+++ b/internal/tools/testharness/relay.go
@@ -47,7 +47,7 @@
 	if r.Process, err = Start(r.Name, r.cluster.Program, []string{"relay", r.path}, nil); err != nil {
 		return err
 	}
-	serves, _, err := r.Event("relay.serves", 0, startTimeout)
+	serves, _, err := r.Event("relay.started", 0, startTimeout)
 	if err != nil {
 		return fmt.Errorf("%w\n%s", err, strings.Join(r.Log(), "\n"))
 	}
--- a/internal/tools/testharness/replica.go
+++ b/internal/tools/testharness/replica.go
@@ -52,7 +52,7 @@
 	if r.Process, err = Start(r.Name, r.cluster.Program, append([]string{"control-plane", path}, args...), nil); err != nil {
 		return err
 	}
-	serves, _, err := r.Event("board.serves", 0, startTimeout)
+	serves, _, err := r.Event("controlplane.started", 0, startTimeout)
 	if err != nil {
 		return fmt.Errorf("%w\n%s", err, strings.Join(r.Log(), "\n"))
 	}
