--- a/cmd/stairvane-fleet/audit.go
+++ b/cmd/stairvane-fleet/audit.go
@@ -10,7 +10,7 @@
 	"stairvane.org/stairvane/internal/controlplane/api"
 )
 
-// auditCmd shows by what directors act.
+// auditCmd shows which revisions, configurations and programs directors have.
 type auditCmd struct {
 	Versions auditVersionsCmd `cmd:"" help:"Who has applied which revision, by which configuration and program. Ends with 1 if somebody is behind, or differs from most."`
 	Event    auditEventCmd    `cmd:"" help:"When each director applied an event. Ends with 1 if some have not, or if it is not recorded."`
@@ -64,14 +64,14 @@
 	return nil
 }
 
-// auditVersionsCmd compares what directors act by.
+// auditVersionsCmd compares directors with each other.
 type auditVersionsCmd struct {
 	controlPlaneFlags
 	outputFlags
 	Within time.Duration `default:"1s" help:"A director that has applied only an older revision for longer than this is behind."`
 }
 
-// deviation is a director that acts otherwise than most, and how.
+// deviation is a director that differs from most, and how.
 type deviation struct {
 	Director string `json:"director"`
 	Reason   string `json:"why"`
@@ -83,7 +83,7 @@
 	Deviations []deviation `json:"odd"`
 }
 
-// Run shows by what each director acts, and who deviates.
+// Run shows the revision, configuration and program of each director, and who deviates.
 func (c auditVersionsCmd) Run(s streams) error {
 	client, err := c.client()
 	if err != nil {
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// deviations finds who is behind, and who acts by another configuration or program than most.
+// deviations finds who is behind, and who has another configuration or program than most.
 func deviations(members api.Members, within time.Duration) (found []deviation) {
 	config := mostCommon(members.Directors, func(d api.MemberStatus) string { return d.Config })
 	program := mostCommon(members.Directors, func(d api.MemberStatus) string { return d.Version })
--- a/cmd/stairvane-fleet/cli.go
+++ b/cmd/stairvane-fleet/cli.go
@@ -75,7 +75,7 @@
 // streams are where a command writes; they are bound to its Run.
 type streams struct{ out, err *stickyWriter }
 
-// printf writes to standard output. A failure is kept by the stream and ends the command with a status of its own.
+// printf writes to standard output. The stream remembers a failure, and the command then ends with exitFailed.
 func (s streams) printf(format string, args ...any) { _, _ = fmt.Fprintf(s.out, format, args...) }
 
 // println writes a line to standard output, as printf does.
--- a/cmd/stairvane-fleet/members.go
+++ b/cmd/stairvane-fleet/members.go
@@ -43,16 +43,16 @@
 func showDirectors(s streams, directors []api.MemberStatus) error {
 	var rows [][]string
 	for _, d := range directors {
-		heard := fmt.Sprintf("%d ms ago", d.LastHeardMS)
+		lastHeard := fmt.Sprintf("%d ms ago", d.LastHeardMS)
 		if d.Suspected {
-			heard += ", suspected"
+			lastHeard += ", suspected"
 		}
 		claims := "takes none"
 		if d.Claims != "" {
 			claims = fmt.Sprintf("decides on %d of %d", d.Shards, fleet.ShardCount)
 		}
 		relay, _, _ := strings.Cut(d.Relay, "/")
-		rows = append(rows, []string{d.Name, shorten(d.Incarnation), d.Location, d.Machine, d.Site, d.Version, heard, relay, claims})
+		rows = append(rows, []string{d.Name, shorten(d.Incarnation), d.Location, d.Machine, d.Site, d.Version, lastHeard, relay, claims})
 	}
 	return writeTable(s, rows, "director", "incarnation", "location", "machine", "site", "version", "heard", "by relay", "claims")
 }
--- a/internal/controlplane/replicas/call_history_test.go
+++ b/internal/controlplane/replicas/call_history_test.go
@@ -162,7 +162,7 @@
 	var longest []json.RawMessage
 	histories := map[string][]json.RawMessage{}
 	for _, r := range cluster.Replicas {
-		if r.Spare {
+		if r.IsStandby {
 			continue
 		}
 		events := historyOf(t, r)
--- a/internal/controlplane/replicas/harness_test.go
+++ b/internal/controlplane/replicas/harness_test.go
@@ -66,7 +66,7 @@
 		option(cluster)
 	}
 	if os.Getenv("STAIRVANE_MEASURE") != "" {
-		cluster.Every = 10_000
+		cluster.SnapshotEvery = 10_000
 	}
 	t.Cleanup(func() {
 		cluster.Close()
@@ -78,7 +78,7 @@
 			}
 		}
 	})
-	check(t, cluster.Found(patience))
+	check(t, cluster.Bootstrap(patience))
 	return cluster
 }
 
--- a/internal/controlplane/replicas/leader_test.go
+++ b/internal/controlplane/replicas/leader_test.go
@@ -31,7 +31,7 @@
 		t.Errorf("event %d, not 4", p.Revision)
 	}
 	check(t, leader.Start())
-	check(t, cluster.Whole(patience))
+	check(t, cluster.AwaitComplete(patience))
 }
 
 // Guards against a leader that keeps its leadership while its disk fails all writes: within a
@@ -44,7 +44,7 @@
 	for _, syncsOnly := range []bool{false, true} {
 		_, err := c.Purge(fleet.Purge{Object: fmt.Sprintf("%016x", len(cluster.Replicas)+1)})
 		check(t, err)
-		check(t, cluster.Whole(patience))
+		check(t, cluster.AwaitComplete(patience))
 		leader := cluster.Leader(patience)
 		lines := leader.Lines()
 		repaired := make(chan error, 1)
@@ -73,7 +73,7 @@
 		check(t, <-repaired)
 		_, _, err = leader.Event("replica.disk_recovered", lost, patience)
 		check(t, err)
-		check(t, cluster.Whole(patience))
+		check(t, cluster.AwaitComplete(patience))
 		if n := len(historyOf(t, leader)); n < int(p.Revision) {
 			t.Errorf("it has %d of %d events", n, p.Revision)
 		}
--- a/internal/controlplane/replicas/measure_test.go
+++ b/internal/controlplane/replicas/measure_test.go
@@ -175,7 +175,7 @@
 			case "disk broken":
 				check(t, <-repaired)
 			}
-			check(t, cluster.Whole(patience))
+			check(t, cluster.AwaitComplete(patience))
 		}
 		t.Logf("leader %s: %d times, no write for p50 %v, p90 %v, max %v",
 			kind, len(outages), quantile(outages, 0.5), quantile(outages, 0.9), outages[len(outages)-1])
@@ -238,7 +238,7 @@
 	}
 	receipts := make(chan receipt, watchers*rounds*2)
 	for i := range watchers {
-		defer watch(t, cluster.Replicas[i%3].Follow.Addr(), func(no int64, at time.Time) { receipts <- receipt{no, at} })()
+		defer watch(t, cluster.Replicas[i%3].Watch.Addr(), func(no int64, at time.Time) { receipts <- receipt{no, at} })()
 	}
 	time.Sleep(time.Second)
 	c, err := api.NewClient(cluster.Leader(patience).Write.Addr(), "measure", api.Credentials{})
@@ -284,7 +284,7 @@
 		check(t, err)
 		done = state.Fleet.Revision
 	}
-	check(t, cluster.Whole(patience))
+	check(t, cluster.AwaitComplete(patience))
 	_, p50, p99 := writeFor(t, address, 8, 5*time.Second)
 	t.Logf("before: p50 %v, p99 %v", p50, p99)
 	var lost *testharness.Replica
@@ -303,7 +303,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		if cluster.Whole(10*time.Minute) == nil {
+		if cluster.AwaitComplete(10*time.Minute) == nil {
 			took = time.Since(begin)
 		}
 	}()
--- a/internal/controlplane/replicas/nemesis_test.go
+++ b/internal/controlplane/replicas/nemesis_test.go
@@ -121,7 +121,7 @@
 	case "old disk":
 		n.restoreImage(f, victim)
 	}
-	if err := n.cluster.Whole(2 * patience); err != nil {
+	if err := n.cluster.AwaitComplete(2 * patience); err != nil {
 		n.t.Fatalf("after %v: %v", f, err)
 	}
 }
@@ -146,7 +146,7 @@
 
 // disturbLinks slows the connections to a replica, or breaks each after some bytes.
 func (n *nemesis) disturbLinks(f fault, victim *testharness.Replica) {
-	for _, link := range victim.Links {
+	for _, link := range victim.Peers {
 		if f.kind == "slow" {
 			link.Slow(20 * time.Millisecond)
 		} else {
@@ -154,7 +154,7 @@
 		}
 	}
 	time.Sleep(f.length)
-	for _, link := range victim.Links {
+	for _, link := range victim.Peers {
 		if f.kind == "slow" {
 			link.Slow(0)
 		} else {
@@ -218,7 +218,7 @@
 	image := n.t.TempDir()
 	check(n.t, testharness.CopyFolder(victim.Folder, image))
 	check(n.t, victim.Start())
-	if err := n.cluster.Whole(2 * patience); err != nil {
+	if err := n.cluster.AwaitComplete(2 * patience); err != nil {
 		n.t.Fatal(err)
 	}
 	time.Sleep(f.length)
--- a/internal/controlplane/replicas/propagation_test.go
+++ b/internal/controlplane/replicas/propagation_test.go
@@ -21,9 +21,9 @@
 		rng := rand.New(rand.NewPCG(seed, 5))
 		cluster, err := testharness.NewCluster(program, t.TempDir(), 3, 0)
 		check(t, err)
-		cluster.Extra = lease
+		cluster.ExtraForms = lease
 		t.Cleanup(cluster.Close)
-		check(t, cluster.Found(patience))
+		check(t, cluster.Bootstrap(patience))
 		caches := startCaches(t, 5)
 		now, next := desiredStates(caches)
 		awaitApply(t, cluster, submitPlan(t, cluster, now))
@@ -61,7 +61,7 @@
 			t.Logf("lease %q: %s cut off (there %v, back %v): accepted after %v, the last director had it %v later",
 				lease, cut.Name, directions[0], directions[1], accepted.Sub(begin), latest)
 			cut.Cut(true, true)
-			check(t, cluster.Whole(patience))
+			check(t, cluster.AwaitComplete(patience))
 		}
 		if lease == "" && worst > within(300*time.Millisecond) || lease != "" && worst < within(300*time.Millisecond) {
 			t.Errorf("lease %q: the last director had a purge %v after it was accepted", lease, worst)
--- a/internal/controlplane/replicas/recovery_test.go
+++ b/internal/controlplane/replicas/recovery_test.go
@@ -22,7 +22,7 @@
 		_, err := c.Purge(fleet.Purge{Object: fmt.Sprintf("%016x", i+1)})
 		check(t, err)
 	}
-	check(t, cluster.Whole(patience))
+	check(t, cluster.AwaitComplete(patience))
 	remaining := cluster.Replicas[1]
 	lost := []*testharness.Replica{cluster.Replicas[0], cluster.Replicas[2]}
 	image := t.TempDir()
@@ -67,7 +67,7 @@
 	}
 	lost[0].Kill()
 	check(t, lost[0].Start("--new-disk"))
-	check(t, cluster.Whole(patience))
+	check(t, cluster.AwaitComplete(patience))
 	if n := len(historyOf(t, lost[0])); n != 21 {
 		t.Errorf("%d of 21 events are on the new disk", n)
 	}
--- a/internal/controlplane/replicas/standby_test.go
+++ b/internal/controlplane/replicas/standby_test.go
@@ -16,7 +16,7 @@
 func TestStandbyReplacesALostReplica(t *testing.T) {
 	cluster, err := testharness.NewCluster(program, t.TempDir(), 3, 1)
 	check(t, err)
-	cluster.Extra = "(replace-after 1s)"
+	cluster.ExtraForms = "(replace-after 1s)"
 	t.Cleanup(func() {
 		cluster.Close()
 		if t.Failed() {
@@ -25,7 +25,7 @@
 			}
 		}
 	})
-	check(t, cluster.Found(patience))
+	check(t, cluster.Bootstrap(patience))
 	c, err := cluster.Client()
 	check(t, err)
 	_, err = c.ChangeReplicas(api.ReplicaChange{Action: "remove", Name: "c"})
--- a/internal/controlplane/replicas/watch_test.go
+++ b/internal/controlplane/replicas/watch_test.go
@@ -16,7 +16,7 @@
 		cut = cluster.Replicas[1]
 	}
 	const wait = 5 * time.Second
-	watcher, err := watchtest.Dial(netip.MustParseAddrPort(cut.Follow.Addr()), "d", patience)
+	watcher, err := watchtest.Dial(netip.MustParseAddrPort(cut.Watch.Addr()), "d", patience)
 	check(t, err)
 	t.Cleanup(watcher.Close)
 	status, _, err := watcher.Poll(0)
--- a/internal/decision/coalescing_test.go
+++ b/internal/decision/coalescing_test.go
@@ -88,7 +88,7 @@
 	s := testSettings()
 	s.JoinsFills = false // later requests wait, which shows that they are coalesced
 	s.Classes = append(s.Classes, Class{
-		Name: "clips", LatencyObjective: 400 * ms, Deadline: 4 * time.Second, PriorityWeight: 1, Idempotency: Idempotent,
+		Name: "clips", LatencyObjective: 400 * ms, Deadline: 4 * time.Second, Idempotency: Idempotent,
 	})
 	r := startRouter(t, s)
 	attempts := func(id, class, tenant string) int {
--- a/internal/decision/example_test.go
+++ b/internal/decision/example_test.go
@@ -14,7 +14,7 @@
 		Zone: "west", Kinds: []string{"cache", "parent", "origin"}, ParentKind: 1, OriginKind: 2,
 		FlowKBPerS: 5000, JoinsFills: true, CacheStatusMode: decision.CacheStatusModeAll, MaxAttempts: 4,
 		Classes: []decision.Class{{
-			Name: "clips", LatencyObjective: 400 * time.Millisecond, ObjectiveStretch: 2, Deadline: 5 * time.Second, PriorityWeight: 1,
+			Name: "clips", LatencyObjective: 400 * time.Millisecond, ObjectiveStretch: 2, Deadline: 5 * time.Second,
 			Idempotency: decision.Idempotent,
 		}},
 	}, 42)
--- a/internal/decision/helpers_test.go
+++ b/internal/decision/helpers_test.go
@@ -13,11 +13,11 @@
 		Zone: "west", Zones: []string{"hub", "west"}, Directors: 2, DirectorsByZone: []int{0, 2},
 		Kinds: []string{"cache", "parent", "origin"}, ParentKind: 1, OriginKind: 2, FlowKBPerS: 1000,
 		Classes: []Class{{
-			Name: "clip", LatencyObjective: 400 * ms, ObjectiveStretch: 2, Deadline: 4 * time.Second, PriorityWeight: 1,
+			Name: "clip", LatencyObjective: 400 * ms, ObjectiveStretch: 2, Deadline: 4 * time.Second,
 			Idempotency: Idempotent, DedupWindow: time.Second,
 		}},
 		WeightMode: WeightModeOff, CacheStatusMode: CacheStatusModeAll,
-		JoinsFills: true, Cancel: true, HedgedRequests: true, RetryAfter: true,
+		JoinsFills: true, Cancel: true, HedgedRequests: true,
 		MaxAttempts: 6, MaxRetryAfter: 700 * ms, AnswerGrace: 8 * ms,
 		DrainGrace: 250 * ms, PurgeGrace: 300 * ms, PurgeDone: 5 * time.Second,
 		CacheSlowStart:  SlowStart{InitialShare: 0.2, WarmUp: 10 * time.Second, OverloadFactor: 2, Window: time.Second},
--- a/internal/decision/settings.go
+++ b/internal/decision/settings.go
@@ -24,7 +24,6 @@
 
 	Cancel         bool          // attempts can be cancelled
 	HedgedRequests bool          // a request may have two attempts out; for the caller
-	RetryAfter     bool          // a rejected client obeys Retry-After; not used
 	MaxAttempts    int           // attempts of one request
 	MaxOpen        int           // requests open at once; 0: no limit; for the caller
 	MaxRetryAfter  time.Duration // longest Retry-After
@@ -45,7 +44,6 @@
 	LatencyObjective time.Duration // a request answered within this has its full weight
 	ObjectiveStretch float64       // the objective grows by this many times the request's sending time
 	Deadline         time.Duration // how long a client waits in all
-	PriorityWeight   float64       // weight of a request served in time; not used
 	Idempotency      Idempotency
 	DedupScope       DedupScope    // hosts that drop repeats of a request with an idempotency key
 	DedupWindow      time.Duration // for this long after the first attempt
--- a/internal/director/routing/fakes_test.go
+++ b/internal/director/routing/fakes_test.go
@@ -122,7 +122,6 @@
 			Name:             "clips",
 			LatencyObjective: time.Second,
 			Deadline:         6 * time.Second,
-			PriorityWeight:   1,
 			Idempotency:      decision.Idempotent,
 		}},
 	}
--- a/internal/protocol/simulator/settings.go
+++ b/internal/protocol/simulator/settings.go
@@ -51,7 +51,6 @@
 		NotifiedAfter:   r.time("Rules.AskWithin"),
 		Cancel:          r.flag("Limits.Cancel"),
 		HedgedRequests:  r.flag("Limits.SecondCopies"),
-		RetryAfter:      r.flag("Limits.RetryAfter"),
 		MaxAttempts:     r.integer("Limits.MaxAttempts"),
 		MaxOpen:         r.integer("Limits.MostHeld"),
 		MaxRetryAfter:   r.time("Limits.MaxRetryAfter"),
@@ -96,7 +95,6 @@
 			LatencyObjective: r.time(classKey(i, "Aim")),
 			ObjectiveStretch: r.number(classKey(i, "AimStretch")),
 			Deadline:         r.time(classKey(i, "Deadline")),
-			PriorityWeight:   r.number(classKey(i, "Worth")),
 			Idempotency:      decision.Idempotency(r.text(classKey(i, "Effect"))),
 			DedupScope:       decision.DedupScope(r.text(classKey(i, "Group"))),
 			DedupWindow:      r.time(classKey(i, "DedupWindow")),
@@ -130,6 +128,7 @@
 		r.text("FamilyInfo.Siblings"),
 		r.flag("FamilyInfo.Direct"),
 		r.flag("Limits.Probes"),
+		r.flag("Limits.RetryAfter"),
 		r.number("Charges.Probe"),
 		r.number("Charges.Waste"),
 		r.number("FamilyInfo.OriginLimitFactor"),
@@ -139,6 +138,7 @@
 	multiPart := r.flags("FamilyInfo.MultiPart")
 	for i := range classes {
 		unused += fmt.Sprintln(
+			r.number(classKey(i, "Worth")),
 			r.number(classKey(i, "LateWorth")),
 			r.flag(classKey(i, "Stream")),
 			valueAt(staleWeights, i),
--- a/internal/tools/capacity/measure/fixtures.go
+++ b/internal/tools/capacity/measure/fixtures.go
@@ -48,7 +48,6 @@
 		CacheStatusMode: decision.CacheStatusModeHits,
 		JoinsFills:      true,
 		Cancel:          true,
-		RetryAfter:      true,
 		MaxAttempts:     6,
 		MaxRetryAfter:   700 * time.Millisecond,
 		DialTimeout:     400 * time.Millisecond,
@@ -60,7 +59,6 @@
 			LatencyObjective: 400 * time.Millisecond,
 			ObjectiveStretch: 2,
 			Deadline:         6 * time.Second,
-			PriorityWeight:   1,
 			Idempotency:      decision.Idempotent,
 		}},
 	}
--- a/internal/tools/scale/cluster.go
+++ b/internal/tools/scale/cluster.go
@@ -78,8 +78,8 @@
 		return err
 	}
 	c.group.Relays = c.settings.Relays > 0
-	c.group.Every = snapshotEvery
-	if err := c.group.Found(startTimeout); err != nil {
+	c.group.SnapshotEvery = snapshotEvery
+	if err := c.group.Bootstrap(startTimeout); err != nil {
 		return err
 	}
 	if err := c.declareFleet(); err != nil {
@@ -139,7 +139,7 @@
 	}
 	for i, b := range c.group.Replicas {
 		if len(c.relays) > 0 {
-			b.Follow.To(c.relays[i%len(c.relays)].address)
+			b.Watch.To(c.relays[i%len(c.relays)].address)
 		}
 	}
 	return nil
--- a/internal/tools/scale/load.go
+++ b/internal/tools/scale/load.go
@@ -127,16 +127,16 @@
 }
 
 // change plans the way to a desired state and hands the plan in.
-func change(client *api.Client, wished func(fleet.ObservedState) fleet.DesiredState) error {
+func change(client *api.Client, desired func(fleet.ObservedState) fleet.DesiredState) error {
 	answer, err := client.State()
 	if err != nil {
 		return err
 	}
-	world, err := answer.ObservedState()
+	state, err := answer.ObservedState()
 	if err != nil {
 		return err
 	}
-	p, err := plan.Make(world, wished(world), "")
+	p, err := plan.Make(state, desired(state), "")
 	if err != nil {
 		return err
 	}
--- a/internal/tools/scale/row.go
+++ b/internal/tools/scale/row.go
@@ -73,7 +73,7 @@
 	Collapsed       []string         `json:"collapsed,omitempty"` // why the size counts as more than the control plane bears
 }
 
-// Result is a whole run.
+// Result is the outcome of a run.
 type Result struct {
 	Began    time.Time `json:"began"`
 	Settings Settings  `json:"settings"`
--- a/internal/tools/scale/simulated/answers.go
+++ b/internal/tools/scale/simulated/answers.go
@@ -9,7 +9,7 @@
 	"stairvane.org/stairvane/internal/protocol/discovery"
 )
 
-// maxDecoded bounds the decoded answers that are kept.
+// maxDecoded bounds the decoded answers in the cache.
 const maxDecoded = 256
 
 // personalPart begins what an answer has for one director alone: its grant. All before it is the same for all that ask alike.
@@ -43,11 +43,11 @@
 	if feed, known := a.decoded[key]; known {
 		return feed, nil
 	}
-	whole := shared
+	complete := shared
 	if cut {
-		whole = append(bytes.Clone(shared), '}')
+		complete = append(bytes.Clone(shared), '}')
 	}
-	feed, err := discovery.Decode(whole)
+	feed, err := discovery.Decode(complete)
 	if err != nil {
 		return feed, err
 	}
--- a/internal/tools/scale/simulated/director.go
+++ b/internal/tools/scale/simulated/director.go
@@ -21,20 +21,20 @@
 
 // simulatedDirector is one simulated director: a connection with one long poll at a time. It implements transport.Handler.
 type simulatedDirector struct {
-	process *Process
-	number  int
-	own     discovery.Director
-	at      int // place of the server among the addresses
-	tried   int // addresses since the last answer
-	conn    *transport.Conn
-	timer   transport.Timer
-	retry   time.Duration
-	random  *mathrand.Rand
-	last    int64 // number of the last event that was taken in
-	roll    int64 // number of the last event of the membership
-	renewer *quota.Holder
-	demands []float64 // mean demands, by warming cache
-	request []byte
+	process            *Process
+	number             int
+	own                discovery.Director
+	at                 int // place of the server among the addresses
+	tried              int // addresses since the last answer
+	conn               *transport.Conn
+	timer              transport.Timer
+	retry              time.Duration
+	random             *mathrand.Rand
+	lastRevision       int64 // number of the last event that was taken in
+	membershipRevision int64 // number of the last event of the membership
+	renewer            *quota.Holder
+	demands            []float64 // mean demands, by warming cache
+	request            []byte
 
 	answers  int64         // since it began: purges of the first one are from before it
 	answered time.Duration // when it was answered last
@@ -64,7 +64,7 @@
 		Site:        fmt.Sprintf("site-%03d", d.number%sites),
 		Version:     "0123456789ab",
 	}
-	d.last, d.roll, d.answers = 0, 0, 0
+	d.lastRevision, d.membershipRevision, d.answers = 0, 0, 0
 	d.retry = d.process.timing.RetryMin
 	d.renewer = quota.NewHolder(d.own.ID(), director.QuotaSettings)
 }
@@ -134,7 +134,7 @@
 
 func (d *simulatedDirector) poll() {
 	address := d.process.settings.Addresses[d.at].String()
-	d.request = discovery.AppendRequest(d.request[:0], address, d.last, d.process.timing.PollTimeout.Milliseconds(), d.announcement())
+	d.request = discovery.AppendRequest(d.request[:0], address, d.lastRevision, d.process.timing.PollTimeout.Milliseconds(), d.announcement())
 	traffic := &d.process.count.traffic[d.at]
 	traffic.Requests++
 	traffic.BytesUp += int64(len(d.request))
@@ -148,7 +148,7 @@
 		demand := max(LeastDemand, mean*(1+demandVaries*(2*d.random.Float64()-1)))
 		d.renewer.Want(quota.Want{Limit: limitName(cache), Kind: quota.Rate, Demand: demand})
 	}
-	a := discovery.Announcement{Director: d.own, MembershipRevision: d.roll, Config: "0123456789abcdef"}
+	a := discovery.Announcement{Director: d.own, MembershipRevision: d.membershipRevision, Config: "0123456789abcdef"}
 	var err error
 	if a.QuotaRenewal, err = json.Marshal(d.renewer.Renewal(Now())); err != nil {
 		panic(err) // texts and numbers
@@ -195,23 +195,23 @@
 		d.takeGrant(feed.QuotaGrant, now)
 	}
 	count := &d.process.count
-	hadRoll := d.roll > 0 // without it the server tells everything from the beginning
+	hadMembership := d.membershipRevision > 0 // without it the server sends all events from the beginning
 	for _, item := range feed.Events {
-		if item.Membership != nil && (item.Membership.Snapshot || item.Revision > d.last) {
-			d.roll = max(d.roll, item.Revision)
+		if item.Membership != nil && (item.Membership.Snapshot || item.Revision > d.lastRevision) {
+			d.membershipRevision = max(d.membershipRevision, item.Revision)
 		}
-		if item.Revision <= d.last {
-			if item.Purge != nil && hadRoll {
+		if item.Revision <= d.lastRevision {
+			if item.Purge != nil && hadMembership {
 				count.repeated++
 			}
 			continue
 		}
-		d.last = item.Revision
+		d.lastRevision = item.Revision
 		if item.Purge != nil && d.answers > 0 {
 			count.purges[item.Revision] = append(count.purges[item.Revision], int64(now))
 		}
 	}
-	d.last = max(d.last, feed.LastRevision)
+	d.lastRevision = max(d.lastRevision, feed.LastRevision)
 	d.answers++
 }
 
--- a/internal/tools/testharness/cluster.go
+++ b/internal/tools/testharness/cluster.go
@@ -26,20 +26,20 @@
 
 // Cluster is a control plane of several replicas, each a process with a folder and with proxies to all others.
 type Cluster struct {
-	Program  string // path of stairvane-fleet
-	Folder   string
-	Extra    string // further forms of (copies ...)
-	Parents  bool   // directors fill from parent caches, of the class parent
-	Relays   bool   // relays are admitted
-	Every    int    // events from one snapshot to the next; 0: 500
-	Replicas []*Replica
+	Program       string // path of stairvane-fleet
+	Folder        string
+	ExtraForms    string // further forms of (copies ...)
+	Parents       bool   // directors fill from parent caches, of the class parent
+	Relays        bool   // relays are admitted
+	SnapshotEvery int    // events from one snapshot to the next; 0: 500
+	Replicas      []*Replica
 }
 
 // NewCluster prepares so many replicas, named a, b, c and so on, the last ones standbys. None is started.
 func NewCluster(program, folder string, replicas, standbys int) (*Cluster, error) {
 	c := &Cluster{Program: program, Folder: folder}
 	for i := range replicas + standbys {
-		r := &Replica{Name: string(rune('a' + i)), Spare: i >= replicas, Links: map[string]*Proxy{}, cluster: c}
+		r := &Replica{Name: string(rune('a' + i)), IsStandby: i >= replicas, Peers: map[string]*Proxy{}, cluster: c}
 		r.Folder = filepath.Join(folder, r.Name)
 		if err := os.MkdirAll(r.Folder, 0o700); err != nil {
 			return nil, err
@@ -59,10 +59,10 @@
 	var list strings.Builder
 	for _, other := range c.Replicas {
 		address, standby := "127.0.0.1:1", ""
-		if proxy := r.Links[other.Name]; proxy != nil {
+		if proxy := r.Peers[other.Name]; proxy != nil {
 			address = proxy.Addr()
 		}
-		if other.Spare {
+		if other.IsStandby {
 			standby = " (spare)"
 		}
 		fmt.Fprintf(&list, "    (copy %[1]s (address %[2]s) (machine m-%[1]s) (site s-%[1]s)%[3]s)\n", other.Name, address, standby)
@@ -72,8 +72,8 @@
 		relays = " (relays)"
 	}
 	text := fmt.Sprintf("(board (listen 127.0.0.1:0) (store %s) (write (tcp 127.0.0.1:0)) (snapshot-every %d) (keep 100000)%s\n",
-		r.Store(), cmp.Or(c.Every, defaultSnapshotEvery), relays)
-	text += fmt.Sprintf("  (copies (self %s)\n%s    %s))\n", r.Name, list.String(), c.Extra)
+		r.Store(), cmp.Or(c.SnapshotEvery, defaultSnapshotEvery), relays)
+	text += fmt.Sprintf("  (copies (self %s)\n%s    %s))\n", r.Name, list.String(), c.ExtraForms)
 	return r.Path(), os.WriteFile(r.Path(), []byte(text), 0o600)
 }
 
@@ -122,8 +122,8 @@
 	return nil
 }
 
-// Found starts all replicas and waits until all but the standbys vote.
-func (c *Cluster) Found(within time.Duration) error {
+// Bootstrap starts all replicas and waits until all but the standbys vote.
+func (c *Cluster) Bootstrap(within time.Duration) error {
 	for i, r := range c.Replicas {
 		var args []string
 		if i == 0 {
@@ -133,11 +133,11 @@
 			return err
 		}
 	}
-	return c.Whole(within)
+	return c.AwaitComplete(within)
 }
 
-// Whole waits until as many replicas vote as are no standbys, and all of them are there and have caught up.
-func (c *Cluster) Whole(within time.Duration) error {
+// AwaitComplete waits until as many replicas vote as are no standbys, and all of them are there and have caught up.
+func (c *Cluster) AwaitComplete(within time.Duration) error {
 	var last string
 	for deadline := time.Now().Add(within); time.Now().Before(deadline); time.Sleep(completePollInterval) {
 		for _, r := range c.running() {
@@ -158,7 +158,7 @@
 func (c *Cluster) isComplete(status api.GroupStatus) bool {
 	wanted := 0
 	for _, r := range c.Replicas {
-		if !r.Spare {
+		if !r.IsStandby {
 			wanted++
 		}
 	}
@@ -175,7 +175,7 @@
 // name the disk that one had before.
 func (c *Cluster) disksVote(status api.GroupStatus) bool {
 	for _, r := range c.running() {
-		if r.Spare {
+		if r.IsStandby {
 			continue
 		}
 		own, err := r.Status()
@@ -196,10 +196,10 @@
 		if r.Process != nil && r.Running() {
 			r.Kill()
 		}
-		for _, proxy := range r.Links {
+		for _, proxy := range r.Peers {
 			proxy.Close()
 		}
 		r.Write.Close()
-		r.Follow.Close()
+		r.Watch.Close()
 	}
 }
--- a/internal/tools/testharness/director.go
+++ b/internal/tools/testharness/director.go
@@ -20,7 +20,7 @@
 func (c *Cluster) StartDirector(name, location string, first int, forms string) (*Director, error) {
 	var addresses []string
 	for i := range c.Replicas {
-		addresses = append(addresses, c.Replicas[(first+i)%len(c.Replicas)].Follow.Addr())
+		addresses = append(addresses, c.Replicas[(first+i)%len(c.Replicas)].Watch.Addr())
 	}
 	return c.startDirector(name, location, first, addresses, forms)
 }
--- a/internal/tools/testharness/relay.go
+++ b/internal/tools/testharness/relay.go
@@ -10,11 +10,11 @@
 // Relay is a relay's process, with proxies to the write sides of all replicas and one in front of it.
 type Relay struct {
 	*Process
-	Name    string
-	Links   []*Proxy // to the replicas, in their order
-	Watch   *Proxy   // from the outside to where it serves watches
-	path    string   // of its program file
-	cluster *Cluster
+	Name     string
+	Upstream []*Proxy // to the replicas, in their order
+	Watch    *Proxy   // from the outside to where it serves watches
+	path     string   // of its program file
+	cluster  *Cluster
 }
 
 // NewRelay prepares a relay of the replicas, which are started already. It is not started. forms are further ones of (relay ...).
@@ -26,7 +26,7 @@
 		if err != nil {
 			return nil, err
 		}
-		r.Links = append(r.Links, proxy)
+		r.Upstream = append(r.Upstream, proxy)
 		upstream = append(upstream, proxy.Addr())
 	}
 	var err error
@@ -41,7 +41,7 @@
 // Start starts the relay and connects its proxies.
 func (r *Relay) Start() error {
 	for i, replica := range r.cluster.Replicas {
-		r.Links[i].To(replica.Write.Addr())
+		r.Upstream[i].To(replica.Write.Addr())
 	}
 	var err error
 	if r.Process, err = Start(r.Name, r.cluster.Program, []string{"relay", r.path}, nil); err != nil {
@@ -58,7 +58,7 @@
 
 // Cut cuts the relay off from all replicas, or connects it with them again.
 func (r *Relay) Cut(cut bool) {
-	for _, proxy := range r.Links {
+	for _, proxy := range r.Upstream {
 		proxy.Carry(!cut, !cut)
 	}
 }
@@ -68,7 +68,7 @@
 	if r.Process != nil && r.Running() {
 		r.Kill()
 	}
-	for _, proxy := range r.Links {
+	for _, proxy := range r.Upstream {
 		proxy.Close()
 	}
 	r.Watch.Close()
--- a/internal/tools/testharness/replica.go
+++ b/internal/tools/testharness/replica.go
@@ -15,13 +15,13 @@
 // Replica is one replica of the control plane.
 type Replica struct {
 	*Process
-	Name    string
-	Folder  string
-	Spare   bool              // it stands by
-	Links   map[string]*Proxy // to the other replicas, by name
-	Write   *Proxy            // from the outside to its write side
-	Follow  *Proxy            // from the outside to where it serves watches
-	cluster *Cluster
+	Name      string
+	Folder    string
+	IsStandby bool              // it stands by
+	Peers     map[string]*Proxy // to the other replicas, by name
+	Write     *Proxy            // from the outside to its write side
+	Watch     *Proxy            // from the outside to where it serves watches
+	cluster   *Cluster
 
 	clientMu sync.Mutex // of client; a client has connections of its own, so there is one
 	client   *api.Client
@@ -32,14 +32,14 @@
 		if other == r {
 			continue
 		}
-		if r.Links[other.Name], err = NewProxy(); err != nil {
+		if r.Peers[other.Name], err = NewProxy(); err != nil {
 			return err
 		}
 	}
 	if r.Write, err = NewProxy(); err != nil {
 		return err
 	}
-	r.Follow, err = NewProxy()
+	r.Watch, err = NewProxy()
 	return err
 }
 
@@ -59,9 +59,9 @@
 	write, _ := serves["write"].(string)
 	watch, _ := serves["bulletin"].(string)
 	r.Write.To(write)
-	r.Follow.To(watch)
+	r.Watch.To(watch)
 	for _, other := range r.cluster.Replicas {
-		if proxy := other.Links[r.Name]; proxy != nil {
+		if proxy := other.Peers[r.Name]; proxy != nil {
 			proxy.To(write)
 		}
 	}
@@ -82,8 +82,8 @@
 		}
 		// A connection carries calls one way and their answers the other: what the replica sends goes forward on its own
 		// connections and backward on those of the others.
-		r.Links[other.Name].Carry(there, back)
-		other.Links[r.Name].Carry(back, there)
+		r.Peers[other.Name].Carry(there, back)
+		other.Peers[r.Name].Carry(back, there)
 	}
 }
 
