--- a/cmd/stairvane-fleet/state.go
+++ b/cmd/stairvane-fleet/state.go
@@ -53,7 +53,7 @@
 	}
 	s.printf("revision %d, %d boxes, %d followers told up to event %d, observer %s\n",
 		state.Revision, state.Len(), answer.Watchers, answer.AcknowledgedUpTo, observer)
-	if r := answer.LeaseHolder; r != nil {
+	if r := answer.RunningApply; r != nil {
 		s.println("under way:", recordLine(*r))
 	}
 }
--- a/internal/claims/node.go
+++ b/internal/claims/node.go
@@ -49,10 +49,10 @@
 	claims           map[string]*storedClaim
 
 	// Of a takeover by this node, see continueTakeover.
-	awaitingClose     map[string]bool // replicas of earlier epochs that have not answered; nil: there is no takeover
-	awaitingFill      map[string]bool // new replicas that are not filled
-	hasPreviousClaims bool            // a replica of the last ready epoch has sent its claims, or this node is one
-	blindUntil        time.Duration   // until when claims may be in force that no replica has; 0: there are none
+	awaitingClose      map[string]bool // replicas of earlier epochs that have not answered; nil: there is no takeover
+	awaitingFill       map[string]bool // new replicas that are not filled
+	hasPreviousClaims  bool            // a replica of the last ready epoch has sent its claims, or this node is one
+	unknownClaimsUntil time.Duration   // until when claims may be in force that no replica has; 0: there are none
 }
 
 // storedClaim is a claim that this node holds.
@@ -137,7 +137,7 @@
 	n.retryRequests(now)
 	n.resendUnconfirmed(now)
 	for i := range n.shards {
-		if s := &n.shards[i]; s.awaitingClose != nil && s.blindUntil > 0 && now >= s.blindUntil {
+		if s := &n.shards[i]; s.awaitingClose != nil && s.unknownClaimsUntil > 0 && now >= s.unknownClaimsUntil {
 			n.continueTakeover(i, now)
 		}
 	}
--- a/internal/claims/placement.go
+++ b/internal/claims/placement.go
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Place is a director that holds claims.
-type Place struct {
+// ShardCandidate is a director that holds claims.
+type ShardCandidate struct {
 	ID      string
 	Name    string // stays the same when the process starts again, and so do its shards
 	Machine string // failure domains
@@ -25,15 +25,15 @@
 
 // weightedPlace is a place and its weight for a shard.
 type weightedPlace struct {
-	Place
+	ShardCandidate
 	weight uint64
 }
 
 // rank returns the places by falling weight for a shard.
-func rank(shard int, places []Place) []weightedPlace {
+func rank(shard int, places []ShardCandidate) []weightedPlace {
 	ranked := make([]weightedPlace, len(places))
 	for i, p := range places {
-		ranked[i] = weightedPlace{Place: p, weight: rendezvousWeight(shard, p.Name)}
+		ranked[i] = weightedPlace{ShardCandidate: p, weight: rendezvousWeight(shard, p.Name)}
 	}
 	slices.SortFunc(ranked, func(a, b weightedPlace) int {
 		return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(a.ID, b.ID))
@@ -43,7 +43,7 @@
 
 // SelectReplicas returns the IDs of a shard's replicas, at most count, the primary first. Each is on another machine, and in
 // another site as far as there are sites.
-func SelectReplicas(shard, count int, places []Place) []string {
+func SelectReplicas(shard, count int, places []ShardCandidate) []string {
 	ranked := rank(shard, places)
 	machines := map[string]bool{}
 	sites := map[string]bool{}
@@ -66,7 +66,7 @@
 
 // Reassign returns the changes after which the places hold all shards, each with at most replicaCount replicas. The replicas of the
 // last epoch that was ready stay named as the previous ones until the new ones are filled.
-func Reassign(shards []ShardState, replicaCount int, places []Place) []ShardState {
+func Reassign(shards []ShardState, replicaCount int, places []ShardCandidate) []ShardState {
 	var changed []ShardState
 	for i, s := range shards {
 		replicas := SelectReplicas(i, replicaCount, places)
--- a/internal/claims/placement_test.go
+++ b/internal/claims/placement_test.go
@@ -12,11 +12,11 @@
 func TestSelectReplicas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(4, 40).Draw(t, "places")
-		var places []Place
+		var places []ShardCandidate
 		for i := range n {
 			name := fmt.Sprint("d", i)
 			site := rapid.IntRange(0, 4).Draw(t, "site") // a machine is in one site
-			places = append(places, Place{
+			places = append(places, ShardCandidate{
 				ID:      name + "/1",
 				Name:    name,
 				Machine: fmt.Sprint("m", site, "-", rapid.IntRange(0, 9).Draw(t, "machine")),
--- a/internal/claims/simulation_test.go
+++ b/internal/claims/simulation_test.go
@@ -98,9 +98,9 @@
 	s.nodes[id] = n
 }
 
-func (s *simulation) place(id string) Place {
+func (s *simulation) place(id string) ShardCandidate {
 	n := s.nodes[id]
-	return Place{ID: id, Name: n.name, Machine: n.name, Site: n.name}
+	return ShardCandidate{ID: id, Name: n.name, Machine: n.name, Site: n.name}
 }
 
 // updateMembership writes the next membership event, if there is a change. Directors that have not called for a lease and its drift
@@ -126,7 +126,7 @@
 	}
 	slices.Sort(joined)
 	s.members = members
-	var places []Place
+	var places []ShardCandidate
 	for _, id := range members {
 		places = append(places, s.place(id))
 	}
--- a/internal/claims/takeover.go
+++ b/internal/claims/takeover.go
@@ -79,7 +79,7 @@
 	}
 	s.awaitingClose = map[string]bool{}
 	s.hasPreviousClaims = false
-	s.blindUntil = 0
+	s.unknownClaimsUntil = 0
 	for _, id := range s.previousReplicas {
 		if id == n.id {
 			s.hasPreviousClaims = true
@@ -110,11 +110,11 @@
 func (n *Node) continueTakeover(i int, now time.Duration) {
 	s := &n.shards[i]
 	n.closeEarlierEpochs(i, now)
-	if len(s.awaitingClose) == 0 && !s.hasPreviousClaims && s.blindUntil == 0 {
+	if len(s.awaitingClose) == 0 && !s.hasPreviousClaims && s.unknownClaimsUntil == 0 {
 		// Claims may be in force that no remaining replica has. They expire by then.
-		s.blindUntil = now + n.set.lifetime(n.set.MaxWindow)
+		s.unknownClaimsUntil = now + n.set.lifetime(n.set.MaxWindow)
 	}
-	if len(s.awaitingClose) > 0 || now < s.blindUntil {
+	if len(s.awaitingClose) > 0 || now < s.unknownClaimsUntil {
 		return
 	}
 	if s.awaitingFill == nil {
@@ -124,7 +124,7 @@
 		s.ready = true
 		s.awaitingClose = nil
 		s.awaitingFill = nil
-		s.blindUntil = 0
+		s.unknownClaimsUntil = 0
 		n.readyShards = append(n.readyShards, int64(i), s.epoch)
 	}
 }
--- a/internal/controlplane/acknowledged/tracker.go
+++ b/internal/controlplane/acknowledged/tracker.go
@@ -19,7 +19,7 @@
 type watcher struct {
 	addr         netip.Addr
 	acknowledged int64
-	requested    bool // it has made a request; before, it is nobody
+	requested    bool // it has made a request; before that it does not count
 }
 
 // departure is a watcher that left and lacked events, or may lack those that come. It connects elsewhere, or stops using what it has
--- a/internal/controlplane/api/errors.go
+++ b/internal/controlplane/api/errors.go
@@ -23,11 +23,11 @@
 
 // Error is the answer to a request that was not served.
 type Error struct {
-	Kind        string           `json:"error"`   // one of the constants above
-	Message     string           `json:"message"` // for people
-	Moved       []plan.StaleRead `json:"moved,omitempty"`
-	LeaseHolder *apply.Record    `json:"holder,omitempty"`
-	Leader      string           `json:"leader,omitempty"` // the replica that leads; empty if it is not known
+	Kind         string           `json:"error"`   // one of the constants above
+	Message      string           `json:"message"` // for people
+	Moved        []plan.StaleRead `json:"moved,omitempty"`
+	RunningApply *apply.Record    `json:"holder,omitempty"`
+	Leader       string           `json:"leader,omitempty"` // the replica that leads; empty if it is not known
 }
 
 func (e *Error) Error() string { return e.Message }
--- a/internal/controlplane/api/messages.go
+++ b/internal/controlplane/api/messages.go
@@ -30,7 +30,7 @@
 	Observer         bool                         `json:"observer"` // hosts are observed
 	Watchers         int                          `json:"followers"`
 	AcknowledgedUpTo int64                        `json:"told_up_to"`       // revision up to which all directors have all events
-	LeaseHolder      *apply.Record                `json:"holder,omitempty"` // the apply that runs or is paused
+	RunningApply     *apply.Record                `json:"holder,omitempty"` // the apply that runs or is paused
 }
 
 // ObservedState is the state that plans are made against.
@@ -82,7 +82,7 @@
 // HealthReport is what a director reports of caches, and where the director is.
 type HealthReport struct {
 	health.Report
-	health.Place
+	health.ReporterLocation
 }
 
 // LeaseAnswer is what the leader answers a replica for the directors that watch it.
--- a/internal/controlplane/apply_test.go
+++ b/internal/controlplane/apply_test.go
@@ -153,7 +153,7 @@
 			switch {
 			case err == nil:
 				taken++
-			case !errors.As(err, &refused) || refused.Kind != api.Busy || refused.LeaseHolder == nil ||
+			case !errors.As(err, &refused) || refused.Kind != api.Busy || refused.RunningApply == nil ||
 				!strings.Contains(refused.Message, "says person"):
 				t.Errorf("%v", err)
 			}
--- a/internal/controlplane/directors.go
+++ b/internal/controlplane/directors.go
@@ -17,8 +17,6 @@
 )
 
 const (
-	directorLease = 400 * time.Millisecond // by a director's clock, see internal/director
-	clockDrift    = 0.02                   // by which clocks may run apart, as a share
 	// membershipTick is the time between two looks for changes that are to be written.
 	membershipTick = 25 * time.Millisecond
 )
--- a/internal/controlplane/executor.go
+++ b/internal/controlplane/executor.go
@@ -178,11 +178,11 @@
 func (x *executor) recover() error {
 	var m *apply.Machine
 	err := x.server.store.Do(func(t *store.Tx) error {
-		holder, err := t.LeaseHolder()
+		holder, err := t.RunningApply()
 		if err != nil || holder == nil {
 			return err
 		}
-		record, err := t.AcquireLease(*holder)
+		record, err := t.AcquireApplyLock(*holder)
 		if err != nil {
 			return err
 		}
--- a/internal/controlplane/executor_decisions.go
+++ b/internal/controlplane/executor_decisions.go
@@ -16,11 +16,11 @@
 // execute makes one decision durable and marks it in the machine.
 func (x *executor) execute(m *apply.Machine, d apply.Decision) error {
 	switch d.Kind {
-	case apply.Effect:
+	case apply.BeginStep:
 		return x.beginStep(m, d.Step)
-	case apply.StepOver:
+	case apply.CompleteStep:
 		return x.completeStep(m, d.Step)
-	case apply.End:
+	case apply.Finish:
 		return x.setStatus(m, apply.Done, "")
 	case apply.Fault:
 		slog.Warn("apply.fault_detected", "apply", m.Record.ID, "step", d.Step, "reason", d.Reason, "revert", d.Revert)
@@ -62,7 +62,7 @@
 	if err := x.fenced(m.Record, func(t *store.Tx) error { return t.SetStep(m.Record.ID, step, state) }); err != nil {
 		return err
 	}
-	m.MarkFinished(step, nowMS)
+	m.MarkCompleted(step, nowMS)
 	slog.Info("apply.step_completed", "apply", m.Record.ID, "step", step, "of", m.Record.Steps, "what", m.Plan.Steps[step-1].String())
 	return nil
 }
@@ -118,7 +118,7 @@
 		if err := t.SetRecord(reverted); err != nil {
 			return err
 		}
-		t.KeepLease(record)
+		t.KeepApplyLock(record)
 		next, err = apply.New(record, p, nil)
 		return err
 	})
--- a/internal/controlplane/executor_requests.go
+++ b/internal/controlplane/executor_requests.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		return submission{}, err
 	}
-	holder, err := t.LeaseHolder()
+	holder, err := t.RunningApply()
 	if err != nil {
 		return submission{}, err
 	}
--- a/internal/controlplane/health.go
+++ b/internal/controlplane/health.go
@@ -50,7 +50,7 @@
 	if len(a.HealthReport) == 0 || json.Unmarshal(a.HealthReport, &r) != nil || r.Holder != a.ID() {
 		return
 	}
-	place := health.Place{Machine: a.Machine, Location: a.Location}
+	place := health.ReporterLocation{Machine: a.Machine, Location: a.Location}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
@@ -58,7 +58,7 @@
 		s.aggregator.Take(r, place, now)
 		s.notify(s.aggregator.Aggregated(now), now)
 	case len(s.reports) < maxQueuedReports:
-		s.reports = append(s.reports, api.HealthReport{Report: r, Place: place})
+		s.reports = append(s.reports, api.HealthReport{Report: r, ReporterLocation: place})
 	}
 }
 
@@ -70,7 +70,7 @@
 		return
 	}
 	for _, r := range reports {
-		s.aggregator.Take(r.Report, r.Place, now)
+		s.aggregator.Take(r.Report, r.ReporterLocation, now)
 	}
 	s.notify(s.aggregator.Aggregated(now), now)
 }
@@ -84,7 +84,7 @@
 		return nil
 	}
 	for _, report := range r.Reports {
-		s.aggregator.Take(report.Report, report.Place, now)
+		s.aggregator.Take(report.Report, report.ReporterLocation, now)
 	}
 	h := s.aggregator.Aggregated(now)
 	if len(r.Reports) > 0 {
--- a/internal/controlplane/members.go
+++ b/internal/controlplane/members.go
@@ -18,7 +18,7 @@
 	// describeInterval is the time after which a replica describes a director to the leader again.
 	describeInterval = 2 * time.Second
 	// watcherExpiry is the time after its last call for which a replica reports a director to the leader.
-	watcherExpiry = 10 * directorLease
+	watcherExpiry = 10 * discovery.MembershipLease
 )
 
 // memberService owns what is known of directors and of relays' sessions: the tracker that decides who is a member, and the
@@ -56,10 +56,10 @@
 		watchers: map[string]*watchingDirector{},
 		tracker: membership.New(membership.Settings{
 			// A replica that is cut off goes on answering directors until its own lease ends; their leases count from then.
-			Lease:         directorLease + replicaLease,
-			Drift:         clockDrift,
+			Lease:         discovery.MembershipLease + replicaLease,
+			Drift:         discovery.ClockDrift,
 			Gather:        membershipGather,
-			DirectorLease: directorLease,
+			DirectorLease: discovery.MembershipLease,
 			RelayLease:    relayLease,
 		}),
 	}
@@ -166,7 +166,7 @@
 func (s *memberService) markAnnounced(now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tracker.MarkAnnounced(now)
+	s.tracker.MarkWritten(now)
 }
 
 // settled reports whether this replica leads and all leases are over that an earlier leader may have given.
--- a/internal/controlplane/membership/changes.go
+++ b/internal/controlplane/membership/changes.go
@@ -9,8 +9,8 @@
 	"stairvane.org/stairvane/internal/fleet"
 )
 
-// reconcileInterval is the time between two comparisons of all members with what is known. In between, only directors that have
-// changed are compared.
+// reconcileInterval is the time between two comparisons of all members with what is known, which cost a pass over the fleet. In
+// between, only directors that have changed are compared.
 const reconcileInterval = time.Second
 
 // Change returns what the next membership event is to change of the members in f; nil if nothing, or if the last change was too
--- a/internal/controlplane/membership/changes_test.go
+++ b/internal/controlplane/membership/changes_test.go
@@ -40,7 +40,7 @@
 		h.t.Fatal(err)
 	}
 	h.f = f
-	h.tracker.MarkAnnounced(h.now)
+	h.tracker.MarkWritten(h.now)
 	h.written++
 	return c
 }
--- a/internal/controlplane/membership/tracker.go
+++ b/internal/controlplane/membership/tracker.go
@@ -119,8 +119,8 @@
 	return now > t.beganAt+max(t.set.withDrift(t.set.Lease), t.set.relayedLease())
 }
 
-// MarkAnnounced records that a change of the members was written.
-func (t *Tracker) MarkAnnounced(now time.Duration) { t.lastChange = now }
+// MarkWritten records that a change of the members was written.
+func (t *Tracker) MarkWritten(now time.Duration) { t.lastChange = now }
 
 // add makes a director known.
 func (t *Tracker) add(description fleet.Director) *director {
--- a/internal/controlplane/membership_write.go
+++ b/internal/controlplane/membership_write.go
@@ -65,11 +65,11 @@
 }
 
 // claimPlaces returns the members that hold claims.
-func claimPlaces(members map[string]fleet.Director) []claims.Place {
-	var places []claims.Place
+func claimPlaces(members map[string]fleet.Director) []claims.ShardCandidate {
+	var places []claims.ShardCandidate
 	for id, d := range members {
 		if d.Claims != "" {
-			places = append(places, claims.Place{ID: id, Name: d.Name, Machine: d.Machine, Site: d.Site})
+			places = append(places, claims.ShardCandidate{ID: id, Name: d.Name, Machine: d.Machine, Site: d.Site})
 		}
 	}
 	return places
--- a/internal/controlplane/quotas.go
+++ b/internal/controlplane/quotas.go
@@ -26,7 +26,7 @@
 // When this replica begins to lead, it gets a new allocator, which grants nothing until the grants of the leader before are over.
 // When it ceases to lead, the allocator is dropped, and renewals wait for the next message to the new leader.
 type quotaService struct {
-	hasLease func() bool // this replica was proven to be in its group a moment ago
+	hasLease func() bool // reports whether this replica's lease to serve watches is in force
 
 	mu        sync.Mutex
 	allocator *quota.Allocator         // nil: this replica does not lead
--- a/internal/controlplane/relay_leases.go
+++ b/internal/controlplane/relay_leases.go
@@ -7,6 +7,7 @@
 	"stairvane.org/stairvane/internal/controlplane/relaysession"
 	"stairvane.org/stairvane/internal/controlplane/replica"
 	"stairvane.org/stairvane/internal/controlplane/replicas"
+	"stairvane.org/stairvane/internal/protocol/discovery"
 )
 
 // relayLease returns the time for which a relay may serve after a request that was answered.
@@ -28,7 +29,7 @@
 }
 
 func newRelayLeases(s *Server) *relayLeases {
-	lessor := replica.NewLessor(replica.Lease{Length: s.relayLease(), Drift: clockDrift})
+	lessor := replica.NewLessor(replica.Lease{Length: s.relayLease(), Drift: discovery.ClockDrift})
 	lessor.SetLeader(true, replicas.Now())
 	return &relayLeases{server: s, lessor: lessor}
 }
--- a/internal/controlplane/relay_requests_test.go
+++ b/internal/controlplane/relay_requests_test.go
@@ -35,7 +35,7 @@
 	r := &testRelay{t: t, server: b, behind: map[string]int64{}}
 	r.session = relaysession.New(relaysession.Settings{
 		Relay: membership.Relay{Name: name, Incarnation: fmt.Sprint(number), Region: "north"}, Number: number,
-		DirectorLease: directorLease, Drift: clockDrift,
+		DirectorLease: discovery.MembershipLease, Drift: discovery.ClockDrift,
 	}, nil)
 	for i := range directors {
 		r.directors = append(r.directors, discovery.Announcement{Config: "mark", Director: discovery.Director{
--- a/internal/controlplane/relayserver/server.go
+++ b/internal/controlplane/relayserver/server.go
@@ -16,13 +16,12 @@
 	"stairvane.org/stairvane/internal/controlplane/replicas"
 	"stairvane.org/stairvane/internal/controlplane/watch"
 	"stairvane.org/stairvane/internal/operatorconfig"
+	"stairvane.org/stairvane/internal/protocol/discovery"
 	"stairvane.org/stairvane/internal/quota"
 	"stairvane.org/stairvane/internal/transport"
 )
 
 const (
-	directorLease      = 400 * time.Millisecond // by a director's clock, see internal/director
-	clockDrift         = 0.02                   // by which clocks may run apart, as a share
 	leaseCheckInterval = 10 * time.Millisecond
 	// lingerTime is how long the loop goes on after the last watcher is closed, so that the leader is sent who has left.
 	lingerTime = 100 * time.Millisecond
@@ -84,8 +83,8 @@
 	return relaysession.New(relaysession.Settings{
 		Relay:         identity,
 		Number:        randomNumber(),
-		DirectorLease: directorLease,
-		Drift:         clockDrift,
+		DirectorLease: discovery.MembershipLease,
+		Drift:         discovery.ClockDrift,
 	}, quota.NewNode(identity.ID(), relaysession.QuotaSettings))
 }
 
@@ -169,7 +168,7 @@
 	}
 	if a.LeaseMS > 0 {
 		length := min(relaysession.Lease, time.Duration(a.LeaseMS)*time.Millisecond)
-		s.lease.Renew(replica.Lease{Length: length, Drift: clockDrift}, requestedAt)
+		s.lease.Renew(replica.Lease{Length: length, Drift: discovery.ClockDrift}, requestedAt)
 	}
 	return a.LeaseMS == 0 || a.NeedFull || s.session.Pending()
 }
--- a/internal/controlplane/relayserver/watchowner.go
+++ b/internal/controlplane/relayserver/watchowner.go
@@ -12,11 +12,11 @@
 // watchOwner is the relay as its watch server sees it. Its methods are called on the loop.
 type watchOwner struct{ relay *Server }
 
-// HasLease implements watch.Owner.
-func (o watchOwner) HasLease() bool { return o.relay.hasLease() }
+// MayServe implements watch.Owner.
+func (o watchOwner) MayServe() bool { return o.relay.hasLease() }
 
-// Request implements watch.Owner.
-func (o watchOwner) Request(a discovery.Announcement, acknowledged int64) bool {
+// ObserveDirector implements watch.Owner.
+func (o watchOwner) ObserveDirector(a discovery.Announcement, acknowledged int64) bool {
 	r := o.relay
 	if !r.session.Observe(a, acknowledged, replicas.Now()) {
 		return false
@@ -27,8 +27,8 @@
 	return true
 }
 
-// Granted implements watch.Owner.
-func (o watchOwner) Granted(directorID string) *quota.Grant {
+// TakeQuotaGrant implements watch.Owner.
+func (o watchOwner) TakeQuotaGrant(directorID string) *quota.Grant {
 	return o.relay.session.TakeGrant(directorID)
 }
 
--- a/internal/controlplane/relaysession/messages.go
+++ b/internal/controlplane/relaysession/messages.go
@@ -44,7 +44,7 @@
 // Report is a health report of a director and the director's place.
 type Report struct {
 	health.Report
-	health.Place
+	health.ReporterLocation
 }
 
 // Answer is the leader's answer. Events follow on the request's revision; a Snapshot replaces all events up to its own.
--- a/internal/controlplane/relaysession/model_test.go
+++ b/internal/controlplane/relaysession/model_test.go
@@ -323,7 +323,7 @@
 		return
 	}
 	m.append(fleet.Event{Membership: c})
-	m.tracker.MarkAnnounced(m.now)
+	m.tracker.MarkWritten(m.now)
 	m.gone += len(c.Left)
 	for _, id := range c.Left {
 		for _, d := range m.directors {
--- a/internal/controlplane/relaysession/session.go
+++ b/internal/controlplane/relaysession/session.go
@@ -118,8 +118,8 @@
 	if json.Unmarshal(a.HealthReport, &r) != nil || r.Holder != a.ID() || len(r.Caches) == 0 {
 		return
 	}
-	place := health.Place{Machine: a.Machine, Location: a.Location}
-	s.reports = append(s.reports, Report{Report: r, Place: place})
+	place := health.ReporterLocation{Machine: a.Machine, Location: a.Location}
+	s.reports = append(s.reports, Report{Report: r, ReporterLocation: place})
 }
 
 // renewQuota answers the quota renewal of an announcement; nil if it has none.
--- a/internal/controlplane/replica/admission.go
+++ b/internal/controlplane/replica/admission.go
@@ -41,7 +41,9 @@
 
 // admitStandby lets a standby replace the voter that was silent for longest, if that is long
 // enough.
-func (v View) admitStandby(p Place, disk uint64, silence map[uint64]time.Duration, replaceAfter time.Duration) (*Change, error) {
+func (v View) admitStandby(
+	p ConfiguredReplica, disk uint64, silence map[uint64]time.Duration, replaceAfter time.Duration,
+) (*Change, error) {
 	if replaceAfter <= 0 {
 		return nil, rejectf("copy %s is a spare: it is let in by hand, with: stairvane copies replace NAME --by %s", p.Name, p.Name)
 	}
@@ -108,7 +110,7 @@
 
 // replace lets a disk join as a learner which takes the old one's place once it is promoted; nil if
 // it joined already. Its machine must differ from those of all other members.
-func (v View) replace(p Place, disk, old uint64) (*Change, error) {
+func (v View) replace(p ConfiguredReplica, disk, old uint64) (*Change, error) {
 	if err := v.rejectRemoved(disk); err != nil {
 		return nil, err
 	}
@@ -134,7 +136,7 @@
 	return &Change{append(steps, join.Steps...)}, nil
 }
 
-func joinAsLearner(p Place, disk, replaces uint64) *Change {
+func joinAsLearner(p ConfiguredReplica, disk, replaces uint64) *Change {
 	member := Member{Name: p.Name, Machine: p.Machine, Site: p.Site, Replaces: replaces}
 	return &Change{[]Step{{Kind: AddLearner, Disk: disk, Member: member}}}
 }
--- a/internal/controlplane/replica/membership.go
+++ b/internal/controlplane/replica/membership.go
@@ -46,10 +46,10 @@
 type View struct {
 	Status
 	Members map[uint64]Member
-	Places  []Place // of the operator's file
+	Places  []ConfiguredReplica // of the operator's file
 }
 
-func (v View) place(name string) *Place {
+func (v View) place(name string) *ConfiguredReplica {
 	for i := range v.Places {
 		if v.Places[i].Name == name {
 			return &v.Places[i]
--- a/internal/controlplane/replica/membership_test.go
+++ b/internal/controlplane/replica/membership_test.go
@@ -16,14 +16,14 @@
 func TestValidPlacesSurviveTheLossOfAnyOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 9).Draw(t, "copies")
-		var places []Place
+		var places []ConfiguredReplica
 		for i := range n {
-			places = append(places, Place{
+			places = append(places, ConfiguredReplica{
 				Name: fmt.Sprintf("c%d", i), Machine: fmt.Sprint("m", rapid.IntRange(0, 11).Draw(t, "machine")),
 				Site: fmt.Sprint("s", rapid.IntRange(0, 3).Draw(t, "site")), IsStandby: rapid.IntRange(0, 9).Draw(t, "spare") == 0,
 			})
 		}
-		if len(ValidatePlaces(places)) > 0 {
+		if len(ValidateConfigured(places)) > 0 {
 			return
 		}
 		machines := map[string]int{}
@@ -53,7 +53,7 @@
 }
 
 func TestInvalidPlacesAreReported(t *testing.T) {
-	for want, places := range map[string][]Place{
+	for want, places := range map[string][]ConfiguredReplica{
 		"both on machine m1": {
 			{Name: "a", Machine: "m1", Site: "x"},
 			{Name: "b", Machine: "m1", Site: "y"},
@@ -77,7 +77,7 @@
 			{Name: "e", Machine: "m5", Site: "z"},
 		},
 	} {
-		if got := strings.Join(ValidatePlaces(places), "; "); !strings.Contains(got, want) {
+		if got := strings.Join(ValidateConfigured(places), "; "); !strings.Contains(got, want) {
 			t.Errorf("%q is not reported: %q", want, got)
 		}
 	}
@@ -96,7 +96,7 @@
 		},
 	}
 	for i, name := range []string{"a", "b", "c", "d"} {
-		v.Places = append(v.Places, Place{Name: name, Machine: "m" + name, Site: "s" + name, IsStandby: name == "d"})
+		v.Places = append(v.Places, ConfiguredReplica{Name: name, Machine: "m" + name, Site: "s" + name, IsStandby: name == "d"})
 		if name != "d" {
 			v.Members[uint64(i+1)] = Member{Name: name, Machine: "m" + name, Site: "s" + name}
 			v.Progress[uint64(i+1)] = Progress{Match: 1000, IsActive: true}
--- a/internal/controlplane/replica/place.go
+++ b/internal/controlplane/replica/place.go
@@ -5,18 +5,18 @@
 	"slices"
 )
 
-// Place is a replica as the operator's file lists it.
-type Place struct {
+// ConfiguredReplica is a replica as the operator's file lists it.
+type ConfiguredReplica struct {
 	Name      string
 	Machine   string
 	Site      string
 	IsStandby bool // it is a standby, which replaces a replica that is lost
 }
 
-// ValidatePlaces returns what is wrong with a list of places; nil if nothing. The group must
+// ValidateConfigured returns what is wrong with a list of places; nil if nothing. The group must
 // survive the loss of any one machine, and of any one site if there are three or more, without
 // losing the majority.
-func ValidatePlaces(places []Place) (faults []string) {
+func ValidateConfigured(places []ConfiguredReplica) (faults []string) {
 	listed := map[string]bool{}
 	nameByMachine := map[string]string{}
 	replicasBySite := map[string]int{}
--- a/internal/controlplane/replicas/doc.go
+++ b/internal/controlplane/replicas/doc.go
@@ -14,7 +14,7 @@
 //
 // # Use
 //
-// The caller opens the store with Options.Group, makes a Group with New, registers its handlers
+// The caller opens the store with Options.IsReplica, makes a Group with New, registers its handlers
 // with Mount, and runs Run on a goroutine. Writes come through Store.Do. Stop ends the loop; the
 // caller closes the store after that.
 //
--- a/internal/controlplane/replicas/membership.go
+++ b/internal/controlplane/replicas/membership.go
@@ -70,7 +70,7 @@
 	if err != nil {
 		return err
 	}
-	slog.Info("replica.leadership_transferred", "to", g.driver.Members()[to].Name)
+	slog.Info("replica.leadership_transfer_started", "to", g.driver.Members()[to].Name)
 	g.driver.TransferLeadership(to)
 	return nil
 }
--- a/internal/controlplane/replicas/removed_test.go
+++ b/internal/controlplane/replicas/removed_test.go
@@ -52,8 +52,9 @@
 				}
 			}))
 			t.Cleanup(server.Close)
-			a := operatorconfig.Replica{Place: replica.Place{Name: "a"}, Address: netip.MustParseAddrPort(server.Listener.Addr().String())}
-			b := operatorconfig.Replica{Place: replica.Place{Name: "b"}}
+			address := netip.MustParseAddrPort(server.Listener.Addr().String())
+			a := operatorconfig.Replica{ConfiguredReplica: replica.ConfiguredReplica{Name: "a"}, Address: address}
+			b := operatorconfig.Replica{ConfiguredReplica: replica.ConfiguredReplica{Name: "b"}}
 			members := map[uint64]replica.Member{1: {Name: "a"}, 2: {Name: "b"}, 3: {Name: "c"}}
 			after := map[uint64]replica.Member{1: {Name: "a"}, 2: {Name: "b", Left: true}, 3: {Name: "c"}}
 			from := startReplica(t, localSettings("a", a), nil, storedState{disk: 1, position: 2, confState: c.other, members: after})
--- a/internal/controlplane/replicas/silence_test.go
+++ b/internal/controlplane/replicas/silence_test.go
@@ -77,7 +77,7 @@
 	list := []operatorconfig.Replica{s.serve(t, &s.a), s.serve(t, &s.b), {}, {}}
 	members := map[uint64]replica.Member{}
 	for i, name := range []string{"a", "b", "c", "d"} {
-		list[i].Place = replica.Place{Name: name, Machine: name, Site: name, IsStandby: name == "d"}
+		list[i].ConfiguredReplica = replica.ConfiguredReplica{Name: name, Machine: name, Site: name, IsStandby: name == "d"}
 		if name != "d" {
 			members[uint64(i+1)] = replica.Member{Name: name, Machine: name, Site: name}
 		}
--- a/internal/controlplane/store/applies.go
+++ b/internal/controlplane/store/applies.go
@@ -21,7 +21,7 @@
 	}
 	r.ID = last + 1
 	t.putNumber(lastApplyKey, r.ID)
-	if r, err = t.AcquireLease(r); err != nil {
+	if r, err = t.AcquireApplyLock(r); err != nil {
 		return r, err
 	}
 	t.put(planBucket, encodeNumber(r.ID), planFile)
@@ -32,9 +32,9 @@
 	return r, nil
 }
 
-// AcquireLease gives the lease to an apply under a new epoch; whoever has it under an older one is fenced
+// AcquireApplyLock gives the lease to an apply under a new epoch; whoever has it under an older one is fenced
 // off.
-func (t *Tx) AcquireLease(r apply.Record) (apply.Record, error) {
+func (t *Tx) AcquireApplyLock(r apply.Record) (apply.Record, error) {
 	epoch, err := t.number(epochKey)
 	if err != nil {
 		return r, err
@@ -45,9 +45,9 @@
 	return r, t.SetRecord(r)
 }
 
-// KeepLease leaves the lease with an apply that took it in this same change, although its record has
+// KeepApplyLock leaves the lease with an apply that took it in this same change, although its record has
 // ended.
-func (t *Tx) KeepLease(r apply.Record) { t.putNumber(holderKey, r.ID) }
+func (t *Tx) KeepApplyLock(r apply.Record) { t.putNumber(holderKey, r.ID) }
 
 // Fence fails with apply.ErrFenced unless the apply has the lease under this epoch.
 func (t *Tx) Fence(r apply.Record) error {
@@ -88,8 +88,8 @@
 	return binary.BigEndian.AppendUint32(encodeNumber(applyID), uint32(step))
 }
 
-// LeaseHolder returns the apply that has the lease; nil if there is none.
-func (v *View) LeaseHolder() (*apply.Record, error) {
+// RunningApply returns the apply that has the lease; nil if there is none.
+func (v *View) RunningApply() (*apply.Record, error) {
 	id, err := v.number(holderKey)
 	if err != nil || id == 0 {
 		return nil, err
@@ -189,7 +189,7 @@
 	if _, err := v.Records(); err != nil {
 		return err
 	}
-	holder, err := v.LeaseHolder()
+	holder, err := v.RunningApply()
 	if err != nil || holder == nil {
 		return err
 	}
--- a/internal/controlplane/store/applies_test.go
+++ b/internal/controlplane/store/applies_test.go
@@ -20,7 +20,7 @@
 		return err
 	}))
 	check(t, s.Do(func(t *Tx) (err error) {
-		now, err = t.AcquireLease(old)
+		now, err = t.AcquireApplyLock(old)
 		return err
 	}))
 	if err := s.Do(func(t *Tx) error { return t.Fence(old) }); !errors.Is(err, apply.ErrFenced) {
--- a/internal/controlplane/store/compatibility_test.go
+++ b/internal/controlplane/store/compatibility_test.go
@@ -86,7 +86,7 @@
 			if err != nil {
 				return err
 			}
-			if r, err = t.AcquireLease(r); err != nil {
+			if r, err = t.AcquireApplyLock(r); err != nil {
 				return err
 			}
 			if !running {
@@ -119,7 +119,7 @@
 		records, err := v.Records()
 		check(t, err)
 		show("applies", records)
-		holder, err := v.LeaseHolder()
+		holder, err := v.RunningApply()
 		check(t, err)
 		show("holder", holder)
 		byPlan, err := v.LastApplyOfPlan(holder.PlanSum)
--- a/internal/controlplane/store/doc.go
+++ b/internal/controlplane/store/doc.go
@@ -7,7 +7,7 @@
 // of the file, and with it one sync of the disk. Do returns once the change is durable. A change
 // that returns an error leaves nothing behind.
 //
-// A store that is opened with Options.Group belongs to a replica, and writes nothing of its own
+// A store that is opened with Options.IsReplica belongs to a replica, and writes nothing of its own
 // accord. Its owner takes the waiting changes (Requests), evaluates them into a batch of plain puts
 // (Evaluate), and has the group agree on the batch. What the group has committed is applied in
 // memory at once (Apply), and is written together with the next entries of the raft log (Persist),
--- a/internal/controlplane/watch/answer.go
+++ b/internal/controlplane/watch/answer.go
@@ -23,7 +23,7 @@
 // answer ends the wait with what is new, if anything is.
 func (w *watcher) answer() {
 	s := w.server
-	if !s.owner.HasLease() {
+	if !s.owner.MayServe() {
 		w.close()
 		return
 	}
@@ -33,7 +33,7 @@
 	}
 	parts, size, err := s.log.Answer(after, w.request.Announcement != nil)
 	if err != nil {
-		slog.Error("eventlog.invalid", "err", err)
+		slog.Error("watcher.answer_failed", "err", err)
 		w.close()
 		return
 	}
@@ -82,7 +82,7 @@
 		return nil, false
 	}
 	owner := w.server.owner
-	if grant := owner.Granted(announcement.ID()); grant != nil {
+	if grant := owner.TakeQuotaGrant(announcement.ID()); grant != nil {
 		fields = appendField(fields, "turns", grant)
 	}
 	if w.sharesHealth() {
--- a/internal/controlplane/watch/owner.go
+++ b/internal/controlplane/watch/owner.go
@@ -8,13 +8,13 @@
 
 // Owner is the process that serves watches. Its methods are called on the loop, except those that say otherwise, and must not block.
 type Owner interface {
-	// HasLease tells whether the process may have watchers at this moment.
-	HasLease() bool
-	// Request takes in what a director announces of itself with a request, and the revision that it acknowledges. False means that
+	// MayServe tells whether the process may have watchers at this moment.
+	MayServe() bool
+	// ObserveDirector takes in what a director announces of itself with a request, and the revision that it acknowledges. False means that
 	// the process has no capacity for the director, which is then rejected.
-	Request(announcement discovery.Announcement, acknowledged int64) bool
-	// Granted takes the quota grant for a director, which is given once; nil if there is none.
-	Granted(directorID string) *quota.Grant
+	ObserveDirector(announcement discovery.Announcement, acknowledged int64) bool
+	// TakeQuotaGrant takes the quota grant for a director, which is given once; nil if there is none.
+	TakeQuotaGrant(directorID string) *quota.Grant
 	// Health is the aggregated health of caches that a director is to be sent now; nil if nothing in it is new to the director.
 	Health(directorID string) *health.AggregatedHealth
 	// AcknowledgedChanged is called when Server.Acknowledged may have risen.
--- a/internal/controlplane/watch/server.go
+++ b/internal/controlplane/watch/server.go
@@ -93,7 +93,7 @@
 // admit decides whether an address may watch now: the status is OK, or that of the rejection.
 func (s *Server) admit(peer netip.Addr) (status int) {
 	switch {
-	case !s.owner.HasLease():
+	case !s.owner.MayServe():
 		return http.StatusServiceUnavailable
 	case !s.allows(peer):
 		slog.Warn("watcher.forbidden", "addr", peer.String())
@@ -142,7 +142,7 @@
 
 // CheckLease closes all watchers if the owner has no lease, and schedules the next check.
 func (s *Server) CheckLease() {
-	if !s.owner.HasLease() && len(s.watchers) > 0 {
+	if !s.owner.MayServe() && len(s.watchers) > 0 {
 		slog.Warn("watcher.lease_lost", "watchers", len(s.watchers), "after", s.log.Last())
 		for w := range s.watchers {
 			w.close()
--- a/internal/controlplane/watch/watch_test.go
+++ b/internal/controlplane/watch/watch_test.go
@@ -46,12 +46,12 @@
 	requests   chan int64 // acknowledged revisions, as requests come
 }
 
-func (p *testOwner) HasLease() bool { return !p.leaseLost.Load() }
-func (p *testOwner) Request(_ discovery.Announcement, acknowledged int64) bool {
+func (p *testOwner) MayServe() bool { return !p.leaseLost.Load() }
+func (p *testOwner) ObserveDirector(_ discovery.Announcement, acknowledged int64) bool {
 	p.requests <- acknowledged
 	return !p.atCapacity.Load()
 }
-func (p *testOwner) Granted(string) *quota.Grant            { return nil }
+func (p *testOwner) TakeQuotaGrant(string) *quota.Grant     { return nil }
 func (p *testOwner) Health(string) *health.AggregatedHealth { return nil }
 func (p *testOwner) AcknowledgedChanged()                   {}
 func (p *testOwner) ClockMS() int64                         { return time.Now().UnixMilli() }
--- a/internal/controlplane/watch/watcher.go
+++ b/internal/controlplane/watch/watcher.go
@@ -73,7 +73,7 @@
 // begin takes a request in: the revision in it acknowledges all events up to it. It is answered at once if there is something newer.
 func (w *watcher) begin() {
 	s := w.server
-	if !s.owner.HasLease() { // it may have ended while the process was paused
+	if !s.owner.MayServe() { // it may have ended while the process was paused
 		w.close()
 		return
 	}
@@ -84,7 +84,7 @@
 	s.tracker.Ack(w.id, w.request.After)
 	isBehind := w.request.After < s.lastRevision || w.lacksMembership()
 	s.mu.Unlock()
-	if a := w.request.Announcement; a != nil && !s.owner.Request(*a, w.request.After) {
+	if a := w.request.Announcement; a != nil && !s.owner.ObserveDirector(*a, w.request.After) {
 		slog.Warn("watcher.rejected", "watchers", len(s.watchers))
 		w.leave()
 		w.reject(http.StatusServiceUnavailable)
--- a/internal/controlplane/watchowner.go
+++ b/internal/controlplane/watchowner.go
@@ -33,17 +33,17 @@
 	return s.watches.Acknowledged()
 }
 
-// HasLease implements watch.Owner.
-func (o watchOwner) HasLease() bool { return o.server.hasLease() }
+// MayServe implements watch.Owner.
+func (o watchOwner) MayServe() bool { return o.server.hasLease() }
 
-// Request implements watch.Owner. There is always capacity for a director: the number of watchers is bounded by maxWatchers.
-func (o watchOwner) Request(announcement discovery.Announcement, acknowledged int64) bool {
+// ObserveDirector implements watch.Owner. There is always capacity for a director: the number of watchers is bounded by maxWatchers.
+func (o watchOwner) ObserveDirector(announcement discovery.Announcement, acknowledged int64) bool {
 	o.server.directors.observe(announcement, acknowledged)
 	return true
 }
 
-// Granted implements watch.Owner.
-func (o watchOwner) Granted(directorID string) *quota.Grant {
+// TakeQuotaGrant implements watch.Owner.
+func (o watchOwner) TakeQuotaGrant(directorID string) *quota.Grant {
 	return o.server.directors.takeGrant(directorID)
 }
 
--- a/internal/controlplane/writeside_errors.go
+++ b/internal/controlplane/writeside_errors.go
@@ -93,7 +93,7 @@
 	var rejected *apply.RejectedError
 	if errors.As(err, &rejected) {
 		e.Moved = rejected.Moved
-		e.LeaseHolder = rejected.Holder
+		e.RunningApply = rejected.Holder
 	}
 	if e.Kind == api.NotLeader && s.group != nil {
 		e.Leader = s.group.Status().Leader
--- a/internal/controlplane/writeside_reads.go
+++ b/internal/controlplane/writeside_reads.go
@@ -25,7 +25,7 @@
 		AcknowledgedUpTo: s.acknowledgedRevision(),
 	}
 	err := s.store.View(func(v *store.View) (err error) {
-		out.LeaseHolder, err = v.LeaseHolder()
+		out.RunningApply, err = v.RunningApply()
 		return err
 	})
 	return out, err
--- a/internal/decision/actions.go
+++ b/internal/decision/actions.go
@@ -5,7 +5,8 @@
 // Action is something that the caller of a Router has to do.
 type Action interface{ action() }
 
-// StartAttempt sends a request to a host and says how the host fills a miss.
+// StartAttempt sends a request to a host and says how the host fills a miss. The Router sets no
+// Timeout and does not use ParentNoStore; the simulator's protocol has both.
 type StartAttempt struct {
 	Request       RequestID
 	Host          HostID
@@ -42,7 +43,7 @@
 	Attempt int // number of the request's attempt, from 0
 }
 
-// HealthCheck checks on a host. A HealthCheckResult follows.
+// HealthCheck checks on a host. A HealthCheckResult follows. The Router returns none.
 type HealthCheck struct{ Host HostID }
 
 // SetTimer asks for a TimerFired.
@@ -54,10 +55,10 @@
 // WatchEndpoints asks discovery for changes of the endpoint list from now on, or no longer.
 type WatchEndpoints struct{ Enabled bool }
 
-// PollEndpoints asks discovery for the complete endpoint list once.
+// PollEndpoints asks discovery for the complete endpoint list once. The Router returns none.
 type PollEndpoints struct{}
 
-// LogLine writes a line into the log.
+// LogLine writes a line into the log. The Router returns none.
 type LogLine struct{ Text string }
 
 func (StartAttempt) action()   {}
--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -13,9 +13,13 @@
 // It is rejected if it has not run or may run again, so that the client can retry it; else it
 // fails.
 //
-// Retry-After is half of the time that is left until the request must be sent to meet its
-// objective, so that a client that obeys it can still be served in time. It is at least
-// minRetryAfter and at most Settings.MaxRetryAfter.
+// Retry-After is half of the time that is left of the objective beside the sending time, so that a
+// client that obeys it can still be served in time. It is at least minRetryAfter, and at most
+// Settings.MaxRetryAfter even if that is less.
+//
+// Requests are also rejected outside this package, before a Router sees them: by routing (too many
+// open requests, a stale director, a claim that cannot be decided) and by the director's client
+// connections (too many streams, or too many bytes in memory).
 
 // minRetryAfter keeps a client whose objective has passed from retrying at once.
 const minRetryAfter = time.Millisecond
@@ -39,6 +43,6 @@
 }
 
 func (r *Router) retryAfter(q *request) time.Duration {
-	untilLastSend := q.objectiveAt - q.sendTime - r.now
-	return min(max(untilLastSend/2, minRetryAfter), r.settings.MaxRetryAfter)
+	slack := q.objectiveAt - q.sendTime - r.now // the usual overhead is not deducted
+	return min(max(slack/2, minRetryAfter), r.settings.MaxRetryAfter)
 }
--- a/internal/decision/attempts.go
+++ b/internal/decision/attempts.go
@@ -47,7 +47,7 @@
 		r.giveUp(q)
 		return
 	}
-	if source == nil || !r.healthyWithCapacity(source, q) {
+	if source == nil || !r.isAvailable(source, q) {
 		source = r.pickSource(q)
 	}
 	depth := fetchAnywhere
--- a/internal/decision/coalescing.go
+++ b/internal/decision/coalescing.go
@@ -83,7 +83,7 @@
 	if !r.settings.JoinsFills && cacheAnswers {
 		return true // waiting costs the cache nothing
 	}
-	return f.cache.limit.fits(q.headroom)
+	return f.cache.limit.fits(q.requiredFree)
 }
 
 // wait has a request wait for a fill.
@@ -104,7 +104,7 @@
 	}
 	f := q.waitingFor
 	q.stopWaiting()
-	if f.cache.limit.fits(q.headroom) {
+	if f.cache.limit.fits(q.requiredFree) {
 		r.launch(q, f)
 	} else {
 		r.giveUp(q)
--- a/internal/decision/endpoints.go
+++ b/internal/decision/endpoints.go
@@ -44,7 +44,7 @@
 // recordAnswer notes that a cache has answered something.
 func (h *host) recordAnswer(now time.Duration) {
 	h.lastAnswerAt = now
-	h.health.unanswered = 0
+	h.health.overdueSinceAnswer = 0
 }
 
 // restart makes the host a new process with nothing known of it. Attempts at the old one are still
--- a/internal/decision/events.go
+++ b/internal/decision/events.go
@@ -22,8 +22,8 @@
 	PurgeGroup int // the group by which the object can be purged
 	Class      string
 	Tenant     string
-	IsRetry    bool // the client marked it as a repeat
-	Write      bool
+	IsRetry    bool          // the client marked it as a retry; no rule uses it
+	Write      bool          // it changes the object; no rule uses it
 	SizeKB     float64       // size of the answer in kB; 0: not known
 	TimeLeft   time.Duration // until the client gives up
 }
@@ -136,7 +136,7 @@
 	Kind      string // one of Settings.Kinds
 	Cell      int
 	Readiness Readiness
-	Weight    float64       // see WeightMode
+	Weight    float64       // size by WeightMode; nominal: transfers at full pace, that is seconds of sending per second
 	StartedAt time.Duration // clock time of its last start; 0: long ago
 }
 
@@ -169,7 +169,7 @@
 	FailureShare float64 // 0 to 1
 }
 
-// HealthCheckResult is the result of a HealthCheck.
+// HealthCheckResult is the result of a HealthCheck. No rule uses it.
 type HealthCheckResult struct {
 	Host    HostID
 	Status  Status
@@ -177,7 +177,7 @@
 	Load    *LoadReport // nil: none came
 }
 
-// PeerMessage is a message from another director.
+// PeerMessage is a message from another director. No rule uses it.
 type PeerMessage struct {
 	From    int // its number
 	Payload []byte
--- a/internal/decision/latency.go
+++ b/internal/decision/latency.go
@@ -47,7 +47,7 @@
 // sourceEstimate is how a host serves fills as a source.
 type sourceEstimate struct {
 	firstByte    float64 // smoothed time to the first byte, in seconds
-	fillOverhead float64 // smoothed rest of a fill's time that neither that, its size nor a hit's overhead explains, in seconds
+	fillOverhead float64 // smoothed fill time less first byte, sending time and the overhead of a hit, in seconds
 	sampledAt    time.Duration
 }
 
--- a/internal/decision/limits.go
+++ b/internal/decision/limits.go
@@ -14,11 +14,11 @@
 // once it is far wider than what is in flight.
 
 const (
-	limitFromLateShare = 0.2 // share of late or rejected requests from which there is a limit
-	limitWidening      = 0.2 // of the sending time of each request that meets its objective
-	limitNarrowing     = 0.6 // of that of each other: a quarter of late requests keeps the limit where it is
-	limitFreedAt       = 4   // times what is usually in flight at which there is no limit any more
-	fullLinkUse        = 2   // transfers over those that fit from which the location's link may be short
+	limitFromLateShare     = 0.2 // share of late or rejected requests from which there is a limit
+	limitWidening          = 0.2 // of the sending time of each request that meets its objective
+	limitNarrowing         = 0.6 // of that of each request that misses it: if a quarter miss, the limit stays where it is
+	limitFreedAt           = 4   // times what is usually in flight at which there is no limit any more
+	lateFillsBlameLinkFrom = 2   // link use from which a late fill counts against the link; below, what lies behind it may be slow
 
 	// Share of failures from which a source that fails more than its peers is at fault for late fills.
 	suspectFailureShare = outlierFailureShare / 2
@@ -71,7 +71,7 @@
 }
 
 func newSharedLimits() sharedLimits {
-	return sharedLimits{linkUse: fullLinkUse} // as if full: not all sites report it
+	return sharedLimits{linkUse: lateFillsBlameLinkFrom} // as if full: not all sites report it
 }
 
 // forAttempt returns the limits under which an attempt is in flight: that of fetches alone where the object
@@ -132,7 +132,7 @@
 		return // the source is at fault, and what it rejects shows nothing to be short
 	}
 	for _, l := range a.limits {
-		if metObjective || l != &r.limits.fills || !r.onlySourceIsSilent(a) && r.limits.linkUse >= fullLinkUse {
+		if metObjective || l != &r.limits.fills || !r.onlySourceIsSilent(a) && r.limits.linkUse >= lateFillsBlameLinkFrom {
 			r.updateLimit(l, a.request, metObjective)
 		}
 	}
--- a/internal/decision/limits_test.go
+++ b/internal/decision/limits_test.go
@@ -117,7 +117,7 @@
 		r.onlyAttempt(r.request("a", 1000))
 		r.now += time.Second
 		r.handle(TimerFired{Timer{Kind: TimerObjectiveMissed, Request: "a"}})
-		if got := r.router.limits.fills.lateShare > 0; got != (use >= fullLinkUse) {
+		if got := r.router.limits.fills.lateShare > 0; got != (use >= lateFillsBlameLinkFrom) {
 			t.Errorf("link in use %v: counted as late %v", use, got)
 		}
 		if r.router.limits.fetches.lateShare == 0 {
--- a/internal/decision/outliers.go
+++ b/internal/decision/outliers.go
@@ -13,9 +13,10 @@
 // Inputs are the results of attempts at the host, attempts that are overdue, and the failures that
 // all directors together have seen. An ejection lasts for the shortest deadline of all classes,
 // times the number of ejections in a row, up to maxEjectionSteps. After it the host is on trial: it
-// gets one attempt at a time, a failure ejects it again, and a success while its share of failures
-// is low ends the trial. The origin is never ejected. An ejected cache still gets a request that no
-// other cache can take.
+// gets one attempt at a time, a failure by its fault ejects it again, and a success while its share
+// of failures is low ends the trial. An overdue attempt without any answer ejects it only the second
+// time, on trial too. A restart of the host clears its record. The origin is never ejected. An
+// ejected cache still gets a request that no other cache can take.
 
 const (
 	outlierFailureShare = 0.4 // share of failures that ejects a host, if most of its peers have under half of its share
@@ -32,7 +33,7 @@
 type healthRecord struct {
 	failureShare       float64       // smoothed share of attempts that failed by the host's fault
 	aggregatedFailures float64       // the same as all directors see it; see AggregatedHealth
-	unanswered         int           // overdue attempts since its last answer
+	overdueSinceAnswer int           // overdue attempts since its last answer
 	ejectedUntil       time.Duration // clock time
 	ejections          int           // in a row; 0: neither ejected nor on trial
 	// Outcomes since HostOutcomes was called last.
@@ -54,7 +55,7 @@
 // eject begins an ejection. It lasts a step longer than the one before, up to a limit.
 func (h *healthRecord) eject(now, step time.Duration) {
 	h.ejections++
-	h.unanswered = 0
+	h.overdueSinceAnswer = 0
 	h.ejectedUntil = now + step*time.Duration(min(h.ejections, maxEjectionSteps))
 }
 
@@ -105,8 +106,8 @@
 	overhead := r.estimates.overhead
 	switch cache := a.cache; {
 	case cache.lastAnswerAt < a.sentAt:
-		cache.health.unanswered++
-		if cache.health.unanswered >= maxUnanswered {
+		cache.health.overdueSinceAnswer++
+		if cache.health.overdueSinceAnswer >= maxUnanswered {
 			r.eject(cache)
 		}
 	case a.source.lastAnswerAt < a.sentAt && a.source != r.endpoints.origin && a.source != cache:
--- a/internal/decision/placement.go
+++ b/internal/decision/placement.go
@@ -45,16 +45,16 @@
 	switch {
 	case r.now+q.sendTime+seconds(r.estimates.overhead.bound(1)) > q.deadline: // too short a deadline for a fill
 		return fetchFromCache, knownMiss < fetchFromCache
-	case r.inSlowStart(cache, q) && fills.fits(q.headroom) && fetches.fits(q.headroom): // a lookup would spend its budget too
+	case r.inSlowStart(cache, q) && fills.fits(q.requiredFree) && fetches.fits(q.requiredFree): // a lookup would spend its budget too
 		return fetchAnywhere, true
 	case knownMiss < fetchFromCache && fills.isLimited():
 		return fetchFromCache, true
 	case knownMiss < fetchFromSource && fetches.isLimited() && r.endpoints.isParent(source):
-		return fetchFromSource, fills.fits(q.headroom)
+		return fetchFromSource, fills.fits(q.requiredFree)
 	case knownMiss == fetchFromSource:
-		return fetchAnywhere, fetches.fits(q.headroom)
+		return fetchAnywhere, fetches.fits(q.requiredFree)
 	default:
-		return fetchAnywhere, fills.fits(q.headroom)
+		return fetchAnywhere, fills.fits(q.requiredFree)
 	}
 }
 
@@ -73,7 +73,7 @@
 		for _, h := range r.endpoints.caches {
 			switch {
 			case !h.isReady || q.failedAt(h) || !r.mayRepeat(q, h):
-			case !r.hasSlowStartCapacity(h, q) || !h.limit.fits(q.headroom):
+			case !r.hasSlowStartCapacity(h, q) || !h.limit.fits(q.requiredFree):
 			case preference < anyCache && !r.healthy(h):
 			case preference == notCrowded && r.crowded(h):
 			default:
@@ -136,7 +136,7 @@
 func (r *Router) pickSource(q *request) *host {
 	var parents []*host
 	for _, p := range r.endpoints.parents {
-		if r.healthyWithCapacity(p, q) && !q.hasUsedSource(p) {
+		if r.isAvailable(p, q) && !q.hasUsedSource(p) {
 			parents = append(parents, p)
 		}
 	}
@@ -167,12 +167,13 @@
 		slices.ContainsFunc(r.endpoints.parents, func(p *host) bool { return !p.isReady || !r.healthy(p) })
 }
 
-// healthyWithCapacity reports whether a fill may name the host as its source.
-func (r *Router) healthyWithCapacity(h *host, q *request) bool {
+// isAvailable reports whether a host is ready, neither ejected nor busy with its trial, and has slow
+// start capacity for the request. A fill may name such a host as its source.
+func (r *Router) isAvailable(h *host, q *request) bool {
 	return h.isReady && r.healthy(h) && r.hasSlowStartCapacity(h, q)
 }
 
 // usable reports whether an attempt may go to the host.
 func (r *Router) usable(h *host, q *request) bool {
-	return r.healthyWithCapacity(h, q) && r.mayRepeat(q, h)
+	return r.isAvailable(h, q) && r.mayRepeat(q, h)
 }
--- a/internal/decision/requests.go
+++ b/internal/decision/requests.go
@@ -12,11 +12,11 @@
 // request is an open request.
 type request struct {
 	Request
-	classIndex int
-	key        fillKey
-	sendTime   time.Duration // that its answer takes to send to the client
-	headroom   time.Duration // sending time that must be free under a concurrency limit before it is sent
-	objective  time.Duration // its latency objective, whatever its client's timeout
+	classIndex   int
+	key          fillKey
+	sendTime     time.Duration // that its answer takes to send to the client
+	requiredFree time.Duration // sending time that must be free under a concurrency limit before it is sent
+	objective    time.Duration // its latency objective, whatever its client's timeout
 
 	objectiveAt time.Duration // clock time by which it should be answered
 	deadline    time.Duration // clock time at which its client gives up
@@ -78,7 +78,7 @@
 	}
 	r.requests[e.ID] = q
 	q.sendTime = r.estimates.observeSize(q.classIndex, e.SizeKB, r.settings.FlowKBPerS)
-	q.headroom = r.requiredHeadroom(q)
+	q.requiredFree = r.requiredFree(q)
 	c := r.class(q)
 	q.objective = c.LatencyObjective + time.Duration(c.ObjectiveStretch*float64(q.sendTime))
 	q.objectiveAt = min(r.now+q.objective, q.deadline)
@@ -87,10 +87,10 @@
 	r.route(q)
 }
 
-// requiredHeadroom is the geometric mean of the request's sending time and, twice, the class's
+// requiredFree is the geometric mean of the request's sending time and, twice, the class's
 // usual one, and at most the former. Under a limit that is short a large request would hardly ever
 // find all of its own sending time free.
-func (r *Router) requiredHeadroom(q *request) time.Duration {
+func (r *Router) requiredFree(q *request) time.Duration {
 	usual := r.estimates.meanSend[q.classIndex]
 	return min(q.sendTime, seconds(math.Cbrt(q.sendTime.Seconds()*(usual*usual))))
 }
--- a/internal/decision/settings.go
+++ b/internal/decision/settings.go
@@ -93,7 +93,7 @@
 	WeightModeLive    WeightMode = "live"    // relative size that changes with load; not used for placement
 )
 
-// SlowStart is how much load a host bears that has just started.
+// SlowStart is how much load a host that has just started can bear.
 type SlowStart struct {
 	InitialShare   float64       // share of its capacity at the start
 	WarmUp         time.Duration // by then it has all of its capacity, rising linearly
--- a/internal/decision/slowstart.go
+++ b/internal/decision/slowstart.go
@@ -15,11 +15,11 @@
 // for its share of the capacity, divided by the number of such hosts.
 
 const (
-	slowStartSafety     = 0.5  // share of the budget that is planned with
+	slowStartSafety     = 0.5  // share of the budget that is planned with: the capacity is a guess, and all directors act alike
 	slowStartBurst      = 0.4  // share of a window's budget that may be spent at once
 	unmeasuredMissShare = 0.35 // stands for the share of misses where answers do not report hits
 	missShareMargin     = 1.5  // safety factor on the share of misses
-	unservedDemandShare = 0.3  // share of demand that stands for load before any was served: clients repeat their requests
+	unservedDemandShare = 0.3  // share of demand taken for load before any was served: rejected clients retry
 )
 
 // tokenBucket is what may be sent to a host in slow start at once.
@@ -46,8 +46,8 @@
 	rule SlowStart
 }
 
-// SetSlowStartShare has a function give the share, of 1, of this director's load that stands for
-// capacity where hosts have no listed one. Handle and SlowStartDemand call it.
+// SetSlowStartShare sets a function that returns the share, from 0 to 1, of this director's best
+// served rate that counts as capacity where hosts list none. Handle and SlowStartDemand call it.
 func (r *Router) SetSlowStartShare(share func() float64) { r.slowStartShare = share }
 
 // slowStartBudget is the budget of a host for attempts such as a request's; ok is false if the host
--- a/internal/director/frontend.go
+++ b/internal/director/frontend.go
@@ -30,8 +30,12 @@
 	// closeCrossing is how long a request may be on its way while its connection is closed. After that the lingering
 	// connection can be ended for a new one.
 	closeCrossing = 50 * time.Millisecond
-	// lingeringShare is the part, as a divisor, of the clients' descriptors that lingering connections may use beyond them.
-	lingeringShare = 8
+	// lingeringDivisor: lingering connections may use the clients' descriptors divided by this, beyond those of open clients.
+	lingeringDivisor = 8
+	// Answers that wait for slow clients may use the memory limit divided by queuedMemoryDivisor, and bodies of open requests
+	// divided by bodyMemoryDivisor: together they leave most of it to everything else.
+	queuedMemoryDivisor = 6
+	bodyMemoryDivisor   = 8
 )
 
 // FrontendCounters are totals of clients' connections and calls. The JSON keys are those of the operators' pages. All
@@ -88,8 +92,8 @@
 		idleTimeout:        limits.idleTimeout,
 		stuckTimeout:       max(stuckTimeout, limits.routing.MaxDeadline),
 		firstAnswerTimeout: firstAnswerTimeout,
-		maxQueuedBytes:     memory / 6,
-		maxBodyBytes:       memory / 8,
+		maxQueuedBytes:     memory / queuedMemoryDivisor,
+		maxBodyBytes:       memory / bodyMemoryDivisor,
 	}
 	newHandler := func() transport.Handler {
 		return &clientConn{frontend: f, inFlight: map[int32]*routing.Request{}}
@@ -123,7 +127,7 @@
 // longest, or else closes the idle one that was unused for longest. That one lingers, so that its last answer reaches the
 // client; as many as lingeringShare allows may do so beyond maxClients.
 func (f *frontend) evict() bool {
-	maxLingering := f.maxClients/lingeringShare + 1
+	maxLingering := f.maxClients/lingeringDivisor + 1
 	if n := len(f.lingering); n > 0 {
 		c := f.lingering[0]
 		if n >= maxLingering || f.loop.Now()-c.endedAt >= closeCrossing {
--- a/internal/director/health.go
+++ b/internal/director/health.go
@@ -54,7 +54,10 @@
 func (h *healthReporter) publish() {
 	h.prog.loop.Set(&h.timer, h.prog.loop.Now()+healthInterval)
 	for _, c := range h.tracker.Changes(bootTime()) {
-		if c.FailureShare == 0 || c.Previous == 0 {
+		switch {
+		case c.FailureShare == 0:
+			slog.Info("health.cleared", "host", c.Cache)
+		case c.Previous == 0:
 			slog.Info("health.suspected", "host", c.Cache, "failure_share", math.Round(100*c.FailureShare)/100)
 		}
 		h.prog.director.SetAggregatedHealth(c.Cache, c.FailureShare)
--- a/internal/director/limits.go
+++ b/internal/director/limits.go
@@ -31,6 +31,16 @@
 	reservedSockets = 32 // for the listener, the loop, the event stream, logs, and what a round has closed
 	maxConnsPerHost = 16
 	expectedHosts   = 24
+
+	// Clients get the descriptors divided by clientSocketDivisor, and those divided by extraSocketDivisor beside them.
+	clientSocketDivisor = 3
+	extraSocketDivisor  = 20
+)
+
+// Connections to caches are closed after this part of the idle timeout.
+const (
+	idleNumerator   = 4
+	idleDenominator = 5
 )
 
 // programLimits are the limits of one program.
@@ -44,7 +54,7 @@
 func newProgramLimits(c config.Config) programLimits {
 	s := c.Settings
 	idleTimeout := orDefault("settings.Limits.ConnIdle", c.Connections.ConnIdle, defaultIdleTimeout)
-	clients := c.Sockets/3 + c.Sockets/20
+	clients := c.Sockets/clientSocketDivisor + c.Sockets/extraSocketDivisor
 	upstream := c.Sockets - clients - reservedSockets
 	limits := programLimits{
 		directors:   orDefault("settings.Balancers", s.Directors, defaultDirectors),
@@ -54,9 +64,9 @@
 			MaxRequests:    s.MaxOpen,
 			StreamsPerConn: orDefault("settings.Limits.Multiplex", c.Connections.Streams, defaultStreams),
 			ConnsPerHost:   min(maxConnsPerHost, max(1, upstream/expectedHosts)),
-			MaxConns:       max(expectedHosts, upstream-clients/lingeringShare),
+			MaxConns:       max(expectedHosts, upstream-clients/lingeringDivisor),
 			// Caches close after idleTimeout: a request sent into that close would be lost.
-			IdleTimeout:      idleTimeout * 4 / 5,
+			IdleTimeout:      idleTimeout * idleNumerator / idleDenominator,
 			SilentTimeout:    silentTimeout,
 			DialTimeout:      orDefault("settings.Limits.DialTimeout", s.DialTimeout, defaultDialTimeout),
 			CloseDelay:       closeDelay,
--- a/internal/director/membership.go
+++ b/internal/director/membership.go
@@ -13,10 +13,6 @@
 	"stairvane.org/stairvane/internal/transport"
 )
 
-// MembershipLease is how long a director may act as a member after it sent the poll that was answered last. The control
-// plane counts with the same length.
-const MembershipLease = 400 * time.Millisecond
-
 // shrinkDelay is how long the membership must be smaller before limits are divided by the smaller number.
 const shrinkDelay = 10 * time.Second
 
@@ -127,7 +123,7 @@
 func (m *membershipClient) acceptResponse(response discovery.WatchResponse, requestedAt time.Duration) {
 	m.lastRenewal = max(m.lastRenewal, requestedAt)
 	if m.claims != nil && !m.leaving {
-		m.claims.node.Lease(requestedAt + MembershipLease)
+		m.claims.node.Lease(requestedAt + discovery.MembershipLease)
 	}
 	if len(response.QuotaGrant) > 0 {
 		m.quota.takeGrant(response.QuotaGrant)
--- a/internal/director/quota.go
+++ b/internal/director/quota.go
@@ -9,16 +9,6 @@
 	"stairvane.org/stairvane/internal/transport"
 )
 
-// QuotaSettings are those of leased shares of common limits. The control plane has the same.
-var QuotaSettings = quota.Settings{
-	Lease:        MembershipLease,
-	Drift:        0.02,
-	Reserve:      0.2,
-	FallbackFade: 20 * time.Second,
-	Floor:        0.2,
-	MinChange:    0.05,
-}
-
 const (
 	// quotaInterval is the period in which changed shares are given to the decision module.
 	quotaInterval = 20 * time.Millisecond
@@ -42,7 +32,7 @@
 func newQuotaClient(p *Program, directorID string) *quotaClient {
 	q := &quotaClient{
 		prog:   p,
-		holder: quota.NewHolder(directorID, QuotaSettings),
+		holder: quota.NewHolder(directorID, quota.DirectorSettings),
 		shares: map[string]float64{},
 	}
 	q.timer.Fire = q.publish
--- a/internal/director/routing/counters.go
+++ b/internal/director/routing/counters.go
@@ -10,12 +10,12 @@
 	NotModified int64 `json:"Same"`
 	Rejected    int64 `json:"Refused"`
 	Failed      int64 `json:"Failed"`
-	Cancelled   int64 `json:"Revoked"`
+	Cancelled   int64 `json:"Revoked"` // by their clients; not the key Cancelled, which counts attempts
 	Resubmitted int64 `json:"Repeats"` // came again under the ID of a cancelled request
 
 	// Attempts.
 	Attempts          int64 `json:"Attempts"`
-	AttemptsCancelled int64 `json:"Cancelled"`
+	AttemptsCancelled int64 `json:"Cancelled"`   // not requests, see Revoked
 	LateResponses     int64 `json:"LateReplies"` // came after their attempt had ended
 	AttemptsBlocked   int64 `json:"GuardStops"`  // were stopped by a guard
 	ResponsesWithheld int64 `json:"Withheld"`    // were not passed on by a guard
--- a/internal/director/shutdown.go
+++ b/internal/director/shutdown.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// acceptPeriod is for how long a director that shuts down still accepts connections and requests. The platform sends
+	// drainAcceptTime is for how long a director that shuts down still accepts connections and requests. The platform sends
 	// new connections for up to 0.4 s after SIGTERM and requests on open ones for 0.2 s more.
-	acceptPeriod = 700 * time.Millisecond
+	drainAcceptTime = 700 * time.Millisecond
 	// lastAnswerTimeout is how long clients may take to read their last answers and close.
 	lastAnswerTimeout = 500 * time.Millisecond
 	// leaveTimeout is how long the control plane may take to acknowledge that the director leaves.
@@ -25,7 +25,7 @@
 	}
 	slog.Info("director.draining", "open", p.director.InFlight())
 	p.frontend.draining = true
-	p.loop.Set(&p.shutdownTimer, p.loop.Now()+acceptPeriod)
+	p.loop.Set(&p.shutdownTimer, p.loop.Now()+drainAcceptTime)
 }
 
 // shutdownStep runs after the acceptPeriod, until the shutdown is complete.
--- a/internal/director/timing.go
+++ b/internal/director/timing.go
@@ -12,14 +12,16 @@
 	SpreadMax      time.Duration // over which directors that lost their connections at one moment spread, at most
 }
 
-// watchRetrySpread is by how much each further director widens the time over which all reconnect.
+// watchRetrySpread is by how much each further director widens the time over which all reconnect: 80
+// directors do within 0.2 s.
 const watchRetrySpread = 2500 * time.Microsecond
 
 // announcedPollTimeout is the poll timeout of a director that announces itself: its polls renew its lease.
 const announcedPollTimeout = 100 * time.Millisecond
 
-// An event counts as delivered 7 s after it was published. A silent stream must be noticed, the pause be over and a
-// connection be up well before that, however many directors there are.
+// An event counts as acknowledged some seconds after it was published, whether it arrived or not (fleet.Rules.NotifiedWithinMS, 7 s by
+// default). A silent stream must be noticed, the pause be over and a connection be up well before that, however many
+// directors there are.
 var oneAddressTiming = WatchTiming{
 	PollTimeout:    2 * time.Second,
 	SilenceTimeout: 3 * time.Second,
--- a/internal/fleet/apply/explore_test.go
+++ b/internal/fleet/apply/explore_test.go
@@ -79,7 +79,7 @@
 		if s := x.plan.Steps[i]; s.Wait == plan.Warm {
 			after.NowMS = max(after.NowMS, after.WarmAtMS(after.Host(s.Host.Name)))
 		}
-		n.MarkFinished(i+1, after.NowMS)
+		n.MarkCompleted(i+1, after.NowMS)
 		x.walk(after, n.Steps(), dead)
 	}
 	if dead == "" {
--- a/internal/fleet/apply/machine.go
+++ b/internal/fleet/apply/machine.go
@@ -14,11 +14,11 @@
 
 // Kinds of decisions.
 const (
-	Wait     Kind = "wait"      // nothing to do before UntilMS, or until something is observed or acknowledged
-	Effect   Kind = "effect"    // append Event and store Step as waiting, in one transaction
-	StepOver Kind = "step-over" // store Step as completed
-	Fault    Kind = "trouble"   // pause, or revert if Revert is set
-	End      Kind = "end"       // all steps are completed
+	Wait         Kind = "wait"      // nothing to do before UntilMS, or until something is observed or acknowledged
+	BeginStep    Kind = "effect"    // append Event and store Step as waiting, in one transaction
+	CompleteStep Kind = "step-over" // store Step as completed
+	Fault        Kind = "trouble"   // pause, or revert if Revert is set
+	Finish       Kind = "end"       // all steps are completed
 )
 
 // Decision is what is to be made durable next. The machine must be marked, or its Record set, before it is asked again.
@@ -123,13 +123,13 @@
 	isPaused := m.Record.Status == Paused // what was begun goes on, and nothing is begun
 	switch {
 	case waits.isOver:
-		return Decision{Kind: StepOver, Step: waits.over + 1}
+		return Decision{Kind: CompleteStep, Step: waits.over + 1}
 	case isPaused:
 		return Decision{Kind: Wait, UntilMS: waits.untilMS}
 	case waits.isOverdue:
 		return m.overdueFault(waits.overdue)
 	case len(m.ready) == 0 && len(m.waiting) == 0:
-		return Decision{Kind: End}
+		return Decision{Kind: Finish}
 	case len(m.ready) > 0 && len(m.waiting) < max(1, m.Plan.Rules.MaxParallelSteps):
 		return m.begin(m.ready[0], in)
 	}
@@ -226,7 +226,7 @@
 	if len(broken) > 0 {
 		return m.fault(i, fmt.Sprintf(": it would break a constraint: %v", broken[0]))
 	}
-	return Decision{Kind: Effect, Step: i + 1, Event: event}
+	return Decision{Kind: BeginStep, Step: i + 1, Event: event}
 }
 
 // isSameHost compares a host with what a step begins from. The time of its birth is not compared: the control plane sets it.
@@ -267,8 +267,8 @@
 	m.waiting = append(m.waiting, i)
 }
 
-// MarkFinished records that the end of a step's wait is durable. It panics if the step did not wait.
-func (m *Machine) MarkFinished(step int, nowMS int64) {
+// MarkCompleted records that the end of a step's wait is durable. It panics if the step did not wait.
+func (m *Machine) MarkCompleted(step int, nowMS int64) {
 	i := step - 1
 	at := slices.Index(m.waiting, i)
 	if at < 0 {
--- a/internal/fleet/apply/machine_test.go
+++ b/internal/fleet/apply/machine_test.go
@@ -61,7 +61,7 @@
 		t.Errorf("%+v", d)
 	}
 	d = m.Next(Input{State: w, Acknowledged: never})
-	if d.Kind != Effect {
+	if d.Kind != BeginStep {
 		t.Fatalf("%+v", d)
 	}
 	if w.Fleet, err = w.Apply(d.Event); err != nil {
--- a/internal/fleet/constraints.go
+++ b/internal/fleet/constraints.go
@@ -25,7 +25,7 @@
 	Have       float64
 	Need       float64
 	Slack      float64
-	Raw        float64 // the same without exemptions, or without deaths; of a floor: share in service, warm or not
+	Raw        float64 // Slack without exemptions or deaths; for a floor, the share in service whether warm or not
 	Dying      string  // the host whose death is the worst case; may be empty
 }
 
--- a/internal/fleet/doc.go
+++ b/internal/fleet/doc.go
@@ -5,7 +5,8 @@
 // alike, so that Apply is cheap, and may be used by several goroutines.
 //
 // The package does no I/O and reads no clock: times come in as arguments, in milliseconds since the Unix epoch. Shares, floors and loads
-// are in the unit of capacity of the operator's file. Plans are made in fleet/plan and carried out in fleet/apply.
+// are in the unit of capacity of the operator's file, commonly transfers at full pace. Plans are made in fleet/plan and carried out in
+// fleet/apply.
 //
 // Struct tags of events and dumps are the stored form: they stay as they are.
 package fleet
--- a/internal/fleet/event.go
+++ b/internal/fleet/event.go
@@ -18,7 +18,8 @@
 	Membership *MembershipChange `json:"roll,omitempty"`
 }
 
-// ChangesEndpoints tells whether directors see the event as a change of the endpoint list. They see purges as such.
+// ChangesEndpoints reports whether the event counts as a new version of the endpoint list for directors. All but purges do, also
+// events of rules and members, so that the versions that directors compare only grow.
 func (e Event) ChangesEndpoints() bool { return e.Purge == nil }
 
 // Purge drops all stored responses of an object (16 hex digits) or of a group that are older than IssuedMS.
--- a/internal/fleet/observe/monitor.go
+++ b/internal/fleet/observe/monitor.go
@@ -45,9 +45,9 @@
 
 	// A process that has ended refuses connections. If its machine has ended too the host is silent, and later does not know the old
 	// connection. If the next connection succeeds at once after one was lost, the network has cut it.
-	lost    bool
-	refused bool
-	silent  bool
+	lost    bool // the last connection was lost
+	refused bool // since then a connection was refused: the process has ended
+	silent  bool // since then the host did not answer at all: its machine may have ended
 }
 
 // New makes a monitor that observes no host yet.
--- a/internal/fleet/plan/impossible.go
+++ b/internal/fleet/plan/impossible.go
@@ -29,7 +29,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// validate gives an *Impossible for a desired state that is wrong in itself.
+// validate returns an *ImpossibleError for a desired state that is wrong in itself.
 func validate(desired fleet.DesiredState) error {
 	invalid := desired.Validate()
 	if len(invalid) == 0 {
--- a/internal/fleet/rules.go
+++ b/internal/fleet/rules.go
@@ -33,7 +33,8 @@
 	Revert = "revert"
 )
 
-// DefaultRules are those of the deployment's terms.
+// DefaultRules are the figures that the operators gave for their first deployment: how caches and parent caches warm up, and how long
+// a drain, a notification and a step may take.
 func DefaultRules() Rules {
 	return Rules{
 		Cache:            SlowStart{InitialShare: 0.17, WarmUpMS: 16_000, OverloadFactor: 4},
--- a/internal/health/aggregator.go
+++ b/internal/health/aggregator.go
@@ -37,7 +37,7 @@
 
 // observation is what one director has reported of a cache.
 type observation struct {
-	Place
+	ReporterLocation
 	failureShare float64 // smoothed over the last few attempts
 	attempts     float64 // in all
 	failures     float64 // in all
@@ -60,7 +60,7 @@
 }
 
 // Take takes the report of a director at a place. The order in which reports of several directors come has no influence.
-func (a *Aggregator) Take(r Report, at Place, now time.Duration) {
+func (a *Aggregator) Take(r Report, at ReporterLocation, now time.Duration) {
 	if r.Seq <= a.lastSeq[r.Holder] || len(r.Caches) > a.set.MaxCaches {
 		return
 	}
@@ -75,7 +75,7 @@
 }
 
 // recordActive records that a machine reports.
-func (a *Aggregator) recordActive(at Place, now time.Duration) {
+func (a *Aggregator) recordActive(at ReporterLocation, now time.Duration) {
 	if a.machines[at.Location] == nil {
 		a.machines[at.Location] = map[string]time.Duration{}
 	}
@@ -96,10 +96,10 @@
 }
 
 // add adds outcomes that were reported at a moment.
-func (o *observation) add(reported Outcomes, at Place, attemptWeight float64, now time.Duration) {
+func (o *observation) add(reported Outcomes, at ReporterLocation, attemptWeight float64, now time.Duration) {
 	previousWeight := math.Pow(1-attemptWeight, reported.Attempts)
 	o.failureShare = previousWeight*o.failureShare + (1-previousWeight)*reported.Failures/reported.Attempts
-	o.Place = at
+	o.ReporterLocation = at
 	o.updatedAt = max(o.updatedAt, now)
 	o.lagMS = reported.LagMS
 	o.attempts += reported.Attempts
--- a/internal/health/aggregator_test.go
+++ b/internal/health/aggregator_test.go
@@ -49,7 +49,7 @@
 			}
 			s.seqs[d]++
 			r.Seq = s.seqs[d]
-			s.aggregator.Take(r, Place{fmt.Sprint("m", d), "west"}, s.now)
+			s.aggregator.Take(r, ReporterLocation{fmt.Sprint("m", d), "west"}, s.now)
 		}
 		each()
 	}
@@ -157,9 +157,9 @@
 		order := rapid.Permutation(all).Draw(t, "order")
 		a, b := NewAggregator(DefaultSettings, 1), NewAggregator(DefaultSettings, 1)
 		for i := range all {
-			a.Take(all[i], Place{all[i].Holder, "west"}, time.Second)
-			b.Take(order[i], Place{order[i].Holder, "west"}, time.Second)
-			b.Take(order[rapid.IntRange(0, i).Draw(t, "again")], Place{"other", "east"}, time.Second)
+			a.Take(all[i], ReporterLocation{all[i].Holder, "west"}, time.Second)
+			b.Take(order[i], ReporterLocation{order[i].Holder, "west"}, time.Second)
+			b.Take(order[rapid.IntRange(0, i).Draw(t, "again")], ReporterLocation{"other", "east"}, time.Second)
 		}
 		if x, y := a.Aggregated(2*time.Second), b.Aggregated(2*time.Second); !reflect.DeepEqual(x, y) {
 			t.Fatalf("%+v\n%+v", x, y)
@@ -177,21 +177,21 @@
 			{Cache: "", Attempts: 1},
 			{Cache: "z", Attempts: 1e300},
 		}
-		aggregator.Take(Report{Holder: directorID(d), Seq: 1, Caches: impossible}, Place{directorID(d), ""}, 0)
+		aggregator.Take(Report{Holder: directorID(d), Seq: 1, Caches: impossible}, ReporterLocation{directorID(d), ""}, 0)
 	}
 	if len(aggregator.caches) > 0 {
 		t.Errorf("%v", maps.Collect(maps.All(aggregator.caches)))
 	}
 	failing := []Outcomes{{Cache: "x", Attempts: 4, Failures: 4}}
 	for d := range 5 {
-		aggregator.Take(Report{Holder: directorID(d), Seq: 3, Caches: failing}, Place{"one machine", ""}, 0)
+		aggregator.Take(Report{Holder: directorID(d), Seq: 3, Caches: failing}, ReporterLocation{"one machine", ""}, 0)
 	}
 	if o := aggregator.Aggregated(0); len(o.Caches) > 0 {
 		t.Errorf("one machine is enough: %+v", o)
 	}
 	aggregator = NewAggregator(DefaultSettings, 5)
 	for d := range 5 {
-		aggregator.Take(Report{Holder: directorID(d), Seq: 3, Caches: failing}, Place{directorID(d), ""}, 0)
+		aggregator.Take(Report{Holder: directorID(d), Seq: 3, Caches: failing}, ReporterLocation{directorID(d), ""}, 0)
 	}
 	o := aggregator.Aggregated(0)
 	tracker := NewTracker(DefaultSettings, "d")
--- a/internal/health/compatibility_test.go
+++ b/internal/health/compatibility_test.go
@@ -11,5 +11,5 @@
 	golden.JSON[Report](t, "report")
 	golden.JSON[AggregatedHealth](t, "aggregated-health")
 	golden.JSON[CacheStatus](t, "cache")
-	golden.JSON[Place](t, "place")
+	golden.JSON[ReporterLocation](t, "place")
 }
--- a/internal/health/measure_test.go
+++ b/internal/health/measure_test.go
@@ -57,7 +57,7 @@
 					text, _ := json.Marshal(r)
 					up, reports = up+len(text), reports+1
 					begin := time.Now()
-					m.Take(r, Place{fmt.Sprint("m", d), fmt.Sprint("l", d%max(1, caches/20))}, now)
+					m.Take(r, ReporterLocation{fmt.Sprint("m", d), fmt.Sprint("l", d%max(1, caches/20))}, now)
 					_ = m.Aggregated(now)
 					took += time.Since(begin)
 				}
--- a/internal/health/messages.go
+++ b/internal/health/messages.go
@@ -13,7 +13,7 @@
 	AttemptWeight float64
 	// Lifetime is the time after which a suspicion has faded to nothing, from the outcomes that it rests on.
 	Lifetime time.Duration
-	// MinMachines is from how many machines there must be fresh reports of a cache.
+	// MinMachines is how many machines must have reported on a cache within Lifetime.
 	MinMachines int
 	// MinFailureShare is the share of failed attempts from which on a cache is suspected.
 	MinFailureShare float64
@@ -61,8 +61,9 @@
 	return all[:min(len(all), s.MaxCaches)]
 }
 
-// Place is where a director is: the machine, whose directors may fail together, and the location, whose directors send to the same caches.
-type Place struct {
+// ReporterLocation is where a director is: the machine, whose directors may fail together, and the location, whose directors send to the
+// same caches.
+type ReporterLocation struct {
 	Machine  string `json:"Machine"`
 	Location string `json:"Location"`
 }
--- a/internal/health/vote.go
+++ b/internal/health/vote.go
@@ -47,14 +47,14 @@
 }
 
 // votes returns the votes on a cache by machine, and the places that report it. Reports older than a lifetime do not count.
-func (a *Aggregator) votes(cache string, now time.Duration) (map[string]*machineVote, map[Place]bool) {
+func (a *Aggregator) votes(cache string, now time.Duration) (map[string]*machineVote, map[ReporterLocation]bool) {
 	votes := map[string]*machineVote{}
-	reporters := map[Place]bool{}
+	reporters := map[ReporterLocation]bool{}
 	for _, o := range a.caches[cache] {
 		if now-o.updatedAt >= a.set.Lifetime {
 			continue
 		}
-		reporters[o.Place] = true
+		reporters[o.ReporterLocation] = true
 		v := votes[o.Machine]
 		if v == nil {
 			v = &machineVote{}
@@ -70,7 +70,7 @@
 
 // eligibleMachines counts the machines that could report a cache: the active ones of each location where more than a third report
 // it. So a few faulty machines can't speak for a location that does not use the cache.
-func (a *Aggregator) eligibleMachines(reporters map[Place]bool, now time.Duration) int {
+func (a *Aggregator) eligibleMachines(reporters map[ReporterLocation]bool, now time.Duration) int {
 	eligible := 0
 	for location, machines := range a.machines {
 		active, reporting := 0, 0
@@ -79,7 +79,7 @@
 				continue
 			}
 			active++
-			if reporters[Place{Machine: machine, Location: location}] {
+			if reporters[ReporterLocation{Machine: machine, Location: location}] {
 				reporting++
 			}
 		}
--- a/internal/operatorconfig/control_plane.go
+++ b/internal/operatorconfig/control_plane.go
@@ -62,15 +62,15 @@
 
 // Replica is one replica's place. Address is where the other replicas reach its write side.
 type Replica struct {
-	replica.Place
+	replica.ConfiguredReplica
 	Address netip.AddrPort
 }
 
 // Places are the places without their addresses.
-func (g ReplicaGroup) Places() []replica.Place {
-	places := make([]replica.Place, len(g.Replicas))
+func (g ReplicaGroup) Places() []replica.ConfiguredReplica {
+	places := make([]replica.ConfiguredReplica, len(g.Replicas))
 	for i := range g.Replicas {
-		places[i] = g.Replicas[i].Place
+		places[i] = g.Replicas[i].ConfiguredReplica
 	}
 	return places
 }
@@ -182,7 +182,7 @@
 		if g.Self != "" && !slices.ContainsFunc(g.Replicas, isSelf) {
 			d.report(n, key+".self", "no copy is called %q", g.Self)
 		}
-		for _, problem := range replica.ValidatePlaces(g.Places()) {
+		for _, problem := range replica.ValidateConfigured(g.Places()) {
 			d.report(n, key, "%s", problem)
 		}
 	}
--- a/internal/protocol/discovery/messages.go
+++ b/internal/protocol/discovery/messages.go
@@ -2,15 +2,22 @@
 // changes of the endpoint list, purges and changes of the membership, as JSON in HTTP/1.1 responses to long polls.
 //
 // The package parses and encodes messages and does no I/O. It is the one place where the names on the wire are mapped to
-// those of the code: they stand in the struct tags and constants of this file. client.go is the director's side, server.go
-// the control plane's.
+// those of the code, by struct tags and constants. client.go is the director's side, server.go the control plane's.
 package discovery
 
 import (
 	"encoding/json"
 	"fmt"
+	"time"
 )
 
+// MembershipLease is how long a director may act as a member after it sent the poll that was answered last, by its own clock. The
+// control plane counts it from after its answer, with a margin for drift.
+const MembershipLease = 400 * time.Millisecond
+
+// ClockDrift is the most by which two clocks run apart, as a share. The time of day does not matter.
+const ClockDrift = 0.02
+
 // The path and the query keys of a poll.
 const (
 	pollPath     = "/bulletins"
--- a/internal/protocol/simulator/doc.go
+++ b/internal/protocol/simulator/doc.go
@@ -8,7 +8,8 @@
 // server with an error that names it.
 //
 // The protocol and the settings have names of their own for what the decision module calls by the
-// terms of the field. They are mapped here and nowhere else:
+// terms of the field. They are mapped here, but for the values of the string types of package
+// decision (Readiness, Status, Idempotency and others), which are those of the protocol:
 //
 //	events.go     messages of the simulator to events
 //	endpoints.go  endpoint lists, which are defined once and referred to by number
--- a/internal/quota/node.go
+++ b/internal/quota/node.go
@@ -30,7 +30,7 @@
 	// maxGroups bounds the size of a want. Holders are put into so many groups of equal size by demand, so that only the
 	// demands within one group are taken for their mean where it matters.
 	maxGroups = 16
-	// demandPrecision is the reciprocal of the unit to which demands of groups are rounded, to keep renewals short.
+	// demandPrecision: demands of groups are rounded to 1/demandPrecision of a limit, to keep renewals short.
 	demandPrecision = 1e7
 )
 
--- a/internal/quota/pool.go
+++ b/internal/quota/pool.go
@@ -13,8 +13,8 @@
 
 func roundUp(share float64) float64 { return math.Ceil(share/quantum) * quantum }
 
-// record is a granted share that may be in use.
-type record struct {
+// grantRecord is a granted share that may be in use.
+type grantRecord struct {
 	seq        uint64
 	share      float64
 	until      time.Duration
@@ -29,7 +29,7 @@
 	expiresAfter time.Duration // time without a renewal after which it wants nothing
 	fullFor      time.Duration // time for which a grant to it counts in full
 	weight       int           // holders behind it: 1, or those of a node
-	records      []record      // oldest first: shares sink, ends rise
+	records      []grantRecord // oldest first: shares sink, ends rise
 	used         float64       // the largest share that may be in use, as counted in the pool
 	recent       float64       // the same of records of the pool's generation
 	live         int           // weight while it renews, else 0, as counted in the pool
@@ -95,7 +95,7 @@
 }
 
 // usable returns how much of a record may be in use.
-func (p *pool) usable(r record, now time.Duration) float64 {
+func (p *pool) usable(r grantRecord, now time.Duration) float64 {
 	if p.fade == 0 {
 		return r.share
 	}
@@ -104,7 +104,7 @@
 
 // recount brings an account, and the totals, up to date.
 func (p *pool) recount(a *account, now time.Duration) {
-	a.records = slices.DeleteFunc(a.records, func(r record) bool { return now >= r.until })
+	a.records = slices.DeleteFunc(a.records, func(r grantRecord) bool { return now >= r.until })
 	var used, recent float64
 	var live int
 	for _, r := range a.records {
@@ -127,7 +127,7 @@
 
 // acknowledge forgets the grants before the one that the holder uses.
 func (p *pool) acknowledge(a *account, inUse uint64, now time.Duration) {
-	a.records = slices.DeleteFunc(a.records, func(r record) bool { return r.seq < inUse })
+	a.records = slices.DeleteFunc(a.records, func(r grantRecord) bool { return r.seq < inUse })
 	p.recount(a, now)
 }
 
@@ -137,7 +137,7 @@
 	for n > 0 && a.records[n-1].share <= share {
 		n--
 	}
-	a.records = append(a.records[:n], record{
+	a.records = append(a.records[:n], grantRecord{
 		seq:        seq,
 		share:      share,
 		until:      now + a.fullFor + p.fade,
--- a/internal/quota/settings.go
+++ b/internal/quota/settings.go
@@ -2,7 +2,18 @@
 
 import "time"
 
-// Settings must be the same for allocators, nodes and holders.
+// DirectorSettings are those by which directors hold shares. Whoever grants to them uses the same, beside NodeLease.
+var DirectorSettings = Settings{
+	Lease:        400 * time.Millisecond,
+	Drift:        0.02,
+	Reserve:      0.2,
+	FallbackFade: 20 * time.Second,
+	Floor:        0.2,
+	MinChange:    0.05,
+}
+
+// Settings are those of allocators, nodes and holders. All must be the same for those that work together, but NodeLease, which
+// holders do not use.
 type Settings struct {
 	// Lease is the time for which a share may be used, by its holder's clock from before it was requested.
 	Lease time.Duration
--- a/internal/tools/capacity/measure/leader_health.go
+++ b/internal/tools/capacity/measure/leader_health.go
@@ -11,7 +11,7 @@
 type reportingDirectors struct {
 	aggregator *health.Aggregator
 	ids        []string
-	places     []health.Place
+	places     []health.ReporterLocation
 	caches     [][]string // by zone
 	seq        uint64
 	next       int
@@ -28,7 +28,7 @@
 	for i := range directors {
 		d := directorOf(i)
 		r.ids = append(r.ids, d.ID())
-		r.places = append(r.places, health.Place{Machine: d.Machine, Location: d.Location})
+		r.places = append(r.places, health.ReporterLocation{Machine: d.Machine, Location: d.Location})
 	}
 	for zone := range expectedZones {
 		var names []string
--- a/internal/tools/fleetsim/fleetsim.go
+++ b/internal/tools/fleetsim/fleetsim.go
@@ -104,16 +104,6 @@
 	countEvery      = 16                     // messages, of which one is encoded: all would cost more than the model
 )
 
-// QuotaSettings are the settings of the model; those of the real ones.
-var QuotaSettings = quota.Settings{
-	Lease:        400 * time.Millisecond,
-	Drift:        0.02,
-	Reserve:      0.2,
-	FallbackFade: 20 * time.Second,
-	Floor:        0.2,
-	MinChange:    0.05,
-}
-
 type director struct {
 	id          string
 	holder      *quota.Holder
@@ -155,8 +145,8 @@
 	}
 	cfg.setDefaults()
 	m := &model{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 17)), epoch: 1, underusedSince: -1}
-	m.allocator = quota.NewAllocator(QuotaSettings, 1, 0, true)
-	m.membership = membership.New(membership.Settings{Lease: membershipLease, Drift: QuotaSettings.Drift, Gather: gatherInterval})
+	m.allocator = quota.NewAllocator(quota.DirectorSettings, 1, 0, true)
+	m.membership = membership.New(membership.Settings{Lease: membershipLease, Drift: quota.DirectorSettings.Drift, Gather: gatherInterval})
 	for i := range cfg.Caches {
 		m.limits = append(m.limits, fmt.Sprintf("cold:box-%d", i))
 	}
@@ -193,7 +183,7 @@
 			clockRate:   1 + (2*m.rng.Float64()-1)*m.cfg.Drift,
 			nextRenewal: m.now + time.Duration(m.rng.Int64N(int64(renewalInterval))),
 		}
-		d.holder = quota.NewHolder(d.id, QuotaSettings)
+		d.holder = quota.NewHolder(d.id, quota.DirectorSettings)
 		for range m.limits {
 			d.demand = append(d.demand, m.cfg.Load*weights[i]/sum*float64(n)/float64(m.cfg.Directors))
 		}
@@ -223,7 +213,7 @@
 	}
 	if m.isDue(m.cfg.NewAllocator) {
 		m.epoch++
-		m.allocator = quota.NewAllocator(QuotaSettings, m.epoch, m.now, false)
+		m.allocator = quota.NewAllocator(quota.DirectorSettings, m.epoch, m.now, false)
 		m.membership.Begin(m.fleet, m.now)
 	}
 }
@@ -298,7 +288,7 @@
 		return
 	}
 	m.fleet = next
-	m.membership.MarkAnnounced(m.now)
+	m.membership.MarkWritten(m.now)
 	m.result.MembershipEvents++
 }
 
@@ -331,7 +321,7 @@
 			demands[i] += d.demand[i]
 			p.Used += min(share, d.demand[i])
 			used += min(share, d.demand[i])
-			wantsEven = wantsEven && d.demand[i] >= (1-QuotaSettings.Reserve)/float64(len(m.directors))
+			wantsEven = wantsEven && d.demand[i] >= (1-quota.DirectorSettings.Reserve)/float64(len(m.directors))
 		}
 		if wantsEven {
 			got = append(got, used)
@@ -339,7 +329,7 @@
 	}
 	for i, sum := range sums {
 		p.Worst = max(p.Worst, sum)
-		p.Usable += min(demands[i], 1-QuotaSettings.Reserve)
+		p.Usable += min(demands[i], 1-quota.DirectorSettings.Reserve)
 	}
 	p.Fairness = Jain(got)
 	m.result.Worst = max(m.result.Worst, p.Worst)
--- a/internal/tools/scale/simulated/director.go
+++ b/internal/tools/scale/simulated/director.go
@@ -8,7 +8,6 @@
 	mathrand "math/rand/v2"
 	"time"
 
-	"stairvane.org/stairvane/internal/director"
 	"stairvane.org/stairvane/internal/protocol/discovery"
 	"stairvane.org/stairvane/internal/quota"
 	"stairvane.org/stairvane/internal/transport"
@@ -66,7 +65,7 @@
 	}
 	d.lastRevision, d.membershipRevision, d.answers = 0, 0, 0
 	d.retry = d.process.timing.RetryMin
-	d.renewer = quota.NewHolder(d.own.ID(), director.QuotaSettings)
+	d.renewer = quota.NewHolder(d.own.ID(), quota.DirectorSettings)
 }
 
 // restart stops the director without a word and starts it anew.
@@ -134,7 +133,8 @@
 
 func (d *simulatedDirector) poll() {
 	address := d.process.settings.Addresses[d.at].String()
-	d.request = discovery.AppendRequest(d.request[:0], address, d.lastRevision, d.process.timing.PollTimeout.Milliseconds(), d.announcement())
+	waitMilliseconds := d.process.timing.PollTimeout.Milliseconds()
+	d.request = discovery.AppendRequest(d.request[:0], address, d.lastRevision, waitMilliseconds, d.announcement())
 	traffic := &d.process.count.traffic[d.at]
 	traffic.Requests++
 	traffic.BytesUp += int64(len(d.request))
--- a/internal/tools/scale/simulated/process.go
+++ b/internal/tools/scale/simulated/process.go
@@ -12,6 +12,7 @@
 	"golang.org/x/sys/unix"
 
 	"stairvane.org/stairvane/internal/director"
+	"stairvane.org/stairvane/internal/protocol/discovery"
 	"stairvane.org/stairvane/internal/transport"
 )
 
@@ -169,7 +170,7 @@
 	for _, d := range p.directors {
 		silence := max(d.silence, d.silent(now))
 		r.LongestSilence = max(r.LongestSilence, silence)
-		if silence > director.MembershipLease {
+		if silence > discovery.MembershipLease {
 			r.Lapsed++
 		}
 		for cache := range r.PartSums {
