--- a/internal/transport/buffer_pool.go
+++ b/internal/transport/buffer_pool.go
@@ -8,13 +8,13 @@
 	maxPooledBytes = 8 << 20
 )
 
-// bufferPool keeps a bounded stock of buffers, whose sizes are powers of two.
+// bufferPool is a pool of free buffers whose sizes are powers of two. Its total size is at most maxPooledBytes.
 type bufferPool struct {
-	free        [maxBufferBits + 1][][]byte // by bits of the size
+	free        [maxBufferBits + 1][][]byte // by the base-2 logarithm of the size
 	pooledBytes int
 }
 
-// get gives an empty buffer with a capacity of n bytes at least.
+// get returns an empty buffer with a capacity of at least n bytes.
 func (p *bufferPool) get(n int) []byte {
 	size := max(bits.Len(uint(max(n, 1)-1)), minBufferBits)
 	if size > maxBufferBits {
@@ -29,7 +29,7 @@
 	return make([]byte, 0, 1<<size)
 }
 
-// put returns a buffer to the pool, unless it is full or the size is none of the pool's.
+// put returns a buffer to the pool. It drops the buffer if the pool is full or does not hold buffers of its size.
 func (p *bufferPool) put(b []byte) {
 	size := bits.Len(uint(cap(b))) - 1
 	if size < minBufferBits || size > maxBufferBits || cap(b) != 1<<size || p.pooledBytes+cap(b) > maxPooledBytes {
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -9,24 +9,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// Handler gets the events of a connection.
+// Handler handles the events of a connection.
 type Handler interface {
-	// Opened is called when a connection that was dialed is up.
+	// Opened is called when a dialed connection is established.
 	Opened()
-	// Data gets all bytes that were not used yet; they are valid during the call only. It returns how many bytes it used,
-	// and how many must follow those before it is worth calling it again. An error closes the connection.
+	// Data is called with all received bytes that are not yet consumed. b is valid only during the call. It returns the
+	// number of bytes that it consumed, and the number of unconsumed bytes that must be available before it is called again.
+	// An error closes the connection.
 	Data(b []byte) (used, need int, err error)
-	// Flushed is called when the system has taken all queued output.
+	// Flushed is called when the kernel has accepted all queued output.
 	Flushed()
-	// Closed is called once, as the last event, but not after Conn.Close. The error is io.EOF where the peer closed the
+	// Closed is called once, as the last event, but not after Conn.Close. The error is io.EOF if the peer closed the
 	// connection.
 	Closed(err error)
 }
 
-// Why a connection was closed by the loop.
+// Errors that Handler.Closed gets if a timeout has closed the connection.
 var (
 	ErrDialTimeout   = errors.New("dial timed out")
-	ErrLingerTimeout = errors.New("the other end stays open after the close")
+	ErrLingerTimeout = errors.New("timed out waiting for the peer to close the connection")
 )
 
 // Conn is a non-blocking TCP connection.
@@ -35,24 +36,24 @@
 	fd        int
 	handler   Handler
 	epollMask uint32
-	timer     Timer // of the dial, later of the linger
+	timer     Timer // the dial timeout, later the linger timeout
 	lastUse   time.Duration
 
 	dialing      bool
 	closed       bool
-	writeClosing bool          // the write side is closed when all output was taken
+	writeClosing bool          // the write side is closed once all output is written
 	linger       time.Duration // see CloseAfterFlush
 
-	input       []byte // that was not used yet
-	inputNeeded int    // bytes that input must have before Data is called again
+	input       []byte // unconsumed bytes
+	inputNeeded int    // number of bytes that must be available before Data is called again
 
 	output       [][]byte
-	outputOffset int // bytes of output[0] that were written
+	outputOffset int // number of bytes of output[0] that were written
 	outputBytes  int
 	hasSent      bool
 }
 
-// Dial starts to connect. Either Opened or Closed follows, never before Dial has returned.
+// Dial starts to open a connection. The handler's Opened or Closed reports the result after Dial has returned.
 func (l *Loop) Dial(addr netip.AddrPort, timeout time.Duration, h Handler) (*Conn, error) {
 	family, sockaddr := sockaddrOf(addr)
 	fd, err := newSocket(family)
@@ -88,18 +89,18 @@
 	return unix.AF_INET6, &unix.SockaddrInet6{Port: int(addr.Port()), Addr: addr.Addr().As16()}
 }
 
-// newConn makes a connection of a descriptor. On an error the descriptor is closed.
+// newConn returns a connection for a descriptor and registers it with the loop. On error it closes the descriptor.
 func (l *Loop) newConn(fd int, mask uint32, h Handler) (*Conn, error) {
-	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // without it the connection is only slower
+	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // on failure the connection is only slower
 	c := &Conn{loop: l, fd: fd, handler: h, epollMask: mask, lastUse: l.now}
-	if err := l.add(fd, mask, c); err != nil {
+	if err := l.register(fd, mask, c); err != nil {
 		closeFD(fd)
 		return nil, err
 	}
 	return c, nil
 }
 
-// Peer is the address of the other end. It is not valid once the connection is closed.
+// Peer returns the address of the peer. It returns the zero AddrPort if the connection is closed or the address is unavailable.
 func (c *Conn) Peer() netip.AddrPort {
 	sockaddr, err := unix.Getpeername(c.fd)
 	if err != nil || c.closed {
@@ -112,21 +113,21 @@
 	return addr
 }
 
-// LastUse is when bytes last went either way.
+// LastUse returns when bytes were last read or written, on the loop's clock.
 func (c *Conn) LastUse() time.Duration { return c.lastUse }
 
-// HasSent reports whether anything was written to the peer.
+// HasSent reports whether anything has been written to the connection, sent or still queued.
 func (c *Conn) HasSent() bool { return c.hasSent }
 
-// Queued is the number of written bytes that the system has not taken.
+// Queued returns the number of written bytes that the kernel has not accepted yet.
 func (c *Conn) Queued() int { return c.outputBytes }
 
-// Unfinished is the number of bytes of an incomplete message that have come.
+// Unfinished returns the number of received bytes that belong to an incomplete message.
 func (c *Conn) Unfinished() int { return len(c.input) }
 
-// CloseAfterFlush sends the queued output, closes the write side, and waits for the peer to close, so that unread input
-// cannot reset the connection under the last answer. Data is still called. The peer may take as long as linger; 0 is
-// without limit.
+// CloseAfterFlush sends the queued output, closes the write side, and waits up to linger for the peer to close the
+// connection; 0 waits without limit. Closing at once with unread input would reset the connection and could discard the last
+// answer. Data is still called for input that arrives.
 func (c *Conn) CloseAfterFlush(linger time.Duration) {
 	if c.closed || c.writeClosing {
 		return
@@ -139,31 +140,31 @@
 }
 
 func (c *Conn) shutdownWrite() {
-	_ = unix.Shutdown(c.fd, unix.SHUT_WR) // it fails where the peer has closed already, which is read next
+	_ = unix.Shutdown(c.fd, unix.SHUT_WR) // fails if the peer has already closed, which the next read reports
 	if c.linger > 0 {
 		c.timer.Fire = func() { c.fail(ErrLingerTimeout) }
 		c.loop.Set(&c.timer, c.loop.now+c.linger)
 	}
 }
 
-// Close closes the connection at once. Closed is not called.
+// Close closes the connection immediately. The handler's Closed is not called.
 func (c *Conn) Close() {
 	if c.closed {
 		return
 	}
 	c.closed = true
 	c.timer.Stop()
-	// The descriptor is closed at the end of the round. The peer must see the end before anything that the same round
-	// sends elsewhere: a retry would run beside the attempt that it replaces.
-	_ = unix.Shutdown(c.fd, unix.SHUT_RDWR) // it fails where the connection has ended already
-	c.loop.remove(c.fd)
+	// The descriptor is closed only at the end of the round, but the peer must see the shutdown before anything that is sent
+	// on other connections in this round: otherwise a retry could run concurrently with the attempt that it replaces.
+	_ = unix.Shutdown(c.fd, unix.SHUT_RDWR) // fails if the connection has already ended
+	c.loop.unregister(c.fd)
 	c.loop.queuedBytes -= c.outputBytes
 	c.outputBytes = 0
 	for _, b := range c.output {
 		c.loop.buffers.put(b)
 	}
 	c.output = nil
-	c.keepInput(nil)
+	c.storeUnused(nil)
 }
 
 func (c *Conn) fail(err error) {
@@ -173,7 +174,7 @@
 	}
 }
 
-// updateMask keeps epoll's mask in step with what the connection waits for.
+// updateMask updates the epoll mask to the events that the connection currently waits for.
 func (c *Conn) updateMask() {
 	if c.closed {
 		return
@@ -195,8 +196,8 @@
 	}
 }
 
-// ready handles the events that epoll reports.
-func (c *Conn) ready(events uint32) {
+// handleEvents implements eventSource.
+func (c *Conn) handleEvents(events uint32) {
 	if c.dialing {
 		c.finishDial()
 		return
--- a/internal/transport/conn_io.go
+++ b/internal/transport/conn_io.go
@@ -8,11 +8,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxReadsPerRound bounds what one connection may read before the others are served.
+// maxReadsPerRound bounds the number of reads of one connection in a round, so that it does not delay the others.
 const maxReadsPerRound = 4
 
-// Write sends the parts in order. What the system does not take at once is copied and queued. A failure is reported by
-// Closed, never during the call.
+// Write sends the parts in order. What the kernel does not accept immediately is copied and queued. An error is reported by
+// the handler's Closed, but not during the call.
 func (c *Conn) Write(parts ...[]byte) {
 	if c.closed || c.writeClosing {
 		return
@@ -33,8 +33,8 @@
 	c.updateMask()
 }
 
-// writeNow gives the number of bytes that the system took. Errors are ignored: the next poll reports a broken connection,
-// and the rest is queued until then.
+// writeNow writes the parts to the socket and returns the number of bytes that the kernel accepted. It ignores errors: the
+// caller queues the rest, and the next poll reports a broken connection.
 func (c *Conn) writeNow(parts [][]byte) int {
 	n, _ := unix.Writev(c.fd, parts) // see above
 	if n <= 0 {
@@ -54,7 +54,7 @@
 	c.output = append(c.output, append(c.loop.buffers.get(len(b)), b...))
 }
 
-// flush writes the queued output as far as the system takes it.
+// flush writes as much of the queued output as the kernel accepts.
 func (c *Conn) flush() {
 	for c.outputBytes > 0 {
 		n, err := unix.Write(c.fd, c.output[0][c.outputOffset:])
@@ -78,7 +78,7 @@
 	c.handler.Flushed()
 }
 
-// dequeue removes bytes of the first buffer that were written.
+// dequeue removes n written bytes from the first buffer of the output.
 func (c *Conn) dequeue(n int) {
 	c.outputBytes -= n
 	c.loop.queuedBytes -= n
@@ -92,16 +92,16 @@
 	c.outputOffset = 0
 }
 
-// ReadAvailable reads what has come by now, as much as in one round. It must not be called while Data of any connection
-// runs, whose bytes it would overwrite; see Loop.AfterRound.
+// ReadAvailable reads the input that is available now, at most as much as in one round. It must not be called while Data of
+// any connection is running, since it would overwrite the bytes passed to Data; see Loop.AfterRound.
 func (c *Conn) ReadAvailable() {
 	if !c.closed && !c.dialing {
 		c.read()
 	}
 }
 
-// read hands input to the handler. Complete messages are parsed in the shared buffer; only an incomplete one gets a buffer
-// of its own.
+// read reads input and passes it to the handler. Complete messages are parsed in the loop's shared buffer; only an incomplete
+// message is copied to a buffer of the connection.
 func (c *Conn) read() {
 	for range maxReadsPerRound {
 		buffer := c.loop.readBuffer
@@ -134,7 +134,7 @@
 	}
 }
 
-// growInput makes space in the connection's own buffer for what the handler needs next.
+// growInput enlarges the connection's own buffer to the size that the handler needs next.
 func (c *Conn) growInput() {
 	wanted := max(c.inputNeeded, len(c.input)+1)
 	if cap(c.input) >= wanted {
@@ -145,10 +145,10 @@
 	c.input = bigger
 }
 
-// consume hands data to the handler and keeps the rest. It reports whether the connection is still open.
+// consume passes data to the handler and stores the unconsumed rest. It reports whether the connection is still open.
 func (c *Conn) consume(data []byte) bool {
 	if len(data) < c.inputNeeded {
-		c.keepInput(data)
+		c.storeUnused(data)
 		return true
 	}
 	used, need, err := c.handler.Data(data)
@@ -160,12 +160,12 @@
 		return false
 	}
 	c.inputNeeded = need
-	c.keepInput(data[used:])
+	c.storeUnused(data[used:])
 	return true
 }
 
-// keepInput stores unused bytes, and gives the buffer back when there are none.
-func (c *Conn) keepInput(rest []byte) {
+// storeUnused stores unconsumed bytes, or returns the buffer to the pool if there are none.
+func (c *Conn) storeUnused(rest []byte) {
 	switch {
 	case len(rest) == 0:
 		if c.input != nil {
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -13,16 +13,16 @@
 
 const (
 	backlog = 1024
-	// acceptRetryPause is the pause after descriptors ran out, in which the listener is not polled.
+	// acceptRetryPause is how long a listener stops accepting after a failed accept, such as when descriptors have run out.
 	acceptRetryPause = 50 * time.Millisecond
-	// maxAcceptsPerRound bounds what one round accepts: connections closed for new ones free their descriptors only at the
-	// end of the round.
+	// maxAcceptsPerRound bounds the connections that a listener accepts in a round: connections that are closed to make room
+	// for new ones free their descriptors only at the end of the round.
 	maxAcceptsPerRound = 16
 )
 
 var errUnknownFamily = errors.New("unknown address family")
 
-// Listener accepts connections.
+// Listener accepts TCP connections.
 type Listener struct {
 	loop       *Loop
 	fd         int
@@ -32,19 +32,20 @@
 	closed     bool
 }
 
-// ShareAddresses lets other listeners of this process have the same address as those that Listen makes from now on. The
-// system divides connections among them.
+// ShareAddresses sets SO_REUSEPORT for all listeners that Listen creates afterwards, so that several listeners of this process
+// can have the same address. The kernel distributes connections among them.
 func (l *Loop) ShareAddresses() { l.reusePort = true }
 
-// Listen accepts connections at an address. For each, newHandler makes its handler and opened gets both.
+// Listen starts to accept connections at an address. For each connection it calls newHandler to create the handler, and then
+// opened.
 func (l *Loop) Listen(addr netip.AddrPort, newHandler func() Handler, opened func(*Conn, Handler)) (*Listener, error) {
 	fd, err := l.listeningSocket(addr)
 	if err != nil {
 		return nil, err
 	}
 	ln := &Listener{loop: l, fd: fd, newHandler: newHandler, opened: opened}
-	ln.retryTimer.Fire = func() { ln.ready(0) }
-	if err := l.add(fd, unix.EPOLLIN, ln); err != nil {
+	ln.retryTimer.Fire = func() { ln.handleEvents(0) }
+	if err := l.register(fd, unix.EPOLLIN, ln); err != nil {
 		closeFD(fd)
 		return nil, err
 	}
@@ -56,7 +57,7 @@
 	if fd, err = newSocket(family); err != nil {
 		return 0, err
 	}
-	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1) // without it bind may fail, which is reported
+	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1) // on failure bind may fail, which is reported
 	if l.reusePort {
 		if err := unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1); err != nil {
 			closeFD(fd)
@@ -73,7 +74,7 @@
 	return fd, nil
 }
 
-// Addr is the address of the listener.
+// Addr returns the address of the listener.
 func (ln *Listener) Addr() (netip.AddrPort, error) {
 	sockaddr, err := unix.Getsockname(ln.fd)
 	if err != nil {
@@ -92,8 +93,8 @@
 	return netip.AddrPort{}, errUnknownFamily
 }
 
-// Close accepts the pending connections, then stops listening, and reports whether it did. It does not while descriptors
-// have run out, since pending connections would be lost; it must be called again then.
+// Close accepts the pending connections and then stops listening. It reports whether it did so. If descriptors have run out it
+// returns false and keeps listening, since pending connections would be lost; the caller must then call it again.
 func (ln *Listener) Close() bool {
 	if ln.closed {
 		return true
@@ -103,14 +104,14 @@
 	}
 	ln.closed = true
 	ln.retryTimer.Stop()
-	ln.loop.remove(ln.fd)
+	ln.loop.unregister(ln.fd)
 	return true
 }
 
-// ready handles the events that epoll reports.
-func (ln *Listener) ready(uint32) { ln.acceptPending(maxAcceptsPerRound) }
+// handleEvents implements eventSource.
+func (ln *Listener) handleEvents(uint32) { ln.acceptPending(maxAcceptsPerRound) }
 
-// acceptPending accepts at most so many connections, and reports whether none is pending any more.
+// acceptPending accepts at most limit connections, and reports whether no more connections are pending.
 func (ln *Listener) acceptPending(limit int) bool {
 	for range limit {
 		fd, _, err := unix.Accept4(ln.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
@@ -140,5 +141,5 @@
 
 func (ln *Listener) setMask(mask uint32) {
 	event := unix.EpollEvent{Events: mask, Fd: int32(ln.fd)}
-	_ = unix.EpollCtl(ln.loop.epoll, unix.EPOLL_CTL_MOD, ln.fd, &event) // it fails only for a closed listener
+	_ = unix.EpollCtl(ln.loop.epoll, unix.EPOLL_CTL_MOD, ln.fd, &event) // fails only for a closed listener
 }
--- a/internal/transport/listener_test.go
+++ b/internal/transport/listener_test.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// endRecorder is a handler that records how its connection ended.
+// endRecorder is a Handler that records the error with which its connection was closed.
 type endRecorder struct{ err error }
 
 func (*endRecorder) Opened() {}
@@ -23,7 +23,7 @@
 
 func (r *endRecorder) Closed(err error) { r.err = err }
 
-// exhaustDescriptors leaves the process without a free descriptor until restore is called.
+// exhaustDescriptors lowers the descriptor limit so that the process cannot open any until restore is called.
 func exhaustDescriptors(t *testing.T) (restore func()) {
 	t.Helper()
 	var before unix.Rlimit
@@ -60,7 +60,7 @@
 	}
 }
 
-// Guards against a busy loop, and against losing pending connections, when descriptors have run out.
+// Guards against a busy loop and against the loss of pending connections when descriptors have run out.
 func TestAcceptWithoutDescriptors(t *testing.T) {
 	var log bytes.Buffer
 	before := slog.Default()
@@ -91,23 +91,23 @@
 	restore := exhaustDescriptors(t)
 	runLoop(t, l, 300*time.Millisecond)
 	if tries := strings.Count(log.String(), "accept.failed"); accepted != 0 || tries == 0 || tries > 10 {
-		t.Errorf("accepted %d, tried %d times in 0.3 s", accepted, tries)
+		t.Errorf("%d connections accepted, accept failed %d times in 0.3 s", accepted, tries)
 	}
 	if ln.Close() {
-		t.Error("closed over pending connections")
+		t.Error("the listener was closed although connections were pending")
 	}
 	restore()
 	runLoop(t, l, 100*time.Millisecond)
 	if !ln.Close() || accepted != 2 {
-		t.Errorf("accepted %d", accepted)
+		t.Errorf("the listener was not closed, or %d connections accepted", accepted)
 	}
-	runLoop(t, l, 10*time.Millisecond) // it is closed at the end of the round
+	runLoop(t, l, 10*time.Millisecond) // the descriptor is closed at the end of the round
 	if _, err := net.Dial("tcp", addr.String()); err == nil {
-		t.Error("it still listens")
+		t.Error("the closed listener still accepts connections")
 	}
 }
 
-// Guards against one round accepting more connections than descriptors become free for them.
+// Guards against accepting more connections in a round than there are descriptors, which become free only at its end.
 func TestRoundAcceptsAreBounded(t *testing.T) {
 	l, err := NewLoop()
 	if err != nil {
@@ -137,10 +137,10 @@
 	for _, n := range rounds {
 		sum += n
 		if n > maxAcceptsPerRound {
-			t.Errorf("%d in one round", n)
+			t.Errorf("%d connections accepted in one round", n)
 		}
 	}
 	if sum != many {
-		t.Errorf("%d accepted", sum)
+		t.Errorf("%d connections accepted", sum)
 	}
 }
--- a/internal/transport/timer.go
+++ b/internal/transport/timer.go
@@ -12,24 +12,24 @@
 	wheelSlots  = 4096 // 8 s, longer than nearly all timers
 	wordBits    = 64
 	bitmapWords = wheelSlots / wordBits
-	// maxWait is how long the loop waits where no timer is set.
+	// maxWait is how long the loop waits if no timer is set.
 	maxWait = time.Second
 )
 
-// Timer calls Fire at a time. It is meant to be a field of the object that it serves, and must not be copied while it is
-// set.
+// Timer calls Fire at the time for which it is set; see Loop.Set. It is meant to be embedded in the object that it serves, and
+// must not be copied while it is set.
 type Timer struct {
 	Fire func()
 
-	wheel      *timerWheel // nil: it is not set
-	next, prev *Timer      // in its slot
+	wheel      *timerWheel // nil: the timer is not set
+	next, prev *Timer      // in the list of its slot
 	dueTick    int64
 }
 
 // Active reports whether the timer is set.
 func (t *Timer) Active() bool { return t.wheel != nil }
 
-// Stop unsets the timer.
+// Stop cancels the timer. It does nothing if the timer is not set.
 func (t *Timer) Stop() {
 	w := t.wheel
 	if w == nil {
@@ -52,14 +52,14 @@
 	t.prev = nil
 }
 
-// timerWheel is a hashed timing wheel. A bitmap of the slots in use finds the next timer without walking the slots.
+// timerWheel is a hashed timing wheel. A bitmap of the used slots allows to find the next timer without scanning all slots.
 type timerWheel struct {
 	slots    [wheelSlots]*Timer // lists, by tick modulo wheelSlots
 	bitmap   [bitmapWords]uint64
-	lastTick int64 // whose timers have fired
+	lastTick int64 // the last tick whose timers have fired
 }
 
-// set sets a timer, also one that is set already. A time that has passed is the next tick.
+// set sets or resets a timer. If the time has passed, the timer fires at the next tick.
 func (w *timerWheel) set(t *Timer, at time.Duration) {
 	t.Stop()
 	due := int64((at + Tick - 1) / Tick)
@@ -80,7 +80,7 @@
 // advance fires all timers that are due by now.
 func (w *timerWheel) advance(now time.Duration) {
 	tick := int64(now / Tick)
-	if tick-w.lastTick > wheelSlots { // after a long stall one revolution meets every slot
+	if tick-w.lastTick > wheelSlots { // after a long stall, one revolution visits every slot
 		w.lastTick = tick - wheelSlots
 	}
 	for w.lastTick < tick {
@@ -96,7 +96,7 @@
 	}
 }
 
-// dueTimer is a timer of a slot that is due by a tick, or nil: a slot also has the timers of later revolutions.
+// dueTimer returns a timer of a slot that is due by the given tick, or nil. A slot also contains timers of later revolutions.
 func (w *timerWheel) dueTimer(slot, tick int64) *Timer {
 	for t := w.slots[slot]; t != nil; t = t.next {
 		if t.dueTick <= tick {
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// nextWait is for how long no timer is due. It may be too short, never too long.
+// nextWait returns the time until the next timer is due. It may return too short a time, but never too long a time.
 func (w *timerWheel) nextWait(now time.Duration) time.Duration {
 	from := (w.lastTick + 1) % wheelSlots
 	word := from / wordBits
--- a/internal/transport/timer_test.go
+++ b/internal/transport/timer_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Guards against timers that fire early or late, also beyond one revolution of the wheel, and a wait that is too long.
+// Guards against timers that fire early or late, including timers beyond one revolution of the wheel, and against a wait that
+// is too long.
 func TestTimersFireInTheirTick(t *testing.T) {
 	w := &timerWheel{}
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -37,7 +38,8 @@
 	}
 }
 
-// Guards against an endless loop over a timer that sets itself, and a timer that fires after another stopped it.
+// Guards against an endless loop caused by a timer that sets itself again, and against a timer that fires although the callback
+// of another timer has stopped it.
 func TestTimerSetAndStoppedFromCallback(t *testing.T) {
 	w := &timerWheel{}
 	fired := 0
@@ -46,7 +48,7 @@
 		fired++
 		other.Stop()
 		if fired < 3 {
-			w.set(&again, 0) // it has passed: the next tick, not this one again
+			w.set(&again, 0) // the time has passed, so it must fire at the next tick, not again at this one
 		}
 	}
 	other.Fire = func() { t.Error("fired after it was stopped") }
