--- a/internal/director/config/config.go
+++ b/internal/director/config/config.go
@@ -1,6 +1,6 @@
-// Package config reads, checks and defaults the configuration of a director. It is the one place that knows the keys of
-// LB_CONFIG; those below settings are mapped by package simulator, which reads them from the simulator, too. Error messages
-// name the key at fault.
+// Package config reads and validates the configuration of a director and fills in defaults. It defines the keys of the file
+// that LB_CONFIG names. The keys below settings are mapped by package simulator, which also reads them from the simulator.
+// Error messages name the invalid key.
 package config
 
 import (
@@ -34,32 +34,33 @@
 	maxLimit        = 1 << 30
 )
 
-// Errors of a configuration that lacks a part.
+// Errors for a missing part of the configuration.
 var (
-	ErrNoFile     = errors.New("LB_CONFIG is not set: it names the configuration file")
+	ErrNoFile     = errors.New("LB_CONFIG is not set: it must be the path of the configuration file")
 	ErrNoSettings = errors.New("settings: missing")
 	ErrNoClasses  = errors.New("settings.Grades: no classes")
 )
 
-// Config is the configuration of a director. The last three fields come from the operator's file; see OperatorSettings.
+// Config is the configuration of a director. Its last three fields are set from the operator configuration; see
+// OperatorSettings.
 type Config struct {
 	Name          string
 	Listen        netip.AddrPort
-	Discovery     netip.AddrPort // of the event stream
+	Discovery     netip.AddrPort // address of the event stream
 	Seed          uint64
 	MemoryMB      int
 	Sockets       int
-	InitialEvents discovery.WatchResponse // the events at the start
+	InitialEvents discovery.WatchResponse // the events known at the start
 	Settings      decision.Settings
 	Connections   simulator.SocketSettings
-	Fingerprint   string // equal for files with equal settings
+	Fingerprint   string // hash of the settings in the file
 
 	ControlPlanes []netip.AddrPort // further addresses of the event stream
-	Membership    *Membership      // nil: the director does not announce itself
+	Membership    *Membership      // nil: the director does not register with the control plane
 	Claims        *Claims          // nil: idempotency keys are not claimed
 }
 
-// file is the configuration file with the keys of LB_CONFIG.
+// file is the JSON form of the configuration file that LB_CONFIG names.
 type file struct {
 	Name   string `json:"name"`
 	Listen string `json:"listen"`
@@ -73,7 +74,7 @@
 	Settings  json.RawMessage         `json:"settings"`
 }
 
-// Load reads the file that LB_CONFIG names. LB_NAME and LB_LISTEN, where set, override the file.
+// Load reads the file that LB_CONFIG names. LB_NAME and LB_LISTEN override the file's name and listen if they are set.
 func Load() (Config, error) {
 	path := os.Getenv(fileVar)
 	if path == "" {
@@ -86,7 +87,7 @@
 	return Parse(text, os.Getenv(nameVar), os.Getenv(listenVar))
 }
 
-// Parse reads a configuration file. A name or an address that is not empty overrides the file's.
+// Parse parses the text of a configuration file. If name or listen is not empty, it overrides the file's value.
 func Parse(text []byte, name, listen string) (Config, error) {
 	var f file
 	if err := json.Unmarshal(text, &f); err != nil {
@@ -107,12 +108,12 @@
 		return Config{}, fmt.Errorf("bulletin: %w", err)
 	}
 	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-		return Config{}, fmt.Errorf("seed: %q is not a hex number of 64 bits", f.Seed)
+		return Config{}, fmt.Errorf("seed: %q is not a 64-bit hexadecimal number", f.Seed)
 	}
-	if c.MemoryMB, err = orDefault("limits.memory_mb", f.Limits.MemoryMB, defaultMemoryMB, minMemoryMB); err != nil {
+	if c.MemoryMB, err = limitOrDefault("limits.memory_mb", f.Limits.MemoryMB, defaultMemoryMB, minMemoryMB); err != nil {
 		return Config{}, err
 	}
-	if c.Sockets, err = orDefault("limits.sockets", f.Limits.Sockets, defaultSockets, minSockets); err != nil {
+	if c.Sockets, err = limitOrDefault("limits.sockets", f.Limits.Sockets, defaultSockets, minSockets); err != nil {
 		return Config{}, err
 	}
 	pairs, err := flattenSettings(f.Settings)
@@ -134,19 +135,20 @@
 	return strconv.FormatUint(sum.Sum64(), 16)
 }
 
-// orDefault gives the number of a limit, or its default where the file has none.
-func orDefault(key string, value *float64, defaultValue, minimum int) (int, error) {
+// limitOrDefault returns the value of a limit, or its default if the file does not set it. It returns an error if the value is
+// below minimum or above maxLimit.
+func limitOrDefault(key string, value *float64, defaultValue, minimum int) (int, error) {
 	if value == nil {
 		return defaultValue, nil
 	}
 	if !(*value >= float64(minimum) && *value <= maxLimit) { // NaN is out of range, too
-		return 0, fmt.Errorf("%s: %v is not a number from %d up", key, *value, minimum)
+		return 0, fmt.Errorf("%s: %v is out of range: it must be from %d to 2^30", key, *value, minimum)
 	}
 	return int(*value), nil
 }
 
-// Differs gives the keys in which another configuration differs so that a running director cannot apply it. The address
-// of the event stream can be applied; the seed and the events of the start are new with each start anyway.
+// Differs returns the keys whose change in another configuration cannot be applied by a running director. The address of the
+// event stream can be applied; the seed and the initial events differ at each start and are not compared.
 func (c Config) Differs(other Config) (keys []string) {
 	sameSettings := reflect.DeepEqual(c.Settings, other.Settings) && reflect.DeepEqual(c.Connections, other.Connections)
 	for _, k := range []struct {
--- a/internal/director/config/config_test.go
+++ b/internal/director/config/config_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// Guards against an error that does not name the key at fault.
+// Guards against an error that does not name the invalid key.
 func TestFaultsNameTheirKey(t *testing.T) {
 	for key, change := range map[string][2]string{
 		"listen":                  {`"127.0.0.1:9090"`, `"nowhere"`},
--- a/internal/director/config/settings.go
+++ b/internal/director/config/settings.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// flattenSettings turns nested settings into the path=value pairs of the simulator's first message, so that one parser
-// reads both.
+// flattenSettings converts nested settings to the path=value pairs of the simulator's first message, so that the same parser
+// can read both.
 func flattenSettings(raw json.RawMessage) (pairs []string, err error) {
 	if len(raw) == 0 {
 		return nil, ErrNoSettings
@@ -24,8 +24,9 @@
 	return appendPairs(nil, "", tree), nil
 }
 
-// appendPairs appends the pairs of a value. The keys of an object are joined by dots. A list of plain values is joined by
-// commas. A list of objects has its length under the key count, and its items under their indexes.
+// appendPairs appends the pairs of a value to pairs. The keys of nested objects are joined by dots. The items of a list of
+// scalars are joined by commas. For a list of objects, the key count gives its length, and each item is appended under its
+// index.
 func appendPairs(pairs []string, path string, value any) []string {
 	switch v := value.(type) {
 	case map[string]any:
@@ -43,11 +44,11 @@
 		}
 		items := make([]string, len(v))
 		for i, item := range v {
-			items[i] = plainValue(item)
+			items[i] = formatScalar(item)
 		}
 		return append(pairs, path+"="+strings.Join(items, ","))
 	default:
-		return append(pairs, path+"="+plainValue(v))
+		return append(pairs, path+"="+formatScalar(v))
 	}
 }
 
@@ -59,10 +60,10 @@
 	return isObject
 }
 
-// separators replaces what separates values in the simulator's messages.
+// separators replaces the characters that separate values in the simulator's messages.
 var separators = strings.NewReplacer(" ", "_", ",", "_")
 
-func plainValue(value any) string {
+func formatScalar(value any) string {
 	switch v := value.(type) {
 	case nil:
 		return "-"
