--- a/internal/director/cores/budget/ledger.go
+++ b/internal/director/cores/budget/ledger.go
@@ -1,8 +1,8 @@
-// Package budget keeps the slow start budget of a process on several cores within what one core would spend.
+// Package budget limits the total slow start budget of a process with several cores to the budget of a process with one core.
 //
 // The decision module of each core derives the budget of a cache that is warming up from the best rate that the core has
-// served lately. Where load moves from core to core, each remembers its own best rate, and the sum exceeds what the process
-// ever served. The Ledger gives each core the share of its budget that it may spend.
+// recently served. If load moves from core to core, each core remembers its own best rate, and the sum of these rates exceeds
+// what the process has ever served. The Ledger tells each core which share of its budget it may spend.
 package budget
 
 import (
@@ -11,20 +11,20 @@
 	"time"
 )
 
-// Ledger has the served rates of all cores, in seconds of sending per second. Its methods are safe for concurrent use and
-// take no lock.
+// Ledger records the served rates of all cores, in seconds of sending time per second. Its methods are safe for concurrent use
+// and lock-free.
 type Ledger struct {
 	current   []atomic.Uint64 // rate by core, as float bits
 	best      []atomic.Uint64 // rate by core, as float bits
 	bestTotal atomic.Pointer[totalRate]
-	fadeTime  time.Duration
+	decayTime time.Duration
 }
 
-// totalRateWindow is how long a total must last to count. Cores publish one after the other: for a moment, load that moves
-// is counted on the core that it left and on the one that it came to.
+// totalRateWindow is the time for which a total rate must last to be recorded as the best. Cores publish one after another, so
+// load that moves is briefly counted on both its old and its new core.
 const totalRateWindow = 200 * time.Millisecond
 
-// totalRate is the best total rate of the process, and the lowest total of the present window.
+// totalRate holds the best total rate of the process, and the lowest total in the current window.
 type totalRate struct {
 	best        float64
 	recordedAt  time.Duration // when best was computed
@@ -32,56 +32,57 @@
 	windowStart time.Duration
 }
 
-// New makes a Ledger for some cores. fadeTime is the time in which a best rate falls to 1/e, as it does in the cores.
-func New(cores int, fadeTime time.Duration) *Ledger {
+// New returns a Ledger for the given number of cores. decayTime is the time in which a best rate decays to 1/e; it must equal
+// the one that the cores use.
+func New(cores int, decayTime time.Duration) *Ledger {
 	l := &Ledger{
-		current:  make([]atomic.Uint64, cores),
-		best:     make([]atomic.Uint64, cores),
-		fadeTime: fadeTime,
+		current:   make([]atomic.Uint64, cores),
+		best:      make([]atomic.Uint64, cores),
+		decayTime: decayTime,
 	}
 	l.bestTotal.Store(&totalRate{})
 	return l
 }
 
-// Publish takes in a core's present rate and its recent best.
+// Publish records a core's current rate and its recent best rate.
 func (l *Ledger) Publish(core int, current, best float64, at time.Duration) {
 	l.current[core].Store(math.Float64bits(current))
 	l.best[core].Store(math.Float64bits(max(current, best)))
 	total := sum(l.current)
 	for {
 		old := l.bestTotal.Load()
-		if l.bestTotal.CompareAndSwap(old, l.next(old, total, at)) {
+		if l.bestTotal.CompareAndSwap(old, l.nextTotal(old, total, at)) {
 			return
 		}
 	}
 }
 
-// next is the total rate after a total was observed.
-func (l *Ledger) next(old *totalRate, total float64, at time.Duration) *totalRate {
-	faded := old.best
-	if l.fadeTime > 0 && at > old.recordedAt {
-		faded *= math.Exp(-float64(at-old.recordedAt) / float64(l.fadeTime))
+// nextTotal returns the total rate that follows old when a total is observed at a time.
+func (l *Ledger) nextTotal(old *totalRate, total float64, at time.Duration) *totalRate {
+	decayed := old.best
+	if l.decayTime > 0 && at > old.recordedAt {
+		decayed *= math.Exp(-float64(at-old.recordedAt) / float64(l.decayTime))
 	}
-	next := &totalRate{
-		best:        faded,
+	nextTotal := &totalRate{
+		best:        decayed,
 		recordedAt:  max(at, old.recordedAt),
 		lowest:      min(old.lowest, total),
 		windowStart: old.windowStart,
 	}
 	if at-old.windowStart >= totalRateWindow {
-		next.best = max(faded, next.lowest)
-		next.lowest = total
-		next.windowStart = at
+		nextTotal.best = max(decayed, nextTotal.lowest)
+		nextTotal.lowest = total
+		nextTotal.windowStart = at
 	}
-	return next
+	return nextTotal
 }
 
-// Share is the share of its own budget, from 0 to 1, that a core may spend, so that all cores together spend the budget of
-// the process.
+// Share returns the share of its own budget, from 0 to 1, that each core may spend so that all cores together do not exceed
+// the budget of the process.
 func (l *Ledger) Share() float64 {
 	bests := sum(l.best)
 	total := l.bestTotal.Load().best
-	if bests <= 0 || total <= 0 { // nothing is known yet
+	if bests <= 0 || total <= 0 { // no rate has been recorded yet
 		return 1
 	}
 	return min(1, total/bests)
--- a/internal/director/cores/budget/ledger_test.go
+++ b/internal/director/cores/budget/ledger_test.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// worstBudget simulates four cores whose load moves on every second. It gives the highest sum of their budgets, in shares
-// of the load.
+// worstBudget simulates four cores whose load moves to the next core every second. It returns the highest sum of their
+// budgets, as a multiple of the load.
 func worstBudget(share func(l *Ledger) float64) (worst float64) {
 	const (
-		cores    = 4
-		load     = 10.0
-		fadeTime = 24 * time.Second
+		cores     = 4
+		load      = 10.0
+		decayTime = 24 * time.Second
 	)
-	l := New(cores, fadeTime)
+	l := New(cores, decayTime)
 	bests := make([]float64, cores)
 	for step := range 600 { // of 0.1 s
 		at := time.Duration(step+1) * 100 * time.Millisecond
@@ -25,7 +25,7 @@
 			if c == busy {
 				current = load
 			}
-			bests[c] = max(current, bests[c]*math.Exp(-0.1/fadeTime.Seconds()))
+			bests[c] = max(current, bests[c]*math.Exp(-0.1/decayTime.Seconds()))
 			l.Publish(c, current, bests[c], at)
 		}
 		budgets := 0.0
@@ -37,17 +37,17 @@
 	return worst
 }
 
-// Guards against a cache that is warming up getting several times its budget where load moves from core to core.
+// Guards against a cache that is warming up getting several times its budget if load moves from core to core.
 func TestMovingLoadKeepsOneBudget(t *testing.T) {
 	if worst := worstBudget((*Ledger).Share); worst > 1.01 {
 		t.Errorf("%.2f times the budget", worst)
 	}
 	if worst := worstBudget(func(*Ledger) float64 { return 1 }); worst < 3 {
-		t.Errorf("without the ledger: %.2f times; the test would not notice", worst)
+		t.Errorf("without the ledger: %.2f times the budget; the test would not detect a missing limit", worst)
 	}
 }
 
-// Guards against a budget that is cut although load is even, or there is one core.
+// Guards against a reduced budget if load is even or nothing has been served yet.
 func TestEvenLoadKeepsItsBudget(t *testing.T) {
 	l := New(4, 24*time.Second)
 	for i := range 20 {
@@ -56,19 +56,19 @@
 		}
 	}
 	if share := l.Share(); share < 0.99 {
-		t.Errorf("%v", share)
+		t.Errorf("share %v with even load", share)
 	}
 	if share := New(2, time.Second).Share(); share != 1 {
-		t.Errorf("%v before anything was served", share)
+		t.Errorf("share %v before anything was served", share)
 	}
-	// The best total fades as the cores' own best rates do.
+	// The best total must decay at the same rate as the best rates of the cores.
 	l.Publish(0, 0, 5*math.Exp(-3), 73*time.Second)
 	if total := l.bestTotal.Load().best; total > 15.01 {
-		t.Errorf("%v", total)
+		t.Errorf("best total %v", total)
 	}
 }
 
-// Guards against a total that is lost when cores publish at once.
+// Guards against a lost update of the total when cores publish concurrently.
 func TestConcurrentPublish(t *testing.T) {
 	l := New(8, 24*time.Second)
 	var wg sync.WaitGroup
@@ -83,6 +83,6 @@
 	l.Publish(0, 1, 1, time.Second)
 	l.Publish(0, 1, 1, 2*time.Second)
 	if share := l.Share(); share < 0.95 || share > 1 {
-		t.Errorf("%v", share)
+		t.Errorf("share %v", share)
 	}
 }
--- a/internal/director/cores/events/log_test.go
+++ b/internal/director/cores/events/log_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Guards against a reader that misses a value, reads one twice or out of order, or sees no value although there is one.
+// Guards against a reader that misses a value, reads one twice or out of order, or gets no value although HasNext reports one.
 func TestEveryReaderGetsAll(t *testing.T) {
 	const values, readers = 20_000, 4
 	l := New[int]()
@@ -17,7 +17,7 @@
 				hasNext := c.HasNext()
 				v, ok := c.Next()
 				if hasNext && !ok {
-					t.Error("HasNext, but no value is there")
+					t.Error("HasNext reported a value, but Next returned none")
 					return
 				}
 				if !ok {
--- a/internal/director/cores/owners/owners_test.go
+++ b/internal/director/cores/owners/owners_test.go
@@ -15,7 +15,8 @@
 	release  bool
 }
 
-// Guards against an ID with two owners, or released by another core than its owner: the operations must be linearizable.
+// Guards against an ID that has two owners or is released by a core that does not own it: the operations must be
+// linearizable.
 func TestAcquireAndReleaseAreLinearizable(t *testing.T) {
 	seed := uint64(1)
 	t.Logf("seed %d", seed)
@@ -66,6 +67,6 @@
 		},
 	}
 	if !porcupine.CheckOperations(model, ops) {
-		t.Error("not linearizable")
+		t.Error("the operations are not linearizable")
 	}
 }
--- a/internal/director/cores/stalls/detector.go
+++ b/internal/director/cores/stalls/detector.go
@@ -1,5 +1,5 @@
-// Package stalls detects the cores of a process whose loops are stalled, from counters that the loops raise. It is pure:
-// the counters and the time are arguments.
+// Package stalls detects the cores of a process whose event loops are stalled, by counters that the loops increment. It reads
+// neither the counters nor a clock itself: both are passed as arguments.
 package stalls
 
 import (
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Detector observes the heartbeats of some cores. It belongs to one goroutine.
+// Detector detects stalled cores by their heartbeat counters. It is not safe for concurrent use.
 type Detector struct {
 	timeout time.Duration
 	cores   []coreState
@@ -15,17 +15,17 @@
 
 type coreState struct {
 	heartbeats int64
-	changedAt  time.Duration // when heartbeats changed; 0: it was never observed
+	changedAt  time.Duration // when a change of heartbeats was last observed; 0: not checked yet
 	stalled    bool
 }
 
-// New makes a Detector. A core counts as stalled when its heartbeats have not changed for the timeout.
+// New returns a Detector for the given number of cores. A core is stalled if its heartbeat counter has not changed for timeout.
 func New(cores int, timeout time.Duration) *Detector {
 	return &Detector{timeout: timeout, cores: make([]coreState, cores)}
 }
 
-// Check takes in the heartbeats of all cores at a time after 0, and returns the cores that stalled or recovered since the
-// last check.
+// Check updates the detector with the heartbeat counters of all cores, and returns the indexes of the cores that have stalled
+// or recovered since the previous check. now must be greater than 0.
 func (d *Detector) Check(heartbeats []int64, now time.Duration) (stalled, recovered []int) {
 	for i := range d.cores {
 		c := &d.cores[i]
--- a/internal/director/cores/stalls/detector_test.go
+++ b/internal/director/cores/stalls/detector_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Guards against a stall, or its end, that is reported never or twice.
+// Guards against a stall or a recovery that is reported never or twice.
 func TestStallAndRecoveryAreReportedOnce(t *testing.T) {
 	d := New(2, time.Second)
 	heartbeats := []int64{1, 1}
@@ -20,7 +20,7 @@
 	heartbeats[0]++
 	check(900, 0, 0)
 	heartbeats[0]++
-	check(1001, 1, 0) // the heartbeat of core 1 changed at 1 ms
+	check(1001, 1, 0) // the heartbeat of core 1 last changed at 1 ms
 	if d.Healthy() {
 		t.Error("healthy with a stalled core")
 	}
@@ -30,6 +30,6 @@
 	heartbeats[1] = 2
 	check(1600, 0, 1)
 	if !d.Healthy() {
-		t.Error("not healthy after the recovery")
+		t.Error("unhealthy after the recovery")
 	}
 }
