--- a/internal/director/routing/attempts_test.go
+++ b/internal/director/routing/attempts_test.go
@@ -23,15 +23,15 @@
 	}
 }
 
-// Guards against a late response to a cancelled attempt that passes for the response to its retry.
-func TestRetryTakesAnotherConn(t *testing.T) {
+// Guards against a late response to a cancelled attempt being taken for the response to its retry.
+func TestRetryUsesAnotherConn(t *testing.T) {
 	d, dialer, responses := newTestDirector(t, defaultLimits, "a")
 	d.Submit(newTestRequest(responses, "r1"))
 	dialer.conns[0].handler.Connected()
 	a := d.requests["r1"].attempts[0]
 	d.attemptTimedOut(a) // the client still waits
 	if !slices.Equal(dialer.conns[0].cancelled, []string{"r1"}) {
-		t.Fatal("timed out without a cancel")
+		t.Fatal("the attempt timed out but no cancel was sent")
 	}
 	q := &clientRequest{Request: newTestRequest(responses, "r1"), excludedConns: []*pooledConn{a.conn}}
 	if l := a.host.pickConn(q); l != nil {
@@ -43,16 +43,17 @@
 	}
 }
 
-// Guards against a retry that runs beside the attempt that it replaces. A connection without a pong is closed.
-func TestRetryWaitsUntilCancelIsRead(t *testing.T) {
+// Guards against a retry that is executed concurrently with the attempt that it replaces: it must wait for the pong that
+// confirms the cancel, and a connection that sends no pong must be closed.
+func TestRetryWaitsForCancelConfirmation(t *testing.T) {
 	for _, answers := range []bool{true, false} {
 		d, dialer, responses := newTestDirector(t, defaultLimits, "a")
 		d.Submit(newTestRequest(responses, "r1"))
 		old := dialer.conns[0]
 		old.handler.Connected()
 		d.Submit(newTestRequest(responses, "r2"))
-		old.handler.Received([]byte("r2"), &Response{Status: decision.OK}) // it answers others, so the module retries there
-		d.cancelForModule(decision.CancelAttempt{Request: "r1"})
+		old.handler.Received([]byte("r2"), &Response{Status: decision.OK}) // the host answers, so the module retries there
+		d.cancelAttempt(decision.CancelAttempt{Request: "r1"})
 		if len(old.cancelled) != 1 || len(old.pings) != 1 || len(dialer.conns) != 1 {
 			t.Fatalf("cancelled %q, pinged %q, %d connections", old.cancelled, old.pings, len(dialer.conns))
 		}
@@ -71,14 +72,14 @@
 	}
 }
 
-// Guards against sending, or connecting, for a request that its client cancels in the same round.
+// Guards against sending an attempt or opening a connection for a request that its client cancels in the same round.
 func TestRequestCancelledInItsRoundIsNotSent(t *testing.T) {
 	d, dialer, responses := newTestDirector(t, defaultLimits, "a")
 	r := newTestRequest(responses, "r1")
 	d.loop.Post(func() {
 		d.Submit(r)
 		if len(dialer.conns) != 0 {
-			t.Error("connected before the round is over")
+			t.Error("a connection was opened before the end of the round")
 		}
 		d.Cancel(r)
 	})
@@ -89,7 +90,7 @@
 	responses.want(t)
 }
 
-// Guards against sending a waiting attempt of a cancelled request where caches do not support cancels.
+// Guards against sending a waiting attempt of a cancelled request if caches do not support cancels.
 func TestWaitingAttemptIsNotSentWhenClientIsGone(t *testing.T) {
 	d, dialer, responses := newTestDirector(t, defaultLimits, "a")
 	settings := testSettings()
@@ -110,7 +111,7 @@
 	}
 }
 
-// Guards against a retry that starts when the cancel of the last attempt is confirmed after the client is gone.
+// Guards against a retry that is sent although its client disconnected while the retry waited for the confirmation of a cancel.
 func TestNoRetryForClientGoneDuringCancel(t *testing.T) {
 	d, dialer, responses := newTestDirector(t, defaultLimits, "a")
 	r := newTestRequest(responses, "r1")
@@ -119,24 +120,24 @@
 	old.handler.Connected()
 	d.Submit(newTestRequest(responses, "r2"))
 	old.handler.Received([]byte("r2"), &Response{Status: decision.OK})
-	d.cancelForModule(decision.CancelAttempt{Request: "r1"}) // the module retries, and the retry waits for the pong
+	d.cancelAttempt(decision.CancelAttempt{Request: "r1"}) // the module retries, and the retry waits for the pong
 	if len(old.pings) != 1 {
 		t.Fatalf("pinged %q", old.pings)
 	}
 	d.Cancel(r)
 	old.handler.Pong([]byte(old.pings[0]))
 	if len(dialer.conns) != 1 || len(old.requests) != 2 || len(d.requests) != 0 {
-		t.Errorf("%d links, %d upstream requests, %d requests known", len(dialer.conns), len(old.requests), len(d.requests))
+		t.Errorf("%d connections, %d upstream requests, %d requests known", len(dialer.conns), len(old.requests), len(d.requests))
 	}
 }
 
-// Guards against a retry that is partly written when the window ends and arrives complete afterwards.
+// Guards against a retry that is only partly written when the deduplication window ends, and arrives completely afterwards.
 func TestPartlyWrittenRetryEndsWithDedupWindow(t *testing.T) {
 	const window = 60 * time.Millisecond
 	d, dialer, responses := newTestDirector(t, defaultLimits, "a")
 	d.classes["clips"] = classRules{idempotency: decision.IdempotentWithKey, dedupScope: decision.ScopeAll, dedupWindow: window}
 	r := newTestRequest(responses, "r1")
-	r.SizeKB = 10_000 // so large that the module does not cancel it meanwhile
+	r.SizeKB = 10_000 // large enough that the module does not cancel the request before the window ends
 	d.Submit(r)
 	dialer.conns[0].handler.Connected()
 	dialer.conns[0].handler.Closed(errors.New("reset")) // it may have run; the module retries
@@ -147,11 +148,11 @@
 	}
 	runLoop(t, d, window)
 	if !dialer.conns[1].closed {
-		t.Error("the retry may still arrive complete")
+		t.Error("the connection is still open: the retry may arrive after the window")
 	}
 	for _, conn := range dialer.conns[2:] {
 		if len(conn.requests) > 0 {
-			t.Error("retried after the window")
+			t.Error("the request was retried after the window")
 		}
 	}
 }
--- a/internal/director/routing/conn.go
+++ b/internal/director/routing/conn.go
@@ -11,25 +11,26 @@
 	"stairvane.org/stairvane/internal/transport"
 )
 
-// pooledConn is one connection of a host's pool. It implements ConnHandler.
+// pooledConn is a connection in a host's pool. It implements ConnHandler.
 type pooledConn struct {
 	host             *host
 	conn             Conn
 	connected        bool
-	retired          bool // gets no new attempts
+	retired          bool // must get no new attempts
 	closed           bool
 	connectStartedAt time.Duration
 	idleSince        time.Duration
-	silentSince      time.Duration       // since when it owes a response and has sent nothing; 0: it owes none
-	lastReadAt       time.Duration       // when a response or pong came last
+	silentSince      time.Duration       // since when responses are outstanding and none has arrived; 0: none is outstanding
+	lastReadAt       time.Duration       // when the last response or pong arrived
 	inFlight         map[string]*attempt // by request ID
-	partlyWritten    *attempt            // of which the system has not taken all yet
+	partlyWritten    *attempt            // the attempt whose bytes the kernel has not fully accepted yet; nil: none
 
-	// pings has the attempts that wait until the cache has read what was sent before, by tag; nil for a keepalive.
+	// pings maps the tag of each unanswered ping to the attempt that waits for its pong, or to nil for a keepalive. The pong
+	// shows that the cache has read everything that was sent before the ping.
 	pings           map[string]*attempt
 	pongTimer       transport.Timer
 	keepaliveTimer  transport.Timer
-	closeDelayTimer transport.Timer // of a lost connection
+	closeDelayTimer transport.Timer // set when the connection is lost
 }
 
 func newPooledConn(h *host, now time.Duration) *pooledConn {
@@ -63,14 +64,14 @@
 	c.idleSince = now
 }
 
-// isSilent reports whether the machine behind the connection may be gone, which gives no sign. An attempt on such a
-// connection would be lost until its timeout, while a new connection that does not come up soon proves that nothing ran.
+// isSilent reports whether the connection's peer may have vanished, which TCP does not signal. An attempt on such a connection
+// would hang until its timeout, whereas a new connection that fails to open proves that the attempt was not executed.
 func (c *pooledConn) isSilent() bool {
 	d := c.host.director
 	return c.silentSince > 0 && d.loop.Now()-c.silentSince >= d.limits.SilentTimeout
 }
 
-// isUnused reports whether nothing waits for an answer on the connection.
+// isUnused reports whether the connection has no attempts in flight and no unanswered pings.
 func (c *pooledConn) isUnused() bool { return len(c.inFlight)+len(c.pings) == 0 }
 
 func (c *pooledConn) closeIfIdle() {
@@ -131,8 +132,9 @@
 	}
 }
 
-// keepalive pings a connection that owes responses and has been silent. A hanging connection is found before its attempts
-// time out, so that they are retried in time and their delay is not taken for the cache's latency.
+// keepalive pings a connection on which responses are outstanding and nothing has arrived for KeepaliveAfter. It detects a
+// hanging connection before the attempts time out, so that they are retried in time and their delay is not attributed to the
+// cache's latency.
 func (c *pooledConn) keepalive() {
 	d := c.host.director
 	now := d.loop.Now()
@@ -145,11 +147,11 @@
 	d.loop.Set(&c.keepaliveTimer, max(c.lastReadAt, now)+d.limits.KeepaliveAfter)
 }
 
-// ping has an attempt, if any, wait until the cache has read what was sent before.
+// ping sends a ping. The pong confirms to attempt a, if it is not nil, that the cache has read everything sent before.
 func (c *pooledConn) ping(a *attempt) {
 	d := c.host.director
 	d.pingsSent++
-	tag := "p" + strconv.FormatInt(d.pingsSent, 36) // differs from every request ID, which has hex digits only
+	tag := "p" + strconv.FormatInt(d.pingsSent, 36) // cannot equal a request ID, which has only hex digits
 	c.pings[tag] = a
 	if c.closed {
 		return
@@ -178,11 +180,11 @@
 		c.startPongTimer()
 	}
 	if a != nil {
-		c.host.director.confirmed(a)
+		c.host.director.handleConfirmation(a)
 	}
 }
 
-// pongTimedOut closes a connection that does not answer a ping.
+// pongTimedOut closes a connection that has not answered a ping in time.
 func (c *pooledConn) pongTimedOut() {
 	c.host.director.Counters.ConnsDead++
 	slog.Warn("connection.ping_timed_out", "host", c.host.Name, "attempts", len(c.inFlight))
@@ -201,8 +203,8 @@
 	c.handleLoss()
 }
 
-// handleLoss removes a lost connection from the pool. Its attempts end after the close delay, when the cache has noticed
-// the loss: connections are read in any order, and a retry at once might run beside the lost attempt.
+// handleLoss removes a lost connection from the pool. Its attempts end after the close delay, when the cache has noticed the
+// close: a cache reads connections in any order, so an immediate retry could be executed concurrently with the lost attempt.
 func (c *pooledConn) handleLoss() {
 	c.removeFromPool()
 	c.closed = true
@@ -214,7 +216,8 @@
 	d.loop.Set(&c.closeDelayTimer, d.loop.Now()+d.limits.CloseDelay)
 }
 
-// endInFlight ends the attempts on a lost connection. Those that were fully written may have run, the others have not.
+// endInFlight ends the attempts on a lost connection. Those that were fully written may have been executed; the others were
+// not.
 func (c *pooledConn) endInFlight() {
 	d := c.host.director
 	attempts := slices.Collect(maps.Values(c.inFlight))
@@ -230,9 +233,9 @@
 	}
 	pings := c.pings
 	c.pings = nil
-	for _, tag := range slices.Sorted(maps.Keys(pings)) { // the close has cancelled what the pings were to confirm
+	for _, tag := range slices.Sorted(maps.Keys(pings)) { // the close has cancelled the attempts that the pings followed
 		if a := pings[tag]; a != nil {
-			d.confirmed(a)
+			d.handleConfirmation(a)
 		}
 	}
 	c.host.failWaitingIfUnreachable()
--- a/internal/director/routing/conn_test.go
+++ b/internal/director/routing/conn_test.go
@@ -9,11 +9,11 @@
 	"stairvane.org/stairvane/internal/transport"
 )
 
-// Guards against a request that fails because its first host takes connections and never completes one.
-func TestConnThatNeverComesUpCostsNoAttempt(t *testing.T) {
+// Guards against a request that fails because its first host never completes the connection.
+func TestRequestIsRetriedWhenConnectFails(t *testing.T) {
 	d, dialer, responses := newTestDirector(t, func(l *Limits) { l.DialTimeout = 100 * time.Millisecond }, "a", "b")
 	d.Submit(newTestRequest(responses, "r1"))
-	dialer.conns[0].handler.Closed(nil) // as the dialer does after its timeout
+	dialer.conns[0].handler.Closed(nil) // as after the dial timeout
 	if len(dialer.conns) != 2 || dialer.conns[0].address == dialer.conns[1].address {
 		t.Fatalf("%d connections: the request was not retried at the other host", len(dialer.conns))
 	}
@@ -22,15 +22,15 @@
 	responses.want(t, "r1 served x")
 }
 
-// Guards against taking an attempt that was fully written for one that never ran, or the reverse.
-func TestLostConnTellsWhatMayHaveRun(t *testing.T) {
+// Guards against treating an attempt that was fully written as one that cannot have run, and vice versa.
+func TestLostConnDistinguishesFullyAndPartlyWrittenAttempts(t *testing.T) {
 	d, dialer, responses := newTestDirector(t, defaultLimits, "a")
 	d.Submit(newTestRequest(responses, "r1"))
 	dialer.conns[0].handler.Connected()
 	dialer.conns[0].stuck = true
 	d.Submit(newTestRequest(responses, "r2"))
 	if n := len(dialer.conns[0].requests); n != 1 {
-		t.Fatalf("%d upstream requests on a connection that takes no bytes", n)
+		t.Fatalf("%d upstream requests on a blocked connection, want 1", n)
 	}
 	dialer.conns[1].stuckAfterNext = true
 	dialer.conns[1].handler.Connected() // r2 is partly written
@@ -44,7 +44,7 @@
 	}
 }
 
-// Guards against a hanging connection that is noticed only by the timeouts of its attempts.
+// Guards against a hanging connection that is detected only when its attempts time out.
 func TestHangingConnIsPingedAndClosed(t *testing.T) {
 	d, dialer, responses := newTestDirector(t, func(l *Limits) {
 		l.KeepaliveAfter = time.Millisecond
@@ -59,7 +59,7 @@
 	}
 }
 
-// Guards against a retry that runs beside an attempt whose cache has not noticed the close yet.
+// Guards against a retry that is executed concurrently with an attempt whose cache has not noticed the close yet.
 func TestAttemptsOfLostConnEndAfterCloseDelay(t *testing.T) {
 	d, dialer, responses := newTestDirector(t, func(l *Limits) { l.CloseDelay = time.Millisecond }, "a")
 	d.Submit(newTestRequest(responses, "r1"))
@@ -83,12 +83,12 @@
 	dialer.conns[0].stuck = true
 	d.Cancel(r)
 	if !dialer.conns[0].closed {
-		t.Error("still open")
+		t.Error("the blocked connection is still open")
 	}
 	responses.want(t)
 }
 
-// Guards against sending new attempts to a machine that vanished and left its connections open.
+// Guards against sending new attempts on a connection to a machine that vanished without closing it.
 func TestSilentConnGetsNoNewAttempts(t *testing.T) {
 	d, dialer, responses := newTestDirector(t, func(l *Limits) { l.SilentTimeout = time.Nanosecond }, "a")
 	d.Submit(newTestRequest(responses, "r1"))
@@ -98,12 +98,12 @@
 		t.Fatalf("%d connections, %d upstream requests on the silent one", len(dialer.conns), len(dialer.conns[0].requests))
 	}
 	dialer.conns[1].handler.Closed(transport.ErrDialTimeout)
-	responses.want(t, "r2 rejected") // it never ran, and no other host is left
+	responses.want(t, "r2 rejected") // its attempt was never sent, and there is no other host
 	dialer.conns[0].handler.Received([]byte("r1"), &Response{Status: decision.OK, Body: []byte("x")})
 	responses.want(t, "r2 rejected", "r1 served x")
 }
 
-// Guards against attempts on connections to the process that served before a restart.
+// Guards against sending attempts on connections to the process that was replaced by a restart.
 func TestRestartedHostGetsNewConns(t *testing.T) {
 	d, dialer, responses := newTestDirector(t, defaultLimits, "a")
 	d.Submit(newTestRequest(responses, "r1"))
@@ -123,8 +123,9 @@
 	responses.want(t, "r1 served ")
 }
 
-// Guards against running out of descriptors: the longest idle connection is closed, and none in use is.
-func TestConnsKeepWithinMaxConns(t *testing.T) {
+// Guards against running out of file descriptors: at the limit the connection that has been idle longest is closed, and never
+// one in use.
+func TestMaxConnsIsRespected(t *testing.T) {
 	d, dialer, responses := newTestDirector(t, func(l *Limits) { l.MaxConns = 2 }, "a", "b", "c")
 	for i, id := range []string{"r1", "r2", "r3", "r4", "r5", "r6"} {
 		r := newTestRequest(responses, id)
--- a/internal/director/routing/counters.go
+++ b/internal/director/routing/counters.go
@@ -2,7 +2,8 @@
 
 import "stairvane.org/stairvane/internal/decision"
 
-// Counters are totals since the start. The JSON keys are those of the operators' pages. All fields are int64.
+// Counters are totals since the start of the director. The JSON keys are part of the operators' interface. All fields must be
+// int64.
 type Counters struct {
 	// Requests.
 	Accepted    int64 `json:"Taken"`
@@ -11,23 +12,23 @@
 	Rejected    int64 `json:"Refused"`
 	Failed      int64 `json:"Failed"`
 	Cancelled   int64 `json:"Revoked"` // by their clients; not the key Cancelled, which counts attempts
-	Resubmitted int64 `json:"Repeats"` // came again under the ID of a cancelled request
+	Resubmitted int64 `json:"Repeats"` // submitted again with the ID of a cancelled request
 
 	// Attempts.
 	Attempts          int64 `json:"Attempts"`
 	AttemptsCancelled int64 `json:"Cancelled"`   // not requests, see Revoked
-	LateResponses     int64 `json:"LateReplies"` // came after their attempt had ended
-	AttemptsBlocked   int64 `json:"GuardStops"`  // were stopped by a guard
-	ResponsesWithheld int64 `json:"Withheld"`    // were not passed on by a guard
+	LateResponses     int64 `json:"LateReplies"` // arrived after their attempt had ended
+	AttemptsBlocked   int64 `json:"GuardStops"`  // not sent because of a guard
+	ResponsesWithheld int64 `json:"Withheld"`    // not passed on because of a guard
 
-	// Idempotency claims, and requests rejected by a stale director.
+	// Idempotency claims, and requests rejected because the director was stale.
 	ClaimsGranted       int64 `json:"Claimed"`
 	ClaimsHeldElsewhere int64 `json:"Bound"`
 	ClaimsUnavailable   int64 `json:"Unclaimed"`
 	KeysReused          int64 `json:"Reused"`
 	RejectedStale       int64 `json:"Behind"`
 
-	// Attempts by how they ended.
+	// Attempts by their final status.
 	OK            int64 `json:"OK"`
 	Miss          int64 `json:"Miss"`
 	Overloaded    int64 `json:"Full"`
@@ -39,7 +40,7 @@
 
 	// Connections and events.
 	Connects        int64 `json:"Dials"`
-	ConnsLost       int64 `json:"LinksLost"` // with attempts in flight
+	ConnsLost       int64 `json:"LinksLost"` // while attempts were in flight
 	ConnsDead       int64 `json:"LinksDead"` // did not answer a ping
 	Purges          int64 `json:"Purges"`
 	EndpointUpdates int64 `json:"Lists"`
--- a/internal/director/routing/director.go
+++ b/internal/director/routing/director.go
@@ -8,7 +8,7 @@
 	"stairvane.org/stairvane/internal/transport"
 )
 
-// Director drives one instance of the decision module.
+// Director routes the requests of one core by the decisions of its own instance of the decision module.
 type Director struct {
 	Counters Counters
 
@@ -22,33 +22,33 @@
 	// isReadyCache reports whether clients can be served from an endpoint.
 	isReadyCache func(Endpoint) bool
 
-	hosts        map[decision.HostID]*host
-	byName       map[string]*host
-	conns        int           // to all hosts
-	pingsSent    int64         // makes the tags of pings unique
-	notifiedAt   time.Duration // see SetNotifiedAt
-	listVersion  int64         // of the newest endpoint list that was applied
-	purges       purgeLog
-	upkeepTimer  transport.Timer
-	freeTimers   []*moduleTimer
-	events       []decision.Event // that the module has not handled yet
-	handling     bool
-	requests     map[decision.RequestID]*clientRequest
-	inFlight     int        // requests that are owed an answer
-	toSend       []*attempt // at the end of the round
-	hostsToRetry []*host    // with waiting attempts that may get a connection now
-
-	sendScheduled bool
-	sendRoundFunc func() // sendRound, allocated once
+	hosts            map[decision.HostID]*host
+	byName           map[string]*host
+	conns            int           // to all hosts
+	pingsSent        int64         // makes the tags of pings unique
+	notifiedAt       time.Duration // see SetNotifiedAt
+	listVersion      int64         // version of the newest endpoint list that was applied
+	purges           purgeLog
+	maintenanceTimer transport.Timer
+	freeTimers       []*moduleTimer
+	events           []decision.Event // events that the module has not handled yet
+	handling         bool
+	requests         map[decision.RequestID]*clientRequest
+	inFlight         int        // unanswered requests, including waiting resubmissions
+	sendQueue        []*attempt // attempts to send at the end of the round
+	hostsToRetry     []*host    // hosts whose waiting attempts may get a connection now
+
+	flushScheduled     bool
+	flushSendQueueFunc func() // sendRound, allocated once
 
 	cancelledByID        map[decision.RequestID]*cancelledRequest
 	cancelledOldestFirst []*cancelledRequest
 }
 
-// upkeepInterval is the period in which idle connections are closed and old purges are forgotten.
-const upkeepInterval = 500 * time.Millisecond
+// maintenanceInterval is the interval at which idle connections are closed and old purges are dropped.
+const maintenanceInterval = 500 * time.Millisecond
 
-// New makes a Director. SetHooks may follow, then Start.
+// New returns a Director. SetHooks may be called next, then Start.
 func New(loop *transport.Loop, s decision.Settings, seed uint64, limits Limits, dialer Dialer) *Director {
 	d := &Director{
 		loop:          loop,
@@ -66,8 +66,8 @@
 		parent := s.ParentKind >= 0 && s.ParentKind < len(s.Kinds) && e.Kind == s.Kinds[s.ParentKind]
 		return e.Readiness == decision.Ready && e.Zone == s.Zone && !parent
 	}
-	d.upkeepTimer.Fire = d.runUpkeep
-	d.sendRoundFunc = d.sendRound
+	d.maintenanceTimer.Fire = d.runMaintenance
+	d.flushSendQueueFunc = d.flushSendQueue
 	return d
 }
 
@@ -79,18 +79,18 @@
 	}
 }
 
-// Start starts the decision module.
+// Start starts the decision module and the periodic maintenance.
 func (d *Director) Start() {
 	for _, action := range d.module.Start(d.loop.Now()) {
 		d.perform(action)
 	}
-	d.loop.Set(&d.upkeepTimer, d.loop.Now()+upkeepInterval)
+	d.loop.Set(&d.maintenanceTimer, d.loop.Now()+maintenanceInterval)
 }
 
-// InFlight is the number of requests that are owed an answer.
+// InFlight returns the number of unanswered requests.
 func (d *Director) InFlight() int { return d.inFlight }
 
-// HasReadyCache reports whether clients can be served from any cache. Parent caches and the origin alone do not count.
+// HasReadyCache reports whether a cache is ready to serve clients. Parent caches and the origin do not count.
 func (d *Director) HasReadyCache() bool {
 	for _, h := range d.hosts {
 		if d.isReadyCache(h.Endpoint) {
@@ -100,8 +100,8 @@
 	return false
 }
 
-// handle hands an event to the module and performs the actions that it returns. Events that these actions cause are
-// queued, so that the module never sees an event while its last actions are performed.
+// handle passes an event to the decision module and performs the actions that it returns. Events that these actions cause are
+// queued, so that the module never gets an event before its previous actions are complete.
 func (d *Director) handle(event decision.Event) {
 	d.events = append(d.events, event)
 	if d.handling {
@@ -123,13 +123,13 @@
 	case decision.StartAttempt:
 		d.startAttempt(a)
 	case decision.CancelAttempt:
-		d.cancelForModule(a)
+		d.cancelAttempt(a)
 	case decision.Reject:
-		if q := d.unanswered(a.Request); q != nil {
+		if q := d.unansweredRequest(a.Request); q != nil {
 			d.reject(q, a.RetryAfter)
 		}
 	case decision.Fail:
-		if q := d.unanswered(a.Request); q != nil {
+		if q := d.unansweredRequest(a.Request); q != nil {
 			d.fail(q)
 		}
 	case decision.SetTimer:
@@ -137,25 +137,25 @@
 	case decision.LogLine:
 		slog.Info("decision.logged", "line", a.Text)
 	case decision.WatchEndpoints, decision.PollEndpoints:
-		// The event stream is watched from the start to the end anyway.
+		// No action is needed: the event stream is watched at all times.
 	case decision.HealthCheck:
 		slog.Error("health_check.unsupported", "host_number", a.Host)
 	}
 }
 
-// moduleTimer is a timer of the module. Timers that have fired are reused.
+// moduleTimer is a timer that the decision module has set. Timers that have fired are reused.
 type moduleTimer struct {
 	transport.Timer
 	timer decision.Timer
 }
 
 func (d *Director) setTimer(delay time.Duration, timer decision.Timer) {
-	t := d.takeTimer()
+	t := d.acquireTimer()
 	t.timer = timer
 	d.loop.Set(&t.Timer, d.loop.Now()+delay)
 }
 
-func (d *Director) takeTimer() *moduleTimer {
+func (d *Director) acquireTimer() *moduleTimer {
 	if n := len(d.freeTimers); n > 0 {
 		t := d.freeTimers[n-1]
 		d.freeTimers = d.freeTimers[:n-1]
@@ -170,10 +170,10 @@
 	return t
 }
 
-// runUpkeep closes idle connections and forgets hosts, cancelled requests and purges that do not matter any more.
-func (d *Director) runUpkeep() {
+// runMaintenance closes idle connections and drops hosts, cancelled requests and purges that are no longer needed.
+func (d *Director) runMaintenance() {
 	now := d.loop.Now()
-	d.loop.Set(&d.upkeepTimer, now+upkeepInterval)
+	d.loop.Set(&d.maintenanceTimer, now+maintenanceInterval)
 	for id, h := range d.hosts {
 		h.closeIdleConns(now)
 		unused := len(h.conns) == 0 && len(h.waiting) == 0
@@ -183,6 +183,6 @@
 		}
 	}
 	d.expireCancelled(now)
-	// A fill may end late, so a purge is remembered for longer than an attempt may take.
-	d.purges.forget(now - 2*d.limits.PurgeTimeout - d.limits.MaxDeadline)
+	// A fill may end late, so a purge is kept for longer than an attempt may take.
+	d.purges.expire(now - 2*d.limits.PurgeTimeout - d.limits.MaxDeadline)
 }
--- a/internal/director/routing/endpoint_list.go
+++ b/internal/director/routing/endpoint_list.go
@@ -8,25 +8,25 @@
 	"stairvane.org/stairvane/internal/decision"
 )
 
-// endpointList is an endpoint list as it came: a snapshot, or the entries that changed.
+// endpointList is an endpoint list as it was received: a snapshot, or a delta with the entries that changed.
 type endpointList struct {
 	version   int64
 	snapshot  bool
 	endpoints []Endpoint
 }
 
-// listAnomaly is something unusual in a list, with its log event.
+// listAnomaly is an irregularity of a list, in the form in which it is logged.
 type listAnomaly struct {
 	level slog.Level
 	event string
 	attrs []any
 }
 
-// check decides which entries of a list are accepted; it logs and changes nothing. The last of several entries for one
-// host counts. Of a delta that is older than lastVersion only drains are accepted: a host that is gone must not return by
-// it, and a drain must be applied however late it comes. A snapshot always counts, even an empty one. readyAddresses has the
-// addresses of the ready hosts by name.
-func (l endpointList) check(lastVersion int64, readyAddresses map[string]string) (accepted []Endpoint, anomalies []listAnomaly) {
+// validate returns the entries of a list that are accepted, and the list's anomalies. It neither logs nor changes anything.
+// If a host has several entries, the last one is accepted. If a delta is older than lastVersion, its ready entries are
+// ignored: they must not bring back a host that is gone, but a drain must be applied however late it arrives. A snapshot is
+// always accepted, even an empty one. readyAddresses maps the names of the ready hosts to their addresses.
+func (l endpointList) validate(lastVersion int64, readyAddresses map[string]string) (accepted []Endpoint, anomalies []listAnomaly) {
 	if l.snapshot && len(l.endpoints) == 0 {
 		anomalies = append(anomalies, listAnomaly{slog.LevelError, "endpoints.empty", []any{"in_service", len(readyAddresses)}})
 	}
@@ -43,7 +43,7 @@
 		}
 		lastEntry[e.Name] = i
 	}
-	nameAt := l.unchangedByAddress(lastEntry, readyAddresses)
+	nameAt := l.unlistedReadyByAddress(lastEntry, readyAddresses)
 	for i, e := range endpoints {
 		if lastEntry[e.Name] != i {
 			continue
@@ -61,8 +61,9 @@
 	return accepted, anomalies
 }
 
-// unchangedByAddress gives the names of the ready hosts that stay as they are after the list, by address.
-func (l endpointList) unchangedByAddress(listed map[string]int, readyAddresses map[string]string) map[string]string {
+// unlistedReadyByAddress returns the names of the ready hosts that the list leaves unchanged, by address. After a snapshot there
+// are none. listed has the names in the list as its keys.
+func (l endpointList) unlistedReadyByAddress(listed map[string]int, readyAddresses map[string]string) map[string]string {
 	names := map[string]string{}
 	if l.snapshot {
 		return names
--- a/internal/director/routing/endpoints.go
+++ b/internal/director/routing/endpoints.go
@@ -12,17 +12,18 @@
 	"stairvane.org/stairvane/internal/decision"
 )
 
-// host is an endpoint of the list, with the connections to it and the attempts that wait for one.
+// host is an endpoint together with the connections to it and the attempts that wait for a connection.
 type host struct {
 	Endpoint
 	director       *Director
-	readinessSince time.Duration // when its present readiness reached the process
+	readinessSince time.Duration // when its current readiness reached the process
 	conns          []*pooledConn
 	waiting        []*attempt
-	retryScheduled bool // its waiting attempts are retried at the end of the round
+	retryScheduled bool // the host is in Director.hostsToRetry
 }
 
-// incarnationName names the very process that serves as the host, as far as its start time is known.
+// incarnationName returns the host's name followed by "@" and its start time in Unix milliseconds, which identifies the
+// process across restarts. If the start time is unknown, it returns the name alone.
 func (h *host) incarnationName() string {
 	if h.StartedAt <= 0 {
 		return h.Name
@@ -37,17 +38,18 @@
 	}
 }
 
-// isDraining reports whether nothing new may go to the host. The second half of the grace is left for the way to it.
+// isDraining reports whether no new attempts may be sent to the host. It does so from half of the grace period on: the second
+// half is reserved for the time that an attempt takes to reach the host.
 func (h *host) isDraining(now, grace time.Duration) bool {
 	return h.Readiness != decision.Ready && now >= h.readinessSince+grace/2
 }
 
-// UpdateEndpoints applies an endpoint list: a snapshot, or the entries that changed.
+// UpdateEndpoints applies an endpoint list: a snapshot, or a delta with the entries that changed.
 func (d *Director) UpdateEndpoints(version int64, snapshot bool, endpoints []Endpoint) {
 	now := d.notificationTime()
 	d.Counters.EndpointUpdates++
 	list := endpointList{version: version, snapshot: snapshot, endpoints: endpoints}
-	accepted, anomalies := list.check(d.listVersion, d.readyAddresses())
+	accepted, anomalies := list.validate(d.listVersion, d.readyAddresses())
 	for _, a := range anomalies {
 		slog.Log(context.Background(), a.level, a.event, append([]any{"version", version}, a.attrs...)...)
 	}
@@ -65,7 +67,7 @@
 	d.handle(update)
 }
 
-// readyAddresses gives the addresses of the ready hosts by name.
+// readyAddresses returns the addresses of the ready hosts by name.
 func (d *Director) readyAddresses() map[string]string {
 	addresses := map[string]string{}
 	for name, h := range d.byName {
@@ -76,7 +78,7 @@
 	return addresses
 }
 
-// removeUnlisted marks the hosts as gone that a snapshot does not name.
+// removeUnlisted marks all hosts that a snapshot does not list as gone.
 func (d *Director) removeUnlisted(snapshot []Endpoint, now time.Duration) {
 	listed := map[string]bool{}
 	for _, e := range snapshot {
@@ -89,7 +91,7 @@
 	}
 }
 
-// applyEndpoint updates or adds a host, and returns the endpoint as the module gets it.
+// applyEndpoint updates or adds a host, and returns its endpoint for the decision module.
 func (d *Director) applyEndpoint(e Endpoint, now time.Duration) decision.Endpoint {
 	h := d.byName[e.Name]
 	if h == nil {
@@ -108,9 +110,9 @@
 	return e.Endpoint
 }
 
-// assignHostID gives a host its number for the module. All directors must place objects on the same caches, so the number
-// depends on the name alone: the hex number that ends it, as in s-00c41f7a, or else a hash of it. The simulator calls the
-// same host by that hex number, so both place objects alike.
+// assignHostID returns the ID by which the decision module knows a host. All directors must place objects on the same caches,
+// so the ID depends only on the name: it is the hex number at the end of the name, as in s-00c41f7a, or else a hash of the
+// name. The simulator identifies the host by the same hex number, so that both place objects identically.
 func (d *Director) assignHostID(name string) decision.HostID {
 	if _, digits, found := strings.Cut(name, "-"); found && len(digits) == 8 {
 		if n, err := strconv.ParseUint(digits, 16, 32); err == nil && d.hosts[decision.HostID(n)] == nil {
@@ -136,8 +138,9 @@
 	return decision.HostID(sum.Sum32())
 }
 
-// retireConns keeps new attempts off the connections to a process that has ended: all of them after a change of address,
-// else those older than the new process. The list may come late, so younger connections lead to the new process.
+// retireConns stops the use of connections to a process that has ended. After a change of address these are all connections;
+// otherwise they are the connections that were opened before the new process started. Since the list may arrive late, later
+// connections already lead to the new process.
 func (h *host) retireConns(started time.Duration, moved bool) {
 	for _, c := range slices.Clone(h.conns) {
 		if moved || c.connectStartedAt < started {
--- a/internal/director/routing/endpoints_test.go
+++ b/internal/director/routing/endpoints_test.go
@@ -7,8 +7,8 @@
 	"stairvane.org/stairvane/internal/decision"
 )
 
-// Guards against a malformed endpoint list that is applied silently or loses a request in flight.
-func TestListAnomaliesAreLoggedAndLoseNoRequest(t *testing.T) {
+// Guards against an irregular endpoint list that is applied without a log line or causes the loss of a request in flight.
+func TestListAnomaliesAreLoggedAndNoRequestIsLost(t *testing.T) {
 	ready := testEndpoint("a", decision.Ready)
 	draining := testEndpoint("a", decision.Draining)
 	moved := testEndpoint("c", decision.Ready)
@@ -18,7 +18,7 @@
 		version   int64
 		snapshot  bool
 		endpoints []Endpoint
-		then      string // the answer to a request that follows
+		then      string // the answer to a request submitted after the list
 	}{
 		{"endpoints.empty", 6, true, nil, "r2 rejected"},
 		{"", 6, false, []Endpoint{testEndpoint("b", decision.Gone)}, "r2 served y"},
@@ -47,7 +47,7 @@
 	}
 }
 
-// Guards against a late delta that returns a host that is gone, or that loses a drain.
+// Guards against a late delta that brings back a host that is gone, or whose drain is ignored.
 func TestDeltaOutOfOrderAppliesDrainsOnly(t *testing.T) {
 	d, _, _ := newTestDirector(t, defaultLimits, "a", "b")
 	d.UpdateEndpoints(5, false, []Endpoint{testEndpoint("a", decision.Draining)})
@@ -59,13 +59,13 @@
 	}
 }
 
-// Guards against placing objects on other hosts than the simulator does.
+// Guards against placing objects on different hosts than the simulator does.
 func TestHostIDComesFromName(t *testing.T) {
 	d, _, _ := newTestDirector(t, defaultLimits, "s-00c41f7a", "depot-seven", "t-00c41f7a")
 	if d.byName["s-00c41f7a"].Host != 0x00c41f7a && d.byName["t-00c41f7a"].Host != 0x00c41f7a {
-		t.Error("the number in the name is not used")
+		t.Error("no host has the number in its name as its ID")
 	}
 	if len(d.hosts) != 3 || d.byName["depot-seven"].Host == 0 {
-		t.Errorf("%d hosts, depot-seven is %d", len(d.hosts), d.byName["depot-seven"].Host)
+		t.Errorf("%d hosts, the ID of depot-seven is %d", len(d.hosts), d.byName["depot-seven"].Host)
 	}
 }
--- a/internal/director/routing/fakes_test.go
+++ b/internal/director/routing/fakes_test.go
@@ -11,7 +11,7 @@
 	"stairvane.org/stairvane/internal/transport"
 )
 
-// captureLog returns what f logs.
+// captureLog returns the log output of f.
 func captureLog(t *testing.T, f func()) string {
 	t.Helper()
 	var b bytes.Buffer
@@ -22,14 +22,14 @@
 	return b.String()
 }
 
-// fakeDialer makes connections whose events the test causes.
+// fakeDialer opens fake connections. The test calls their handlers.
 type fakeDialer struct{ conns []*fakeConn }
 
 type fakeConn struct {
 	handler        ConnHandler
 	address        string
-	stuck          bool // takes nothing more
-	stuckAfterNext bool // the next request is partly written
+	stuck          bool // accepts no more bytes
+	stuckAfterNext bool // the next request is only partly written
 	requests       []UpstreamRequest
 	cancelled      []string
 	pings          []string
@@ -55,24 +55,24 @@
 
 func (c *fakeConn) Close() { c.closed = true }
 
-// recorder records the final answers.
-type recorder struct{ answers []string }
+// answerRecorder is a Responder that records the final answers.
+type answerRecorder struct{ answers []string }
 
-func (r *recorder) Respond(q *Request, body []byte) {
+func (r *answerRecorder) Respond(q *Request, body []byte) {
 	r.answers = append(r.answers, q.ID+" served "+string(body))
 }
 
-func (r *recorder) RespondNotModified(q *Request) {
+func (r *answerRecorder) RespondNotModified(q *Request) {
 	r.answers = append(r.answers, q.ID+" not modified")
 }
 
-func (r *recorder) Reject(q *Request, _ time.Duration) {
+func (r *answerRecorder) Reject(q *Request, _ time.Duration) {
 	r.answers = append(r.answers, q.ID+" rejected")
 }
 
-func (r *recorder) Fail(q *Request) { r.answers = append(r.answers, q.ID+" failed") }
+func (r *answerRecorder) Fail(q *Request) { r.answers = append(r.answers, q.ID+" failed") }
 
-func (r *recorder) want(t *testing.T, answers ...string) {
+func (r *answerRecorder) want(t *testing.T, answers ...string) {
 	t.Helper()
 	if !slices.Equal(r.answers, answers) {
 		t.Fatalf("answers %q, want %q", r.answers, answers)
@@ -105,7 +105,7 @@
 	}
 }
 
-// testSettings have one class, whose requests are idempotent.
+// testSettings returns settings with one class, whose requests are idempotent.
 func testSettings() decision.Settings {
 	return decision.Settings{
 		Zone:            "west",
@@ -127,8 +127,8 @@
 	}
 }
 
-// newTestDirector starts a Director with ready hosts of these names.
-func newTestDirector(t testing.TB, change func(*Limits), hosts ...string) (*Director, *fakeDialer, *recorder) {
+// newTestDirector starts a Director with ready hosts of the given names.
+func newTestDirector(t testing.TB, change func(*Limits), hosts ...string) (*Director, *fakeDialer, *answerRecorder) {
 	t.Helper()
 	loop, err := transport.NewLoop()
 	if err != nil {
@@ -144,10 +144,10 @@
 		endpoints = append(endpoints, testEndpoint(name, decision.Ready))
 	}
 	d.UpdateEndpoints(1, true, endpoints)
-	return d, dialer, &recorder{}
+	return d, dialer, &answerRecorder{}
 }
 
-func newTestRequest(responses *recorder, id string) *Request {
+func newTestRequest(responses *answerRecorder, id string) *Request {
 	return &Request{
 		ID:         id,
 		Class:      "clips",
@@ -161,7 +161,7 @@
 
 func defaultLimits(*Limits) {}
 
-// runLoop runs the director's loop for a while.
+// runLoop runs the director's loop for the given time.
 func runLoop(t *testing.T, d *Director, length time.Duration) {
 	t.Helper()
 	d.loop.Set(&transport.Timer{Fire: d.loop.Stop}, d.loop.Now()+length)
--- a/internal/director/routing/fleet.go
+++ b/internal/director/routing/fleet.go
@@ -8,8 +8,8 @@
 	"stairvane.org/stairvane/internal/decision"
 )
 
-// SetNotifiedAt sets when the endpoint lists and purges that follow reached the process, until it is called with 0. The
-// graces of the rules count from then, also on a core that was stalled meanwhile.
+// SetNotifiedAt sets the time at which the process received the endpoint lists and purges that are applied next. It is in
+// effect until it is called with 0. Grace periods start at that time, even on a core that was stalled when they arrived.
 func (d *Director) SetNotifiedAt(at time.Duration) { d.notifiedAt = at }
 
 func (d *Director) notificationTime() time.Duration {
@@ -19,10 +19,10 @@
 	return d.loop.Now()
 }
 
-// ServedRate is the rate at which the module has served, now and at its recent best, in seconds of sending per second.
+// ServedRate returns the current and the recent best rate at which the module has served, in seconds of sending time per second.
 func (d *Director) ServedRate() (now, best float64) { return d.module.ServedRate() }
 
-// SlowStartDemand calls f for each host that is warming up, with the share of its capacity that this director would use.
+// SlowStartDemand calls f for each host that is warming up, with the share of the host's capacity that this director would use.
 func (d *Director) SlowStartDemand(f func(host string, demand float64)) {
 	d.module.SlowStartDemand(func(id decision.HostID, demand float64) {
 		if h := d.hosts[id]; h != nil {
@@ -31,10 +31,10 @@
 	})
 }
 
-// minQuotaShare stands for a share of 0, which the module would take for an equal share.
+// minQuotaShare replaces a share of 0, which the module would interpret as an equal share.
 const minQuotaShare = 1e-9
 
-// SetQuotaShare sets this director's share of the capacity of a host that is warming up. A share below 0 is an equal share.
+// SetQuotaShare sets this director's share of the capacity of a host that is warming up. A share below 0 selects an equal share.
 func (d *Director) SetQuotaShare(host string, share float64) {
 	h := d.byName[host]
 	if h == nil {
@@ -48,8 +48,8 @@
 	d.handle(decision.QuotaShare{Host: h.Host, Share: share})
 }
 
-// HostOutcomes calls f for each host with the attempts, the failures and the latency overhead since the last call. The
-// incarnation is the host's name and start time: a process that was restarted under the name is another.
+// HostOutcomes calls f for each host with the attempts, the failures and the latency overhead since the previous call. The
+// incarnation consists of the host's name and start time, so that a restarted process is reported separately.
 func (d *Director) HostOutcomes(f func(incarnation string, attempts, failures, overhead float64)) {
 	d.module.HostOutcomes(func(id decision.HostID, attempts, failures, overhead float64) {
 		if h := d.hosts[id]; h != nil {
@@ -58,8 +58,8 @@
 	})
 }
 
-// SetAggregatedHealth sets the share of attempts at a host that fail, as all directors together see it. A host that is
-// unknown or was restarted since is left alone.
+// SetAggregatedHealth sets the share of a host's attempts that fail, as aggregated over all directors. It does nothing if the
+// host is unknown or has been restarted since.
 func (d *Director) SetAggregatedHealth(incarnation string, failureShare float64) {
 	name := incarnation
 	if i := strings.LastIndexByte(incarnation, '@'); i >= 0 {
@@ -71,5 +71,5 @@
 	}
 }
 
-// SetPeerCounts sets how many directors there are now.
+// SetPeerCounts sets the current numbers of directors.
 func (d *Director) SetPeerCounts(counts decision.PeerCounts) { d.handle(counts) }
--- a/internal/director/routing/interfaces.go
+++ b/internal/director/routing/interfaces.go
@@ -19,18 +19,19 @@
 	ETag           string        // of the object that the client has cached; empty: none
 	Body           []byte        // must not change until the final answer
 	Responder      Responder
-	SequenceNumber int32 // the Responder's own number of the request
+	SequenceNumber int32 // for use by the Responder
 }
 
-// Responder gets the one final answer of each request that was submitted and not cancelled.
+// Responder receives the final answer of each request that was submitted and not cancelled. Exactly one of its methods is
+// called for each.
 type Responder interface {
 	Respond(r *Request, body []byte) // body is valid during the call only
-	RespondNotModified(r *Request)   // what the client has cached is current
+	RespondNotModified(r *Request)   // the client's cached object is current
 	Reject(r *Request, retryAfter time.Duration)
 	Fail(r *Request)
 }
 
-// UpstreamRequest is an attempt as a cache receives it.
+// UpstreamRequest is an attempt as it is sent to a cache.
 type UpstreamRequest struct {
 	ID             string
 	Class          string
@@ -49,7 +50,7 @@
 // Response is a cache's response to an upstream request.
 type Response struct {
 	Status      decision.Status
-	NotModified bool   // what the client has cached is current; there is no body
+	NotModified bool   // the client's cached object is current; there is no body
 	ETag        string // empty: unknown
 	Body        []byte
 	CacheStatus decision.CacheStatus
@@ -61,32 +62,32 @@
 type Conn interface {
 	Send(r *UpstreamRequest)
 	Cancel(requestID string)
-	// Ping is answered by Pong once the cache has read everything that was sent before.
+	// Ping sends a ping. The handler's Pong is called once the cache has read everything that was sent before it.
 	Ping(tag string)
-	// IsFlushed reports whether the operating system has taken everything that was written.
+	// IsFlushed reports whether the kernel has accepted everything that was written.
 	IsFlushed() bool
-	// Close closes the connection. No callback follows.
+	// Close closes the connection. No callback is made afterwards.
 	Close()
 }
 
-// ConnHandler gets the events of a connection. No method is called while a method of Dialer or Conn runs.
+// ConnHandler handles the events of a connection. None of its methods is called during a call of a Dialer or Conn method.
 type ConnHandler interface {
 	Connected()
 	Flushed()
-	// Received gets a response. Both arguments are valid during the call only.
+	// Received handles a response. Both arguments are valid only during the call.
 	Received(requestID []byte, r *Response)
 	Pong(tag []byte)
-	// Closed is called once, as the last event. Close does not cause it.
+	// Closed is called once, as the last event, unless the connection was closed by Close.
 	Closed(err error)
 }
 
 // Dialer opens connections to caches.
 type Dialer interface {
-	// Dial starts to connect. The handler's Connected or Closed gives the result.
+	// Dial starts to open a connection. The result is reported by the handler's Connected or Closed.
 	Dial(address string, timeout time.Duration, handler ConnHandler) (Conn, error)
 }
 
-// Endpoint is one entry of the endpoint list. The Director sets its Host number.
+// Endpoint is an entry of the endpoint list. The Director assigns its Host field.
 type Endpoint struct {
 	decision.Endpoint
 	Name    string
--- a/internal/director/routing/pool.go
+++ b/internal/director/routing/pool.go
@@ -8,24 +8,24 @@
 	"stairvane.org/stairvane/internal/decision"
 )
 
-// pickConn is the connection with the fewest attempts of those that can take one of a request, or nil.
+// pickConn returns the connection with the fewest attempts in flight among those available for a request, or nil.
 func (h *host) pickConn(q *clientRequest) (best *pooledConn) {
 	for _, c := range h.conns {
-		if c.canTake(q) && (best == nil || len(c.inFlight) < len(best.inFlight)) {
+		if c.isAvailableFor(q) && (best == nil || len(c.inFlight) < len(best.inFlight)) {
 			best = c
 		}
 	}
 	return best
 }
 
-func (c *pooledConn) canTake(q *clientRequest) bool {
+func (c *pooledConn) isAvailableFor(q *clientRequest) bool {
 	return c.connected && !c.retired && !c.isSilent() &&
 		len(c.inFlight) < c.host.director.limits.StreamsPerConn &&
 		c.conn.IsFlushed() &&
 		!slices.Contains(q.excludedConns, c)
 }
 
-// openConns opens connections until those that are connecting can take all waiting attempts.
+// openConns opens connections until those being established have enough capacity for all waiting attempts.
 func (h *host) openConns() {
 	d := h.director
 	connecting := 0
@@ -68,8 +68,8 @@
 	return nil
 }
 
-// makeRoomForConn reports whether one more connection may be opened. Where the limit is reached, it closes the connection
-// that has been idle for longest.
+// makeRoomForConn reports whether one more connection may be opened. If the limit is reached, it first closes the connection
+// that has been idle longest; it reports false if no connection is idle.
 func (d *Director) makeRoomForConn() bool {
 	if d.limits.MaxConns == 0 || d.conns < d.limits.MaxConns {
 		return true
@@ -89,7 +89,8 @@
 	return true
 }
 
-// failWaitingIfUnreachable ends the waiting attempts when no connection is left that could take them. None has run.
+// failWaitingIfUnreachable ends the waiting attempts with ConnectFailed if the host has no usable connection left, open or
+// being established. None of them has run.
 func (h *host) failWaitingIfUnreachable() {
 	usable := func(c *pooledConn) bool { return !c.retired && !c.isSilent() }
 	if slices.ContainsFunc(h.conns, usable) {
@@ -101,17 +102,17 @@
 	}
 }
 
-// scheduleRetry has the waiting attempts sent at the end of the round, as far as connections can take them.
+// scheduleRetry schedules sendWaiting for the end of the round.
 func (h *host) scheduleRetry() {
 	if len(h.waiting) == 0 || h.retryScheduled {
 		return
 	}
 	h.retryScheduled = true
 	h.director.hostsToRetry = append(h.director.hostsToRetry, h)
-	h.director.scheduleSendRound()
+	h.director.scheduleFlush()
 }
 
-// sendWaiting sends the waiting attempts in order, as far as connections can take them.
+// sendWaiting sends the waiting attempts in order, as far as connections are available, and opens connections for the rest.
 func (h *host) sendWaiting() {
 	for _, a := range slices.Clone(h.waiting) {
 		if a.ended {
@@ -127,7 +128,8 @@
 	}
 }
 
-// closeIdleConns closes connections before the cache does: what is sent while the cache closes would be lost.
+// closeIdleConns closes connections that have been idle for IdleTimeout, before the cache closes them: an attempt that is sent
+// while the cache closes the connection would be lost. It also closes unused connections that must get no new attempts.
 func (h *host) closeIdleConns(now time.Duration) {
 	for _, c := range slices.Clone(h.conns) {
 		if !c.connected || !c.isUnused() {
--- a/internal/director/routing/request_benchmark_test.go
+++ b/internal/director/routing/request_benchmark_test.go
@@ -9,7 +9,7 @@
 	"stairvane.org/stairvane/internal/transport"
 )
 
-// benchmarkDialer remembers the connections that are coming up and the one that got the last request.
+// benchmarkDialer records the connections being established and the connection that got the last request.
 type benchmarkDialer struct {
 	connecting []ConnHandler
 	last       *benchmarkConn
@@ -39,7 +39,7 @@
 
 func (c *benchmarkConn) Close() {}
 
-// servedCounter counts the requests that were served.
+// servedCounter is a Responder that counts the requests that were served.
 type servedCounter struct{ served int }
 
 func (s *servedCounter) Respond(*Request, []byte) { s.served++ }
@@ -50,7 +50,7 @@
 
 func (s *servedCounter) Fail(*Request) {}
 
-// BenchmarkRequest measures a request that one attempt answers over a connection that is up.
+// BenchmarkRequest measures a request that is answered by its first attempt on an open connection.
 func BenchmarkRequest(b *testing.B) {
 	loop, err := transport.NewLoop()
 	if err != nil {
--- a/internal/director/routing/resubmissions.go
+++ b/internal/director/routing/resubmissions.go
@@ -8,26 +8,26 @@
 	"stairvane.org/stairvane/internal/transport"
 )
 
-// A client whose connection ended may submit its request again, with the same ID, on another connection. That is a request
-// of its own; neither answers or cancels the other. Caches know attempts by the ID alone, so the second request starts
-// only when the first has no attempt in flight, avoids the connections on which the first may still be answered, and
-// repeats only what the class allows.
+// A client whose connection was closed may submit its request again, with the same ID, on another connection. The resubmission
+// is a separate request: answering or cancelling one of the two does not answer or cancel the other. Caches identify attempts
+// by the ID alone, so the resubmission starts only when the first request has no attempt in flight, avoids the connections on
+// which a response to the first may still arrive, and is executed again only if the class allows it.
 
 const (
-	// maxResubmissions bounds how often one ID may come again: each time needs connections that were not used for it.
+	// maxResubmissions is the maximum number of resubmissions of an ID. Each needs connections that were not used for the ID.
 	maxResubmissions = 2
-	// maxCancelledRequests bounds how many requests of clients that are gone are remembered.
+	// maxCancelledRequests is the maximum number of cancelled requests that are kept for resubmissions.
 	maxCancelledRequests = 4096
 )
 
-// resubmission is a request that waits for an earlier one of its ID to be released.
+// resubmission is a request that waits until an earlier request with the same ID is released.
 type resubmission struct {
 	*Request
 	deadline time.Duration
 	timer    transport.Timer
 }
 
-// cancelledRequest is what a resubmission must know of a request whose client is gone.
+// cancelledRequest is the state of a cancelled request that its resubmission inherits.
 type cancelledRequest struct {
 	id                 decision.RequestID
 	excludedConns      []*pooledConn
@@ -37,8 +37,9 @@
 	expiresAt          time.Duration
 }
 
-// resubmit takes in a request whose ID another request has. The client of the first may be gone in this very round of the
-// loop: whether it is shows at the end of the round.
+// resubmit handles a request with the ID of a request in flight. The client of the first request may be found to have
+// disconnected later in the same round of the loop, so the resubmission fails only if the first is still unanswered at the end
+// of the round.
 func (d *Director) resubmit(first *clientRequest, r *Request) {
 	if first.resubmission != nil {
 		d.Counters.Failed++
@@ -59,8 +60,8 @@
 	}
 }
 
-// takeResubmission removes and returns the resubmission that waits for a request, or nil.
-func (d *Director) takeResubmission(first *clientRequest) *resubmission {
+// removeResubmission removes and returns the resubmission that waits for a request, or returns nil if there is none.
+func (d *Director) removeResubmission(first *clientRequest) *resubmission {
 	second := first.resubmission
 	if second != nil {
 		second.timer.Stop()
@@ -71,13 +72,14 @@
 }
 
 func (d *Director) failResubmission(first *clientRequest) {
-	if second := d.takeResubmission(first); second != nil {
+	if second := d.removeResubmission(first); second != nil {
 		d.Counters.Failed++
 		second.Responder.Fail(second.Request)
 	}
 }
 
-// rememberCancelled keeps what a resubmission must know of a request that is released, if its client is gone.
+// rememberCancelled stores the state that a resubmission needs of a request that is being released, if the request was
+// cancelled.
 func (d *Director) rememberCancelled(q *clientRequest) {
 	if !q.clientGone || len(q.excludedConns) == 0 && q.firstRunAt == 0 {
 		return
@@ -91,14 +93,14 @@
 		expiresAt:          d.loop.Now() + d.limits.MaxDeadline,
 	}
 	if len(d.cancelledOldestFirst) >= maxCancelledRequests {
-		d.forgetCancelled(d.cancelledOldestFirst[:1])
+		d.evictOldestCancelled(d.cancelledOldestFirst[:1])
 	}
 	d.cancelledByID[q.key] = c
 	d.cancelledOldestFirst = append(d.cancelledOldestFirst, c)
 }
 
-// forgetCancelled forgets the oldest cancelled requests.
-func (d *Director) forgetCancelled(oldest []*cancelledRequest) {
+// evictOldestCancelled removes the given cancelled requests, which must be the oldest ones.
+func (d *Director) evictOldestCancelled(oldest []*cancelledRequest) {
 	for _, c := range oldest {
 		if d.cancelledByID[c.id] == c {
 			delete(d.cancelledByID, c.id)
@@ -107,17 +109,17 @@
 	d.cancelledOldestFirst = slices.Delete(d.cancelledOldestFirst, 0, len(oldest))
 }
 
-// expireCancelled forgets the cancelled requests whose clients would not wait any more.
+// expireCancelled removes the cancelled requests that have expired: no client waits for their resubmission any more.
 func (d *Director) expireCancelled(now time.Duration) {
 	n := 0
 	for n < len(d.cancelledOldestFirst) && d.cancelledOldestFirst[n].expiresAt <= now {
 		n++
 	}
-	d.forgetCancelled(d.cancelledOldestFirst[:n])
+	d.evictOldestCancelled(d.cancelledOldestFirst[:n])
 }
 
-// inheritCancelled takes over what is known of a cancelled request of the same ID, and reports whether the request may be
-// sent at all.
+// inheritCancelled copies the state of a cancelled request with the same ID, if any, to its resubmission q. It reports whether
+// q may be sent at all.
 func (d *Director) inheritCancelled(q *clientRequest) bool {
 	c := d.cancelledByID[q.key]
 	if c == nil {
@@ -131,7 +133,7 @@
 	return c.resubmissions <= maxResubmissions && d.mayRunAgain(c, d.classes[q.Class])
 }
 
-// mayRunAgain reports whether a class allows to repeat a request that was cancelled.
+// mayRunAgain reports whether the rules of a class allow a cancelled request to be executed again.
 func (d *Director) mayRunAgain(c *cancelledRequest, rules classRules) bool {
 	if c.firstRunAt == 0 {
 		return true
