--- a/internal/transport/buffer_pool.go
+++ b/internal/transport/buffer_pool.go
@@ -20,9 +20,9 @@
 	if size > maxBufferBits {
 		return make([]byte, 0, n)
 	}
-	if stock := p.free[size]; len(stock) > 0 {
-		b := stock[len(stock)-1]
-		p.free[size] = stock[:len(stock)-1]
+	if pooled := p.free[size]; len(pooled) > 0 {
+		b := pooled[len(pooled)-1]
+		p.free[size] = pooled[:len(pooled)-1]
 		p.pooledBytes -= cap(b)
 		return b[:0]
 	}
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -100,7 +100,8 @@
 	return c, nil
 }
 
-// Peer returns the address of the peer. It returns the zero AddrPort if the connection is closed or the address is unavailable.
+// Peer returns the address of the peer. It returns the zero AddrPort if the connection is closed or the address is
+// unavailable.
 func (c *Conn) Peer() netip.AddrPort {
 	sockaddr, err := unix.Getpeername(c.fd)
 	if err != nil || c.closed {
--- a/internal/transport/conn_io.go
+++ b/internal/transport/conn_io.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// read reads input and passes it to the handler. Complete messages are parsed in the loop's shared buffer; only an incomplete
-// message is copied to a buffer of the connection.
+// read reads input and passes it to the handler. Complete messages are parsed in the loop's shared buffer; only an
+// incomplete message is copied to a buffer of the connection.
 func (c *Conn) read() {
 	for range maxReadsPerRound {
 		buffer := c.loop.readBuffer
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -27,23 +27,23 @@
 	loop       *Loop
 	fd         int
 	newHandler func() Handler
-	opened     func(*Conn, Handler)
+	onAccept   func(*Conn, Handler)
 	retryTimer Timer
 	closed     bool
 }
 
-// ShareAddresses sets SO_REUSEPORT for all listeners that Listen creates afterwards, so that several listeners of this process
-// can have the same address. The kernel distributes connections among them.
+// ShareAddresses sets SO_REUSEPORT for all listeners that Listen creates afterwards, so that several listeners of this
+// process can have the same address. The kernel distributes connections among them.
 func (l *Loop) ShareAddresses() { l.reusePort = true }
 
 // Listen starts to accept connections at an address. For each connection it calls newHandler to create the handler, and then
-// opened.
-func (l *Loop) Listen(addr netip.AddrPort, newHandler func() Handler, opened func(*Conn, Handler)) (*Listener, error) {
+// onAccept.
+func (l *Loop) Listen(addr netip.AddrPort, newHandler func() Handler, onAccept func(*Conn, Handler)) (*Listener, error) {
 	fd, err := l.listeningSocket(addr)
 	if err != nil {
 		return nil, err
 	}
-	ln := &Listener{loop: l, fd: fd, newHandler: newHandler, opened: opened}
+	ln := &Listener{loop: l, fd: fd, newHandler: newHandler, onAccept: onAccept}
 	ln.retryTimer.Fire = func() { ln.handleEvents(0) }
 	if err := l.register(fd, unix.EPOLLIN, ln); err != nil {
 		closeFD(fd)
@@ -93,8 +93,8 @@
 	return netip.AddrPort{}, errUnknownFamily
 }
 
-// Close accepts the pending connections and then stops listening. It reports whether it did so. If descriptors have run out it
-// returns false and keeps listening, since pending connections would be lost; the caller must then call it again.
+// Close accepts the pending connections and then stops listening. It reports whether it did so. If descriptors have run out
+// it returns false and keeps listening, since pending connections would be lost; the caller must then call it again.
 func (ln *Listener) Close() bool {
 	if ln.closed {
 		return true
@@ -133,7 +133,7 @@
 			slog.Warn("accept.failed", "err", err)
 			continue
 		}
-		ln.opened(c, h)
+		ln.onAccept(c, h)
 	}
 	ln.setMask(unix.EPOLLIN)
 	return false
--- a/internal/transport/loop.go
+++ b/internal/transport/loop.go
@@ -1,8 +1,9 @@
 // Package transport implements an epoll event loop for non-blocking sockets: connections and listeners with callbacks, and
 // timers on a timing wheel. It is independent of the protocol.
 //
-// A loop runs in rounds. A round handles all events that epoll reports, then the timers that are due, then the functions passed
-// to AfterRound. Descriptors are closed only at the end of a round, so that a descriptor number is not reused within the round.
+// A loop runs in rounds. A round handles all events that epoll reports, then the timers that are due, then the functions
+// passed to AfterRound. Descriptors are closed only at the end of a round, so that a descriptor number is not reused within
+// the round.
 //
 // The package is not safe for concurrent use: everything must be called on the goroutine that calls Run, which also runs all
 // callbacks. Only Loop.Post and Loop.Wake may be called from other goroutines.
@@ -105,8 +106,8 @@
 // Queued returns the number of bytes written to all connections that the kernel has not accepted yet.
 func (l *Loop) Queued() int { return l.queuedBytes }
 
-// Post schedules f to run on the loop. It does nothing if the loop has been released. It may be called from any goroutine, and
-// blocks while postQueueSize functions are pending.
+// Post schedules f to run on the loop. It does nothing if the loop has been released. It may be called from any goroutine,
+// and blocks while postQueueSize functions are pending.
 func (l *Loop) Post(f func()) {
 	select {
 	case l.posts <- f:
@@ -127,14 +128,14 @@
 	default:
 	}
 	one := [8]byte{1}
-	_, _ = unix.Write(l.wakeFD, one[:]) // fails only if a wake-up is already pending
+	_, _ = unix.Write(l.wakeFD, one[:]) // fails if a wake-up is already pending
 }
 
 // Stop makes Run return after the current round.
 func (l *Loop) Stop() { l.stopped = true }
 
-// AfterRound runs f when the current round has handled all input and timers, or immediately if no round is in progress. It is
-// meant for decisions that depend on all input of a round, such as whether a request's client is still connected.
+// AfterRound runs f when the current round has handled all input and timers, or immediately if no round is in progress. It
+// is meant for decisions that depend on all input of a round, such as whether a request's client is still connected.
 func (l *Loop) AfterRound(f func()) {
 	if !l.inRound {
 		f()
--- a/internal/transport/timer.go
+++ b/internal/transport/timer.go
@@ -16,8 +16,8 @@
 	maxWait = time.Second
 )
 
-// Timer calls Fire at the time for which it is set; see Loop.Set. It is meant to be embedded in the object that it serves, and
-// must not be copied while it is set.
+// Timer calls Fire at the time for which it is set; see Loop.Set. It is meant to be a field of the object that it serves,
+// and must not be copied while it is set.
 type Timer struct {
 	Fire func()
 
@@ -52,7 +52,8 @@
 	t.prev = nil
 }
 
-// timerWheel is a hashed timing wheel. A bitmap of the used slots allows to find the next timer without scanning all slots.
+// timerWheel is a hashed timing wheel. A bitmap of the used slots makes it possible to find the next timer without scanning
+// all slots.
 type timerWheel struct {
 	slots    [wheelSlots]*Timer // lists, by tick modulo wheelSlots
 	bitmap   [bitmapWords]uint64
@@ -96,7 +97,8 @@
 	}
 }
 
-// dueTimer returns a timer of a slot that is due by the given tick, or nil. A slot also contains timers of later revolutions.
+// dueTimer returns a timer of a slot that is due by the given tick, or nil. A slot also contains timers of later
+// revolutions.
 func (w *timerWheel) dueTimer(slot, tick int64) *Timer {
 	for t := w.slots[slot]; t != nil; t = t.next {
 		if t.dueTick <= tick {
