--- a/internal/director/config/config.go
+++ b/internal/director/config/config.go
@@ -135,8 +135,8 @@
 	return strconv.FormatUint(sum.Sum64(), 16)
 }
 
-// limitOrDefault returns the value of a limit, or its default if the file does not set it. It returns an error if the value is
-// below minimum or above maxLimit.
+// limitOrDefault returns the value of a limit, or its default if the file does not set it. It returns an error if the value
+// is below minimum or above maxLimit.
 func limitOrDefault(key string, value *float64, defaultValue, minimum int) (int, error) {
 	if value == nil {
 		return defaultValue, nil
@@ -147,8 +147,8 @@
 	return int(*value), nil
 }
 
-// Differs returns the keys whose change in another configuration cannot be applied by a running director. The address of the
-// event stream can be applied; the seed and the initial events differ at each start and are not compared.
+// Differs returns the keys with a different value in another configuration that a running director cannot change. The
+// address of the event stream can be applied; the seed and the initial events differ at each start and are not compared.
 func (c Config) Differs(other Config) (keys []string) {
 	sameSettings := reflect.DeepEqual(c.Settings, other.Settings) && reflect.DeepEqual(c.Connections, other.Connections)
 	for _, k := range []struct {
--- a/internal/director/config/config_test.go
+++ b/internal/director/config/config_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-const good = `{"name":"n3","listen":"127.0.0.1:9090","seed":"8c1f30d27a5be964","limits":{"memory_mb":64,"sockets":256},
+const validConfig = `{"name":"n3","listen":"127.0.0.1:9090","seed":"8c1f30d27a5be964","limits":{"memory_mb":64,"sockets":256},
 "bulletin":"127.0.0.1:8500","known":{"no":3,"items":[]},"settings":{"Areas":["north","a b"],"Limits":{"ConnIdle":15000.0,
 "Multiplex":32},"Report":{"How":"inline","Fields":["cpu_share","x1"]},"FamilyInfo":{"PassOn":[false,true]},
 "Grades":[{"Name":"clips","Aim":600.0},{"Name":"stock-report","Effect":"keyed"}]}}`
 
 // Guards against a key that is ignored or mapped to the wrong field.
 func TestConfigurationIsRead(t *testing.T) {
-	c, err := Parse([]byte(good), "", "127.0.0.2:9090")
+	c, err := Parse([]byte(validConfig), "", "127.0.0.2:9090")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,7 +43,7 @@
 		"setting Grades.0.Aim":    {`"Aim":600.0`, `"Aim":"soon"`},
 		"setting Limits.ConnIdle": {`"ConnIdle":15000.0`, `"ConnIdle":"x"`},
 	} {
-		text := strings.Replace(good, change[0], change[1], 1)
+		text := strings.Replace(validConfig, change[0], change[1], 1)
 		if _, err := Parse([]byte(text), "", ""); err == nil || !strings.Contains(err.Error(), key) {
 			t.Errorf("%s: %v", key, err)
 		}
--- a/internal/director/config/operator.go
+++ b/internal/director/config/operator.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// The policies for requests whose idempotency key cannot be claimed because no holder is reachable. The values are those used
-// in the operator configuration.
+// The policies for requests whose idempotency key cannot be claimed because no holder is reachable. The values are those
+// used in the operator configuration.
 const (
 	ClaimsWait    = "wait"   // wait for a holder within the request's timeout, then reject the request
-	ClaimsReject  = "refuse" // reject the request promptly with a Retry-After, before any attempt has run
+	ClaimsReject  = "refuse" // reject the request promptly with a Retry-After; no attempt has run at that point
 	ClaimsProceed = "go-on"  // proceed promptly without a claim, and count the request as unclaimed
 )
 
--- a/internal/director/cores/budget/ledger.go
+++ b/internal/director/cores/budget/ledger.go
@@ -1,8 +1,9 @@
-// Package budget limits the total slow start budget of a process with several cores to the budget of a process with one core.
+// Package budget limits the total slow start budget of a process with several cores to the budget of a process with one
+// core.
 //
 // The decision module of each core derives the budget of a cache that is warming up from the best rate that the core has
-// recently served. If load moves from core to core, each core remembers its own best rate, and the sum of these rates exceeds
-// what the process has ever served. The Ledger tells each core which share of its budget it may spend.
+// recently served. If load moves from core to core, each core remembers its own best rate, and the sum of these rates
+// exceeds what the process has ever served. The Ledger tells each core which share of its budget it may spend.
 package budget
 
 import (
@@ -11,8 +12,8 @@
 	"time"
 )
 
-// Ledger records the served rates of all cores, in seconds of sending time per second. Its methods are safe for concurrent use
-// and lock-free.
+// Ledger records the served rates of all cores, in seconds of sending time per second. Its methods are safe for concurrent
+// use and lock-free.
 type Ledger struct {
 	current   []atomic.Uint64 // rate by core, as float bits
 	best      []atomic.Uint64 // rate by core, as float bits
@@ -20,8 +21,8 @@
 	decayTime time.Duration
 }
 
-// totalRateWindow is the time for which a total rate must last to be recorded as the best. Cores publish one after another, so
-// load that moves is briefly counted on both its old and its new core.
+// totalRateWindow is the time for which a total rate must last to be recorded as the best. Cores publish one after another,
+// so load that moves is briefly counted on both its old and its new core.
 const totalRateWindow = 200 * time.Millisecond
 
 // totalRate holds the best total rate of the process, and the lowest total in the current window.
@@ -32,8 +33,8 @@
 	windowStart time.Duration
 }
 
-// New returns a Ledger for the given number of cores. decayTime is the time in which a best rate decays to 1/e; it must equal
-// the one that the cores use.
+// New returns a Ledger for the given number of cores. decayTime is the time in which a best rate decays to 1/e; it must
+// equal the one that the cores use.
 func New(cores int, decayTime time.Duration) *Ledger {
 	l := &Ledger{
 		current:   make([]atomic.Uint64, cores),
@@ -57,7 +58,7 @@
 	}
 }
 
-// nextTotal returns the total rate that follows old when a total is observed at a time.
+// nextTotal returns the state that replaces old when the cores publish the given total rate at time at.
 func (l *Ledger) nextTotal(old *totalRate, total float64, at time.Duration) *totalRate {
 	decayed := old.best
 	if l.decayTime > 0 && at > old.recordedAt {
@@ -80,12 +81,12 @@
 // Share returns the share of its own budget, from 0 to 1, that each core may spend so that all cores together do not exceed
 // the budget of the process.
 func (l *Ledger) Share() float64 {
-	bests := sum(l.best)
+	sumOfBests := sum(l.best)
 	total := l.bestTotal.Load().best
-	if bests <= 0 || total <= 0 { // no rate has been recorded yet
+	if sumOfBests <= 0 || total <= 0 { // no rate has been recorded yet
 		return 1
 	}
-	return min(1, total/bests)
+	return min(1, total/sumOfBests)
 }
 
 func sum(rates []atomic.Uint64) (total float64) {
--- a/internal/director/cores/events/log.go
+++ b/internal/director/cores/events/log.go
@@ -6,8 +6,8 @@
 
 import "sync/atomic"
 
-// Log is a list of values that is written by one goroutine and read by any number of goroutines. To set it up, call New, then
-// NewCursor for each reader, then Seal.
+// Log is a list of values that is written by one goroutine and read by any number of goroutines. To set it up, call New,
+// then NewCursor for each reader, then Seal.
 type Log[T any] struct {
 	published atomic.Int64 // number of published values
 	first     *node[T]     // nil once the log is sealed
--- a/internal/director/cores/events/log_test.go
+++ b/internal/director/cores/events/log_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Guards against a reader that misses a value, reads one twice or out of order, or gets no value although HasNext reports one.
+// Guards against a reader that misses a value, reads one twice or out of order, or gets no value although HasNext reports
+// one.
 func TestEveryReaderGetsAll(t *testing.T) {
 	const values, readers = 20_000, 4
 	l := New[int]()
--- a/internal/director/cores/stalls/detector.go
+++ b/internal/director/cores/stalls/detector.go
@@ -1,5 +1,5 @@
-// Package stalls detects the cores of a process whose event loops are stalled, by counters that the loops increment. It reads
-// neither the counters nor a clock itself: both are passed as arguments.
+// Package stalls detects stalled event loops of a process with several cores by the heartbeat counters that the loops
+// increment. The package has no side effects: the counters and the time are passed as arguments.
 package stalls
 
 import (
@@ -19,13 +19,14 @@
 	stalled    bool
 }
 
-// New returns a Detector for the given number of cores. A core is stalled if its heartbeat counter has not changed for timeout.
+// New returns a Detector for the given number of cores. A core is stalled if its heartbeat counter has not changed for
+// timeout.
 func New(cores int, timeout time.Duration) *Detector {
 	return &Detector{timeout: timeout, cores: make([]coreState, cores)}
 }
 
-// Check updates the detector with the heartbeat counters of all cores, and returns the indexes of the cores that have stalled
-// or recovered since the previous check. now must be greater than 0.
+// Check updates the detector with the heartbeat counters of all cores, and returns the indexes of the cores that have
+// stalled or recovered since the previous check. now must be greater than 0.
 func (d *Detector) Check(heartbeats []int64, now time.Duration) (stalled, recovered []int) {
 	for i := range d.cores {
 		c := &d.cores[i]
