--- a/internal/director/routing/attempts.go
+++ b/internal/director/routing/attempts.go
@@ -192,8 +192,8 @@
 	return a.request.deadline
 }
 
-// attemptTimedOut ends an attempt whose timer has fired. An attempt that was not fully written counts as ConnectFailed, or as
-// NotSent if it was still waiting at the request's deadline.
+// attemptTimedOut ends an attempt whose timer has fired. An attempt that was not fully written counts as ConnectFailed, or
+// as NotSent if it was still waiting at the request's deadline.
 func (d *Director) attemptTimedOut(a *attempt) {
 	switch {
 	case a.ended:
@@ -229,8 +229,8 @@
 	d.endAttempt(a, &Response{Status: decision.Cancelled})
 }
 
-// cancelOnConn sends the cache a cancel for an attempt. The cancel must be written before the request's next attempt is sent.
-// If the connection cannot accept it immediately, the connection is closed, which cancels all attempts on it.
+// cancelOnConn sends the cache a cancel for an attempt. The cancel must be written before the request's next attempt is
+// sent. If the connection cannot accept it immediately, the connection is closed, which cancels all attempts on it.
 func (d *Director) cancelOnConn(a *attempt) {
 	c := a.conn
 	d.Counters.AttemptsCancelled++
--- a/internal/director/routing/attempts_test.go
+++ b/internal/director/routing/attempts_test.go
@@ -34,7 +34,7 @@
 		t.Fatal("the attempt timed out but no cancel was sent")
 	}
 	q := &clientRequest{Request: newTestRequest(responses, "r1"), excludedConns: []*pooledConn{a.conn}}
-	if l := a.host.pickConn(q); l != nil {
+	if picked := a.host.pickConn(q); picked != nil {
 		t.Error("the connection of the cancelled attempt is picked again")
 	}
 	dialer.conns[0].handler.Received([]byte("r1"), &Response{Status: decision.OK, Body: []byte("late")})
@@ -111,7 +111,8 @@
 	}
 }
 
-// Guards against a retry that is sent although its client disconnected while the retry waited for the confirmation of a cancel.
+// Guards against a retry that is sent although its client disconnected while the retry waited for the confirmation of a
+// cancel.
 func TestNoRetryForClientGoneDuringCancel(t *testing.T) {
 	d, dialer, responses := newTestDirector(t, defaultLimits, "a")
 	r := newTestRequest(responses, "r1")
--- a/internal/director/routing/claims.go
+++ b/internal/director/routing/claims.go
@@ -180,7 +180,8 @@
 	return true
 }
 
-// endUnclaimedAttempts ends the attempts of a request that was failed or rejected for lack of a claim. None of them was executed.
+// endUnclaimedAttempts ends the attempts of a request that was failed or rejected for lack of a claim. None of them was
+// executed.
 func (d *Director) endUnclaimedAttempts(q *clientRequest) {
 	d.handle(decision.ClientGone{Request: q.key})
 	for _, a := range q.attempts {
--- a/internal/director/routing/conn.go
+++ b/internal/director/routing/conn.go
@@ -64,8 +64,9 @@
 	c.idleSince = now
 }
 
-// isSilent reports whether the connection's peer may have vanished, which TCP does not signal. An attempt on such a connection
-// would hang until its timeout, whereas a new connection that fails to open proves that the attempt was not executed.
+// isSilent reports whether the connection's peer may have vanished, which TCP does not signal. An attempt on such a
+// connection would hang until its timeout, whereas a new connection that fails to open proves that the attempt was not
+// executed.
 func (c *pooledConn) isSilent() bool {
 	d := c.host.director
 	return c.silentSince > 0 && d.loop.Now()-c.silentSince >= d.limits.SilentTimeout
@@ -233,7 +234,7 @@
 	}
 	pings := c.pings
 	c.pings = nil
-	for _, tag := range slices.Sorted(maps.Keys(pings)) { // the close has cancelled the attempts that the pings followed
+	for _, tag := range slices.Sorted(maps.Keys(pings)) { // the close has the effect of the cancels that the pings confirm
 		if a := pings[tag]; a != nil {
 			d.handleConfirmation(a)
 		}
--- a/internal/director/routing/conn_test.go
+++ b/internal/director/routing/conn_test.go
@@ -109,9 +109,9 @@
 	d.Submit(newTestRequest(responses, "r1"))
 	dialer.conns[0].handler.Connected()
 	dialer.conns[0].handler.Received([]byte("r1"), &Response{Status: decision.OK})
-	m := testEndpoint("a", decision.Ready)
-	m.StartedAt = d.loop.Now()
-	d.UpdateEndpoints(2, false, []Endpoint{m})
+	restarted := testEndpoint("a", decision.Ready)
+	restarted.StartedAt = d.loop.Now()
+	d.UpdateEndpoints(2, false, []Endpoint{restarted})
 	if !dialer.conns[0].closed {
 		t.Error("the connection to the old process is still open")
 	}
@@ -123,8 +123,8 @@
 	responses.want(t, "r1 served ")
 }
 
-// Guards against running out of file descriptors: at the limit the connection that has been idle longest is closed, and never
-// one in use.
+// Guards against running out of file descriptors: at the limit the connection that has been idle longest is closed, and
+// never one in use.
 func TestMaxConnsIsRespected(t *testing.T) {
 	d, dialer, responses := newTestDirector(t, func(l *Limits) { l.MaxConns = 2 }, "a", "b", "c")
 	for i, id := range []string{"r1", "r2", "r3", "r4", "r5", "r6"} {
--- a/internal/director/routing/counters.go
+++ b/internal/director/routing/counters.go
@@ -2,8 +2,8 @@
 
 import "stairvane.org/stairvane/internal/decision"
 
-// Counters are totals since the start of the director. The JSON keys are part of the operators' interface. All fields must be
-// int64.
+// Counters are totals since the start of the director. The JSON keys are part of the operators' interface. All fields must
+// be int64.
 type Counters struct {
 	// Requests.
 	Accepted    int64 `json:"Taken"`
--- a/internal/director/routing/director.go
+++ b/internal/director/routing/director.go
@@ -8,7 +8,7 @@
 	"stairvane.org/stairvane/internal/transport"
 )
 
-// Director routes the requests of one core by the decisions of its own instance of the decision module.
+// Director routes the requests of one core according to the decisions of its own instance of the decision module.
 type Director struct {
 	Counters Counters
 
@@ -19,7 +19,7 @@
 	hooks   Hooks
 	classes map[string]classRules
 
-	// isReadyCache reports whether clients can be served from an endpoint.
+	// isReadyCache reports whether an endpoint is a cache that is ready to serve clients.
 	isReadyCache func(Endpoint) bool
 
 	hosts            map[decision.HostID]*host
@@ -39,7 +39,7 @@
 	hostsToRetry     []*host    // hosts whose waiting attempts may get a connection now
 
 	flushScheduled     bool
-	flushSendQueueFunc func() // sendRound, allocated once
+	flushSendQueueFunc func() // the method value flushSendQueue, allocated once
 
 	cancelledByID        map[decision.RequestID]*cancelledRequest
 	cancelledOldestFirst []*cancelledRequest
@@ -90,7 +90,8 @@
 // InFlight returns the number of unanswered requests.
 func (d *Director) InFlight() int { return d.inFlight }
 
-// HasReadyCache reports whether a cache is ready to serve clients. Parent caches and the origin do not count.
+// HasReadyCache reports whether a cache in the director's zone is ready to serve clients. Parent caches and the origin
+// alone do not count.
 func (d *Director) HasReadyCache() bool {
 	for _, h := range d.hosts {
 		if d.isReadyCache(h.Endpoint) {
@@ -100,8 +101,8 @@
 	return false
 }
 
-// handle passes an event to the decision module and performs the actions that it returns. Events that these actions cause are
-// queued, so that the module never gets an event before its previous actions are complete.
+// handle passes an event to the decision module and performs the actions that it returns. Events that these actions cause
+// are queued, so that the module never gets an event before its previous actions are complete.
 func (d *Director) handle(event decision.Event) {
 	d.events = append(d.events, event)
 	if d.handling {
--- a/internal/director/routing/endpoint_list.go
+++ b/internal/director/routing/endpoint_list.go
@@ -61,8 +61,8 @@
 	return accepted, anomalies
 }
 
-// unlistedReadyByAddress returns the names of the ready hosts that the list leaves unchanged, by address. After a snapshot there
-// are none. listed has the names in the list as its keys.
+// unlistedReadyByAddress returns the names of the ready hosts that the list leaves unchanged, by address. After a snapshot
+// there are none. listed has the names in the list as its keys.
 func (l endpointList) unlistedReadyByAddress(listed map[string]int, readyAddresses map[string]string) map[string]string {
 	names := map[string]string{}
 	if l.snapshot {
--- a/internal/director/routing/endpoints.go
+++ b/internal/director/routing/endpoints.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// isDraining reports whether no new attempts may be sent to the host. It does so from half of the grace period on: the second
-// half is reserved for the time that an attempt takes to reach the host.
+// isDraining reports whether no new attempts may be sent to the host. It does so from half of the grace period on: the
+// second half is reserved for the time that an attempt takes to reach the host.
 func (h *host) isDraining(now, grace time.Duration) bool {
 	return h.Readiness != decision.Ready && now >= h.readinessSince+grace/2
 }
@@ -101,18 +101,18 @@
 		d.hosts[e.Host] = h
 	}
 	e.Host = h.Host
-	moved := h.Address != e.Address
-	if moved || h.StartedAt != e.StartedAt {
-		h.retireConns(e.StartedAt, moved)
+	addressChanged := h.Address != e.Address
+	if addressChanged || h.StartedAt != e.StartedAt {
+		h.retireConns(e.StartedAt, addressChanged)
 	}
 	h.setReadiness(e.Readiness, now)
 	h.Endpoint = e
 	return e.Endpoint
 }
 
-// assignHostID returns the ID by which the decision module knows a host. All directors must place objects on the same caches,
-// so the ID depends only on the name: it is the hex number at the end of the name, as in s-00c41f7a, or else a hash of the
-// name. The simulator identifies the host by the same hex number, so that both place objects identically.
+// assignHostID returns the ID by which the decision module knows a host. All directors must place objects on the same
+// caches, so the ID depends only on the name: it is the hex number at the end of the name, as in s-00c41f7a, or else a hash
+// of the name. The simulator identifies the host by the same hex number, so that both place objects identically.
 func (d *Director) assignHostID(name string) decision.HostID {
 	if _, digits, found := strings.Cut(name, "-"); found && len(digits) == 8 {
 		if n, err := strconv.ParseUint(digits, 16, 32); err == nil && d.hosts[decision.HostID(n)] == nil {
@@ -141,9 +141,9 @@
 // retireConns stops the use of connections to a process that has ended. After a change of address these are all connections;
 // otherwise they are the connections that were opened before the new process started. Since the list may arrive late, later
 // connections already lead to the new process.
-func (h *host) retireConns(started time.Duration, moved bool) {
+func (h *host) retireConns(startedAt time.Duration, addressChanged bool) {
 	for _, c := range slices.Clone(h.conns) {
-		if moved || c.connectStartedAt < started {
+		if addressChanged || c.connectStartedAt < startedAt {
 			c.retired = true
 			c.closeIfIdle()
 		}
--- a/internal/director/routing/fleet.go
+++ b/internal/director/routing/fleet.go
@@ -19,10 +19,12 @@
 	return d.loop.Now()
 }
 
-// ServedRate returns the current and the recent best rate at which the module has served, in seconds of sending time per second.
+// ServedRate returns the current and the recent best rate at which the module has served, in seconds of sending time per
+// second.
 func (d *Director) ServedRate() (now, best float64) { return d.module.ServedRate() }
 
-// SlowStartDemand calls f for each host that is warming up, with the share of the host's capacity that this director would use.
+// SlowStartDemand calls f for each host that is warming up, with the share of the host's capacity that this director would
+// use.
 func (d *Director) SlowStartDemand(f func(host string, demand float64)) {
 	d.module.SlowStartDemand(func(id decision.HostID, demand float64) {
 		if h := d.hosts[id]; h != nil {
@@ -34,7 +36,8 @@
 // minQuotaShare replaces a share of 0, which the module would interpret as an equal share.
 const minQuotaShare = 1e-9
 
-// SetQuotaShare sets this director's share of the capacity of a host that is warming up. A share below 0 selects an equal share.
+// SetQuotaShare sets this director's share of the capacity of a host that is warming up. A share below 0 selects an equal
+// share.
 func (d *Director) SetQuotaShare(host string, share float64) {
 	h := d.byName[host]
 	if h == nil {
@@ -58,8 +61,8 @@
 	})
 }
 
-// SetAggregatedHealth sets the share of a host's attempts that fail, as aggregated over all directors. It does nothing if the
-// host is unknown or has been restarted since.
+// SetAggregatedHealth sets the share of a host's attempts that fail, as aggregated over all directors. It does nothing if
+// the host is unknown or has been restarted since.
 func (d *Director) SetAggregatedHealth(incarnation string, failureShare float64) {
 	name := incarnation
 	if i := strings.LastIndexByte(incarnation, '@'); i >= 0 {
--- a/internal/director/routing/guards.go
+++ b/internal/director/routing/guards.go
@@ -75,8 +75,8 @@
 	return ""
 }
 
-// dedupDeadline returns the time until which a repeat of a request may be sent because caches still drop it. There is no limit
-// (math.MaxInt64) if no attempt may have run yet or the class has no deduplication window.
+// dedupDeadline returns the time until which a repeat of a request may be sent because caches still drop it. There is no
+// limit (math.MaxInt64) if no attempt may have run yet or the class has no deduplication window.
 func (d *Director) dedupDeadline(q *clientRequest) time.Duration {
 	if q.firstRunAt == 0 {
 		return math.MaxInt64
@@ -88,8 +88,8 @@
 	return q.firstRunAt + window - dedupMargin
 }
 
-// responseGuard returns the reason why a response must not be passed on, or "". Caches enforce the age limit on a best-effort
-// basis; the director is responsible for what the client gets.
+// responseGuard returns the reason why a response must not be passed on, or "". Caches enforce the age limit on a
+// best-effort basis; the director is responsible for what the client gets.
 func (d *Director) responseGuard(a *attempt, r *Response) string {
 	q := a.request
 	if r.NotModified && (a.etag == "" || r.ETag != a.etag) {
--- a/internal/director/routing/limits.go
+++ b/internal/director/routing/limits.go
@@ -37,6 +37,6 @@
 	QuotaExpired func(host string) bool
 	// IsStale reports whether the last applied events are too old for the director to start attempts.
 	IsStale func() bool
-	// Claims claims idempotency keys.
+	// Claims is the service that claims idempotency keys.
 	Claims ClaimService
 }
--- a/internal/director/routing/pool.go
+++ b/internal/director/routing/pool.go
@@ -128,8 +128,9 @@
 	}
 }
 
-// closeIdleConns closes connections that have been idle for IdleTimeout, before the cache closes them: an attempt that is sent
-// while the cache closes the connection would be lost. It also closes unused connections that must get no new attempts.
+// closeIdleConns closes connections that have been idle for IdleTimeout, before the cache closes them: an attempt that is
+// sent while the cache closes the connection would be lost. It also closes unused connections that must get no new
+// attempts.
 func (h *host) closeIdleConns(now time.Duration) {
 	for _, c := range slices.Clone(h.conns) {
 		if !c.connected || !c.isUnused() {
--- a/internal/director/routing/purges.go
+++ b/internal/director/routing/purges.go
@@ -47,10 +47,10 @@
 	return slices.ContainsFunc(l.objects[q.Object], f) || slices.ContainsFunc(l.groups[q.PurgeGroup], f)
 }
 
-// invalidates reports whether a purge that reached the process before notifiedBefore invalidates a response that was generated
-// at generatedAt. All purges are checked: one that is too new to be enforced must not hide an older one. The times of
-// generation and of the purge are rounded to milliseconds, so a response generated in the same millisecond as the purge may
-// be older than it and is invalidated as well.
+// invalidates reports whether a purge that reached the process before notifiedBefore invalidates a response that was
+// generated at generatedAt. All purges are checked: one that is too new to be enforced must not hide an older one. The
+// times of generation and of the purge are rounded to milliseconds, so a response generated in the same millisecond as the
+// purge may be older than it and is invalidated as well.
 func (l *purgeLog) invalidates(q *clientRequest, generatedAt, notifiedBefore time.Duration) bool {
 	return l.anyMatches(q, func(p purge) bool { return p.notifiedAt < notifiedBefore && generatedAt <= p.issued })
 }
--- a/internal/director/routing/resubmissions.go
+++ b/internal/director/routing/resubmissions.go
@@ -8,10 +8,11 @@
 	"stairvane.org/stairvane/internal/transport"
 )
 
-// A client whose connection was closed may submit its request again, with the same ID, on another connection. The resubmission
-// is a separate request: answering or cancelling one of the two does not answer or cancel the other. Caches identify attempts
-// by the ID alone, so the resubmission starts only when the first request has no attempt in flight, avoids the connections on
-// which a response to the first may still arrive, and is executed again only if the class allows it.
+// A client whose connection was closed may submit its request again, with the same ID, on another connection. The
+// resubmission is a separate request: answering or cancelling one of the two does not answer or cancel the other. Caches
+// identify attempts by the ID alone, so the resubmission starts only when the first request has no attempt in flight,
+// avoids the connections on which a response to the first may still arrive, and is executed again only if the class allows
+// it.
 
 const (
 	// maxResubmissions is the maximum number of resubmissions of an ID. Each needs connections that were not used for the ID.
@@ -38,8 +39,8 @@
 }
 
 // resubmit handles a request with the ID of a request in flight. The client of the first request may be found to have
-// disconnected later in the same round of the loop, so the resubmission fails only if the first is still unanswered at the end
-// of the round.
+// disconnected later in the same round of the loop, so the resubmission fails only if the first is still unanswered at the
+// end of the round.
 func (d *Director) resubmit(first *clientRequest, r *Request) {
 	if first.resubmission != nil {
 		d.Counters.Failed++
@@ -118,8 +119,8 @@
 	d.evictOldestCancelled(d.cancelledOldestFirst[:n])
 }
 
-// inheritCancelled copies the state of a cancelled request with the same ID, if any, to its resubmission q. It reports whether
-// q may be sent at all.
+// inheritCancelled copies the state of a cancelled request with the same ID, if any, to its resubmission q. It reports
+// whether q may be sent at all.
 func (d *Director) inheritCancelled(q *clientRequest) bool {
 	c := d.cancelledByID[q.key]
 	if c == nil {
--- a/internal/director/routing/resubmissions_test.go
+++ b/internal/director/routing/resubmissions_test.go
@@ -59,7 +59,7 @@
 	responses.want(t)
 }
 
-// Guards against executing a request twice that its class does not allow to repeat.
+// Guards against executing a request twice although its class does not allow that.
 func TestResubmissionRunsOnlyAsClassAllows(t *testing.T) {
 	keyed := func(scope decision.DedupScope, window time.Duration) classRules {
 		return classRules{idempotency: decision.IdempotentWithKey, dedupScope: scope, dedupWindow: window}
@@ -93,7 +93,7 @@
 	}
 }
 
-// Guards against unbounded memory growth by cancelled requests.
+// Guards against unbounded memory growth from cancelled requests.
 func TestCancelledRequestsAreForgotten(t *testing.T) {
 	d, dialer, responses := newTestDirector(t, defaultLimits, "a")
 	d.Submit(newTestRequest(responses, "r0"))
