--- a/internal/decision/actions.go
+++ b/internal/decision/actions.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Action is something that the caller of a Router has to do.
+// Action is an instruction that the caller of a Router must carry out.
 type Action interface{ action() }
 
-// StartAttempt sends a request to a host and says how the host fills a miss. The Router sets no
-// Timeout and does not use ParentNoStore; the simulator's protocol has both.
+// StartAttempt sends a request to a host and specifies how the host fills a cache miss. The Router
+// never sets Timeout or ParentNoStore; they exist because the simulator's protocol has them.
 type StartAttempt struct {
 	Request       RequestID
 	Host          HostID
 	Options       FetchOptions
-	MaxAge        time.Duration // age of the oldest cached object that will do; 0: any
-	CachePriority int           // 0: do not cache, 1 to 3: cache with that priority
-	Timeout       time.Duration // 0: until the client gives up
-	Source        HostID        // where the host fills a miss from; Host itself: it does not fill
+	MaxAge        time.Duration // maximum age of a cached object that may be served; 0: any age
+	CachePriority int           // 0: do not cache; 1 to 3: cache with that priority
+	Timeout       time.Duration // 0: until the client's deadline
+	Source        HostID        // host from which a miss is filled; equal to Host: a miss is not filled
 }
 
 // FetchOptions are the bits of StartAttempt.Options.
@@ -22,43 +22,45 @@
 
 // The options of an attempt.
 const (
-	JoinFill         FetchOptions = 1 // join a fill under way
-	SourceCachedOnly FetchOptions = 2 // the source gives only what it has cached
+	JoinFill         FetchOptions = 1 // join a fill that is already in progress
+	SourceCachedOnly FetchOptions = 2 // the source serves only objects that it has cached
 	ParentNoStore    FetchOptions = 4 // the parent does not cache what it fetches
-	Revalidate       FetchOptions = 8 // an ageing object is served and fetched again in the background
+	Revalidate       FetchOptions = 8 // serve an ageing object and refetch it in the background
 )
 
-// Reject ends a request that did not run, or may run again: the client can retry without harm.
+// Reject ends a request that did not run or that is safe to run again. The client may retry it
+// after RetryAfter.
 type Reject struct {
 	Request    RequestID
 	RetryAfter time.Duration
 }
 
-// Fail ends a request that may have run and must not run again.
+// Fail ends a request that may have run and that must not run again.
 type Fail struct{ Request RequestID }
 
-// CancelAttempt cancels one attempt. Its AttemptResult still comes.
+// CancelAttempt cancels one attempt. The caller still reports the AttemptResult of the attempt.
 type CancelAttempt struct {
 	Request RequestID
-	Attempt int // number of the request's attempt, from 0
+	Attempt int // index of the attempt among the request's attempts, from 0
 }
 
-// HealthCheck checks on a host. A HealthCheckResult follows. The Router returns none.
+// HealthCheck probes a host; the caller reports a HealthCheckResult. The Router never returns one.
 type HealthCheck struct{ Host HostID }
 
-// SetTimer asks for a TimerFired.
+// SetTimer schedules a TimerFired event after Delay.
 type SetTimer struct {
 	Delay time.Duration
 	Timer Timer
 }
 
-// WatchEndpoints asks discovery for changes of the endpoint list from now on, or no longer.
+// WatchEndpoints starts or stops watching discovery for changes to the endpoint list.
 type WatchEndpoints struct{ Enabled bool }
 
-// PollEndpoints asks discovery for the complete endpoint list once. The Router returns none.
+// PollEndpoints requests the complete endpoint list from discovery once. The Router never returns
+// one.
 type PollEndpoints struct{}
 
-// LogLine writes a line into the log. The Router returns none.
+// LogLine writes a line to the log. The Router never returns one.
 type LogLine struct{ Text string }
 
 func (StartAttempt) action()   {}
--- a/internal/decision/attempts.go
+++ b/internal/decision/attempts.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// Attempts: a request is sent to a cache with a source for what the cache does not have, and the
-// attempt's result is taken in. A request has at most one attempt out. What is learnt from a result
-// is decided in outliers.go, limits.go and latency.go, what follows from a failure in retries.go.
+// Attempts: a request is sent to a cache, together with the source from which the cache fills a
+// miss, and the result of the attempt is processed. A request has at most one attempt in flight.
+// Results update the state of outliers.go, limits.go and latency.go; retries.go decides how to
+// proceed after a failure.
 
-// attempt is one sending of a request to a cache.
+// attempt is a single try of a request at a cache.
 type attempt struct {
-	request       *request
-	number        int // among the request's attempts, from 0
-	cache         *host
-	source        *host // cache itself: there is nothing to fill from
-	sentAt        time.Duration
-	depth         fetchDepth
-	fill          *fill // the fill that this attempt opened; nil: none
-	ended         bool
-	mayHaveRun    bool
-	cacheFailed   bool                // the cache is not asked again for this request
-	knownMiss     fetchDepth          // how deep it has shown the object not to be cached
-	cacheBlamed   bool                // it was overdue and counted against its cache; its success does not count for it
-	limits        []*concurrencyLimit // shared limits under which it is in flight
-	limitsUpdated bool                // its shared limits have been updated for it
+	request             *request
+	number              int // index among the request's attempts, from 0
+	cache               *host
+	source              *host // equal to cache if the cache must not fill a miss
+	sentAt              time.Duration
+	depth               fetchDepth
+	fill                *fill // fill that this attempt opened; nil: none
+	ended               bool
+	mayHaveRun          bool
+	cacheFailed         bool                // the request must not be sent to this cache again
+	knownMiss           fetchDepth          // deepest level at which the attempt found the object not to be cached
+	countedAgainstCache bool                // an overdue attempt was recorded as a failure of its cache; a later success is not recorded
+	limits              []*concurrencyLimit // shared limits that the attempt counts against while in flight
+	limitsUpdated       bool                // the shared limits already reflect the outcome of the attempt
 }
 
 // attemptKey identifies an attempt.
@@ -33,18 +34,19 @@
 	number  int
 }
 
-// launch sends a request to the cache of the fill that it joins, or to a cache of its own choice;
-// for nil it joins none.
-func (r *Router) launch(q *request, join *fill) {
+// dispatch starts an attempt. If join is not nil and the cache of that fill can be used, the request
+// goes there and joins the fill. Otherwise dispatch selects a cache. If no cache can serve the
+// request, or no fill is allowed, dispatch ends the request.
+func (r *Router) dispatch(q *request, join *fill) {
 	var cache, source *host
-	if join != nil && r.usable(join.cache, q) {
+	if join != nil && r.canSendTo(join.cache, q) {
 		cache = join.cache
 		source = join.source
 	} else {
 		cache = r.pickCache(q)
 	}
 	if cache == nil {
-		r.giveUp(q)
+		r.rejectOrFail(q)
 		return
 	}
 	if source == nil || !r.isAvailable(source, q) {
@@ -54,22 +56,23 @@
 	if join == nil && !r.class(q).Uncacheable {
 		var ok bool
 		if depth, ok = r.chooseDepth(q, cache, source); !ok {
-			r.giveUp(q)
+			r.rejectOrFail(q)
 			return
 		}
 	}
 	if depth == fetchFromCache {
 		source = cache
 	}
-	a := r.send(q, cache, source, depth, join != nil)
+	a := r.startAttempt(q, cache, source, depth, join != nil)
 	if !r.class(q).Uncacheable && r.fills[q.key] == nil {
 		a.fill = &fill{key: q.key, group: q.PurgeGroup, attempt: a, cache: cache, source: source}
 		r.fills[q.key] = a.fill
 	}
 }
 
-// send makes one attempt.
-func (r *Router) send(q *request, cache, source *host, depth fetchDepth, joins bool) *attempt {
+// startAttempt sends a request to a cache and reserves its share of the limits and budgets that
+// apply. A nil source stands for the cache itself.
+func (r *Router) startAttempt(q *request, cache, source *host, depth fetchDepth, joinsFill bool) *attempt {
 	source = cmp.Or(source, cache)
 	fillShare := r.estimates.plannedMissShare()
 	if q.knownMiss(cache) > 0 {
@@ -84,8 +87,8 @@
 		depth:      depth,
 		mayHaveRun: true,
 	}
-	if !joins && depth != fetchFromCache {
-		a.limits = r.limits.forAttempt(q, depth)
+	if !joinsFill && depth != fetchFromCache {
+		a.limits = r.limits.limitsFor(q, depth)
 		for _, l := range a.limits {
 			l.acquire(q.sendTime)
 		}
@@ -104,7 +107,7 @@
 	if class.Uncacheable {
 		priority = doNotCache
 	}
-	r.do(StartAttempt{
+	r.emit(StartAttempt{
 		Request:       q.ID,
 		Host:          cache.Host,
 		Options:       r.fetchOptions(class, depth),
@@ -132,7 +135,7 @@
 	if !r.settings.JoinsFills || class.Uncacheable {
 		return options
 	}
-	if depth != fetchFromCache { // a cache-only lookup must not wait for a fill that hangs
+	if depth != fetchFromCache { // a cache-only lookup must not wait for a fill that may hang
 		options |= JoinFill
 	}
 	if class.FreshFor > 0 {
@@ -141,15 +144,16 @@
 	return options
 }
 
-// recordFirstByte notes that a host answers.
-func (r *Router) recordFirstByte(e FirstByte) {
+// handleFirstByte records that a cache has responded.
+func (r *Router) handleFirstByte(e FirstByte) {
 	if a := r.attempts[attemptKey{e.Request, e.Attempt}]; a != nil {
 		a.cache.recordAnswer(r.now)
 	}
 }
 
-// endAttempt takes in the result of an attempt.
-func (r *Router) endAttempt(e AttemptResult) {
+// handleAttemptResult processes the result of an attempt: it updates the state of the hosts and
+// limits, ends or retries the request, and sends the requests that waited for the attempt.
+func (r *Router) handleAttemptResult(e AttemptResult) {
 	key := attemptKey{e.Request, e.Attempt}
 	a := r.attempts[key]
 	if a == nil {
@@ -173,18 +177,18 @@
 			r.handleFailure(q, a, e)
 		}
 	}
-	r.release(waiting, a, e.Status == OK)
+	r.releaseWaiting(waiting, a, e.Status == OK)
 }
 
-// recordEnd notes what a result says of the attempt itself.
+// recordEnd updates the attempt from its result.
 func (a *attempt) recordEnd(e AttemptResult) {
 	switch e.Status {
 	case Full, ConnectFailed, NotSent, Miss:
 		a.mayHaveRun = false
 	}
-	switch { // what is no failure of the cache comes first
+	switch { // the cases that are not failures of the cache come first
 	case e.Status == Miss || e.Status == Reset:
-	case e.Status == Cancelled && a.cache.lastAnswerAt >= a.sentAt: // the cache answers others; this answer was lost
+	case e.Status == Cancelled && a.cache.lastAnswerAt >= a.sentAt: // the cache responds to other attempts; only this response was lost
 	case e.CacheStatus >= CacheStatusSourceRejected && e.CacheStatus != CacheStatusNoSpace: // the source failed, not the cache
 	default:
 		a.cacheFailed = true
@@ -194,7 +198,7 @@
 	}
 }
 
-// observeResult learns from a result how the cache and the source do, and what is usual.
+// observeResult updates the health of the hosts and the latency estimates from a result.
 func (r *Router) observeResult(a *attempt, e AttemptResult) {
 	if e.Status == Cancelled || e.Status == NotSent {
 		return
--- a/internal/decision/benchmark_test.go
+++ b/internal/decision/benchmark_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// BenchmarkRequest measures a request that arrives, is answered and finished.
+// BenchmarkRequest measures the handling of a request that is served by its first attempt.
 func BenchmarkRequest(b *testing.B) {
 	r := NewRouter(testSettings(), 7)
 	now := time.Hour
--- a/internal/decision/coalescing_test.go
+++ b/internal/decision/coalescing_test.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-func TestRequestJoinsFillUnderWay(t *testing.T) {
+func TestRequestJoinsFillInProgress(t *testing.T) {
 	r := startRouter(t, testSettings())
 	first := r.onlyAttempt(r.request("a", 1))
 	second := r.onlyAttempt(r.request("b", 1))
 	if first.Options&JoinFill == 0 || second.Options&JoinFill == 0 {
-		t.Errorf("options %d and %d lack join", first.Options, second.Options)
+		t.Errorf("options %d and %d, want JoinFill in both", first.Options, second.Options)
 	}
 	if first.Host != second.Host || first.Source != second.Source {
-		t.Errorf("second went to %d from %d, want %d from %d", second.Host, second.Source, first.Host, first.Source)
+		t.Errorf("second request went to %d with source %d, want %d with source %d", second.Host, second.Source, first.Host, first.Source)
 	}
 	if len(r.router.fills) != 1 {
 		t.Errorf("%d fills, want one", len(r.router.fills))
@@ -33,7 +33,7 @@
 		actions := r.endAttempt("a", first, 0, end, CacheStatusNone)
 		second := slices.IndexFunc(actionsOf[StartAttempt](actions), func(o StartAttempt) bool { return o.Request == "b" })
 		if end == OK && (second < 0 || actionsOf[StartAttempt](actions)[second].Host != first.Host) {
-			t.Errorf("served: the second request did not go to the cache that has the object: %v", actions)
+			t.Errorf("served: the second request was not sent to the cache that has the object: %v", actions)
 		}
 		if end == Failed && len(actionsOf[StartAttempt](actions)) != 1 {
 			t.Errorf("failed: want one new fill for both, got %v", actions)
@@ -52,11 +52,12 @@
 	}
 	r.now += timer[0].Delay
 	if got := r.onlyAttempt(r.handle(TimerFired{timer[0].Timer})); got.Request != "b" {
-		t.Errorf("released %v", got)
+		t.Errorf("sent %v, want request b", got)
 	}
 }
 
-// A full cache that answers ends no wait: a waiting request costs it nothing.
+// A request keeps waiting for a cache that has reached its limit but responds, because a waiting
+// request puts no load on the cache.
 func TestRequestWaitsAtFullCache(t *testing.T) {
 	for _, joins := range []bool{false, true} {
 		s := testSettings()
@@ -69,7 +70,7 @@
 		h.limit = exhaustedLimit()
 		got := actionsOf[StartAttempt](r.request("b", 1))
 		if waits := len(got) == 0; waits == joins {
-			t.Errorf("joins %v: a request for an object that a full cache fills waits: %v", joins, waits)
+			t.Errorf("joins %v: a request for an object that is being filled by a full cache waits: %v", joins, waits)
 		}
 	}
 }
@@ -83,10 +84,10 @@
 	}
 }
 
-// Classes and tenants may use the same object numbers for different objects.
+// Classes and tenants may use the same object IDs for different objects.
 func TestClassesAndTenantsAreNotCoalesced(t *testing.T) {
 	s := testSettings()
-	s.JoinsFills = false // later requests wait, which shows that they are coalesced
+	s.JoinsFills = false // coalesced requests wait, which the test can observe
 	s.Classes = append(s.Classes, Class{
 		Name: "clips", LatencyObjective: 400 * ms, Deadline: 4 * time.Second, Idempotency: Idempotent,
 	})
@@ -98,12 +99,12 @@
 		return len(actionsOf[StartAttempt](actions))
 	}
 	if attempts("a", "clip", "x") != 1 || attempts("b", "clip", "x") != 0 {
-		t.Fatal("the second of one class and tenant does not wait")
+		t.Fatal("the second request of the same class and tenant does not wait")
 	}
 	if attempts("c", "clips", "x") != 1 {
-		t.Error("a class waits for another's attempt")
+		t.Error("a request waits for an attempt of another class")
 	}
 	if attempts("d", "clip", "y") != 1 {
-		t.Error("a tenant waits for another's attempt")
+		t.Error("a request waits for an attempt of another tenant")
 	}
 }
--- a/internal/decision/endpoints.go
+++ b/internal/decision/endpoints.go
@@ -7,49 +7,47 @@
 	"time"
 )
 
-// Endpoints: the hosts that discovery lists, what is known of each, and what each can be used for.
-// A snapshot replaces the list, a delta changes it. A host that has left the list stays known until
-// its attempts have ended. A host that has started anew is a new process: what was learnt of the
-// old one does not hold for it.
+// Endpoints: the hosts that discovery lists, the state of each host, and its role. A snapshot
+// replaces the list; a delta changes it. A host that is no longer listed is kept until its attempts
+// have ended. A restarted host is a new process, so the state of the previous process is discarded.
 
-// saturatedCPUShare is the share of busy cores from which a cache has all the load that it can
-// take.
-const saturatedCPUShare = 0.9
+// saturatedCPUThreshold is the share of busy cores above which a cache counts as saturated.
+const saturatedCPUThreshold = 0.9
 
-// watchRetryDivisor divides Settings.NotifiedAfter into the delay, and its random part, after which
-// a rejected watch is asked for again.
+// watchRetryDivisor sets the delay before a rejected watch is retried: Settings.NotifiedAfter
+// divided by it, plus a random delay of up to the same length.
 const watchRetryDivisor = 8
 
-// host is an endpoint and what is known of it. Each part is explained at its rule.
+// host is an endpoint and its state. The files that implement the rules document the parts.
 type host struct {
 	Endpoint
 	isReady          bool           // listed as Ready
-	attemptsInFlight int            // of this director
-	lastAnswerAt     time.Duration  // clock time of its last answer to any attempt
-	load             LoadReport     // its last one
+	attemptsInFlight int            // attempts of this director
+	lastAnswerAt     time.Duration  // clock time of its last response to any attempt
+	load             LoadReport     // its most recent report
 	overhead         float64        // smoothed overhead of its answers as a cache beyond their sending time, in seconds
-	asSource         sourceEstimate // how it serves fills as a source
+	asSource         sourceEstimate // latency of the fills that it serves as a source
 	health           healthRecord
 	limit            concurrencyLimit
 	slowStart        tokenBucket
-	quotaShare       float64 // see QuotaShare; 0: an even share
+	quotaShare       float64 // see QuotaShare; 0: an equal share
 }
 
-// isSaturated reports whether a cache reports that it, or the location's link, has all the load
-// that it can take.
+// isSaturated reports whether the last load report of a cache shows the cache or the location's link
+// to be saturated.
 func (h *host) isSaturated() bool {
-	return h.load.CPUShare > saturatedCPUShare || h.load.LinkUse > 1
+	return h.load.CPUShare > saturatedCPUThreshold || h.load.LinkUse > 1
 }
 
-// recordAnswer notes that a cache has answered something.
+// recordAnswer records that the host has responded to an attempt.
 func (h *host) recordAnswer(now time.Duration) {
 	h.lastAnswerAt = now
 	h.health.overdueSinceAnswer = 0
 }
 
-// restart makes the host a new process with nothing known of it. Attempts at the old one are still
-// in flight.
-func (h *host) restart(now time.Duration) {
+// reset discards the state of a host that has restarted. Attempts at the previous process remain
+// counted as in flight.
+func (h *host) reset(now time.Duration) {
 	*h = host{
 		attemptsInFlight: h.attemptsInFlight,
 		limit:            concurrencyLimit{inFlight: h.limit.inFlight},
@@ -57,15 +55,15 @@
 	}
 }
 
-// endpointTable holds the hosts, by what they can be used for.
+// endpointTable holds the hosts, indexed by ID and by role.
 type endpointTable struct {
 	byID    map[HostID]*host
-	caches  []*host // of the own zone, by id
-	parents []*host // by id
-	origin  *host   // nil: none is known
+	caches  []*host // caches of the own zone, sorted by ID
+	parents []*host // sorted by ID
+	origin  *host   // nil: no origin is known
 
-	maxCaches  int // the most caches that were known at once
-	maxParents int // the same of parents
+	maxCaches  int // maximum number of caches known at the same time
+	maxParents int // maximum number of parents known at the same time
 }
 
 func (t *endpointTable) isParent(h *host) bool { return slices.Contains(t.parents, h) }
@@ -74,7 +72,7 @@
 	return slices.ContainsFunc(t.parents, func(p *host) bool { return p.lastAnswerAt >= since })
 }
 
-// peersOf are the hosts with which one is compared, itself included.
+// peersOf returns the hosts with which h is compared, including h.
 func (t *endpointTable) peersOf(h *host) []*host {
 	if t.isParent(h) {
 		return t.parents
@@ -82,14 +80,14 @@
 	return t.caches
 }
 
-// update takes in a listed endpoint.
+// update adds or replaces a listed endpoint. It resets the state of a host that has restarted.
 func (t *endpointTable) update(e Endpoint, now time.Duration) {
 	h := t.byID[e.Host]
 	if h == nil {
 		h = &host{}
 		t.byID[e.Host] = h
 	} else if h.StartedAt != e.StartedAt {
-		h.restart(now)
+		h.reset(now)
 	}
 	h.Endpoint = e
 	h.isReady = e.Readiness == Ready
@@ -103,17 +101,17 @@
 	}
 }
 
-// dropGone forgets the hosts that are gone and have no attempt in flight, and reports whether there
-// were any.
-func (t *endpointTable) dropGone() bool {
+// removeGone removes the hosts that are gone and have no attempt in flight, and reports whether it
+// removed any.
+func (t *endpointTable) removeGone() bool {
 	known := len(t.byID)
 	maps.DeleteFunc(t.byID, func(_ HostID, h *host) bool { return h.Readiness == Gone && h.attemptsInFlight == 0 })
 	return len(t.byID) < known
 }
 
-// updateEndpoints takes in an endpoint list, or asks for it again where discovery has rejected the
-// watch.
-func (r *Router) updateEndpoints(e EndpointUpdate) {
+// handleEndpointUpdate applies an endpoint list or a delta. If discovery rejected the watch, it
+// schedules a retry.
+func (r *Router) handleEndpointUpdate(e EndpointUpdate) {
 	if e.Kind == UpdateRejected {
 		if r.settings.MustWatch {
 			r.setTimer(r.watchRetryDelay(), Timer{Kind: TimerWatchEndpoints})
@@ -129,13 +127,14 @@
 	r.indexEndpoints()
 }
 
+// watchRetryDelay returns the randomized delay before a rejected watch is retried.
 func (r *Router) watchRetryDelay() time.Duration {
 	within := r.settings.NotifiedAfter
 	return within/watchRetryDivisor + seconds(r.random.Float64()*within.Seconds()/watchRetryDivisor)
 }
 
-// indexEndpoints sorts the hosts by what they can be used for. The origin is the first that is
-// ready, else the first.
+// indexEndpoints rebuilds the lists of hosts by role. The origin is the first origin host that is
+// ready or, if none is ready, the first one.
 func (r *Router) indexEndpoints() {
 	t := &r.endpoints
 	t.caches = nil
@@ -168,7 +167,7 @@
 	return kind >= 0 && kind < len(r.settings.Kinds) && h.Kind == r.settings.Kinds[kind]
 }
 
-// recordLoad takes in what a cache reports of its load.
+// recordLoad stores the load report of a cache, if there is one.
 func (r *Router) recordLoad(cache *host, report *LoadReport) {
 	if report == nil {
 		return
--- a/internal/decision/example_test.go
+++ b/internal/decision/example_test.go
@@ -7,8 +7,8 @@
 	"stairvane.org/stairvane/internal/decision"
 )
 
-// A director makes one Router, hands it events as they happen, and carries out the actions in
-// order.
+// A director creates one Router, passes it events as they occur, and carries out the returned actions
+// in order.
 func Example() {
 	router := decision.NewRouter(decision.Settings{
 		Zone: "west", Kinds: []string{"cache", "parent", "origin"}, ParentKind: 1, OriginKind: 2,
@@ -19,7 +19,7 @@
 		}},
 	}, 42)
 	began := time.Now()
-	carryOut := func(actions []decision.Action) {
+	execute := func(actions []decision.Action) {
 		for _, action := range actions {
 			switch a := action.(type) {
 			case decision.StartAttempt:
@@ -27,12 +27,12 @@
 			case decision.Reject:
 				fmt.Printf("reject %s\n", a.Request)
 			case decision.SetTimer:
-				// start a timer that hands the router a TimerFired with a.Timer
+				// start a timer that passes a TimerFired with a.Timer to the router after a.Delay
 			}
 		}
 	}
-	carryOut(router.Start(time.Since(began)))
-	carryOut(router.Handle(time.Since(began), decision.EndpointUpdate{
+	execute(router.Start(time.Since(began)))
+	execute(router.Handle(time.Since(began), decision.EndpointUpdate{
 		Kind: decision.UpdateSnapshot,
 		Endpoints: []decision.Endpoint{
 			{Host: 11, Zone: "west", Kind: "cache", Readiness: decision.Ready},
@@ -40,7 +40,7 @@
 			{Host: 31, Zone: "hub", Kind: "origin", Readiness: decision.Ready},
 		},
 	}))
-	carryOut(router.Handle(time.Since(began), decision.Request{
+	execute(router.Handle(time.Since(began), decision.Request{
 		ID: "r1", Object: 7, Class: "clips", SizeKB: 900, TimeLeft: 5 * time.Second,
 	}))
 	// Output: ask 11 for r1, fill from 21
--- a/internal/decision/freshness.go
+++ b/internal/decision/freshness.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Freshness decides how old a cached object may be that answers a request: no older than its
-// class's FreshFor, and not from before the last purge of the object or its group. A purge also
-// closes the fills that it covers, so that no later request shares what was fetched before it.
+// Freshness: a cached object may serve a request if it is no older than FreshFor of the request's
+// class and was cached after the last purge of the object and of its group. A purge also closes the
+// fills that it covers, so that later requests do not share data that was fetched before the purge.
 
-// purgeMemory is for how many times Settings.PurgeDone a purge is remembered: a fill that began
-// before it may end late.
-const purgeMemory = 2
+// purgeRetentionFactor times Settings.PurgeDone is how long a purge is retained: a fill that started
+// before the purge may end long after it.
+const purgeRetentionFactor = 2
 
-// purgeResolution is added to a purge's time, so that an object that was cached in the same instant
-// counts as purged.
+// purgeResolution is added to the time of a purge, so that an object that was cached at the same
+// instant counts as purged.
 const purgeResolution = time.Millisecond
 
-// purgeLog holds the clock time of the last purge of each object and group.
+// purgeLog records the clock time of the last purge of each object and group.
 type purgeLog struct {
 	objects map[ObjectID]time.Duration
 	groups  map[int]time.Duration
@@ -27,23 +27,25 @@
 	return purgeLog{objects: map[ObjectID]time.Duration{}, groups: map[int]time.Duration{}}
 }
 
-// record notes a purge that was made at a time.
+// record adds a purge that was issued at the given clock time.
 func (l *purgeLog) record(p Purge, at time.Duration) {
 	if p.ByGroup {
-		recordLater(l.groups, p.Group, at)
+		recordIfLater(l.groups, p.Group, at)
 	} else {
-		recordLater(l.objects, p.Object, at)
+		recordIfLater(l.objects, p.Object, at)
 	}
 }
 
-func recordLater[K comparable](times map[K]time.Duration, key K, at time.Duration) {
+// recordIfLater sets the time of a key unless a later one is recorded.
+func recordIfLater[K comparable](times map[K]time.Duration, key K, at time.Duration) {
 	if known, ok := times[key]; !ok || at > known {
 		times[key] = at
 	}
 }
 
-// last is when an object or its group was last purged; ok is false if no purge is remembered.
-func (l *purgeLog) last(object ObjectID, group int) (at time.Duration, ok bool) {
+// lastPurgedAt returns the clock time of the last purge of an object or its group; ok is false if no
+// purge is recorded.
+func (l *purgeLog) lastPurgedAt(object ObjectID, group int) (at time.Duration, ok bool) {
 	objectAt, objectPurged := l.objects[object]
 	groupAt, groupPurged := l.groups[group]
 	if !objectPurged || groupPurged && groupAt > objectAt {
@@ -52,22 +54,22 @@
 	return objectAt, true
 }
 
-// forget drops the purges from before a time.
-func (l *purgeLog) forget(before time.Duration) {
+// expireBefore removes the purges that were issued before the given clock time.
+func (l *purgeLog) expireBefore(before time.Duration) {
 	maps.DeleteFunc(l.objects, func(_ ObjectID, at time.Duration) bool { return at < before })
 	maps.DeleteFunc(l.groups, func(_ int, at time.Duration) bool { return at < before })
 }
 
-// purge takes in a purge.
-func (r *Router) purge(e Purge) {
+// handlePurge records a purge and closes the fills that it covers.
+func (r *Router) handlePurge(e Purge) {
 	r.purges.record(e, r.now-e.Age)
 	r.fills.closePurged(e)
 }
 
-// maxAge is the age of the oldest cached object that may answer a request; 0: any age.
+// maxAge returns the maximum age of a cached object that may serve a request; 0 means any age.
 func (r *Router) maxAge(q *request) time.Duration {
 	age := r.class(q).FreshFor
-	purgedAt, ok := r.purges.last(q.Object, q.PurgeGroup)
+	purgedAt, ok := r.purges.lastPurgedAt(q.Object, q.PurgeGroup)
 	if !ok {
 		return age
 	}
--- a/internal/decision/freshness_test.go
+++ b/internal/decision/freshness_test.go
@@ -16,6 +16,6 @@
 	}
 	r.handle(Purge{ByGroup: true, Group: 0})
 	if got := r.onlyAttempt(r.request("c", 1)); got.MaxAge <= 0 || got.MaxAge > ms {
-		t.Errorf("maximum age %v right after a group purge", got.MaxAge)
+		t.Errorf("maximum age %v right after a group purge, want above 0 and at most 1ms", got.MaxAge)
 	}
 }
--- a/internal/decision/helpers_test.go
+++ b/internal/decision/helpers_test.go
@@ -7,7 +7,7 @@
 
 const ms = time.Millisecond
 
-// testSettings is a made-up deployment; tests change what they need.
+// testSettings returns the settings of a fictitious deployment. Tests modify them as needed.
 func testSettings() Settings {
 	return Settings{
 		Zone: "west", Zones: []string{"hub", "west"}, Directors: 2, DirectorsByZone: []int{0, 2},
@@ -25,7 +25,7 @@
 	}
 }
 
-// testEndpoints are three caches of the own zone, two parents and the origin.
+// testEndpoints returns three caches of the own zone, two parents and the origin.
 func testEndpoints() []Endpoint {
 	out := []Endpoint{{Host: 900, Zone: "hub", Kind: "origin"}}
 	for i := range 3 {
@@ -49,7 +49,7 @@
 	actions []Action
 }
 
-// startRouter starts a Router that knows testEndpoints.
+// startRouter starts a Router and passes it testEndpoints.
 func startRouter(t *testing.T, s Settings) *testRouter {
 	r := &testRouter{t: t, router: NewRouter(s, 7), now: time.Hour}
 	r.actions = r.router.Start(r.now)
@@ -64,12 +64,12 @@
 	return actions
 }
 
-// request has a request arrive.
+// request passes the arrival of a request to the Router.
 func (r *testRouter) request(id string, object ObjectID) []Action {
 	return r.handle(Request{ID: RequestID(id), Object: object, Class: "clip", SizeKB: 100, TimeLeft: 4 * time.Second})
 }
 
-// endAttempt has a request's attempt end.
+// endAttempt passes the result of an attempt to the Router.
 func (r *testRouter) endAttempt(id string, a StartAttempt, number int, status Status, cacheStatus CacheStatus) []Action {
 	return r.handle(AttemptResult{
 		Request: RequestID(id), Terminal: status == OK, Host: a.Host, Attempt: number, Status: status, CacheStatus: cacheStatus,
@@ -88,7 +88,7 @@
 	return out
 }
 
-// onlyAttempt returns the one StartAttempt among actions.
+// onlyAttempt returns the only StartAttempt in actions. The test fails if there is not exactly one.
 func (r *testRouter) onlyAttempt(actions []Action) StartAttempt {
 	r.t.Helper()
 	got := actionsOf[StartAttempt](actions)
@@ -98,5 +98,5 @@
 	return got[0]
 }
 
-// exhaustedLimit is a limit that lets nothing more through.
+// exhaustedLimit returns a limit that allows no further request.
 func exhaustedLimit() concurrencyLimit { return concurrencyLimit{limit: 1, inFlight: time.Second} }
--- a/internal/decision/large_requests_test.go
+++ b/internal/decision/large_requests_test.go
@@ -9,14 +9,15 @@
 	"time"
 )
 
-// thinLinks simulates a director in front of caches with thin links. Attempts in flight share a
-// link evenly, so that an answer takes longer by as much as they exceed what the link carries.
-type thinLinks struct {
+// linkSimulation simulates a director in front of caches with low-bandwidth links. The attempts in flight
+// share a link equally, so that an answer is slowed down by the factor by which they exceed the
+// capacity of the link.
+type linkSimulation struct {
 	simulation
 	router           *Router
 	random           *rand.Rand
 	attemptsInFlight map[HostID]float64
-	linkTransfers    float64 // transfers at full pace
+	linkTransfers    float64 // capacity of a link, in transfers at full rate
 	requests         []sizedRequest
 	index            map[RequestID]int
 }
@@ -26,18 +27,18 @@
 	answered bool
 }
 
-func (w *thinLinks) carryOut(actions []Action) {
+func (w *linkSimulation) execute(actions []Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
 		case SetTimer:
-			w.after(a.Delay, func() { w.carryOut(w.router.Handle(w.now, TimerFired{a.Timer})) })
+			w.after(a.Delay, func() { w.execute(w.router.Handle(w.now, TimerFired{a.Timer})) })
 		case StartAttempt:
 			w.serve(a)
 		}
 	}
 }
 
-func (w *thinLinks) serve(a StartAttempt) {
+func (w *linkSimulation) serve(a StartAttempt) {
 	q := w.router.requests[a.Request]
 	number := len(q.attempts) - 1
 	sentAt := w.now
@@ -54,20 +55,21 @@
 		if _, isOpen := w.router.requests[a.Request]; isOpen && status == OK {
 			w.requests[w.index[a.Request]].answered = true
 		}
-		w.carryOut(w.router.Handle(w.now, AttemptResult{
+		w.execute(w.router.Handle(w.now, AttemptResult{
 			Request: a.Request, Terminal: status == OK, Host: a.Host, Attempt: number, Status: status, CacheStatus: CacheStatusHit,
 			Elapsed: w.now - sentAt,
 		}))
 	})
 }
 
-// The largest requests of a class must not be starved: of the largest tenth, two thirds of the
-// class's share are answered under low load and half of it while links are short.
+// Guards against starvation of large requests. For the largest tenth of a class, the share of
+// requests that are answered must be at least two thirds of the class's share under low load, and at
+// least half of it while links are full or overloaded.
 func TestLargeRequestsGetTheirShare(t *testing.T) {
 	for _, day := range []struct {
 		name     string
-		load     float64 // of what the links carry
-		minShare float64 // of the class's share that the largest requests get
+		load     float64 // as a multiple of the capacity of the links
+		minShare float64 // answered share of the largest requests, as a multiple of that of the class
 	}{{"calm", 0.5, 2. / 3}, {"full", 1, 0.5}, {"short", 1.6, 0.5}} {
 		t.Run(day.name, func(t *testing.T) {
 			var shares []float64
@@ -76,7 +78,7 @@
 				s.HedgedRequests = false
 				s.Directors = 1
 				s.DirectorsByZone = []int{0, 1}
-				w := &thinLinks{
+				w := &linkSimulation{
 					simulation:       simulation{now: time.Hour},
 					router:           NewRouter(s, seed),
 					random:           rand.New(rand.NewPCG(seed, 11)),
@@ -84,8 +86,8 @@
 					linkTransfers:    6,
 					index:            map[RequestID]int{},
 				}
-				w.carryOut(w.router.Start(w.now))
-				w.carryOut(w.router.Handle(w.now, EndpointUpdate{Kind: UpdateCached, Endpoints: testEndpoints()}))
+				w.execute(w.router.Start(w.now))
+				w.execute(w.router.Handle(w.now, EndpointUpdate{Kind: UpdateCached, Endpoints: testEndpoints()}))
 				until := w.now + 40*time.Second
 				rate := day.load * 3 * w.linkTransfers / meanSendTime.Seconds()
 				var arrive func()
@@ -95,7 +97,7 @@
 					id := RequestID(fmt.Sprint(len(w.requests)))
 					w.index[id] = len(w.requests)
 					w.requests = append(w.requests, sizedRequest{sizeKB: sizeKB})
-					w.carryOut(w.router.Handle(w.now, Request{
+					w.execute(w.router.Handle(w.now, Request{
 						ID: id, Object: ObjectID(w.random.Uint64()), Class: "clip", SizeKB: sizeKB, TimeLeft: 4 * time.Second,
 					}))
 					if w.now < until {
@@ -117,11 +119,11 @@
 				fifth := share(w.requests[len(w.requests)/10 : len(w.requests)*3/10])
 				shares = append(shares, math.Round(100*all)/100, math.Round(100*tenth/all)/100, math.Round(100*fifth/all)/100)
 				if min(tenth, fifth) < day.minShare*all {
-					t.Errorf("seed %d: of all %.2f are answered, of the largest tenth %.2f, of the next fifth %.2f",
+					t.Errorf("seed %d: answered shares: %.2f of all requests, %.2f of the largest tenth, %.2f of the next fifth",
 						seed, all, tenth, fifth)
 				}
 			}
-			t.Logf("answered of the class, of the tenth and the fifth as parts of that, by seed: %v", shares)
+			t.Logf("answered share of the class, and of the largest tenth and the next fifth relative to it, by seed: %v", shares)
 		})
 	}
 }
--- a/internal/decision/latency.go
+++ b/internal/decision/latency.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// Estimates of what is usual: the overhead of answers beyond their sending time, the size of
-// requests, the shares of misses and of fetches, and how quickly each source serves fills. All are
-// exponentially weighted moving averages of results.
+// Estimates of typical values: the overhead of answers beyond their sending time, the size of
+// requests, the miss rate, the share of fills that are fetched from the origin, and the fill latency
+// of each source. All are exponentially weighted moving averages over the results of attempts.
 
 const (
-	smoothing         = 0.1           // weight of a new sample: about the last ten results count
-	slowSmoothing     = smoothing / 4 // for what hardly changes
+	smoothing         = 0.1           // weight of a new sample; the average covers about the last ten results
+	slowSmoothing     = smoothing / 4 // for values that change slowly
 	fetchSmoothing    = smoothing / 2 // for the share of fetches
-	sourceStaleFactor = 2             // longest deadlines after which a source's estimate is too old to be used
+	sourceStaleFactor = 2             // a source's estimate is ignored once it is older than this many times the longest deadline
 )
 
-// smooth moves a mean towards a sample, by the sample's weight.
+// smooth updates an exponentially weighted moving average with a sample of the given weight.
 func smooth(mean *float64, sample, weight float64) { *mean += weight * (sample - *mean) }
 
-// indicator is 1 for true and 0 for false.
+// indicator returns 1 for true and 0 for false.
 func indicator(b bool) float64 {
 	if b {
 		return 1
@@ -29,8 +29,8 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// overheadEstimate is the usual overhead of an answer beyond its sending time, in seconds, and its
-// mean deviation, as TCP estimates round trips (RFC 6298).
+// overheadEstimate holds the mean overhead of an answer beyond its sending time, in seconds, and its
+// mean deviation, like TCP's estimate of the round-trip time (RFC 6298).
 type overheadEstimate struct {
 	mean      float64
 	deviation float64
@@ -41,10 +41,10 @@
 	smooth(&o.mean, overhead, smoothing)
 }
 
-// bound is the overhead, in seconds, that is so many mean deviations beyond the mean.
+// bound returns the mean overhead plus the given number of mean deviations, in seconds.
 func (o *overheadEstimate) bound(deviations float64) float64 { return o.mean + deviations*o.deviation }
 
-// sourceEstimate is how a host serves fills as a source.
+// sourceEstimate is the latency of the fills that a host serves as a source.
 type sourceEstimate struct {
 	firstByte    float64 // smoothed time to the first byte, in seconds
 	fillOverhead float64 // smoothed fill time less first byte, sending time and the overhead of a hit, in seconds
@@ -61,21 +61,22 @@
 	s.sampledAt = now
 }
 
-// estimates are those that are not of one host.
+// estimates holds the estimates that do not belong to a single host.
 type estimates struct {
 	overhead    overheadEstimate
 	hitOverhead float64   // smoothed overhead of hits beyond their sending time, in seconds
 	meanSend    []float64 // smoothed sending time of each class, in seconds
-	missShare   float64   // smoothed share of answers that were no hits
-	fetchShare  float64   // smoothed share of fills that the source had to fetch
+	missShare   float64   // smoothed share of answers that were not hits
+	fetchShare  float64   // smoothed share of fills that the source had to fetch from the origin
 }
 
 func newEstimates(classes int) estimates {
 	return estimates{meanSend: make([]float64, classes), missShare: unmeasuredMissShare}
 }
 
-// observeSize returns the sending time of a request from its size and the pace of a transfer, and
-// learns the class's usual one. Where either is not known, it returns the usual one.
+// observeSize returns the sending time of a request, computed from its size and the rate of one
+// transfer, and updates the mean of the class. If the size or the rate is unknown, it returns the
+// mean.
 func (s *estimates) observeSize(class int, sizeKB, paceKBPerS float64) time.Duration {
 	mean := &s.meanSend[class]
 	if sizeKB <= 0 || paceKBPerS <= 0 {
@@ -89,10 +90,11 @@
 	return seconds(send)
 }
 
-// plannedMissShare is the share of attempts whose fills are planned with, on the safe side.
+// plannedMissShare returns the share of attempts that are assumed to need a fill: the estimated miss
+// share with a safety margin.
 func (s *estimates) plannedMissShare() float64 { return min(1, missShareMargin*s.missShare) }
 
-// observeLatency learns from a served attempt.
+// observeLatency updates the latency and miss estimates from a served attempt.
 func (r *Router) observeLatency(a *attempt, e AttemptResult) {
 	s := &r.estimates
 	mode := r.settings.CacheStatusMode
@@ -114,12 +116,12 @@
 	}
 }
 
-// observeSource learns from a fill how quickly its source serves.
+// observeSource updates the latency estimate of a fill's source.
 func (r *Router) observeSource(a *attempt, e AttemptResult) {
 	source := a.source
 	source.lastAnswerAt = r.now
 	firstByte := e.FirstByte.Seconds()
-	if firstByte <= 0 { // not known
+	if firstByte <= 0 { // unknown
 		firstByte = max(0, (e.Elapsed - a.request.sendTime).Seconds())
 	}
 	fillOverhead := 0.0
@@ -129,14 +131,14 @@
 	source.asSource.observe(firstByte, fillOverhead, r.isRecent(source.asSource), r.now)
 }
 
-// isRecent reports whether a source's estimate may be used.
+// isRecent reports whether a source's estimate is recent enough to be used.
 func (r *Router) isRecent(s sourceEstimate) bool {
 	return s.sampledAt > 0 && r.now-s.sampledAt < sourceStaleFactor*r.longestDeadline
 }
 
-// sourceLatency is the time, in seconds, that a fill from a parent is expected to take beyond a
-// hit: to its first byte, its overhead, and the time that is likely lost by the failures that all
-// directors see. A parent without a recent estimate counts as average.
+// sourceLatency returns the time, in seconds, that a fill from a parent is expected to take beyond a
+// hit: the time to first byte, the fill overhead, and the expected loss from failures as aggregated
+// over all directors. A parent without a recent estimate is assumed to be average.
 func (r *Router) sourceLatency(p *host) float64 {
 	sum := 0.0
 	n := 0.0
--- a/internal/decision/limits.go
+++ b/internal/decision/limits.go
@@ -6,21 +6,22 @@
 	"time"
 )
 
-// Concurrency limits bound the sending time that is in flight over something shared that may be
-// short: a cache's own link, the location's link for fills, and the origin for fetches. What is
-// short shows itself by answers that miss their objective or are rejected. A limit therefore
-// adapts: it widens by a share of each request that meets its objective and narrows by a larger
-// share of each that does not. There is no limit until a good share of requests miss, and again
-// once it is far wider than what is in flight.
+// Concurrency limits bound the sending time in flight over a shared resource that may be overloaded:
+// a cache's own link, the location's link for fills, and the origin for fetches. An overloaded
+// resource shows in answers that miss their objective and in rejections. Limits are therefore
+// adaptive: each request that meets its objective increases the limit by a share of its sending
+// time, and each request that does not decreases it by a larger share. A limit is introduced when a
+// large enough share of requests is late or rejected, and removed when it is far above the sending
+// time in flight.
 
 const (
-	limitFromLateShare     = 0.2 // share of late or rejected requests from which there is a limit
-	limitWidening          = 0.2 // of the sending time of each request that meets its objective
-	limitNarrowing         = 0.6 // of that of each request that misses it: if a quarter miss, the limit stays where it is
-	limitFreedAt           = 4   // times what is usually in flight at which there is no limit any more
-	lateFillsBlameLinkFrom = 2   // link use from which a late fill counts against the link; below, what lies behind it may be slow
+	limitLateShareThreshold  = 0.2 // share of late or rejected requests above which a limit is introduced
+	limitIncrease            = 0.2 // share of the sending time of each request that meets its objective
+	limitDecrease            = 0.6 // share of the sending time of each request that misses it; the limit is stable if a quarter miss
+	limitRemovalFactor       = 4   // a limit above this many times the mean sending time in flight is removed
+	lateFillLinkUseThreshold = 2   // link use from which a late fill counts against the link; below it, hosts behind the link may be slow
 
-	// Share of failures from which a source that fails more than its peers is at fault for late fills.
+	// Share of failures above which late fills are attributed to a source that fails more than its peers.
 	suspectFailureShare = outlierFailureShare / 2
 )
 
@@ -34,50 +35,51 @@
 
 func (l *concurrencyLimit) isLimited() bool { return l.limit > 0 }
 
-// fits reports whether a request may be sent. One at least always may.
-func (l *concurrencyLimit) fits(headroom time.Duration) bool {
-	return l.limit == 0 || l.inFlight <= 0 || float64(l.inFlight+headroom) <= l.limit
+// fits reports whether a request that needs the given headroom may be sent. If nothing is in flight,
+// any request may be sent.
+func (l *concurrencyLimit) fits(requiredHeadroom time.Duration) bool {
+	return l.limit == 0 || l.inFlight <= 0 || float64(l.inFlight+requiredHeadroom) <= l.limit
 }
 
 func (l *concurrencyLimit) acquire(sendTime time.Duration) { l.inFlight += sendTime }
 
 func (l *concurrencyLimit) release(sendTime time.Duration) { l.inFlight -= sendTime }
 
-// update adapts the limit to a request that has met its objective or not. A step is larger by the
-// given factor.
-func (l *concurrencyLimit) update(sendTime, usualSendTime time.Duration, metObjective bool, factor float64) {
+// update adjusts the limit after a request that met or missed its objective. The factor scales the
+// step.
+func (l *concurrencyLimit) update(sendTime, typicalSendTime time.Duration, metObjective bool, factor float64) {
 	send := float64(sendTime)
 	smooth(&l.meanInFlight, float64(l.inFlight), smoothing)
 	smooth(&l.lateShare, indicator(!metObjective), smoothing)
 	switch {
-	case l.limit == 0 && !metObjective && l.lateShare > limitFromLateShare:
+	case l.limit == 0 && !metObjective && l.lateShare > limitLateShareThreshold:
 		l.limit = max(float64(l.inFlight)/2, send)
-	case l.limit == 0: // too few were late for a limit
+	case l.limit == 0: // too few late requests to introduce a limit
 	case !metObjective:
-		step := limitNarrowing * min(send, l.limit/4) * factor
-		l.limit = max(l.limit-step, min(l.limit, send)) // one request may be in flight anyway
-	case l.limit > limitFreedAt*max(l.meanInFlight, float64(usualSendTime)):
+		step := limitDecrease * min(send, l.limit/4) * factor
+		l.limit = max(l.limit-step, min(l.limit, send)) // one request may always be in flight
+	case l.limit > limitRemovalFactor*max(l.meanInFlight, float64(typicalSendTime)):
 		l.limit = 0
 	default:
-		l.limit += limitWidening * send * factor
+		l.limit += limitIncrease * send * factor
 	}
 }
 
-// sharedLimits are the limits of what all caches of the location share.
+// sharedLimits are the limits on the resources that all caches of the location share.
 type sharedLimits struct {
 	fills   concurrencyLimit // fills over the location's link
-	fetches concurrencyLimit // those that go on to the origin
+	fetches concurrencyLimit // fills that the source fetches from the origin
 	linkUse float64          // smoothed LoadReport.LinkUse of the zone's caches
 }
 
 func newSharedLimits() sharedLimits {
-	return sharedLimits{linkUse: lateFillsBlameLinkFrom} // as if full: not all sites report it
+	return sharedLimits{linkUse: lateFillLinkUseThreshold} // assume a full link until it is reported: not all sites report link use
 }
 
-// forAttempt returns the limits under which an attempt is in flight: that of fetches alone where the object
-// is known not to be cached by the parents, that of fills alone where only what the source has is
-// asked for.
-func (s *sharedLimits) forAttempt(q *request, depth fetchDepth) []*concurrencyLimit {
+// limitsFor returns the shared limits that apply to an attempt: only the limit on fills if the
+// source may serve only what it has cached, only the limit on fetches if the object is known to be
+// missing at the parents, and otherwise both.
+func (s *sharedLimits) limitsFor(q *request, depth fetchDepth) []*concurrencyLimit {
 	switch {
 	case depth == fetchFromSource:
 		return []*concurrencyLimit{&s.fills}
@@ -88,8 +90,8 @@
 	}
 }
 
-// updateLimits takes an attempt out of its limits, and updates those whose link, parents or origin
-// its result speaks of.
+// updateLimits releases the limits of an attempt that has ended, and adjusts those whose resource
+// affected its result: the cache's link, the location's link or the origin.
 func (r *Router) updateLimits(a *attempt, e AttemptResult) {
 	q := a.request
 	a.cache.limit.release(q.sendTime)
@@ -97,7 +99,7 @@
 		l.release(q.sendTime)
 	}
 	if e.Status == TimedOut && e.Elapsed < q.objective {
-		return // its client's timeout was shorter than its objective, which shows nothing to be short
+		return // the client's timeout was shorter than the objective, so this is no sign of overload
 	}
 	metObjective := e.Status == OK && e.Elapsed <= q.objective
 	isHit := e.CacheStatus == CacheStatusHit || e.CacheStatus == CacheStatusStale
@@ -107,10 +109,11 @@
 		r.updateLimit(&a.cache.limit, q, metObjective)
 		return
 	case e.CacheStatus == CacheStatusFilled && r.settings.CacheStatusMode == CacheStatusModeAll:
-		// The origin had no part in it. Where only hits are reported, a fetched fill looks the same
-		// and has to count, or the limit of fetches would learn from failures alone.
+		// The origin was not involved. If only hits are reported, a fill that was fetched from the
+		// origin looks the same and has to count: otherwise only failures would adjust the limit on
+		// fetches.
 		a.limits = slices.DeleteFunc(a.limits, func(l *concurrencyLimit) bool { return l == &r.limits.fetches })
-	case e.CacheStatus == CacheStatusFilledByOrigin && !metObjective && len(a.limits) > 0: // the origin is late, not the link
+	case e.CacheStatus == CacheStatusFilledByOrigin && !metObjective && len(a.limits) > 0: // the origin was slow, not the link
 		a.limits = a.limits[len(a.limits)-1:]
 	}
 	isRejected := e.Status == Full || e.CacheStatus == CacheStatusSourceRejected || e.CacheStatus == CacheStatusOriginFailed
@@ -119,9 +122,9 @@
 	}
 }
 
-// updateSharedLimits updates the shared limits of an attempt, once for each attempt. The limit of
-// fills stands for the location's link: a late fill does not narrow it where reports show that the
-// link is not full, or where the fill's source alone hangs.
+// updateSharedLimits adjusts the shared limits of an attempt, at most once per attempt. The limit on
+// fills protects the location's link: a late fill does not decrease it if load reports show that the
+// link is not full, or if only the source of the fill has stopped responding.
 func (r *Router) updateSharedLimits(a *attempt, metObjective bool) {
 	if a.limitsUpdated {
 		return
@@ -129,24 +132,24 @@
 	a.limitsUpdated = true
 	sourceMayFail := a.source != a.cache && a.source.health.failureShare > suspectFailureShare
 	if !metObjective && sourceMayFail && r.failsMoreThanPeers(a.source) {
-		return // the source is at fault, and what it rejects shows nothing to be short
+		return // the source is at fault; its rejections are no sign of an overloaded link or origin
 	}
 	for _, l := range a.limits {
-		if metObjective || l != &r.limits.fills || !r.onlySourceIsSilent(a) && r.limits.linkUse >= lateFillsBlameLinkFrom {
+		if metObjective || l != &r.limits.fills || !r.onlySourceIsSilent(a) && r.limits.linkUse >= lateFillLinkUseThreshold {
 			r.updateLimit(l, a.request, metObjective)
 		}
 	}
 }
 
-// updateLimit updates one limit for a request. Where many directors see few answers each, steps are
-// larger.
+// updateLimit adjusts a limit after a request. The step grows with the number of directors, because
+// each of many directors sees only few answers.
 func (r *Router) updateLimit(l *concurrencyLimit, q *request, metObjective bool) {
-	usual := seconds(r.estimates.meanSend[q.classIndex])
-	l.update(q.sendTime, usual, metObjective, math.Sqrt(r.directorsInZone))
+	typical := seconds(r.estimates.meanSend[q.classIndex])
+	l.update(q.sendTime, typical, metObjective, math.Sqrt(r.directorsInZone))
 }
 
-// onlySourceIsSilent reports whether an attempt's source has answered nothing since, while a parent
-// has.
+// onlySourceIsSilent reports whether, since the attempt was sent, its source has not responded to
+// anything while some parent has.
 func (r *Router) onlySourceIsSilent(a *attempt) bool {
 	return a.source.lastAnswerAt < a.sentAt && r.endpoints.parentAnsweredSince(a.sentAt)
 }
--- a/internal/decision/limits_test.go
+++ b/internal/decision/limits_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-func TestLimitNarrowsWidensAndIsFreed(t *testing.T) {
+func TestLimitDecreasesIncreasesAndIsRemoved(t *testing.T) {
 	r := startRouter(t, testSettings())
 	r.router.estimates.meanSend[0] = 0.1
 	l := &concurrencyLimit{inFlight: 2 * time.Second}
 	q := &request{sendTime: 100 * ms}
 	r.router.updateLimit(l, q, false)
 	if l.limit != 0 {
-		t.Error("one late request limits")
+		t.Error("a limit was introduced after one late request")
 	}
 	for range 5 {
 		r.router.updateLimit(l, q, false)
@@ -24,12 +24,12 @@
 	}
 	r.router.updateLimit(l, q, true)
 	if l.limit <= low {
-		t.Error("a request in time does not widen it")
+		t.Error("a request in time did not increase the limit")
 	}
 	l.inFlight = 0
 	for i := 0; l.limit > 0; i++ {
 		if r.router.updateLimit(l, q, true); i > 200 {
-			t.Fatal("it is never freed")
+			t.Fatal("the limit was never removed")
 		}
 	}
 }
@@ -50,13 +50,13 @@
 	} {
 		fills, fetches, link := late(startRouter(t, testSettings()), status)
 		if got := [3]bool{fills > 0, fetches > 0, link > 0}; got != want {
-			t.Errorf("status %d: late fills, fetches, link %v, want %v", status, got, want)
+			t.Errorf("status %d: late share recorded for fills, fetches and the cache's link: %v, want %v", status, got, want)
 		}
 	}
 }
 
-// Guards against a limit of fetches that learns from failures alone and never widens.
-func TestFetchLimitIsFreedWhereOnlyHitsAreReported(t *testing.T) {
+// Guards against a limit on fetches that is adjusted only by failures and therefore never increases.
+func TestFetchLimitIsRemovedIfOnlyHitsAreReported(t *testing.T) {
 	s := testSettings()
 	s.CacheStatusMode = CacheStatusModeHits
 	r := startRouter(t, s)
@@ -69,25 +69,25 @@
 		}
 		id := fmt.Sprint("q", i)
 		o := r.onlyAttempt(r.request(id, ObjectID(i)))
-		again := r.onlyAttempt(r.endAttempt(id, o, 0, Miss, CacheStatusNone)) // a miss at the parents too
+		again := r.onlyAttempt(r.endAttempt(id, o, 0, Miss, CacheStatusNone)) // the parents miss it too
 		r.endAttempt(id, again, 1, OK, CacheStatusFilled)
 	}
 }
 
-func TestLateCoalescedFetchMovesNoLimit(t *testing.T) {
+func TestLateCoalescedFetchChangesNoLimit(t *testing.T) {
 	r := startRouter(t, testSettings())
 	first := r.onlyAttempt(r.request("a", 1))
-	r.request("b", 1) // joins the fill: it is in flight under no shared limit
+	r.request("b", 1) // joins the fill, so it counts against no shared limit
 	r.handle(AttemptResult{
 		Request: "b", Terminal: true, Host: first.Host, Status: OK, CacheStatus: CacheStatusFilledByOrigin,
 		Elapsed: 3 * time.Second,
 	})
 	if r.router.limits.fetches.lateShare != 0 {
-		t.Error("a coalesced request's lateness moved the limit of fetches")
+		t.Error("a late coalesced request changed the late share of the limit on fetches")
 	}
 }
 
-func TestOneSilentParentDoesNotNarrowFillLimit(t *testing.T) {
+func TestOneSilentParentDoesNotDecreaseFillLimit(t *testing.T) {
 	for _, alone := range []bool{true, false} {
 		r := startRouter(t, testSettings())
 		o := r.onlyAttempt(r.request("a", 1))
@@ -97,16 +97,16 @@
 		}
 		r.handle(TimerFired{Timer{Kind: TimerObjectiveMissed, Request: "a"}})
 		if got := r.router.limits.fills.lateShare > 0; got == alone {
-			t.Errorf("only one silent %v: counted as late %v", alone, got)
+			t.Errorf("only the source is silent %v: counted as late for the limit on fills %v", alone, got)
 		}
 	}
 }
 
-// Guards against rejecting all fills because a slow origin makes them late.
-func TestFillLimitNarrowsOnlyWhenLinkIsFull(t *testing.T) {
+// Guards against rejecting all fills because they are late due to a slow origin.
+func TestFillLimitDecreasesOnlyWhenLinkIsFull(t *testing.T) {
 	for _, use := range []float64{0.3, 2} {
 		r := startRouter(t, testSettings())
-		for i := range 30 { // reports come with every answer
+		for i := range 30 { // every answer carries a load report
 			id := fmt.Sprint("q", i)
 			o := r.onlyAttempt(r.request(id, ObjectID(i)))
 			r.handle(AttemptResult{
@@ -117,17 +117,17 @@
 		r.onlyAttempt(r.request("a", 1000))
 		r.now += time.Second
 		r.handle(TimerFired{Timer{Kind: TimerObjectiveMissed, Request: "a"}})
-		if got := r.router.limits.fills.lateShare > 0; got != (use >= lateFillsBlameLinkFrom) {
-			t.Errorf("link in use %v: counted as late %v", use, got)
+		if got := r.router.limits.fills.lateShare > 0; got != (use >= lateFillLinkUseThreshold) {
+			t.Errorf("link use %v: counted as late for the limit on fills %v", use, got)
 		}
 		if r.router.limits.fetches.lateShare == 0 {
-			t.Errorf("link in use %v: the limit of fetches learnt nothing", use)
+			t.Errorf("link use %v: not counted as late for the limit on fetches", use)
 		}
 	}
 }
 
-// Guards against limits that learn nothing because late attempts are cancelled before their
-// objective.
+// Guards against limits that are never adjusted because overdue attempts are cancelled before they
+// miss their objective.
 func TestCancelledOverdueAttemptCountsAsLate(t *testing.T) {
 	r := startRouter(t, testSettings())
 	r.onlyAttempt(r.request("a", 1))
@@ -137,7 +137,7 @@
 		t.Fatalf("cancelled %v, want one", cancelled)
 	}
 	if r.router.limits.fetches.lateShare == 0 {
-		t.Error("an attempt that was cancelled as overdue is not late for the limit of fetches")
+		t.Error("an overdue attempt that was cancelled does not count as late for the limit on fetches")
 	}
 }
 
@@ -153,7 +153,7 @@
 	}
 	for _, inTime := range []bool{true, false} {
 		if one, nine := step(1, inTime), step(9, inTime); nine/one < 2.9 || nine/one > 3.1 {
-			t.Errorf("in time %v: one of nine moves it by %v, a single one by %v", inTime, nine, one)
+			t.Errorf("in time %v: one of nine directors changes the limit by %v, a single director by %v", inTime, nine, one)
 		}
 	}
 }
@@ -166,7 +166,7 @@
 		r.router.updateLimit(l, q, false)
 	}
 	if l.limit < float64(q.sendTime) {
-		t.Errorf("limit %v: it takes many requests in time before two may be in flight", time.Duration(l.limit))
+		t.Errorf("limit %v is below the sending time of one request", time.Duration(l.limit))
 	}
 }
 
@@ -175,11 +175,11 @@
 	h := r.router.endpoints.byID[r.onlyAttempt(r.request("a", 1)).Host]
 	q := &request{sendTime: 100 * ms}
 	for range 12 {
-		r.router.updateLimit(&h.limit, q, false) // hits that end later and later
+		r.router.updateLimit(&h.limit, q, false) // late hits
 	}
 	h.limit.inFlight = time.Second
 	r.router.fills = fillTable{}
 	if got := r.onlyAttempt(r.request("b", 1)); got.Host == h.Host {
-		t.Error("a cache whose hits are late was given one more")
+		t.Error("another request was sent to a cache whose hits are late")
 	}
 }
--- a/internal/decision/load.go
+++ b/internal/decision/load.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Load meters measure the sending time that clients demand and that is served, in seconds per
-// second. Slow start takes them for the capacity of hosts that list none.
+// Load meters measure the demanded and the served load, in seconds of sending time per second. Slow
+// start derives from them the capacity of hosts whose endpoints do not list it.
 
 const (
-	rateInterval   = 2 * time.Second // over which rates are measured: a few large answers
-	bestServedLife = 4               // longest deadlines over which the best served rate fades
+	rateInterval    = 2 * time.Second // averaging time of the rates; long enough for a few large answers
+	peakServedDecay = 4               // time constant of the decay of the peak served rate, in longest deadlines
 )
 
 // rateMeter measures a rate.
@@ -21,7 +21,8 @@
 
 func (m *rateMeter) add(sendTime time.Duration) { m.sum += sendTime.Seconds() }
 
-// measure moves the rate towards that of the last elapsed seconds.
+// measure updates the smoothed rate with the sum collected over the elapsed seconds, and clears the
+// sum.
 func (m *rateMeter) measure(elapsed, weight float64) {
 	smooth(&m.rate, m.sum/elapsed, weight)
 	m.sum = 0
@@ -29,13 +30,13 @@
 
 // loadMeter measures the load of this director.
 type loadMeter struct {
-	demand     rateMeter // of all requests
-	served     rateMeter // of those that were answered
-	bestServed float64   // the highest rate of served lately
+	demand     rateMeter // rate of all requests
+	served     rateMeter // rate of served requests
+	peakServed float64   // decaying maximum of the served rate
 	measuredAt time.Duration
 }
 
-// measure updates the rates.
+// measure updates the rates and the decaying peak.
 func (l *loadMeter) measure(now, longestDeadline time.Duration) {
 	elapsed := (now - l.measuredAt).Seconds()
 	if elapsed <= 0 {
@@ -44,10 +45,10 @@
 	weight := min(1, elapsed/rateInterval.Seconds())
 	l.demand.measure(elapsed, weight)
 	l.served.measure(elapsed, weight)
-	l.bestServed = max(l.served.rate, l.bestServed*math.Exp(-elapsed/(bestServedLife*longestDeadline.Seconds())))
+	l.peakServed = max(l.served.rate, l.peakServed*math.Exp(-elapsed/(peakServedDecay*longestDeadline.Seconds())))
 	l.measuredAt = now
 }
 
-// ServedRate is the load that this director serves, and the most of it lately, in seconds of
+// ServedRate returns the load that this director currently serves and its recent peak, in seconds of
 // sending time per second.
-func (r *Router) ServedRate() (now, best float64) { return r.load.served.rate, r.load.bestServed }
+func (r *Router) ServedRate() (current, peak float64) { return r.load.served.rate, r.load.peakServed }
--- a/internal/decision/outliers.go
+++ b/internal/decision/outliers.go
@@ -6,67 +6,71 @@
 	"time"
 )
 
-// Outlier detection ejects a host that fails much more than its peers: caches are compared with the
-// caches of the zone, parents with parents. What all peers suffer is not the host's fault, and
-// ejecting it would help nobody.
+// Outlier detection ejects a host that fails much more often than its peers. Caches are compared
+// with the caches of the zone, and parents with parents. A failure that affects all peers is not the
+// fault of one host, and ejecting that host would not help.
 //
-// Inputs are the results of attempts at the host, attempts that are overdue, and the failures that
-// all directors together have seen. An ejection lasts for the shortest deadline of all classes,
-// times the number of ejections in a row, up to maxEjectionSteps. After it the host is on trial: it
-// gets one attempt at a time, a failure by its fault ejects it again, and a success while its share
-// of failures is low ends the trial. An overdue attempt without any answer ejects it only the second
-// time, on trial too. A restart of the host clears its record. The origin is never ejected. An
-// ejected cache still gets a request that no other cache can take.
+// The inputs are the results of attempts at the host, overdue attempts, and the failure share
+// aggregated over all directors. An ejection lasts for the shortest deadline of all classes times
+// the number of consecutive ejections, up to maxEjectionSteps. After that the host is on probation:
+// it receives one attempt at a time, a failure that is its fault ejects it again, and a success
+// while its failure share is low ends the probation. An overdue attempt without any response ejects
+// the host only the second time, also on probation. A restart of the host clears its record. The
+// origin is never ejected. An ejected cache still receives a request that no other cache can take.
 
 const (
-	outlierFailureShare = 0.4 // share of failures that ejects a host, if most of its peers have under half of its share
-	maxUnanswered       = 2   // overdue attempts without any answer of the host between them that eject it
-	maxEjectedShare     = 0.5 // share of a host's peers that may be ejected at once: the others have to carry their load
-	maxEjectionSteps    = 3   // ejections in a row up to which each is longer than the one before, by the shortest deadline
-	slowDeviations      = 2   // mean deviations beyond the usual overhead at which a cache is slow, not only losing answers
-
-	// A cache that is full says so at once; its source's rejection reaches it over a connection.
+	outlierFailureShare    = 0.4 // share of failures above which a host is ejected, if most of its peers have less than half of its share
+	maxUnansweredOverdue   = 2   // overdue attempts in a row, without any response from the host, that eject it
+	maxEjectedShare        = 0.5 // share of a host's peers that may be ejected at the same time, as the others must take over their load
+	maxEjectionSteps       = 3   // number of consecutive ejections after which an ejection no longer lasts longer than the one before
+	slowOverheadDeviations = 2   // mean deviations above the mean overhead beyond which a cache is slow instead of only losing answers
+
+	// A full cache rejects immediately, while a rejection by its source arrives over a connection. A
+	// later rejection is therefore attributed to the source.
 	ownRejectionWithin = 25 * time.Millisecond
 )
 
-// healthRecord is what is known of a host's faults.
+// healthRecord is the failure state of a host.
 type healthRecord struct {
-	failureShare       float64       // smoothed share of attempts that failed by the host's fault
-	aggregatedFailures float64       // the same as all directors see it; see AggregatedHealth
-	overdueSinceAnswer int           // overdue attempts since its last answer
-	ejectedUntil       time.Duration // clock time
-	ejections          int           // in a row; 0: neither ejected nor on trial
-	// Outcomes since HostOutcomes was called last.
+	failureShare         float64       // smoothed share of attempts that failed because of the host
+	aggregatedFailures   float64       // the same over all directors; see AggregatedHealth
+	overdueSinceAnswer   int           // overdue attempts since its last response
+	ejectedUntil         time.Duration // clock time
+	consecutiveEjections int           // 0: neither ejected nor on probation
+	// Counts since the last call of HostOutcomes.
 	outcomes float64
 	failures float64
 }
 
 func (h *healthRecord) isEjected(now time.Duration) bool { return now < h.ejectedUntil }
 
-func (h *healthRecord) isOnTrial(now time.Duration) bool { return h.ejections > 0 && !h.isEjected(now) }
+func (h *healthRecord) isOnProbation(now time.Duration) bool {
+	return h.consecutiveEjections > 0 && !h.isEjected(now)
+}
 
-// count counts an outcome.
-func (h *healthRecord) count(failed bool) {
+// addOutcome adds a success or a failure to the record.
+func (h *healthRecord) addOutcome(failed bool) {
 	smooth(&h.failureShare, indicator(failed), 2*smoothing)
 	h.outcomes++
 	h.failures += indicator(failed)
 }
 
-// eject begins an ejection. It lasts a step longer than the one before, up to a limit.
+// eject starts an ejection, one step longer than the previous one, up to maxEjectionSteps steps.
 func (h *healthRecord) eject(now, step time.Duration) {
-	h.ejections++
+	h.consecutiveEjections++
 	h.overdueSinceAnswer = 0
-	h.ejectedUntil = now + step*time.Duration(min(h.ejections, maxEjectionSteps))
+	h.ejectedUntil = now + step*time.Duration(min(h.consecutiveEjections, maxEjectionSteps))
 }
 
-// healthy reports whether a host may be used.
-func (r *Router) healthy(h *host) bool {
-	return !h.health.isEjected(r.now) && (h.health.ejections == 0 || h.attemptsInFlight == 0)
+// isHealthy reports whether a host is neither ejected nor, on probation, busy with an attempt.
+func (r *Router) isHealthy(h *host) bool {
+	return !h.health.isEjected(r.now) && (h.health.consecutiveEjections == 0 || h.attemptsInFlight == 0)
 }
 
-// recordSuccess counts a served attempt for its cache, and for its source if that took part.
+// recordSuccess records a success of the cache of a served attempt and, if the source took part, of
+// the source.
 func (r *Router) recordSuccess(a *attempt, e AttemptResult) {
-	if !a.cacheBlamed {
+	if !a.countedAgainstCache {
 		r.recordOutcome(a.cache, false)
 	}
 	if r.sourceTookPart(e) {
@@ -74,14 +78,14 @@
 	}
 }
 
-// sourceTookPart reports whether a served attempt counts for its source. Where answers do not
-// report it, each does.
+// sourceTookPart reports whether a served attempt counts as a success of its source. If answers do
+// not report a cache status, every served attempt does.
 func (r *Router) sourceTookPart(e AttemptResult) bool {
 	isFill := e.CacheStatus == CacheStatusFilled || e.CacheStatus == CacheStatusFilledByOrigin
 	return isFill || r.settings.CacheStatusMode == CacheStatusModeNone
 }
 
-// recordFailure counts a failed attempt against the host at fault.
+// recordFailure attributes a failed attempt to the host at fault.
 func (r *Router) recordFailure(a *attempt, e AttemptResult) {
 	switch {
 	case e.CacheStatus == CacheStatusSourceRejected || e.CacheStatus == CacheStatusSourceLost:
@@ -91,7 +95,7 @@
 	case e.Status == Full && e.CacheStatus == CacheStatusNone && a.source != a.cache && e.Elapsed > ownRejectionWithin:
 		r.recordOutcome(a.source, true)
 	case e.Status == TimedOut || e.Status == Miss || e.Status == Reset || e.CacheStatus == CacheStatusNoSpace:
-		// It shows no fault of a host.
+		// No host is at fault.
 	default:
 		r.recordOutcome(a.cache, true)
 		if r.settings.CacheStatusMode != CacheStatusModeAll && a.source != a.cache {
@@ -100,42 +104,44 @@
 	}
 }
 
-// recordOverdue counts an overdue attempt against its cache if that has answered nothing since,
-// else against a source that has not, else against the cache if its answers are slow.
+// recordOverdue attributes an overdue attempt: to the cache if the cache has not responded to
+// anything since the attempt was sent, otherwise to the source if that has not, and otherwise to the
+// cache if its answers are slow.
 func (r *Router) recordOverdue(a *attempt) {
 	overhead := r.estimates.overhead
 	switch cache := a.cache; {
 	case cache.lastAnswerAt < a.sentAt:
 		cache.health.overdueSinceAnswer++
-		if cache.health.overdueSinceAnswer >= maxUnanswered {
+		if cache.health.overdueSinceAnswer >= maxUnansweredOverdue {
 			r.eject(cache)
 		}
 	case a.source.lastAnswerAt < a.sentAt && a.source != r.endpoints.origin && a.source != cache:
 		r.recordOutcome(a.source, true)
-	case !cache.isSaturated() && cache.overhead > overhead.bound(slowDeviations):
-		a.cacheBlamed = true
+	case !cache.isSaturated() && cache.overhead > overhead.bound(slowOverheadDeviations):
+		a.countedAgainstCache = true
 		r.recordOutcome(cache, true)
 	}
 }
 
-// recordOutcome counts an outcome for or against a host, and ejects it if it has become an outlier.
+// recordOutcome records a success or a failure of a host, and ejects the host if it has become an
+// outlier.
 func (r *Router) recordOutcome(h *host, failed bool) {
 	health := &h.health
-	health.count(failed)
+	health.addOutcome(failed)
 	if !failed {
-		if health.isOnTrial(r.now) && health.failureShare < outlierFailureShare {
-			health.ejections = 0
+		if health.isOnProbation(r.now) && health.failureShare < outlierFailureShare {
+			health.consecutiveEjections = 0
 		}
 		return
 	}
 	isFailing := max(health.failureShare, health.aggregatedFailures) > outlierFailureShare
-	if health.isOnTrial(r.now) || isFailing && r.failsMoreThanPeers(h) {
+	if health.isOnProbation(r.now) || isFailing && r.failsMoreThanPeers(h) {
 		r.eject(h)
 	}
 }
 
-// failsMoreThanPeers reports whether a host has more than twice the failures of its peers' median.
-// Some peers may fail beside it.
+// failsMoreThanPeers reports whether the failure share of a host is more than twice the median of
+// its peers. The median tolerates that some peers fail as well.
 func (r *Router) failsMoreThanPeers(h *host) bool {
 	var others []float64
 	for _, o := range r.endpoints.peersOf(h) {
@@ -147,7 +153,8 @@
 	return len(others) > 0 && others[(len(others)-1)/2] < h.health.failureShare/2
 }
 
-// eject ejects a host, unless too many of its peers are ejected.
+// eject ejects a host unless it is the origin, is ejected already, or too many of its peers are
+// ejected.
 func (r *Router) eject(h *host) {
 	if h.health.isEjected(r.now) || h == r.endpoints.origin {
 		return
@@ -169,8 +176,9 @@
 	h.health.eject(r.now, r.shortestDeadline)
 }
 
-// HostOutcomes passes what was seen of each host since it was called last: outcomes, how many of
-// them were failures by the host's fault, and its smoothed latency overhead in seconds.
+// HostOutcomes calls report for each host that had outcomes since the last call of HostOutcomes, with
+// the number of outcomes, the number of failures that were the host's fault, and its smoothed latency
+// overhead in seconds.
 func (r *Router) HostOutcomes(report func(h HostID, outcomes, failures, overhead float64)) {
 	for id, h := range r.endpoints.byID {
 		if h.health.outcomes > 0 {
--- a/internal/decision/outliers_test.go
+++ b/internal/decision/outliers_test.go
@@ -11,43 +11,43 @@
 	r := startRouter(t, testSettings())
 	first := r.onlyAttempt(r.request("a", 1))
 	r.now += 300 * ms
-	for range maxUnanswered {
+	for range maxUnansweredOverdue {
 		if got := actionsOf[StartAttempt](r.handle(TimerFired{Timer{Kind: TimerAttemptOverdue, Request: "a"}})); len(got) != 0 {
-			t.Errorf("hedged requests %v", got)
+			t.Errorf("attempts %v, want no hedged request", got)
 		}
 	}
-	if r.router.healthy(r.router.endpoints.byID[first.Host]) {
-		t.Error("a cache that left two attempts unanswered is still used")
+	if r.router.isHealthy(r.router.endpoints.byID[first.Host]) {
+		t.Error("a cache with two unanswered attempts is still used")
 	}
 }
 
-func TestUnresponsiveCacheIsEjectedThenOnTrial(t *testing.T) {
+func TestUnresponsiveCacheIsEjectedThenOnProbation(t *testing.T) {
 	r := startRouter(t, testSettings())
 	h := r.router.endpoints.caches[0]
-	for i := range maxUnanswered {
+	for i := range maxUnansweredOverdue {
 		q := &request{Request: Request{ID: RequestID(fmt.Sprint(i))}}
 		r.router.handleOverdue(&attempt{request: q, cache: h, source: r.router.endpoints.origin, sentAt: r.now})
 	}
-	if r.router.healthy(h) {
+	if r.router.isHealthy(h) {
 		t.Fatal("an unresponsive cache is still used")
 	}
 	r.router.eject(r.router.endpoints.caches[1])
-	if !r.router.healthy(r.router.endpoints.caches[1]) {
-		t.Error("so many are ejected that the others cannot carry the load")
+	if !r.router.isHealthy(r.router.endpoints.caches[1]) {
+		t.Error("more than maxEjectedShare of the caches were ejected")
 	}
 	r.now = h.health.ejectedUntil
 	r.router.Handle(r.now, PeerMessage{})
-	if !r.router.healthy(h) {
+	if !r.router.isHealthy(h) {
 		t.Error("the ejection does not end")
 	}
 	h.attemptsInFlight = 1
-	if r.router.healthy(h) {
-		t.Error("on trial, more than one attempt at a time")
+	if r.router.isHealthy(h) {
+		t.Error("more than one attempt at a time during probation")
 	}
 }
 
-// A cache whose answers come as usual has only lost some, and ejecting it would cost its cached
-// objects.
+// A cache whose answers take the typical time has only lost some of them. Ejecting it would lose the
+// use of its cached objects.
 func TestSlowCacheIsEjectedLossyOneIsNot(t *testing.T) {
 	for _, slow := range []bool{true, false} {
 		r := startRouter(t, testSettings())
@@ -62,13 +62,14 @@
 		for range 10 {
 			r.handle(TimerFired{Timer{Kind: TimerAttemptOverdue, Request: "a"}})
 		}
-		if r.router.healthy(h) == slow {
-			t.Errorf("slow %t: healthy %t", slow, !slow)
+		if r.router.isHealthy(h) == slow {
+			t.Errorf("slow %t: healthy %t, want the opposite", slow, !slow)
 		}
 	}
 }
 
-// Guards against two failing hosts that hide each other in a mean of their peers.
+// Guards against two failing hosts that mask each other, as they would if a host was compared with
+// the mean of its peers.
 func TestTwoFailingParentsOfFourAreEjected(t *testing.T) {
 	r := startRouter(t, testSettings())
 	more := testEndpoints()
@@ -96,7 +97,8 @@
 	}
 }
 
-// Guards caches and limits against a lost parent's rejections where answers report only hits.
+// Guards against attributing the rejections of a failing parent to the cache or to the limits if
+// answers report only hits.
 func TestLateRejectionCountsAgainstSource(t *testing.T) {
 	for elapsed, isSources := range map[time.Duration]bool{2 * ms: false, 150 * ms: true} {
 		s := testSettings()
@@ -109,22 +111,22 @@
 		r.now += elapsed
 		r.handle(AttemptResult{Request: "a", Host: o.Host, Status: Full, Elapsed: elapsed})
 		if (cache.health.failureShare == 0) != isSources {
-			t.Errorf("after %v: the cache's share is %v", elapsed, cache.health.failureShare)
+			t.Errorf("after %v: the cache's failure share is %v", elapsed, cache.health.failureShare)
 		}
 		if r.router.limits.fetches.lateShare > 0 {
-			t.Errorf("after %v: the rejection of a parent that alone fails counts against the origin", elapsed)
+			t.Errorf("after %v: a rejection by the only failing parent counts against the limit on fetches", elapsed)
 		}
 	}
 }
 
-// Aggregated failures weigh in the choice of the source and in an ejection after an own failure.
-// They eject nobody by themselves.
+// Aggregated failures affect the selection of the source, and the ejection after a failure that this
+// director sees itself. They do not eject a host on their own.
 func TestAggregatedHealth(t *testing.T) {
 	r := startRouter(t, testSettings())
 	suspect := r.router.endpoints.parents[0]
 	r.handle(AggregatedHealth{Host: suspect.Host, FailureShare: 0.6})
-	if !r.router.healthy(suspect) || suspect.health.failureShare != 0 {
-		t.Error("aggregated health has ejected a parent")
+	if !r.router.isHealthy(suspect) || suspect.health.failureShare != 0 {
+		t.Error("aggregated health alone ejected a parent")
 	}
 	drawn := func() (n int) {
 		for i := range 200 {
@@ -134,11 +136,11 @@
 		return n
 	}
 	if n := drawn(); n > 0 {
-		t.Errorf("a parent with aggregated failures is drawn %d times in 200 though there are others", n)
+		t.Errorf("a parent with aggregated failures was selected %d times in 200 although there are others", n)
 	}
 	r.router.recordOutcome(suspect, true)
-	if r.router.healthy(suspect) {
-		t.Error("a parent with aggregated failures that failed here too is not ejected")
+	if r.router.isHealthy(suspect) {
+		t.Error("a parent with aggregated failures was not ejected after a failure at this director")
 	}
 	r = startRouter(t, testSettings())
 	suspect = r.router.endpoints.parents[0]
@@ -153,12 +155,12 @@
 		p.isReady = true
 		p.health.failureShare = 0.3
 	}
-	if r.router.recordOutcome(suspect, true); !r.router.healthy(suspect) {
+	if r.router.recordOutcome(suspect, true); !r.router.isHealthy(suspect) {
 		t.Error("ejected for what all suffer")
 	}
 	r.handle(AggregatedHealth{Host: suspect.Host})
 	if drawn() == 0 {
-		t.Error("its aggregated failures are gone, and it is never drawn")
+		t.Error("the parent is never selected although its aggregated failures are gone")
 	}
 	m := testEndpoints()
 	for i := range m {
@@ -167,7 +169,7 @@
 	r.handle(AggregatedHealth{Host: suspect.Host, FailureShare: 0.6})
 	r.handle(EndpointUpdate{Kind: UpdateSnapshot, Version: 9, Endpoints: m})
 	if r.router.endpoints.byID[suspect.Host].health.aggregatedFailures != 0 {
-		t.Error("a restarted host has the old process's aggregated failures")
+		t.Error("a restarted host kept the aggregated failures of the previous process")
 	}
 }
 
--- a/internal/decision/placement.go
+++ b/internal/decision/placement.go
@@ -6,61 +6,61 @@
 	"slices"
 )
 
-// Placement chooses the cache of a request and the source of a fill, and decides how deep an
-// attempt may fetch.
+// Placement selects the cache of a request and the source of a fill, and decides how deep an attempt
+// may fetch.
 //
-// The cache is chosen by weighted rendezvous hashing of the object over the listed caches of the
-// zone, so that all directors agree without talking and a change of the list moves only the changed
-// cache's objects. Loads are bounded: a cache that has far more than its share of the attempts in
-// flight is passed over.
+// The cache is selected by weighted rendezvous hashing of the object over the listed caches of the
+// zone, so that all directors agree without coordination and a change to the list moves only the
+// objects of the changed cache. Loads are bounded: a cache that has far more than its share of the
+// attempts in flight is skipped.
 //
-// The source is the quicker of two parents drawn at random, or the origin where no parent can be
-// used. While parents are likely not to have the object, the two are drawn by the object's hash, so
-// that all directors ask the same two and the origin is asked at most twice.
+// The source is the faster of two parents drawn at random, or the origin if no parent is available.
+// While the parents are likely to miss the object, the two are selected by the object's hash, so that
+// all directors use the same two and the origin receives at most two fetches.
 
 const (
-	loadBound           = 1.25 // times its share of the attempts in flight above which a cache is passed over
-	loadBoundDeviations = 3    // standard deviations of that share that are put down to chance
-	loadBoundMin        = 4    // attempts in flight that a cache may always have: smaller counts compare badly
+	loadBoundFactor     = 1.25 // a cache with more than this many times its share of the attempts in flight is skipped
+	loadBoundDeviations = 3    // standard deviations of that share that are attributed to chance
+	loadBoundMin        = 4    // attempts in flight that a cache may always have; smaller counts are too noisy to compare
 
-	likelyMissFetchShare = 0.5 // share of fills that parents had to fetch from which they are likely to miss any object
+	likelyMissFetchShare = 0.5 // share of fills that parents had to fetch above which they are assumed likely to miss any object
 )
 
 // fetchDepth is how deep an attempt may fetch an object.
 type fetchDepth int
 
 const (
-	fetchFromCache  fetchDepth = iota + 1 // a cache-only lookup: what the cache has
-	fetchFromSource                       // what the cache or the source has
+	fetchFromCache  fetchDepth = iota + 1 // cache-only lookup: only what the cache has
+	fetchFromSource                       // only what the cache or the source has
 	fetchAnywhere
 )
 
-// chooseDepth decides how deep a request may fetch, and whether it may be sent at all. While fills
-// are limited, what the cache has is looked up first, and while fetches are limited, what the
-// parents have: only a known miss needs capacity under a limit.
+// chooseDepth decides how deep a request may fetch; ok is false if the request must not be sent. While
+// a limit on fills is in force, the cache is looked up first, and while a limit on fetches is in
+// force, the parents are looked up first, so that only a known miss needs capacity under the limit.
 func (r *Router) chooseDepth(q *request, cache, source *host) (depth fetchDepth, ok bool) {
 	knownMiss := q.knownMiss(cache)
 	fills := &r.limits.fills
 	fetches := &r.limits.fetches
 	switch {
-	case r.now+q.sendTime+seconds(r.estimates.overhead.bound(1)) > q.deadline: // too short a deadline for a fill
+	case r.now+q.sendTime+seconds(r.estimates.overhead.bound(1)) > q.deadline: // the deadline is too short for a fill
 		return fetchFromCache, knownMiss < fetchFromCache
-	case r.inSlowStart(cache, q) && fills.fits(q.requiredFree) && fetches.fits(q.requiredFree): // a lookup would spend its budget too
-		return fetchAnywhere, true
+	case r.inSlowStart(cache, q) && fills.fits(q.requiredHeadroom) && fetches.fits(q.requiredHeadroom):
+		return fetchAnywhere, true // a lookup first would use up the slow start budget
 	case knownMiss < fetchFromCache && fills.isLimited():
 		return fetchFromCache, true
 	case knownMiss < fetchFromSource && fetches.isLimited() && r.endpoints.isParent(source):
-		return fetchFromSource, fills.fits(q.requiredFree)
+		return fetchFromSource, fills.fits(q.requiredHeadroom)
 	case knownMiss == fetchFromSource:
-		return fetchAnywhere, fetches.fits(q.requiredFree)
+		return fetchAnywhere, fetches.fits(q.requiredHeadroom)
 	default:
-		return fetchAnywhere, fills.fits(q.requiredFree)
+		return fetchAnywhere, fills.fits(q.requiredHeadroom)
 	}
 }
 
-// pickCache chooses a cache that can take the request and has not failed it. Crowded caches come
-// after the others, and ejected ones last: an unlikely answer is better than none. It returns nil
-// if there is none.
+// pickCache selects a cache that can take the request and has not failed it, or returns nil if there
+// is none. It prefers caches that are not crowded, and uses ejected caches only as a last resort,
+// because an unlikely success is better than none.
 func (r *Router) pickCache(q *request) *host {
 	const (
 		notCrowded = iota
@@ -73,9 +73,9 @@
 		for _, h := range r.endpoints.caches {
 			switch {
 			case !h.isReady || q.failedAt(h) || !r.mayRepeat(q, h):
-			case !r.hasSlowStartCapacity(h, q) || !h.limit.fits(q.requiredFree):
-			case preference < anyCache && !r.healthy(h):
-			case preference == notCrowded && r.crowded(h):
+			case !r.hasSlowStartCapacity(h, q) || !h.limit.fits(q.requiredHeadroom):
+			case preference < anyCache && !r.isHealthy(h):
+			case preference == notCrowded && r.isCrowded(h):
 			default:
 				if score := rendezvousScore(q.key, h, r.weight(h)); score > bestScore {
 					best = h
@@ -90,10 +90,10 @@
 	return nil
 }
 
-// crowded reports whether a cache has far more than its share of the attempts in flight. Where
-// other directors send to the caches too, this one's counts are a sample, and deviations by chance
-// are allowed for.
-func (r *Router) crowded(h *host) bool {
+// isCrowded reports whether a cache has far more than its share of the attempts in flight. If other
+// directors send to the caches too, the counts of this one are a sample, so the bound allows for
+// random deviations.
+func (r *Router) isCrowded(h *host) bool {
 	inFlight := 0.0
 	weight := 0.0
 	for _, o := range r.endpoints.caches {
@@ -103,12 +103,12 @@
 		}
 	}
 	share := (inFlight + 1) * r.weight(h) / weight
-	chance := loadBoundDeviations * math.Sqrt(share*(1-1/r.directorsInZone))
-	return h.attemptsInFlight >= loadBoundMin && float64(h.attemptsInFlight+1) > loadBound*share+chance
+	allowance := loadBoundDeviations * math.Sqrt(share*(1-1/r.directorsInZone))
+	return h.attemptsInFlight >= loadBoundMin && float64(h.attemptsInFlight+1) > loadBoundFactor*share+allowance
 }
 
-// weight is a cache's size relative to others, where the endpoint list gives one that does not
-// change with load.
+// weight returns the size of a cache relative to the others if the endpoint list gives a size that
+// does not change with load, and otherwise 1.
 func (r *Router) weight(h *host) float64 {
 	if (r.settings.WeightMode == WeightModeNominal || r.settings.WeightMode == WeightModeRough) && h.Weight > 0 {
 		return h.Weight
@@ -116,15 +116,15 @@
 	return 1
 }
 
-// rendezvousScore is the score of a host for an object. The host with the highest one has the
-// object; each has a share of all objects in proportion to its weight.
+// rendezvousScore returns the score of a host for an object. The object is placed at the host with
+// the highest score; each host gets a share of all objects in proportion to its weight.
 func rendezvousScore(k fillKey, h *host, weight float64) float64 {
 	x := mix64(uint64(k.object) ^ mix64(uint64(k.part)<<32^uint64(h.Host)))
-	u := (float64(x>>11) + 0.5) / (1 << 53) // uniform between 0 and 1, both excluded
+	u := (float64(x>>11) + 0.5) / (1 << 53) // uniform in the open interval from 0 to 1
 	return -weight / math.Log(u)
 }
 
-// mix64 is the finalizer of splitmix64.
+// mix64 implements the finalizer of splitmix64.
 func mix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -132,7 +132,7 @@
 	return x ^ x>>31
 }
 
-// pickSource chooses the source of a fill. It returns nil if there is none.
+// pickSource selects the source of a fill. It returns nil if no source is available.
 func (r *Router) pickSource(q *request) *host {
 	var parents []*host
 	for _, p := range r.endpoints.parents {
@@ -159,21 +159,21 @@
 	return parents[0]
 }
 
-// parentsLikelyMiss reports whether the parents are likely not to have the object: it was purged
-// lately, a parent is out, or most fills had to be fetched.
+// parentsLikelyMiss reports whether the parents are likely to miss the object: it was purged
+// recently, a parent is unavailable, or the parents had to fetch most fills.
 func (r *Router) parentsLikelyMiss(q *request) bool {
-	_, purged := r.purges.last(q.Object, q.PurgeGroup)
+	_, purged := r.purges.lastPurgedAt(q.Object, q.PurgeGroup)
 	return purged || r.estimates.fetchShare > likelyMissFetchShare ||
-		slices.ContainsFunc(r.endpoints.parents, func(p *host) bool { return !p.isReady || !r.healthy(p) })
+		slices.ContainsFunc(r.endpoints.parents, func(p *host) bool { return !p.isReady || !r.isHealthy(p) })
 }
 
-// isAvailable reports whether a host is ready, neither ejected nor busy with its trial, and has slow
-// start capacity for the request. A fill may name such a host as its source.
+// isAvailable reports whether a host is ready and healthy and has slow start capacity for the
+// request. Such a host can be the source of a fill.
 func (r *Router) isAvailable(h *host, q *request) bool {
-	return h.isReady && r.healthy(h) && r.hasSlowStartCapacity(h, q)
+	return h.isReady && r.isHealthy(h) && r.hasSlowStartCapacity(h, q)
 }
 
-// usable reports whether an attempt may go to the host.
-func (r *Router) usable(h *host, q *request) bool {
+// canSendTo reports whether an attempt of the request may be sent to the host.
+func (r *Router) canSendTo(h *host, q *request) bool {
 	return r.isAvailable(h, q) && r.mayRepeat(q, h)
 }
--- a/internal/decision/placement_test.go
+++ b/internal/decision/placement_test.go
@@ -28,17 +28,17 @@
 		}
 	}
 	if moved < 60 || moved > 140 {
-		t.Errorf("%d of 300 moved", moved)
+		t.Errorf("%d of 300 objects moved", moved)
 	}
 }
 
-func TestCrowdedCacheIsPassedOver(t *testing.T) {
+func TestCrowdedCacheIsSkipped(t *testing.T) {
 	r := startRouter(t, testSettings())
 	first := r.onlyAttempt(r.request("a", 1))
 	r.router.endpoints.byID[first.Host].attemptsInFlight = 40
 	r.router.fills = fillTable{}
 	if got := r.onlyAttempt(r.request("b", 1)); got.Host == first.Host {
-		t.Error("a crowded cache took one more")
+		t.Error("another request was sent to a crowded cache")
 	}
 }
 
@@ -50,13 +50,13 @@
 		for i, attempts := range []int{5, 2, 2} {
 			r.router.endpoints.caches[i].attemptsInFlight = attempts
 		}
-		if got := r.router.crowded(r.router.endpoints.caches[0]); got != (directors == 1) {
+		if got := r.router.isCrowded(r.router.endpoints.caches[0]); got != (directors == 1) {
 			t.Errorf("5 of 9 attempts in flight at one of three caches, %d directors: crowded %v", directors, got)
 		}
 	}
 }
 
-func TestSourceIsQuickerParent(t *testing.T) {
+func TestSourceIsFasterParent(t *testing.T) {
 	r := startRouter(t, testSettings())
 	for _, h := range []HostID{500, 501} {
 		p := r.router.endpoints.byID[h]
@@ -64,11 +64,11 @@
 		p.asSource.sampledAt = r.now
 	}
 	if got := r.onlyAttempt(r.request("a", 1)); got.Source != 500 {
-		t.Errorf("source %d, want the quicker 500", got.Source)
+		t.Errorf("source %d, want 500, the faster one", got.Source)
 	}
-	r.router.endpoints.byID[500].asSource.fillOverhead = 0.5 // its link is full: the first byte is quick, the rest is not
+	r.router.endpoints.byID[500].asSource.fillOverhead = 0.5 // its link is full: the first byte is fast, the rest is slow
 	if got := r.onlyAttempt(r.request("b", 2)); got.Source != 501 {
-		t.Errorf("source %d, want 501 past a parent with a full link", got.Source)
+		t.Errorf("source %d, want 501, because the link of 500 is full", got.Source)
 	}
 	for _, h := range []HostID{500, 501} {
 		r.handle(EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{{Host: h, Zone: "hub", Kind: "parent", Readiness: Draining}}})
@@ -78,7 +78,8 @@
 	}
 }
 
-// Guards the origin against a fetch by each parent after a purge or the loss of a parent.
+// Guards against a fetch of the same object from the origin by every parent after a purge or the
+// loss of a parent.
 func TestDirectorsDrawSameParentsForLikelyMisses(t *testing.T) {
 	sources := func(seed uint64, prepare func(*Router)) (out []HostID) {
 		r := &testRouter{t: t, router: NewRouter(testSettings(), seed), now: time.Hour}
@@ -100,12 +101,12 @@
 		"parent out":    func(r *Router) { r.endpoints.parents[3].isReady = false },
 	} {
 		if !slices.Equal(sources(1, prepare), sources(2, prepare)) {
-			t.Errorf("%s: two directors draw different parents", name)
+			t.Errorf("%s: two directors selected different parents", name)
 		}
 	}
-	usual := func(*Router) {}
-	if slices.Equal(sources(1, usual), sources(2, usual)) {
-		t.Error("the usual draw is not at random")
+	unchanged := func(*Router) {}
+	if slices.Equal(sources(1, unchanged), sources(2, unchanged)) {
+		t.Error("parents are not selected at random when they are likely to have the object")
 	}
 }
 
@@ -114,7 +115,7 @@
 	r.router.limits.fills = exhaustedLimit()
 	lookup := r.onlyAttempt(r.request("a", 1))
 	if lookup.Source != lookup.Host {
-		t.Fatalf("source %d, want a lookup at %d only", lookup.Source, lookup.Host)
+		t.Fatalf("source %d, want a cache-only lookup at %d", lookup.Source, lookup.Host)
 	}
 	if got := r.endAttempt("a", lookup, 0, Miss, CacheStatusNone); len(actionsOf[Reject](got)) != 1 {
 		t.Errorf("known miss without capacity: %v, want a rejection at once", got)
@@ -123,16 +124,16 @@
 	r.router.retryBudget.tokens = 0
 	lookup = r.onlyAttempt(r.request("b", 1))
 	if got := r.onlyAttempt(r.endAttempt("b", lookup, 0, Miss, CacheStatusNone)); got.Host != lookup.Host || got.Source == lookup.Host {
-		t.Errorf("known miss with capacity: %+v, want a fill at %d, free of the budget", got, lookup.Host)
+		t.Errorf("known miss with capacity: %+v, want a fill at %d without a retry token", got, lookup.Host)
 	}
 }
 
-// A lookup counts against the budget of slow start like any attempt: lookups before fills must not
-// use it up.
+// A lookup counts against the slow start budget like any other attempt. Guards against lookups that
+// use up the budget before fills are sent.
 func TestNoLookupInSlowStartWhileLimitsAllowFill(t *testing.T) {
 	for _, hasCapacity := range []bool{true, false} {
 		r := startRouter(t, testSettings())
-		r.router.load.bestServed = 1000
+		r.router.load.peakServed = 1000
 		for _, h := range r.router.endpoints.caches {
 			h.StartedAt = r.now
 		}
@@ -147,12 +148,12 @@
 	}
 }
 
-// A lookup must come back at once, also where a fill hangs that it could join.
+// A lookup must return immediately even if it could join a fill that hangs.
 func TestCacheOnlyLookupJoinsNoFill(t *testing.T) {
 	r := startRouter(t, testSettings())
 	r.router.limits.fills = exhaustedLimit()
 	if lookup := r.onlyAttempt(r.request("a", 1)); lookup.Options&JoinFill != 0 {
-		t.Errorf("options %d of a lookup join a fill", lookup.Options)
+		t.Errorf("options %d of a lookup contain JoinFill", lookup.Options)
 	}
 }
 
@@ -161,7 +162,7 @@
 	r.router.limits.fetches = exhaustedLimit()
 	first := r.onlyAttempt(r.request("a", 1))
 	if first.Options&SourceCachedOnly == 0 {
-		t.Fatalf("options %d, want only what the parent has cached", first.Options)
+		t.Fatalf("options %d, want SourceCachedOnly", first.Options)
 	}
 	if got := r.endAttempt("a", first, 0, Miss, CacheStatusSourceMissing); len(actionsOf[Reject](got)) != 1 {
 		t.Errorf("known miss without capacity: %v, want a rejection at once", got)
@@ -169,13 +170,13 @@
 	r.router.limits.fetches.inFlight = 0
 	second := r.onlyAttempt(r.request("b", 2))
 	if got := r.onlyAttempt(r.endAttempt("b", second, 0, Miss, CacheStatusSourceMissing)); got.Options&SourceCachedOnly != 0 {
-		t.Error("the capacity was not used")
+		t.Error("the fetch was not sent although the limit has capacity")
 	}
 }
 
-// A client whose deadline is too short for a fill gets what is cached or a rejection. Its timeout
-// shows nothing to be short.
-func TestShortDeadlineGetsLookupAndMovesNoLimit(t *testing.T) {
+// A request whose deadline is too short for a fill gets a cache-only lookup or a rejection. Its
+// timeout is no sign of overload and must not affect the limits.
+func TestShortDeadlineGetsLookupAndChangesNoLimit(t *testing.T) {
 	r := startRouter(t, testSettings())
 	r.router.estimates.overhead.mean = 0.05
 	shortDeadline := func(id string) StartAttempt {
@@ -195,6 +196,6 @@
 		r.handle(AttemptResult{Request: RequestID(id), Host: o.Host, Status: TimedOut, Elapsed: 120 * ms})
 	}
 	if r.router.limits.fills.limit > 0 || r.router.limits.fetches.limit > 0 {
-		t.Errorf("fills %+v and fetches %+v are limited", r.router.limits.fills, r.router.limits.fetches)
+		t.Errorf("limits on fills %+v and fetches %+v, want none", r.router.limits.fills, r.router.limits.fetches)
 	}
 }
--- a/internal/decision/requests.go
+++ b/internal/decision/requests.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// A request is open from its arrival until it has its final answer. Its objective, deadline and
-// sending time are fixed when it arrives.
+// A request is open from its arrival until it receives its final answer. Its objective, deadline and
+// sending time are fixed on arrival.
 
 // request is an open request.
 type request struct {
 	Request
-	classIndex   int
-	key          fillKey
-	sendTime     time.Duration // that its answer takes to send to the client
-	requiredFree time.Duration // sending time that must be free under a concurrency limit before it is sent
-	objective    time.Duration // its latency objective, whatever its client's timeout
+	classIndex       int
+	key              fillKey
+	sendTime         time.Duration // time that it takes to send the answer to the client
+	requiredHeadroom time.Duration // sending time that must be free under a concurrency limit to send the request
+	objective        time.Duration // latency objective, regardless of the client's timeout
 
-	objectiveAt time.Duration // clock time by which it should be answered
-	deadline    time.Duration // clock time at which its client gives up
+	objectiveAt time.Duration // clock time by which the request should be answered
+	deadline    time.Duration // clock time at which the client gives up
 
-	attempts   []*attempt
-	prior      *attempt // another director's attempt that may have run; nil: none is known
-	waitingFor *fill    // the fill that it waits for; nil: it does not wait
+	attempts     []*attempt
+	priorAttempt *attempt // attempt of another director that may have run; nil: none is known
+	waitingFor   *fill    // fill that the request waits for; nil: it is not waiting
 }
 
-// firstRun is the first attempt that may have run; nil if none has.
+// firstRun returns the first attempt that may have run, or nil if there is none.
 func (q *request) firstRun() *attempt {
-	if q.prior != nil {
-		return q.prior
+	if q.priorAttempt != nil {
+		return q.priorAttempt
 	}
 	i := slices.IndexFunc(q.attempts, func(a *attempt) bool { return a.mayHaveRun })
 	if i < 0 {
@@ -38,18 +38,18 @@
 	return q.attempts[i]
 }
 
-// failedAt reports whether the cache has failed the request.
+// failedAt reports whether an earlier attempt of the request failed at the cache.
 func (q *request) failedAt(h *host) bool {
 	return slices.ContainsFunc(q.attempts, func(a *attempt) bool { return a.cache == h && a.cacheFailed })
 }
 
-// hasUsedSource reports whether an attempt has named the host as its source.
+// hasUsedSource reports whether an earlier attempt of the request used the host as its source.
 func (q *request) hasUsedSource(h *host) bool {
 	return slices.ContainsFunc(q.attempts, func(a *attempt) bool { return a.source == h })
 }
 
-// knownMiss is how deep the last attempt has shown the object not to be cached, at a cache or, for
-// nil, at any. 0: not at all.
+// knownMiss returns the deepest level at which the last attempt found the object not to be cached, or
+// 0 if it found no miss. If cache is not nil, only an attempt at that cache counts.
 func (q *request) knownMiss(cache *host) fetchDepth {
 	n := len(q.attempts)
 	if n > 0 && (cache == nil || q.attempts[n-1].cache == cache) {
@@ -60,14 +60,14 @@
 
 func (r *Router) class(q *request) *Class { return &r.settings.Classes[q.classIndex] }
 
-// admit takes a request in.
-func (r *Router) admit(e Request) {
+// handleRequest opens a request and routes it. It ignores a request that is already open.
+func (r *Router) handleRequest(e Request) {
 	class, known := r.classIndex[e.Class]
 	if r.requests[e.ID] != nil {
 		return
 	}
 	if !known {
-		r.do(Fail{Request: e.ID}) // whether it is idempotent is not known either
+		r.emit(Fail{Request: e.ID}) // without the class, it is unknown whether a retry is safe
 		return
 	}
 	q := &request{
@@ -78,7 +78,7 @@
 	}
 	r.requests[e.ID] = q
 	q.sendTime = r.estimates.observeSize(q.classIndex, e.SizeKB, r.settings.FlowKBPerS)
-	q.requiredFree = r.requiredFree(q)
+	q.requiredHeadroom = r.requiredHeadroom(q)
 	c := r.class(q)
 	q.objective = c.LatencyObjective + time.Duration(c.ObjectiveStretch*float64(q.sendTime))
 	q.objectiveAt = min(r.now+q.objective, q.deadline)
@@ -87,31 +87,32 @@
 	r.route(q)
 }
 
-// requiredFree is the geometric mean of the request's sending time and, twice, the class's
-// usual one, and at most the former. Under a limit that is short a large request would hardly ever
-// find all of its own sending time free.
-func (r *Router) requiredFree(q *request) time.Duration {
-	usual := r.estimates.meanSend[q.classIndex]
-	return min(q.sendTime, seconds(math.Cbrt(q.sendTime.Seconds()*(usual*usual))))
+// requiredHeadroom returns the geometric mean of the request's sending time and, counted twice, the
+// mean sending time of its class, but at most the former. Under a tight limit, a large request would
+// hardly ever find its full sending time free.
+func (r *Router) requiredHeadroom(q *request) time.Duration {
+	mean := r.estimates.meanSend[q.classIndex]
+	return min(q.sendTime, seconds(math.Cbrt(q.sendTime.Seconds()*(mean*mean))))
 }
 
-// recordPriorAttempt notes another director's attempt, as if the Router had made it first.
-func (r *Router) recordPriorAttempt(e PriorAttempt) {
+// handlePriorAttempt records an attempt of another director as the first attempt of the request.
+func (r *Router) handlePriorAttempt(e PriorAttempt) {
 	q := r.requests[e.Request]
 	if q == nil {
 		return
 	}
 	cache := &host{Endpoint: Endpoint{Zone: e.Zone, Cell: e.Cell}}
-	q.prior = &attempt{request: q, cache: cache, sentAt: r.now - e.Age, mayHaveRun: true}
+	q.priorAttempt = &attempt{request: q, cache: cache, sentAt: r.now - e.Age, mayHaveRun: true}
 }
 
-// lastSendAt is the last clock time at which a request can be sent and still meet its objective.
-func (r *Router) lastSendAt(q *request) time.Duration {
+// latestSendAt returns the latest clock time at which a request can be sent and still meet its
+// objective.
+func (r *Router) latestSendAt(q *request) time.Duration {
 	return q.objectiveAt - q.sendTime - seconds(r.estimates.overhead.bound(1))
 }
 
-// finish forgets a request that has its final answer, and cancels the attempt that is still out for
-// it.
+// finish removes a request that has its final answer and, if the settings allow it, cancels the
+// attempt that is still in flight. A nil request is ignored.
 func (r *Router) finish(q *request) {
 	if q == nil {
 		return
@@ -119,6 +120,6 @@
 	q.stopWaiting()
 	delete(r.requests, q.ID)
 	if n := len(q.attempts); r.settings.Cancel && n > 0 && !q.attempts[n-1].ended {
-		r.do(CancelAttempt{Request: q.ID, Attempt: n - 1})
+		r.emit(CancelAttempt{Request: q.ID, Attempt: n - 1})
 	}
 }
--- a/internal/decision/retries.go
+++ b/internal/decision/retries.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// Retries decide when a request may have another attempt.
+// Retries: the rules for sending another attempt of a request.
 //
-// An attempt that failed, or that is overdue and was cancelled, is followed by another if the
-// request may run again (mayRepeat), if time and Settings.MaxAttempts allow it (hasAttemptLeft),
+// An attempt that failed, or that was cancelled because it was overdue, is followed by another if
+// the request may run again (mayRepeat), if time and Settings.MaxAttempts allow it (hasAttemptLeft),
 // and if the retry budget has a token. A failure that cost no work, or whose work was not lost,
 // needs no token. An overdue attempt is cancelled before the next one starts: a request never has
-// two attempts out.
+// two attempts in flight.
 //
-// The retry budget grows with the requests, so that retries are a bounded share of the load and
-// cannot turn an overload into a storm.
+// The retry budget grows with the number of requests, so that retries remain a bounded share of the
+// load and cannot turn an overload into a retry storm.
 
 const (
-	retryTokensPerRequest = 0.15 // retries that each request pays for
-	zoneRetryTokens       = 20.0 // retries that all directors of a zone can save up together
-	minRetryTokens        = 2.0  // retries that one director can always save up
+	retryTokensPerRequest = 0.15 // tokens that each request adds
+	zoneRetryTokens       = 20.0 // maximum number of tokens of all directors of a zone together
+	minRetryTokens        = 2.0  // lower bound on the maximum number of tokens of one director
 
-	overdueDeviations = 4 // mean deviations beyond the usual overhead at which an attempt is overdue, as in TCP's timer (RFC 6298)
+	overdueDeviations = 4 // mean deviations above the mean overhead at which an attempt is overdue, like TCP's timer (RFC 6298)
 )
 
-// retryBudget is a token bucket. Each request pays in a share of a token; a retry takes one.
+// retryBudget is a token bucket. Each request adds a fraction of a token; a retry takes a whole one.
 type retryBudget struct{ tokens float64 }
 
-// maxRetryTokens bounds what one director saves up: what all directors of a zone can spend at once
-// on its caches must not grow with their number.
+// maxRetryTokens returns the maximum number of tokens of one director. The retries that all directors
+// of a zone can send at once must not grow with the number of directors.
 func maxRetryTokens(directorsInZone float64) float64 {
 	return max(minRetryTokens, zoneRetryTokens/directorsInZone)
 }
@@ -41,13 +41,14 @@
 
 func (b *retryBudget) spend() { b.tokens-- }
 
-// hasAttemptLeft reports whether time and the number of attempts allow one more.
+// hasAttemptLeft reports whether the deadline and Settings.MaxAttempts allow another attempt.
 func (r *Router) hasAttemptLeft(q *request) bool {
 	return len(q.attempts) < r.settings.MaxAttempts && r.now+q.sendTime < q.deadline
 }
 
-// mayRepeat reports whether an attempt at the host is safe, though an earlier one may have run: the
-// request is idempotent, or its key is known at the host.
+// mayRepeat reports whether it is safe to send the request to the host although an earlier attempt
+// may have run: no attempt may have run, the request is idempotent, or the host drops repeats of its
+// idempotency key.
 func (r *Router) mayRepeat(q *request, h *host) bool {
 	class := r.class(q)
 	if class.Idempotency == Idempotent {
@@ -60,7 +61,7 @@
 	return class.Idempotency == IdempotentWithKey && r.now-first.sentAt < class.DedupWindow && class.DedupScope.covers(first.cache, h)
 }
 
-// covers reports whether both hosts drop repeats of each other's requests.
+// covers reports whether each of the hosts drops repeats of requests that ran at the other.
 func (s DedupScope) covers(a, b *host) bool {
 	switch s {
 	case ScopeAll:
@@ -73,14 +74,15 @@
 	return false
 }
 
-// handleFailure follows an attempt that has ended without serving its request.
+// handleFailure retries a request whose attempt ended without serving it or, if no retry is allowed,
+// ends the request.
 func (r *Router) handleFailure(q *request, a *attempt, e AttemptResult) {
 	timedOut := e.Status == TimedOut && r.now+r.settings.AnswerGrace >= q.deadline
-	// A lookup that found nothing and a refused connection cost no work. Behind a broken connection
-	// the work was done, and the cache has the object.
+	// A lookup that found nothing and a refused connection cost no work. If the connection broke, the
+	// work was done and the cache has the object.
 	isFree := a.knownMiss > 0 || e.Status == Reset || e.Status == ConnectFailed
 	if timedOut || !r.hasAttemptLeft(q) || !isFree && !r.retryBudget.hasToken() {
-		r.giveUp(q)
+		r.rejectOrFail(q)
 		return
 	}
 	if !isFree {
@@ -89,34 +91,34 @@
 	r.route(q)
 }
 
-// overdueAt is the clock time at which an attempt that is sent now is overdue: it has taken longer
-// than its size and the usual overhead explain, and another attempt has to start to meet the
-// objective. Later attempts get twice the time of the one before.
+// overdueAt returns the clock time at which an attempt that is sent now becomes overdue: it has taken
+// longer than its size and the typical overhead explain, and another attempt must start now to meet
+// the objective. Each later attempt is given twice the time of the previous one.
 func (r *Router) overdueAt(q *request) time.Duration {
-	usual := q.sendTime + seconds(r.estimates.overhead.mean)
+	typical := q.sendTime + seconds(r.estimates.overhead.mean)
 	margin := seconds(overdueDeviations * r.estimates.overhead.deviation)
 	if n := len(q.attempts); n > 1 {
-		return r.now + (usual+margin)<<(n-1)
+		return r.now + (typical+margin)<<(n-1)
 	}
-	return max(r.now+usual+margin, r.lastSendAt(q))
+	return max(r.now+typical+margin, r.latestSendAt(q))
 }
 
 // handleOverdue records the fault of an overdue attempt and cancels it if another one may follow.
 func (r *Router) handleOverdue(a *attempt) {
 	if r.shouldReplace(a) {
 		r.updateSharedLimits(a, false) // a cancelled attempt cannot be late any more, and would not count
-		r.do(CancelAttempt{Request: a.request.ID, Attempt: a.number})
+		r.emit(CancelAttempt{Request: a.request.ID, Attempt: a.number})
 	}
 	r.recordOverdue(a)
 }
 
-// shouldReplace reports whether an overdue attempt is cancelled and followed by another: its answer
-// may be lost, or its fill may hang.
+// shouldReplace reports whether an overdue attempt should be cancelled and replaced by another one,
+// because its answer may be lost or its fill may hang.
 func (r *Router) shouldReplace(a *attempt) bool {
 	cache := a.cache
 	q := a.request
-	// While fetches are short or no parent sends, all fills are slow, and another one would add to
-	// the overload.
+	// While a limit on fetches is in force or no parent responds, all fills are slow, and another one
+	// would add to the overload.
 	fillsAreSlow := a.source != cache && a.depth == fetchAnywhere &&
 		(r.limits.fetches.isLimited() || !r.endpoints.parentAnsweredSince(a.sentAt))
 	if fillsAreSlow || cache.lastAnswerAt < a.sentAt && !r.hasOtherCache(q, cache) {
@@ -129,6 +131,6 @@
 // hasOtherCache reports whether a cache other than the given one could take the request.
 func (r *Router) hasOtherCache(q *request, cache *host) bool {
 	return slices.ContainsFunc(r.endpoints.caches, func(h *host) bool {
-		return h != cache && r.usable(h, q) && !q.failedAt(h)
+		return h != cache && r.canSendTo(h, q) && !q.failedAt(h)
 	})
 }
--- a/internal/decision/retries_test.go
+++ b/internal/decision/retries_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// The answer may be lost on a connection that serves others, and the cache has the object. A
-// saturated cache is not asked twice.
+// The answer may have been lost on a connection that serves other requests, and the cache has the
+// object, so the retry goes to the same cache. An attempt at a saturated cache is not repeated.
 func TestOverdueAttemptIsReplaced(t *testing.T) {
 	for _, cpuShare := range []float64{0.3, 0.95} {
 		r := startRouter(t, testSettings())
@@ -19,9 +19,9 @@
 		r.router.endpoints.parents[0].lastAnswerAt = r.now
 		r.now += 400 * ms
 		cancelled := actionsOf[CancelAttempt](r.handle(TimerFired{Timer{Kind: TimerAttemptOverdue, Request: "a"}}))
-		if cpuShare > saturatedCPUShare {
+		if cpuShare > saturatedCPUThreshold {
 			if len(cancelled) != 0 {
-				t.Errorf("an attempt at a saturated cache is replaced: %v", cancelled)
+				t.Errorf("an attempt at a saturated cache was replaced: %v", cancelled)
 			}
 			continue
 		}
@@ -34,7 +34,7 @@
 	}
 }
 
-// Guards an origin that is late against a second fetch of each overdue fill.
+// Guards against doubling the load of a slow origin by a second fetch for each overdue fill.
 func TestOverdueFillIsNotReplacedWhileAllFillsAreSlow(t *testing.T) {
 	for name, change := range map[string]func(*Router){
 		"a parent answers":  func(r *Router) { r.endpoints.parents[0].lastAnswerAt = r.now },
@@ -56,7 +56,8 @@
 	}
 }
 
-// Its answer may still come, and no other attempt could follow.
+// Guards against cancelling an attempt that must not be repeated: its answer may still arrive, and no
+// other attempt could follow.
 func TestOverdueAttemptThatMayNotRepeatIsKept(t *testing.T) {
 	for _, c := range []struct {
 		idempotency Idempotency
@@ -68,18 +69,18 @@
 		{IdempotentWithKey, 500 * ms, true},
 		{IdempotentWithKey, 2 * time.Second, false},
 	} {
-		s := testSettings() // its window of de-duplication is 1 s
+		s := testSettings() // with a deduplication window of 1 s
 		s.Classes[0].Idempotency = c.idempotency
 		s.Classes[0].DedupScope = ScopeAll
 		r := startRouter(t, s)
 		o := r.onlyAttempt(r.request("a", 7))
 		r.now += 10 * ms
-		other := r.onlyAttempt(r.request("b", 7)) // at the same cache, which answers it
+		other := r.onlyAttempt(r.request("b", 7)) // at the same cache, which responds to it
 		if other.Host != o.Host {
-			t.Fatal("not at the same cache")
+			t.Fatal("the requests were sent to different caches")
 		}
 		r.now += c.after
-		r.endAttempt("b", other, 0, OK, CacheStatusFilled) // so its source answers too: fills are not slow
+		r.endAttempt("b", other, 0, OK, CacheStatusFilled) // shows that the source responds and that fills are not slow
 		cancelled := actionsOf[CancelAttempt](r.handle(TimerFired{Timer{Kind: TimerAttemptOverdue, Request: "a"}}))
 		if got := len(cancelled) == 1; got != c.cancels {
 			t.Errorf("%s after %v: cancelled %t", c.idempotency, c.after, got)
@@ -87,7 +88,7 @@
 	}
 }
 
-// Guards the retry budget against a dead cache that would use it up.
+// Guards against a dead cache that uses up the retry budget.
 func TestRefusedConnectionNeedsNoRetryToken(t *testing.T) {
 	r := startRouter(t, testSettings())
 	r.router.retryBudget.tokens = 0
@@ -101,13 +102,13 @@
 	r := startRouter(t, testSettings())
 	r.router.retryBudget.tokens = 0
 	first := r.onlyAttempt(r.request("a", 1))
-	for n := range 4 { // the cache has the object: it is asked again, without a token or blame
+	for n := range 4 { // the cache has the object, so the retry needs no token and is no failure of the cache
 		if got := r.onlyAttempt(r.endAttempt("a", first, n, Reset, CacheStatusNone)); got.Host != first.Host {
 			t.Fatalf("retried at %d, want %d, which has the object", got.Host, first.Host)
 		}
 	}
-	if h := r.router.endpoints.byID[first.Host]; h.health.failureShare != 0 || !r.router.healthy(h) {
-		t.Error("a cache whose answers got lost was blamed")
+	if h := r.router.endpoints.byID[first.Host]; h.health.failureShare != 0 || !r.router.isHealthy(h) {
+		t.Error("lost answers were recorded as failures of the cache")
 	}
 }
 
@@ -116,7 +117,7 @@
 	first := r.onlyAttempt(r.request("a", 1))
 	again := r.onlyAttempt(r.endAttempt("a", first, 0, Full, CacheStatusSourceRejected))
 	if again.Host != first.Host || again.Source == first.Source {
-		t.Errorf("retried at %d from %d, want %d from another than %d", again.Host, again.Source, first.Host, first.Source)
+		t.Errorf("retried at %d with source %d, want %d with a source other than %d", again.Host, again.Source, first.Host, first.Source)
 	}
 }
 
@@ -138,16 +139,16 @@
 	r = startRouter(t, s)
 	first = r.onlyAttempt(r.request("a", 1))
 	if got := r.onlyAttempt(r.endAttempt("a", first, 0, Reset, CacheStatusNone)); got.Host != first.Host {
-		t.Errorf("with a key for its cell and may have run: sent again to %d, want the same cell's %d", got.Host, first.Host)
+		t.Errorf("with a key of cell scope and may have run: sent again to %d, want %d in the same cell", got.Host, first.Host)
 	}
 	got := r.endAttempt("a", first, 1, Failed, CacheStatusNone)
 	if len(actionsOf[StartAttempt](got)) != 0 || len(actionsOf[Fail](got)) != 1 {
-		t.Errorf("with a key for its cell, each cache a cell of its own: %v, want a failure", got)
+		t.Errorf("with a key of cell scope and no other cache in the cell: %v, want a failure", got)
 	}
 }
 
-// A key that another director has sent binds the request to that cell for the window of
-// de-duplication. After it the request fails.
+// A request whose key was sent by another director may only be sent to the same cell, within the
+// deduplication window. After the window it fails.
 func TestPriorAttemptBindsToDedupScope(t *testing.T) {
 	for _, c := range []struct {
 		age  time.Duration
@@ -161,7 +162,7 @@
 		if len(first) != 1 {
 			t.Fatal(first)
 		}
-		cell := int(first[0].Host-100+1) % 3 // not the one that was chosen
+		cell := int(first[0].Host-100+1) % 3 // a cell other than that of the selected cache
 		r.handle(PriorAttempt{Request: "q", Cell: cell, Age: c.age})
 		next := r.endAttempt("q", first[0], 0, NotSent, CacheStatusNone)
 		for try := 0; try < 20 && len(actionsOf[StartAttempt](next))+len(actionsOf[Fail](next)) == 0; try++ {
@@ -192,7 +193,7 @@
 		}
 		all := r.router.retryBudget.tokens * float64(n)
 		if most := float64(max(zoneRetryTokens, minRetryTokens*n)); all > most {
-			t.Errorf("%d directors may spend %v at once, %v at most", n, all, most)
+			t.Errorf("%d directors may spend %v tokens at once, want at most %v", n, all, most)
 		}
 	}
 }
--- a/internal/decision/router.go
+++ b/internal/decision/router.go
@@ -10,30 +10,31 @@
 // Router makes the decisions of one director. It is not safe for concurrent use.
 type Router struct {
 	settings   Settings
-	classIndex map[string]int // place in Settings.Classes by name
+	classIndex map[string]int // index in Settings.Classes by name
 	random     *rand.Rand
-	now        time.Duration // clock time of the event that is being handled
-	actions    []Action      // what that event has called for so far
+	now        time.Duration // clock time of the current event
+	actions    []Action      // actions of the current event so far
 
 	directorsInZone float64 // directors that serve this zone, this one included
 	directorsTotal  int     // directors in all zones
 
-	shortestDeadline time.Duration // of all classes
+	shortestDeadline time.Duration // shortest deadline of all classes
 	longestDeadline  time.Duration
 
 	endpoints      endpointTable
-	requests       map[RequestID]*request  // those without a final answer
-	attempts       map[attemptKey]*attempt // those without a result
-	fills          fillTable               // attempts that later requests for the same object may share
-	purges         purgeLog                // purges that cached objects may be older than
+	requests       map[RequestID]*request  // open requests
+	attempts       map[attemptKey]*attempt // attempts in flight
+	fills          fillTable               // fills in flight that later requests may share
+	purges         purgeLog                // recent purges
 	retryBudget    retryBudget             // for retries of attempts that may have cost work
 	limits         sharedLimits            // concurrency limits of what all caches share
-	estimates      estimates               // usual latencies, sizes and shares
-	load           loadMeter               // what is demanded and served
+	estimates      estimates               // typical latencies, sizes and miss rates
+	load           loadMeter               // demanded and served load
 	slowStartShare func() float64          // see SetSlowStartShare; may be nil
 }
 
-// NewRouter makes a Router. Call Start next. The seed decides all random draws.
+// NewRouter returns a Router, which must be started with Start. The seed determines all random
+// numbers that the Router draws.
 func NewRouter(s Settings, seed uint64) *Router {
 	r := &Router{
 		settings:       s,
@@ -54,26 +55,27 @@
 	return r
 }
 
-// Start begins the Router's work.
+// Start initializes the Router at the given clock time and returns its first actions. It must be
+// called once, before Handle.
 func (r *Router) Start(now time.Duration) []Action {
-	r.begin(now)
+	r.beginEvent(now)
 	r.load.measuredAt = now
 	r.directorsInZone = r.initialDirectorsInZone()
 	r.retryBudget.tokens = maxRetryTokens(r.directorsInZone) / 2
-	for _, c := range r.settings.Classes { // a shortest deadline of 0 stands for none yet
+	for _, c := range r.settings.Classes { // a shortestDeadline of 0 means that none has been seen yet
 		r.shortestDeadline = min(cmp.Or(r.shortestDeadline, c.Deadline), c.Deadline)
 		r.longestDeadline = max(r.longestDeadline, c.Deadline)
 	}
 	r.setTimer(upkeepInterval, Timer{Kind: TimerUpkeep})
 	if r.settings.MustWatch {
-		r.do(WatchEndpoints{Enabled: true})
+		r.emit(WatchEndpoints{Enabled: true})
 	}
 	return r.actions
 }
 
-// initialDirectorsInZone is the number of directors that serve the zone as the settings give it.
-// Where they do not, all directors are counted, so that the shares of all together never exceed
-// what there is.
+// initialDirectorsInZone returns the number of directors that serve the zone according to the
+// settings. If the settings do not specify it, all directors are counted, so that the shares of the
+// directors never add up to more than the whole.
 func (r *Router) initialDirectorsInZone() float64 {
 	i := slices.Index(r.settings.Zones, r.settings.Zone)
 	if i >= 0 && i < len(r.settings.DirectorsByZone) && r.settings.DirectorsByZone[i] > 0 {
@@ -82,25 +84,25 @@
 	return max(1, float64(r.settings.Directors))
 }
 
-// Handle takes one event and returns the actions that it calls for, in the order in which they are
-// to be done.
+// Handle processes one event at the given clock time and returns the resulting actions, in the order
+// in which the caller must carry them out.
 func (r *Router) Handle(now time.Duration, ev Event) []Action {
-	r.begin(now)
+	r.beginEvent(now)
 	switch e := ev.(type) {
 	case Request:
-		r.admit(e)
+		r.handleRequest(e)
 	case PriorAttempt:
-		r.recordPriorAttempt(e)
+		r.handlePriorAttempt(e)
 	case ClientGone:
 		r.finish(r.requests[e.Request])
 	case AttemptResult:
-		r.endAttempt(e)
+		r.handleAttemptResult(e)
 	case FirstByte:
-		r.recordFirstByte(e)
+		r.handleFirstByte(e)
 	case Purge:
-		r.purge(e)
+		r.handlePurge(e)
 	case EndpointUpdate:
-		r.updateEndpoints(e)
+		r.handleEndpointUpdate(e)
 	case PeerCounts:
 		r.directorsInZone = max(1, float64(e.InZone))
 		r.directorsTotal = max(1, e.Total)
@@ -113,18 +115,18 @@
 			h.health.aggregatedFailures = e.FailureShare
 		}
 	case TimerFired:
-		r.fireTimer(e.Timer)
+		r.handleTimer(e.Timer)
 	}
 	return r.actions
 }
 
-// fireTimer acts on a timer. One whose request or attempt is over does nothing.
-func (r *Router) fireTimer(t Timer) {
+// handleTimer processes an expired timer. A timer whose request or attempt has ended has no effect.
+func (r *Router) handleTimer(t Timer) {
 	switch t.Kind {
 	case TimerUpkeep:
 		r.upkeep()
 	case TimerWatchEndpoints:
-		r.do(WatchEndpoints{Enabled: true})
+		r.emit(WatchEndpoints{Enabled: true})
 	case TimerCoalescingLimit:
 		r.endCoalescing(r.requests[t.Request])
 	case TimerAttemptOverdue:
@@ -138,14 +140,15 @@
 	}
 }
 
-// begin starts the handling of an event.
-func (r *Router) begin(now time.Duration) {
+// beginEvent sets the clock time of an event and clears the list of actions.
+func (r *Router) beginEvent(now time.Duration) {
 	r.now = now
 	r.actions = nil
 }
 
-func (r *Router) do(a Action) { r.actions = append(r.actions, a) }
+// emit appends an action to those of the current event.
+func (r *Router) emit(a Action) { r.actions = append(r.actions, a) }
 
 func (r *Router) setTimer(delay time.Duration, t Timer) {
-	r.do(SetTimer{Delay: max(delay, 0), Timer: t})
+	r.emit(SetTimer{Delay: max(delay, 0), Timer: t})
 }
--- a/internal/decision/router_test.go
+++ b/internal/decision/router_test.go
@@ -10,30 +10,31 @@
 	"time"
 )
 
-// TestRandomEvents plays random events and checks the rules that one Router can keep by itself.
+// TestRandomEvents passes random events to a Router and checks the invariants that a single Router
+// can guarantee.
 func TestRandomEvents(t *testing.T) {
 	for seed := range uint64(60) {
 		first := playRandomEvents(t, seed)
 		second := playRandomEvents(t, seed)
 		if !reflect.DeepEqual(first, second) {
-			t.Fatalf("seed %d: equal events, other actions", seed)
+			t.Fatalf("seed %d: the same events led to different actions", seed)
 		}
 		if len(first) == 0 {
-			t.Fatalf("seed %d: nothing happened", seed)
+			t.Fatalf("seed %d: no actions", seed)
 		}
 	}
 }
 
-// playRandomEvents returns the actions on the random events of a seed.
+// playRandomEvents returns the actions that result from the random events of a seed.
 func playRandomEvents(t *testing.T, seed uint64) []Action {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s := testSettings()
 	s.JoinsFills = rng.IntN(2) == 0
 	s.HedgedRequests = rng.IntN(2) == 0
-	rng.IntN(2) // keeps the events of each seed
+	rng.IntN(2) // unused draw, which keeps the events of each seed unchanged
 	s.CacheStatusMode = []CacheStatusMode{CacheStatusModeAll, CacheStatusModeHits, CacheStatusModeNone}[rng.IntN(3)]
 	s.Classes[0].Idempotency = []Idempotency{Idempotent, IdempotentWithKey, NonIdempotent}[rng.IntN(3)]
-	rng.IntN(2) // likewise
+	rng.IntN(2) // unused draw, as above
 	s.Directors = 60
 	s.DirectorsByZone = []int{0, 1 + rng.IntN(9)}
 	r := startRouter(t, s)
@@ -52,12 +53,12 @@
 	ended := map[RequestID]bool{}
 	attempts := map[RequestID]int{}
 	drained := map[HostID]bool{}
-	carryOut := func(actions []Action) {
+	execute := func(actions []Action) {
 		for _, action := range actions {
 			switch a := action.(type) {
 			case StartAttempt:
 				if ended[a.Request] || drained[a.Host] || drained[a.Source] {
-					t.Fatalf("seed %d: %+v after an end or a drain", seed, a)
+					t.Fatalf("seed %d: %+v for a request that has ended, or at a host that is not ready", seed, a)
 				}
 				for k := range inFlight {
 					if k.request == a.Request {
@@ -87,7 +88,7 @@
 		if status == OK && !ended[k.request] {
 			ended[k.request] = true
 		}
-		carryOut(r.handle(AttemptResult{
+		execute(r.handle(AttemptResult{
 			Request: k.request, Attempt: k.number, Host: a.Host, Status: status, Terminal: ended[k.request],
 			CacheStatus: CacheStatus(rng.IntN(11)), Elapsed: time.Duration(rng.IntN(900)) * ms, FirstByte: time.Duration(rng.IntN(90)) * ms,
 		}))
@@ -114,9 +115,9 @@
 			}
 			due := timers[i]
 			timers = slices.Delete(timers, i, i+1)
-			carryOut(r.handle(TimerFired{due.timer}))
+			execute(r.handle(TimerFired{due.timer}))
 		}
-		for _, k := range attemptsInOrder() { // attempts end at their client's deadline
+		for _, k := range attemptsInOrder() { // attempts end at the deadline of their client
 			if r.now >= deadlines[k.request] {
 				endAttempt(k, TimedOut)
 			}
@@ -127,7 +128,7 @@
 			id := RequestID(fmt.Sprint("q", step))
 			wait := time.Duration(1+rng.IntN(4000)) * ms
 			deadlines[id] = r.now + wait
-			carryOut(r.handle(Request{
+			execute(r.handle(Request{
 				ID: id, Object: ObjectID(rng.IntN(5)), PurgeGroup: rng.IntN(3), Class: "clip",
 				SizeKB: float64(rng.IntN(900)), TimeLeft: wait,
 			}))
@@ -136,7 +137,7 @@
 				endAttempt(keys[rng.IntN(len(keys))], statuses[rng.IntN(len(statuses))])
 			}
 		case 6:
-			carryOut(r.handle(Purge{Object: ObjectID(rng.IntN(5)), Group: rng.IntN(3), ByGroup: rng.IntN(2) == 0}))
+			execute(r.handle(Purge{Object: ObjectID(rng.IntN(5)), Group: rng.IntN(3), ByGroup: rng.IntN(2) == 0}))
 		case 7:
 			m := all[rng.IntN(len(all))]
 			m.Readiness = []Readiness{Ready, Draining, Gone}[rng.IntN(3)]
@@ -144,8 +145,8 @@
 				m.StartedAt = r.now
 			}
 			drained[m.Host] = m.Readiness != Ready
-			carryOut(r.handle(EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{m}}))
-		case 8: // all caches of a cell drain, are gone or have restarted
+			execute(r.handle(EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{m}}))
+		case 8: // all caches of a cell start to drain, go away or restart
 			cell := rng.IntN(4)
 			state := []Readiness{Ready, Draining, Gone}[rng.IntN(3)]
 			var cellEndpoints []Endpoint
@@ -157,8 +158,8 @@
 					cellEndpoints = append(cellEndpoints, m)
 				}
 			}
-			carryOut(r.handle(EndpointUpdate{Kind: UpdateDelta, Endpoints: cellEndpoints}))
-		case 9: // a snapshot drops some parents, the origin or caches, or brings them back
+			execute(r.handle(EndpointUpdate{Kind: UpdateDelta, Endpoints: cellEndpoints}))
+		case 9: // a snapshot removes or restores caches, parents or the origin
 			var snapshot []Endpoint
 			for _, m := range all {
 				drained[m.Host] = rng.IntN(4) == 0
@@ -166,9 +167,9 @@
 					snapshot = append(snapshot, m)
 				}
 			}
-			carryOut(r.handle(EndpointUpdate{Kind: UpdateSnapshot, Endpoints: snapshot}))
-			carryOut(r.handle(ClientGone{Request: "never"}))
-			carryOut(r.handle(AttemptResult{Request: "never", Status: OK, Terminal: true}))
+			execute(r.handle(EndpointUpdate{Kind: UpdateSnapshot, Endpoints: snapshot}))
+			execute(r.handle(ClientGone{Request: "never"}))
+			execute(r.handle(AttemptResult{Request: "never", Status: OK, Terminal: true}))
 		}
 		for id, at := range deadlines {
 			if !ended[id] && r.now > at+2*time.Second {
--- a/internal/decision/simulation_test.go
+++ b/internal/decision/simulation_test.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// simulation plays events in the order of their times, on a clock of its own.
+// simulation is a discrete-event simulation with its own clock. It runs events in order of time.
 type simulation struct {
 	now   time.Duration
 	queue eventQueue
 }
 
-// after schedules an event.
+// after schedules an event after a delay.
 func (s *simulation) after(delay time.Duration, do func()) {
 	heap.Push(&s.queue, scheduledEvent{s.now + delay, do})
 }
 
-// run plays the events up to a time.
+// run runs the events that are scheduled up to the given time.
 func (s *simulation) run(until time.Duration) {
 	for len(s.queue) > 0 && s.queue[0].at <= until {
 		e := heap.Pop(&s.queue).(scheduledEvent)
@@ -26,13 +26,13 @@
 	s.now = until
 }
 
-// scheduledEvent is something that happens at a time.
+// scheduledEvent is a function that is to be called at a given time.
 type scheduledEvent struct {
 	at time.Duration
 	do func()
 }
 
-// eventQueue is a heap.Interface of events by time.
+// eventQueue implements heap.Interface, ordered by time.
 type eventQueue []scheduledEvent
 
 func (q eventQueue) Len() int           { return len(q) }
--- a/internal/decision/slowstart.go
+++ b/internal/decision/slowstart.go
@@ -5,53 +5,54 @@
 	"time"
 )
 
-// Slow start: a host that has just started has an empty cache and bears only part of its load; with
-// more, it fails. The settings give the part (SlowStart) and when the host's capacity is complete.
-// Until then each director sends it no more than its share of that part, by a token bucket in
-// seconds of sending time.
+// Slow start: a host that has just started has an empty cache and can take only part of its normal
+// load; with more, it fails. SlowStart specifies that part and the time after which the host has its
+// full capacity. Until then each director limits what it sends to the host to its share of that part,
+// with a token bucket that holds seconds of sending time.
 //
-// A host's capacity is its listed weight where that is nominal; then all directors divide it,
-// evenly or by the shares that QuotaShare events give. Elsewhere this director's own load stands
-// for its share of the capacity, divided by the number of such hosts.
+// If weights are nominal, the capacity of a host is its listed weight, and the directors divide it
+// equally or by the shares of QuotaShare events. Otherwise this director's own load is used as its
+// share of the total capacity, which is divided by the number of such hosts.
 
 const (
-	slowStartSafety     = 0.5  // share of the budget that is planned with: the capacity is a guess, and all directors act alike
-	slowStartBurst      = 0.4  // share of a window's budget that may be spent at once
-	unmeasuredMissShare = 0.35 // stands for the share of misses where answers do not report hits
+	slowStartSafety     = 0.5  // share of the budget that is used, since the capacity is an estimate and all directors act alike
+	slowStartBurst      = 0.4  // share of a window's budget that may be spent in one burst
+	unmeasuredMissShare = 0.35 // assumed share of misses if answers do not report hits
 	missShareMargin     = 1.5  // safety factor on the share of misses
-	unservedDemandShare = 0.3  // share of demand taken for load before any was served: rejected clients retry
+	unservedDemandShare = 0.3  // share of the demand assumed as capacity before any load was served, as rejected clients retry
 )
 
-// tokenBucket is what may be sent to a host in slow start at once.
+// tokenBucket limits what this director sends to a host in slow start.
 type tokenBucket struct {
-	tokens     float64 // seconds of sending time
-	refilledAt time.Duration
-	isStarted  bool // it has been filled before
+	tokens        float64 // seconds of sending time
+	refilledAt    time.Duration
+	isInitialized bool // it has been refilled at least once
 }
 
-// refill adds the tokens of the time since the last refill, at a rate per second and up to a
-// maximum.
+// refill adds the tokens for the time since the last refill, at the given rate per second, up to
+// maxTokens.
 func (b *tokenBucket) refill(rate, maxTokens float64, now time.Duration) {
 	b.tokens = min(maxTokens, b.tokens+rate*(now-b.refilledAt).Seconds())
 	b.refilledAt = now
-	b.isStarted = true
+	b.isInitialized = true
 }
 
 func (b *tokenBucket) spend(tokens float64) { b.tokens -= tokens }
 
-// slowStartBudget is what this director may send to a host in slow start.
+// slowStartBudget specifies how much this director may send to a host in slow start.
 type slowStartBudget struct {
 	rate float64 // seconds of sending time per second
-	cost float64 // of an attempt, in seconds of sending time
+	cost float64 // cost of an attempt, in seconds of sending time
 	rule SlowStart
 }
 
-// SetSlowStartShare sets a function that returns the share, from 0 to 1, of this director's best
-// served rate that counts as capacity where hosts list none. Handle and SlowStartDemand call it.
+// SetSlowStartShare sets a function that returns the share, from 0 to 1, of this director's peak
+// served rate that is assumed as capacity if hosts do not list theirs. Handle and SlowStartDemand
+// call the function.
 func (r *Router) SetSlowStartShare(share func() float64) { r.slowStartShare = share }
 
-// slowStartBudget is the budget of a host for attempts such as a request's; ok is false if the host
-// is not in slow start.
+// slowStartBudget returns the budget of a host for attempts of a request; ok is false if the host is
+// not in slow start.
 func (r *Router) slowStartBudget(h *host, q *request) (budget slowStartBudget, ok bool) {
 	isParent := r.endpoints.isParent(h)
 	budget.rule = r.settings.CacheSlowStart
@@ -65,18 +66,18 @@
 	if h == r.endpoints.origin || h.StartedAt <= 0 || rule.WarmUp <= 0 || age >= rule.WarmUp+rule.Window {
 		return budget, false
 	}
-	warm := min(1, rule.InitialShare+(1-rule.InitialShare)*float64(age)/float64(rule.WarmUp))
-	budget.rate = slowStartSafety * rule.OverloadFactor * warm * r.capacityShare(h, isParent)
+	warmShare := min(1, rule.InitialShare+(1-rule.InitialShare)*float64(age)/float64(rule.WarmUp))
+	budget.rate = slowStartSafety * rule.OverloadFactor * warmShare * r.capacityShare(h, isParent)
 	return budget, true
 }
 
-// capacityShare is this director's share of a host's capacity when it is warm, in seconds of
-// sending time per second.
+// capacityShare returns this director's share of a host's full capacity, in seconds of sending time
+// per second.
 func (r *Router) capacityShare(h *host, isParent bool) float64 {
 	if r.settings.WeightMode == WeightModeNominal && h.Weight > 0 {
 		return h.Weight * cmp.Or(h.quotaShare, 1/r.directorsSharing(isParent))
 	}
-	served := max(r.load.bestServed, r.load.demand.rate*unservedDemandShare)
+	served := max(r.load.peakServed, r.load.demand.rate*unservedDemandShare)
 	if r.slowStartShare != nil {
 		served *= r.slowStartShare()
 	}
@@ -86,7 +87,7 @@
 	return served / float64(r.endpoints.maxCaches)
 }
 
-// directorsSharing is the number of directors that send to a parent, or to a cache of the zone.
+// directorsSharing returns the number of directors that send to a parent or to a cache of the zone.
 func (r *Router) directorsSharing(isParent bool) float64 {
 	if isParent {
 		return max(1, float64(r.directorsTotal))
@@ -94,13 +95,14 @@
 	return r.directorsInZone
 }
 
-// inSlowStart reports whether all attempts at a host count against a budget.
+// inSlowStart reports whether attempts at a host count against a slow start budget.
 func (r *Router) inSlowStart(h *host, q *request) bool {
 	_, ok := r.slowStartBudget(h, q)
 	return ok
 }
 
-// hasSlowStartCapacity reports whether a host's budget, if it has one, allows one more attempt.
+// hasSlowStartCapacity refills a host's slow start budget and reports whether it allows another
+// attempt. A host that is not in slow start has no budget and always has capacity.
 func (r *Router) hasSlowStartCapacity(h *host, q *request) bool {
 	budget, ok := r.slowStartBudget(h, q)
 	if !ok {
@@ -109,9 +111,9 @@
 	bucket := &h.slowStart
 	burst := budget.rate * budget.rule.Window.Seconds() * slowStartBurst
 	maxTokens := max(burst, r.estimates.meanSend[q.classIndex])
-	if !bucket.isStarted && burst < maxTokens {
-		// Many directors have less than one attempt to spend each. Random first tokens keep them
-		// from spending it all at once.
+	if !bucket.isInitialized && burst < maxTokens {
+		// With many directors, each has tokens for less than one attempt. Random initial tokens
+		// prevent all of them from sending their first attempt at the same time.
 		bucket.tokens = r.random.Float64() * maxTokens
 		bucket.refilledAt = r.now
 	}
@@ -119,20 +121,20 @@
 	return bucket.tokens >= budget.cost
 }
 
-// spendSlowStart counts an attempt, or the given share of one, against a host's budget.
+// spendSlowStart deducts the given share of an attempt's cost from a host's slow start budget.
 func (r *Router) spendSlowStart(h *host, q *request, share float64) {
 	if budget, ok := r.slowStartBudget(h, q); ok {
 		h.slowStart.spend(share * budget.cost)
 	}
 }
 
-// SlowStartDemand passes, for each listed host in slow start, what this director would send there,
-// as a share of what all directors together may send.
+// SlowStartDemand calls report for each ready host in slow start with the load that this director
+// would send to it without a budget, as a share of what all directors together may send.
 func (r *Router) SlowStartDemand(report func(h HostID, demand float64)) {
-	usual := &request{sendTime: seconds(r.estimates.meanSend[0])} // of the first class
+	typical := &request{sendTime: seconds(r.estimates.meanSend[0])} // a typical request of the first class
 	for _, hosts := range [][]*host{r.endpoints.caches, r.endpoints.parents} {
 		for _, h := range hosts {
-			budget, ok := r.slowStartBudget(h, usual)
+			budget, ok := r.slowStartBudget(h, typical)
 			if !ok || !h.isReady || budget.rate <= 0 {
 				continue
 			}
--- a/internal/decision/slowstart_fleet_test.go
+++ b/internal/decision/slowstart_fleet_test.go
@@ -17,9 +17,9 @@
 	directors     []*Router
 	restartedAt   time.Duration
 	endpoints     []Endpoint
-	attemptsAt    []time.Duration // times of the attempts at the restarted cache
+	attemptsAt    []time.Duration // times of the attempts at the cache that restarted
 	lastID        int
-	linkTransfers float64 // of each cache, in transfers at a time, as listed
+	linkTransfers float64 // listed capacity of each cache, in concurrent transfers
 	failureShare  float64 // share of the restarted cache's answers that fail and are retried
 }
 
@@ -57,17 +57,17 @@
 func (f *directorFleet) restartDirector(i int) {
 	r := NewRouter(f.settings, f.random.Uint64())
 	f.directors[i] = r
-	f.carryOut(i, r, r.Start(f.now))
+	f.execute(i, r, r.Start(f.now))
 	f.handle(i, r, EndpointUpdate{Kind: UpdateCached, Endpoints: f.endpoints})
 }
 
 func (f *directorFleet) handle(i int, r *Router, ev Event) {
-	if f.directors[i] == r { // else it was restarted meanwhile
-		f.carryOut(i, r, r.Handle(f.now, ev))
+	if f.directors[i] == r { // otherwise the director was restarted in the meantime
+		f.execute(i, r, r.Handle(f.now, ev))
 	}
 }
 
-func (f *directorFleet) carryOut(i int, r *Router, actions []Action) {
+func (f *directorFleet) execute(i int, r *Router, actions []Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
 		case SetTimer:
@@ -99,7 +99,8 @@
 	})
 }
 
-// sendRequests has requests arrive at a director at a rate per second. Their sizes vary widely.
+// sendRequests schedules the arrival of requests at a director, at the given rate per second until the
+// given time. Their sizes vary widely.
 func (f *directorFleet) sendRequests(i int, rate float64, until time.Duration) {
 	var arrive func()
 	arrive = func() {
@@ -118,7 +119,7 @@
 	f.after(time.Duration(f.random.ExpFloat64()/rate*float64(time.Second)), arrive)
 }
 
-// restartCache restarts the first cache and updates all directors.
+// restartCache restarts the first cache and sends the update to all directors.
 func (f *directorFleet) restartCache() {
 	f.restartedAt = f.now
 	f.endpoints[1].StartedAt = f.now
@@ -128,9 +129,9 @@
 	}
 }
 
-// worstWindow finds the window in which the restarted cache got most attempts beyond its budget,
-// and which share of all windows' budgets was used. The bound is the budget with an allowance for
-// chance.
+// worstWindow returns the attempts, the budget and the bound of the window in which the attempts at
+// the restarted cache exceed the bound the most, and the average used share of the budget over all
+// windows. The bound is the budget plus an allowance for random variation.
 func (f *directorFleet) worstWindow() (attempts, budget, bound, used float64) {
 	rule := f.settings.CacheSlowStart
 	worstExcess := math.Inf(-1)
@@ -143,7 +144,7 @@
 				inWindow++
 			}
 		}
-		// The capacity rises linearly; the mean of the window counts.
+		// The capacity rises linearly, so its mean over the window is the value at the middle.
 		age := (from - f.restartedAt + rule.Window/2).Seconds() / rule.WarmUp.Seconds()
 		share := rule.InitialShare + (1-rule.InitialShare)*age
 		windowBudget := rule.OverloadFactor * share * f.linkTransfers * rule.Window.Seconds() / meanSendTime.Seconds()
@@ -160,11 +161,12 @@
 	return attempts, budget, bound, usedSum / float64(windows)
 }
 
-// A restarted cache gets attempts of all directors and must bear their sum, whether there is one
-// director or thirty, demand is even, nearly all one director's, or comes all at once, answers fail
-// and are retried, or directors restart while the cache warms up.
+// Guards against overloading a restarted cache by the sum of the attempts of all directors. The
+// scenarios have one to thirty directors, with demand that is even, comes mostly from one director or
+// starts all at once, answers that fail and are retried, and directors that restart while the cache
+// warms up.
 func TestSlowStartBudgetOfAllDirectors(t *testing.T) {
-	demand := 0.0 // requests per second for all four caches, more than the restarted one can take
+	demand := 0.0 // requests per second for all four caches; more than the restarted cache can take
 	scenarios := map[string]func(f *directorFleet, until time.Duration){
 		"even": func(f *directorFleet, until time.Duration) {
 			for i := range f.directors {
@@ -191,7 +193,7 @@
 			for i := range f.directors {
 				f.sendRequests(i, demand/float64(len(f.directors)), until)
 			}
-			for step := range 10 { // a tenth at a time
+			for step := range 10 { // restart a tenth of the directors at a time
 				f.after(time.Duration(4+step)*time.Second, func() {
 					for i := range f.directors {
 						if i*10/len(f.directors) == step {
@@ -229,7 +231,7 @@
 				for seed := range uint64(4) {
 					f := newDirectorFleet(seed, size.directors, size.linkTransfers)
 					until := f.now + 22*time.Second
-					if name != "idle, then all at once" { // the directors have run for a while
+					if name != "idle, then all at once" { // the directors have served requests before
 						for i := range f.directors {
 							f.sendRequests(i, 20/float64(size.directors), f.now+3*time.Second)
 						}
@@ -242,7 +244,7 @@
 					attempts, budget, bound, share := f.worstWindow()
 					used = append(used, math.Round(100*share)/100)
 					if attempts > bound {
-						t.Errorf("seed %d: %.0f attempts in a window that bears %.1f, %.1f with chance", seed, attempts, budget, bound)
+						t.Errorf("seed %d: %.0f attempts in a window, budget %.1f, want at most %.1f", seed, attempts, budget, bound)
 					}
 				}
 				t.Logf("used share of the budget, by seed: %v", used)
--- a/internal/decision/slowstart_test.go
+++ b/internal/decision/slowstart_test.go
@@ -13,11 +13,11 @@
 	fresh.StartedAt = r.now - 100*ms
 	r.handle(EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{fresh}})
 	const served = 3.0 // seconds of sending time per second
-	r.router.load.bestServed = served
+	r.router.load.peakServed = served
 	spent := 0.0
 	for i := range 200 {
 		r.now += 5 * ms
-		r.router.load.bestServed = served
+		r.router.load.peakServed = served
 		r.request(fmt.Sprint("q", i), ObjectID(i))
 	}
 	for _, o := range actionsOf[StartAttempt](r.actions) {
@@ -25,10 +25,10 @@
 			spent += 0.1
 		}
 	}
-	// In one second the share has risen to at most 0.3. The cache has a third of the load that
-	// stands for capacity.
+	// Within one second the share rises to at most 0.3. The capacity of the cache is assumed to be a
+	// third of the served load.
 	if limit := s.CacheSlowStart.OverloadFactor * 0.3 * served / 3; spent == 0 || spent > limit {
-		t.Errorf("sent %.2f s of work to the restarted cache, want some and at most %.2f", spent, limit)
+		t.Errorf("sent %.2f s of sending time to the restarted cache, want more than 0 and at most %.2f", spent, limit)
 	}
 }
 
@@ -47,7 +47,7 @@
 	sent := map[HostID]float64{}
 	for i := range 200 {
 		r.now += 5 * ms
-		r.router.load.bestServed = served
+		r.router.load.peakServed = served
 		for _, o := range actionsOf[StartAttempt](r.request(fmt.Sprint("q", i), ObjectID(i))) {
 			sent[o.Host] += 0.1
 		}
@@ -57,14 +57,14 @@
 	}
 	for h, work := range sent {
 		if limit := s.CacheSlowStart.OverloadFactor * 0.3 * served / 3; work > limit {
-			t.Errorf("sent %.2f s of work to the restarted cache %d, at most %.2f", work, h, limit)
+			t.Errorf("sent %.2f s of sending time to the restarted cache %d, want at most %.2f", work, h, limit)
 		}
 	}
 }
 
 func TestSlowStartBudgetAfterRemovals(t *testing.T) {
 	r := startRouter(t, testSettings())
-	r.router.load.bestServed = 6
+	r.router.load.peakServed = 6
 	q := &request{}
 	rate := func() float64 {
 		restarted := testEndpoints()[1]
@@ -79,9 +79,9 @@
 		{Host: 102, Zone: "west", Kind: "cache", Readiness: Gone},
 	}})
 	r.handle(TimerFired{Timer{Kind: TimerUpkeep}})
-	r.router.load.bestServed = 6
+	r.router.load.peakServed = 6
 	if after := rate(); len(r.router.endpoints.caches) != 1 || after > before {
-		t.Errorf("%d caches left: %.2f s a second for a restarted one, %.2f before the others were gone",
+		t.Errorf("%d caches remain: budget of %.2f s per second for a restarted one, %.2f before the others were removed",
 			len(r.router.endpoints.caches), after, before)
 	}
 }
@@ -95,7 +95,7 @@
 			}})
 		}
 		r.router.estimates.missShare = 0.1
-		r.router.load.bestServed = 100
+		r.router.load.peakServed = 100
 		r.now += 500 * ms
 		if lookup {
 			r.router.limits.fills = concurrencyLimit{limit: float64(time.Hour)}
@@ -113,15 +113,15 @@
 		return (budget.rate*budget.rule.Window.Seconds()*slowStartBurst - full) / one
 	}
 	if got := spent(false); got < 0.14 || got > 0.16 {
-		t.Errorf("an attempt that may be a hit spent %.2f of a fill, want the share planned with, 0.15", got)
+		t.Errorf("an attempt that may be a hit spent %.2f of the cost of a fill, want the planned miss share, 0.15", got)
 	}
 	if got := spent(true); got < 0.99 || got > 1.01 {
-		t.Errorf("a fill found to be one spent %.2f of itself", got)
+		t.Errorf("a fill after a known miss spent %.2f of its cost, want 1", got)
 	}
 }
 
-// Guards against budgets taken from the little that one of many directors has served: together they
-// must use a host's budget and keep it.
+// Guards against budgets that are derived from the small load that one of many directors has served.
+// Together the directors must use the budget of a host without exceeding it.
 func TestDirectorsDivideNominalCapacity(t *testing.T) {
 	for _, n := range []int{1, 8, 80} {
 		s := testSettings()
@@ -152,26 +152,26 @@
 				h.StartedAt = r.now
 				budget, ok := r.router.slowStartBudget(h, q)
 				if !ok {
-					t.Fatal("it is not in slow start")
+					t.Fatal("the host is not in slow start")
 				}
 				total += budget.rate
-				if r.router.hasSlowStartCapacity(h, q) { // at once
+				if r.router.hasSlowStartCapacity(h, q) { // right after the restart
 					spent += q.sendTime.Seconds()
 				}
 			}
 			if want := slowStartSafety * rule.OverloadFactor * rule.InitialShare * 6; total < 0.99*want || total > 1.01*want {
-				t.Errorf("%d directors, parent %v: budgets come to %v, want %v", n, parent, total, want)
+				t.Errorf("%d directors, parent %v: sum of the budgets is %v, want %v", n, parent, total, want)
 			}
 			if most := rule.OverloadFactor * rule.InitialShare * 6 * rule.Window.Seconds(); n > 1 && spent > most {
-				t.Errorf("%d directors, parent %v: %v s of sending at once, %v in a window", n, parent, spent, most)
+				t.Errorf("%d directors, parent %v: %v s of sending time at once, want at most %v", n, parent, spent, most)
 			}
 		}
 	}
 }
 
-// All directors learn of a restart at one moment and must not all send their first attempt at one
-// moment.
-func TestFirstTokensAreSpreadOverDirectors(t *testing.T) {
+// All directors learn of a restart at the same time. Guards against all of them sending their first
+// attempt at the same time.
+func TestInitialTokensAreSpreadOverDirectors(t *testing.T) {
 	s := testSettings()
 	s.WeightMode = WeightModeNominal
 	s.Directors = 80
@@ -186,16 +186,16 @@
 		r.router.estimates.meanSend[0] = 0.25
 		q := &request{sendTime: 250 * ms}
 		r.router.hasSlowStartCapacity(r.router.endpoints.byID[500], q)
-		r.router.now += 4 * time.Second // a third of a token
+		r.router.now += 4 * time.Second // refills a third of the cost of an attempt
 		ready += int(indicator(r.router.hasSlowStartCapacity(r.router.endpoints.byID[500], q)))
 	}
 	if ready < 12 || ready > 45 {
-		t.Errorf("4 s after the update %d of 80 may send", ready)
+		t.Errorf("4 s after the update %d of 80 directors may send, want 12 to 45", ready)
 	}
 }
 
-// Guards against each director taking the complete budget where the settings leave out how many
-// serve the zone.
+// Guards against each director using the complete budget if the settings do not specify how many
+// directors serve the zone.
 func TestUnknownDirectorsInZoneCountsAll(t *testing.T) {
 	for _, x := range []struct {
 		all    int
@@ -206,7 +206,7 @@
 		s.Directors = x.all
 		s.DirectorsByZone = x.byZone
 		if got := startRouter(t, s).router.directorsInZone; got != x.want {
-			t.Errorf("%+v: %v", x, got)
+			t.Errorf("%+v: got %v directors in the zone", x, got)
 		}
 	}
 }
--- a/internal/decision/upkeep.go
+++ b/internal/decision/upkeep.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// upkeepInterval paces upkeep. Nothing urgent waits for it.
+// upkeepInterval is the interval of upkeep, which does nothing urgent.
 const upkeepInterval = 250 * time.Millisecond
 
-// upkeep measures rates and drops what is no longer needed.
+// upkeep measures the load rates, removes expired state and schedules the next upkeep.
 func (r *Router) upkeep() {
 	r.setTimer(upkeepInterval, Timer{Kind: TimerUpkeep})
 	r.load.measure(r.now, r.longestDeadline)
-	if r.endpoints.dropGone() {
+	if r.endpoints.removeGone() {
 		r.indexEndpoints()
 	}
-	r.purges.forget(r.now - purgeMemory*r.settings.PurgeDone)
+	r.purges.expireBefore(r.now - purgeRetentionFactor*r.settings.PurgeDone)
 }
--- a/internal/decision/upkeep_test.go
+++ b/internal/decision/upkeep_test.go
@@ -7,7 +7,7 @@
 
 func TestUpkeepBoundsState(t *testing.T) {
 	r := startRouter(t, testSettings())
-	for round := range 50 { // all caches replaced again and again, each object purged
+	for round := range 50 { // each round replaces all caches and purges objects and groups
 		for i := range 8 {
 			id := HostID(2000 + round*8 + i)
 			r.handle(EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{
@@ -21,12 +21,12 @@
 		r.handle(TimerFired{Timer{Kind: TimerUpkeep}})
 	}
 	if n := len(r.router.endpoints.byID); n > 20 {
-		t.Errorf("%d hosts are remembered, 14 are listed", n)
+		t.Errorf("%d hosts are kept, 14 are listed", n)
 	}
 	if n := len(r.router.purges.objects) + len(r.router.purges.groups); n > 8*2*6 {
-		t.Errorf("%d purges are remembered", n)
+		t.Errorf("%d purges are kept", n)
 	}
 	if len(r.router.endpoints.caches) != 11 {
-		t.Errorf("%d caches to choose from, want 11", len(r.router.endpoints.caches))
+		t.Errorf("%d caches are listed, want 11", len(r.router.endpoints.caches))
 	}
 }
