--- a/cmd/stairvane-sim/main.go
+++ b/cmd/stairvane-sim/main.go
@@ -1,6 +1,6 @@
-// Command stairvane-sim hosts the decision module for the simulator. It speaks the simulator's
-// protocol on standard input and output, and exits with 1 and one line on standard error when a
-// line cannot be read.
+// Command stairvane-sim hosts the decision module for the simulator. It implements the simulator's
+// protocol on standard input and output. If it cannot process the input, it writes one line to
+// standard error and exits with status 1.
 package main
 
 import (
--- a/internal/protocol/simulator/actions.go
+++ b/internal/protocol/simulator/actions.go
@@ -8,7 +8,8 @@
 	"stairvane.org/stairvane/internal/decision"
 )
 
-// appendAction appends the line of an action of a director.
+// appendAction appends the protocol line for an action of a director to b and returns the result. It
+// returns b unchanged for an action that the protocol does not have.
 func appendAction(b []byte, director int, action decision.Action) []byte {
 	switch a := action.(type) {
 	case decision.StartAttempt:
--- a/internal/protocol/simulator/digest_day_test.go
+++ b/internal/protocol/simulator/digest_day_test.go
@@ -15,7 +15,7 @@
 	"stairvane.org/stairvane/internal/decision"
 )
 
-// digestEvent is a line that the server gets at a time.
+// digestEvent is a line that the server receives at a given time.
 type digestEvent struct {
 	at    time.Duration
 	order int
@@ -39,24 +39,24 @@
 	return last
 }
 
-// digestDay plays one generated day against one Router over the simulator's protocol. It depends on
-// no name of the decision module but those of the events that the protocol does not have.
+// digestDay passes the events of one generated day to a Router over the simulator's protocol. It uses
+// no names of the decision module except those of events that the protocol does not have.
 type digestDay struct {
-	t         *testing.T
-	random    *rand.Rand
-	sum       hash.Hash
-	seen      map[string]int
-	server    *server
-	out       bytes.Buffer
-	queue     digestQueue
-	order     int
-	classes   int
-	endpoints []string // lines of the endpoints without readiness and start
-	ended     map[string]bool
-	attempts  map[string]int
-	open      map[string]string // attempt to its host, while it is out
-	faulty    float64           // share of attempts that go wrong
-	slow      time.Duration
+	t            *testing.T
+	random       *rand.Rand
+	sum          hash.Hash
+	seen         map[string]int
+	server       *server
+	out          bytes.Buffer
+	queue        digestQueue
+	order        int
+	classes      int
+	endpoints    []string // formats of the endpoint lines, without readiness and start time
+	ended        map[string]bool
+	attempts     map[string]int
+	open         map[string]string // hosts of the attempts, by attempt
+	failureShare float64           // share of attempts that fail
+	slow         time.Duration
 }
 
 func newDigestDay(t *testing.T, seed uint64, sum hash.Hash, seen map[string]int) *digestDay {
@@ -70,7 +70,7 @@
 		open:     map[string]string{},
 	}
 	d.server = &server{out: bufio.NewWriter(&d.out), routers: map[int]*decision.Router{}}
-	d.faulty = []float64{0, 0.05, 0.2, 0.5, 0.9}[d.random.IntN(5)]
+	d.failureShare = []float64{0, 0.05, 0.2, 0.5, 0.9}[d.random.IntN(5)]
 	d.slow = time.Duration(20+d.random.IntN(800)) * time.Millisecond
 	return d
 }
@@ -78,7 +78,7 @@
 func (d *digestDay) pick(words ...string) string { return words[d.random.IntN(len(words))] }
 
 func (d *digestDay) hash(format string, args ...any) {
-	_, _ = fmt.Fprintf(d.sum, format, args...) // a hash returns no error
+	_, _ = fmt.Fprintf(d.sum, format, args...) // writing to a hash never fails
 }
 
 func (d *digestDay) chance(p float64) bool { return d.random.Float64() < p }
@@ -145,14 +145,14 @@
 }
 
 func (d *digestDay) run() {
-	d.place()
+	d.drawEndpoints()
 	seed := d.random.Uint64()
-	d.do(d.settings(seed))
+	d.play(d.settings(seed))
 	if d.chance(0.4) {
 		share := d.random.Float64()
 		d.server.routers[1].SetSlowStartShare(func() float64 { return share })
 	}
-	d.schedule()
+	d.scheduleEvents()
 	limit := 20_000
 	for d.queue.Len() > 0 && limit > 0 {
 		limit--
@@ -161,12 +161,12 @@
 			break
 		}
 		d.server.now = max(d.server.now, e.at)
-		d.do(e.line)
+		d.play(e.line)
 	}
 }
 
-// place draws the endpoints.
-func (d *digestDay) place() {
+// drawEndpoints draws the endpoints at random.
+func (d *digestDay) drawEndpoints() {
 	hosts := func(first, n int, kind string, zones ...string) {
 		for i := range n {
 			d.endpoints = append(d.endpoints, fmt.Sprintf("%d %s %s %d %%s %s %%s",
@@ -178,8 +178,8 @@
 	hosts(200, d.random.IntN(3), "origin", "mid")
 }
 
-// schedule draws the events that do not follow from actions.
-func (d *digestDay) schedule() {
+// scheduleEvents schedules random events that do not depend on actions.
+func (d *digestDay) scheduleEvents() {
 	d.at(0, "list all")
 	for n := d.random.IntN(6); n > 0; n-- {
 		d.at(time.Duration(d.random.IntN(15_000))*time.Millisecond, "list %s", d.pick("changes", "changes", "all", "remembered", "refused"))
@@ -230,8 +230,9 @@
 	return number
 }
 
-// do plays one event, hashes the actions and draws the events that follow from them.
-func (d *digestDay) do(line string) {
+// play processes one event, hashes the resulting actions and schedules the events that follow from
+// them.
+func (d *digestDay) play(line string) {
 	name, rest, _ := strings.Cut(line, " ")
 	router := d.server.routers[1]
 	handle := func(e decision.Event) {
@@ -242,7 +243,7 @@
 	var share float64
 	switch name {
 	case "list":
-		d.list(rest)
+		d.sendList(rest)
 		return
 	case "bound":
 		_, _ = fmt.Sscan(rest, new(string), &text, &number, &other)
@@ -267,17 +268,17 @@
 		if name == "answer" && d.rewriteAnswer(rest) != "" {
 			line = "answer " + d.rewriteAnswer(rest)
 			id, _, _ := strings.Cut(strings.TrimPrefix(rest, "1 "), " ")
-			d.noteEnd(id, line)
+			d.recordEnd(id, line)
 		}
 		if err := d.server.handleLine(line); err != nil {
 			d.t.Fatalf("%q: %v", line, err)
 		}
 	}
-	d.count(name, rest)
-	d.collect()
+	d.countEvent(name, rest)
+	d.collectActions()
 }
 
-func (d *digestDay) count(name, rest string) {
+func (d *digestDay) countEvent(name, rest string) {
 	switch name {
 	case "invalidated":
 		if strings.HasPrefix(rest, "1 - ") {
@@ -292,10 +293,10 @@
 	}
 }
 
-func (d *digestDay) list(kind string) {
+func (d *digestDay) sendList(kind string) {
 	d.seen["topology "+kind]++
 	if kind == "refused" {
-		d.event("topology 1 refused - -")
+		d.sendLine("topology 1 refused - -")
 		return
 	}
 	var lines []string
@@ -310,19 +311,19 @@
 		lines = append(lines, "item "+fmt.Sprintf(m, d.pick("IN", "IN", "IN", "IN", "IN", "LAME", "OUT"), started))
 	}
 	d.server.in = bufio.NewReader(strings.NewReader(strings.Join(lines, "\n") + "\n"))
-	d.event(fmt.Sprintf("define_list 0 %d", len(lines)))
-	d.event(fmt.Sprintf("topology 1 %s %d 0", kind, d.order))
-	d.collect()
+	d.sendLine(fmt.Sprintf("define_list 0 %d", len(lines)))
+	d.sendLine(fmt.Sprintf("topology 1 %s %d 0", kind, d.order))
+	d.collectActions()
 }
 
-func (d *digestDay) event(line string) {
+func (d *digestDay) sendLine(line string) {
 	if err := d.server.handleLine(line); err != nil {
 		d.t.Fatalf("%q: %v", line, err)
 	}
 }
 
-// rewriteAnswer returns an answer with the terminal flag that it has when it arrives; empty: the
-// line stays.
+// rewriteAnswer returns an answer with its terminal flag set according to the state at its arrival, or
+// an empty string if the answer needs no change.
 func (d *digestDay) rewriteAnswer(rest string) string {
 	words := strings.Split(rest, " ")
 	if len(words) < 9 {
@@ -335,14 +336,14 @@
 	return strings.Join(words, " ")
 }
 
-func (d *digestDay) noteEnd(id, line string) {
+func (d *digestDay) recordEnd(id, line string) {
 	if strings.Contains(line, " ok ") {
 		d.ended[id] = true
 	}
 }
 
-// collect hashes the actions and draws what the caches do with them.
-func (d *digestDay) collect() {
+// collectActions hashes the actions that were written and schedules the reactions to them.
+func (d *digestDay) collectActions() {
 	_ = d.server.out.Flush()
 	text := d.out.String()
 	d.out.Reset()
@@ -352,9 +353,9 @@
 		d.seen["do "+words[0]]++
 		switch words[0] {
 		case "obtain":
-			d.answer(words)
+			d.scheduleAnswer(words)
 		case "abort_attempt":
-			d.cancelled(words)
+			d.scheduleCancelled(words)
 		case "deny", "drop_request":
 			d.ended[words[2]] = true
 		case "after":
@@ -365,20 +366,20 @@
 	}
 }
 
-// answer draws the result of an attempt.
-func (d *digestDay) answer(words []string) {
+// scheduleAnswer schedules a random result of an attempt.
+func (d *digestDay) scheduleAnswer(words []string) {
 	id, host := words[2], words[3]
 	number := d.attempts[id]
 	d.attempts[id]++
 	key := fmt.Sprintf("%s:%d", id, number)
 	d.open[key] = host
 	if d.chance(0.03) {
-		return // no answer comes
+		return // the attempt gets no answer
 	}
 	took := time.Duration(d.random.Int64N(int64(2 * d.slow)))
 	status := "ok"
 	cacheStatus := d.pick("0", "1", "1", "2", "3", "4", "5")
-	if d.chance(d.faulty) {
+	if d.chance(d.failureShare) {
 		status = d.pick("error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot", "miss")
 		cacheStatus = d.pick("0", "0", "0", "6", "7", "8", "9", "10")
 	} else if d.chance(0.1) {
@@ -403,8 +404,8 @@
 		id, firstByte, host, number, cacheStatus, status, took.Milliseconds(), report)
 }
 
-// cancelled schedules the result of a cancelled attempt.
-func (d *digestDay) cancelled(words []string) {
+// scheduleCancelled schedules the result of a cancelled attempt.
+func (d *digestDay) scheduleCancelled(words []string) {
 	key := words[2] + ":" + words[3]
 	host, out := d.open[key]
 	if !out || d.chance(0.2) {
@@ -418,7 +419,7 @@
 	router.HostOutcomes(func(h decision.HostID, outcomes, failures, overhead float64) {
 		lines = append(lines, fmt.Sprintf("%d %v %v %v\n", h, outcomes, failures, overhead))
 	})
-	slices.Sort(lines) // they come in the order of a map
+	slices.Sort(lines) // HostOutcomes iterates over a map
 	d.hash("%s", fmt.Sprint(lines))
 }
 
--- a/internal/protocol/simulator/digest_test.go
+++ b/internal/protocol/simulator/digest_test.go
@@ -11,16 +11,16 @@
 	"testing"
 )
 
-var updateDigest = flag.Bool("update-digest", false, "write new decision digests, after a change that is meant to alter decisions")
+var updateDigest = flag.Bool("update-digest", false, "write new decision digests after an intended change of decisions")
 
 const (
-	digestBlocks       = 20  // digests in the file
-	digestDaysPerBlock = 100 // generated days in one digest; the day's number is its seed
+	digestBlocks       = 20  // number of digests in the file
+	digestDaysPerBlock = 100 // generated days per digest; the seed of a day is its number
 	digestFile         = "decisions.digest"
 )
 
-// TestDecisionDigest guards against a refactoring that changes a decision: it hashes every action
-// of the decision module over generated days in which every event, status and setting occurs.
+// TestDecisionDigest guards against a refactoring that changes a decision: it hashes all actions of
+// the decision module over generated days that contain every event, status and setting.
 func TestDecisionDigest(t *testing.T) {
 	seen := map[string]int{}
 	var got strings.Builder
@@ -49,11 +49,11 @@
 		t.Fatal(err)
 	}
 	if got.String() != string(want) {
-		t.Errorf("the actions differ from those of the digests in %s:\n%s", path, want)
+		t.Errorf("the actions do not match the digests in %s:\n%s", path, want)
 	}
 }
 
-// digestKinds are the events, results and actions that have to occur.
+// digestKinds are the events, results, settings and actions that must occur.
 var digestKinds = []string{
 	"up", "topology changes", "topology all", "topology remembered", "topology refused", "query", "answer", "first", "invalidated object",
 	"invalidated group", "left", "alarm", "status_back", "peer", "bound", "peers", "quota", "health", "evidence", "cold demand",
--- a/internal/protocol/simulator/endpoints.go
+++ b/internal/protocol/simulator/endpoints.go
@@ -6,20 +6,20 @@
 	"stairvane.org/stairvane/internal/decision"
 )
 
-// maxLists is how many numbered endpoint lists the protocol has.
+// maxLists is the number of endpoint lists that the protocol supports.
 const maxLists = 16
 
-// endpointLists are the lists that the simulator has defined, by number. A later definition
+// endpointLists holds the lists that the simulator has defined, indexed by number. A later definition
 // replaces an earlier one.
 type endpointLists struct {
 	endpoints [maxLists][]decision.Endpoint
 	isDefined [maxLists]bool
 }
 
-// defineList reads a list of endpoints, a line for each.
+// defineList reads the definition of a list and the lines of its endpoints, one per line.
 func (s *server) defineList(f *fields) error {
-	list := f.small("Table")
-	count := f.small("Lines")
+	list := f.nonNegativeInt("Table")
+	count := f.nonNegativeInt("Lines")
 	if f.err == nil && list >= maxLists {
 		f.fail("Table", "out of range")
 	}
@@ -50,10 +50,10 @@
 	}
 	e := decision.Endpoint{
 		Host:      f.host(),
-		Zone:      f.need("Zone"),
-		Kind:      f.need("Shape"),
+		Zone:      f.required("Zone"),
+		Kind:      f.required("Shape"),
 		Cell:      int(f.optionalInteger("Cluster")),
-		Readiness: decision.Readiness(f.need("Readiness")),
+		Readiness: decision.Readiness(f.required("Readiness")),
 		Weight:    f.optionalNumber("Share"),
 		StartedAt: f.optionalTime("StartedAt"),
 	}
@@ -67,7 +67,7 @@
 
 func (s *server) parseEndpointUpdate(f *fields) (decision.Event, error) {
 	update := decision.EndpointUpdate{
-		Kind:    decision.EndpointUpdateKind(f.need("Kind")),
+		Kind:    decision.EndpointUpdateKind(f.required("Kind")),
 		Version: f.optionalInteger("Stamp"),
 	}
 	list := f.optionalInteger("Table")
--- a/internal/protocol/simulator/events.go
+++ b/internal/protocol/simulator/events.go
@@ -25,10 +25,10 @@
 	messagePeer              = "peer"
 )
 
-// messageFinished ends the answer to a batch.
+// messageFinished ends the reply to a batch.
 const messageFinished = "finished"
 
-// directorMessages are the messages that name a director first.
+// directorMessages are the messages whose first field is a director.
 var directorMessages = map[string]bool{
 	messageUp:                true,
 	messagePowerOff:          true,
@@ -45,7 +45,7 @@
 
 func errUnknownMessage(f *fields) error { return fmt.Errorf("unknown message %q", f.message) }
 
-// parseEvent reads any event that needs no endpoint list.
+// parseEvent parses every event except endpoint updates, which refer to the lists of a server.
 func parseEvent(f *fields) (decision.Event, error) {
 	var event decision.Event
 	switch f.message {
@@ -58,23 +58,23 @@
 	case messageClientGone:
 		event = decision.ClientGone{Request: f.request()}
 	case messageTimerFired:
-		event = decision.TimerFired{Timer: parseTimer(f.need("Ctx"))}
+		event = decision.TimerFired{Timer: parseTimer(f.required("Ctx"))}
 	case messageFirstByte:
 		event = decision.FirstByte{
 			Request: f.request(),
-			Attempt: f.small("Hop"),
+			Attempt: f.nonNegativeInt("Hop"),
 			Host:    f.host(),
 			Elapsed: f.time("Elapsed"),
 		}
 	case messageHealthCheckResult:
 		event = decision.HealthCheckResult{
 			Host:    f.host(),
-			Status:  decision.Status(f.need("Status")),
+			Status:  decision.Status(f.required("Status")),
 			Elapsed: f.time("Elapsed"),
 			Load:    f.loadReport("HealthInfo"),
 		}
 	case messagePeer:
-		event = decision.PeerMessage{From: f.small("Who"), Payload: f.bytes("Payload")}
+		event = decision.PeerMessage{From: f.nonNegativeInt("Who"), Payload: f.bytes("Payload")}
 	default:
 		return nil, errUnknownMessage(f)
 	}
@@ -89,7 +89,7 @@
 
 func parseRequest(f *fields) decision.Request {
 	q := decision.Request{ID: f.request()}
-	q.Object = f.object("Key", f.need("Key"))
+	q.Object = f.object("Key", f.required("Key"))
 	flags := f.optionalInteger("Flags")
 	q.IsRetry = flags&flagRetry != 0
 	q.Write = flags&flagWrite != 0
@@ -98,7 +98,7 @@
 	q.TimeLeft = f.time("TimeLeft")
 	q.Part = int(f.optionalNumber("Chunk"))
 	q.PurgeGroup = int(f.optionalNumber("LabelNo"))
-	q.Class = f.need("Grade")
+	q.Class = f.required("Grade")
 	return q
 }
 
@@ -108,7 +108,7 @@
 		Terminal:    f.flag("Terminal"),
 		FirstByte:   f.optionalTime("FirstByte"),
 		Host:        f.host(),
-		Attempt:     f.small("Hop"),
+		Attempt:     f.nonNegativeInt("Hop"),
 		CacheStatus: decision.CacheStatus(f.optionalInteger("Detail")),
 		Status:      parseAttemptStatus(f),
 		Elapsed:     f.time("Elapsed"),
@@ -117,7 +117,7 @@
 }
 
 func parseAttemptStatus(f *fields) decision.Status {
-	status := decision.Status(f.need("Status"))
+	status := decision.Status(f.required("Status"))
 	switch status {
 	case decision.OK, decision.Failed, decision.Full, decision.TimedOut, decision.ConnectFailed,
 		decision.Reset, decision.Cancelled, decision.NotSent, decision.Miss:
--- a/internal/protocol/simulator/fields.go
+++ b/internal/protocol/simulator/fields.go
@@ -11,17 +11,17 @@
 	"stairvane.org/stairvane/internal/decision"
 )
 
-// absent stands for a value that is not there.
+// absent is the word for an absent value.
 const absent = "-"
 
-// maxMillis is the longest time, in milliseconds, that is taken: about 31 years.
+// maxMillis is the longest accepted time, in milliseconds: about 31 years.
 const maxMillis = 1e12
 
-// fields reads the values of one line in their order. The first error stays, and values that are
-// read after it mean nothing.
+// fields reads the values of one line in order. It keeps the first error; values that are read after
+// an error are meaningless.
 type fields struct {
 	message string
-	rest    []string // values that were not read yet
+	rest    []string // values that have not been read yet
 	err     error
 }
 
@@ -46,8 +46,8 @@
 	return v
 }
 
-// need reads a value that must be there.
-func (f *fields) need(field string) string {
+// required reads a value that must not be absent.
+func (f *fields) required(field string) string {
 	v := f.next(field)
 	if v == absent || v == "" {
 		f.fail(field, "missing")
@@ -55,7 +55,7 @@
 	return v
 }
 
-// optional reads a value that may be absent; ok is false if it is.
+// optional reads a value that may be absent; ok is false if it is absent or invalid.
 func (f *fields) optional(field string) (value string, ok bool) {
 	v := f.next(field)
 	if v == "" {
@@ -65,7 +65,7 @@
 }
 
 func (f *fields) integer(field string) int64 {
-	n, err := strconv.ParseInt(f.need(field), 10, 64)
+	n, err := strconv.ParseInt(f.required(field), 10, 64)
 	if err != nil {
 		f.fail(field, "not an integer")
 	}
@@ -84,8 +84,8 @@
 	return n
 }
 
-// small reads an integer from 0 to the greatest of 32 bits.
-func (f *fields) small(field string) int {
+// nonNegativeInt reads an integer from 0 to the maximum of a signed 32-bit integer.
+func (f *fields) nonNegativeInt(field string) int {
 	n := f.integer(field)
 	if n < 0 || n > math.MaxInt32 {
 		f.fail(field, "out of range")
@@ -94,10 +94,10 @@
 	return int(n)
 }
 
-func (f *fields) request() decision.RequestID { return decision.RequestID(f.need("Xid")) }
+func (f *fields) request() decision.RequestID { return decision.RequestID(f.required("Xid")) }
 
 func (f *fields) host() decision.HostID {
-	n, err := strconv.ParseUint(f.need("Host"), 10, 32)
+	n, err := strconv.ParseUint(f.required("Host"), 10, 32)
 	if err != nil {
 		f.fail("Host", "not a host number")
 	}
@@ -122,7 +122,7 @@
 }
 
 func (f *fields) time(field string) time.Duration {
-	return f.parseMillis(field, f.parseNumber(field, f.need(field)))
+	return f.parseMillis(field, f.parseNumber(field, f.required(field)))
 }
 
 func (f *fields) optionalTime(field string) time.Duration {
@@ -138,7 +138,7 @@
 }
 
 func (f *fields) flag(field string) bool {
-	switch v := f.need(field); v {
+	switch v := f.required(field); v {
 	case "1":
 		return true
 	case "0":
@@ -168,7 +168,7 @@
 	return b
 }
 
-// loadReport reads a load report; nil: it is absent.
+// loadReport reads a load report. It returns nil if the report is absent.
 func (f *fields) loadReport(field string) *decision.LoadReport {
 	v, ok := f.optional(field)
 	if !ok {
@@ -186,15 +186,16 @@
 	return report
 }
 
-// end returns the first error. It is an error if values are left over.
+// end returns the first error. Values that have not been read are an error.
 func (f *fields) end() error {
 	if f.err == nil && len(f.rest) > 0 {
-		f.err = fmt.Errorf("%s: %d values too many", f.message, len(f.rest))
+		f.err = fmt.Errorf("%s: too many values: %d extra", f.message, len(f.rest))
 	}
 	return f.err
 }
 
-// fromMillis rounds to the simulator's resolution of a microsecond.
+// fromMillis converts milliseconds to a duration, rounded to the simulator's resolution of one
+// microsecond.
 func fromMillis(ms float64) time.Duration {
 	return time.Duration(math.Round(ms*1000)) * time.Microsecond
 }
--- a/internal/protocol/simulator/load.go
+++ b/internal/protocol/simulator/load.go
@@ -2,15 +2,14 @@
 
 import "stairvane.org/stairvane/internal/decision"
 
-// Names of the load values that the settings and answers may carry; others have no meaning to the
-// decision module.
+// Names of load values in settings and answers. The decision module uses no others.
 const (
 	loadCPUShare = "cpu_share"
 	loadLinkUse  = "x1"
 )
 
-// SetLoad sets the value of a load report that goes by the settings' name. Values of other names
-// are dropped.
+// SetLoad sets the value of a load report that has the given name in the settings. Unknown names are
+// ignored.
 func SetLoad(report *decision.LoadReport, name string, value float64) {
 	switch name {
 	case loadCPUShare:
--- a/internal/protocol/simulator/server.go
+++ b/internal/protocol/simulator/server.go
@@ -12,7 +12,7 @@
 	"stairvane.org/stairvane/internal/decision"
 )
 
-// bufferBytes is the size of the buffers for input and output. A batch seldom exceeds it.
+// bufferBytes is the size of the input and output buffers. Few batches exceed it.
 const bufferBytes = 1 << 20
 
 var (
@@ -24,11 +24,11 @@
 type server struct {
 	in         *bufio.Reader
 	out        *bufio.Writer
-	lineNumber int // of the line that was read last
+	lineNumber int // number of the last line that was read, from 1
 	now        time.Duration
 	lists      endpointLists
-	routers    map[int]*decision.Router // by the number of their director
-	line       []byte                   // buffer of an action's line
+	routers    map[int]*decision.Router // by director number
+	line       []byte                   // buffer for the line of an action
 }
 
 func newServer(r io.Reader, w io.Writer) *server {
@@ -39,7 +39,8 @@
 	}
 }
 
-// Serve answers batches until the input ends between two of them. An error names the line at fault.
+// Serve reads batches from r and writes the replies to w. It returns nil if the input ends between two
+// batches. Otherwise the error contains the number of the line at fault.
 func Serve(r io.Reader, w io.Writer) error {
 	s := newServer(r, w)
 	for {
@@ -56,7 +57,8 @@
 	}
 }
 
-// readLine returns the next line without its end. A last line without an end counts as truncated.
+// readLine returns the next line without its line terminator. It returns errTruncatedLine for a last
+// line without a terminator.
 func (s *server) readLine() (string, error) {
 	line, err := s.in.ReadString('\n')
 	if err != nil {
@@ -70,7 +72,8 @@
 	return strings.TrimSuffix(strings.TrimSuffix(line, "\n"), "\r"), nil
 }
 
-// readLineInBatch returns the next line, which must come because a batch is open.
+// readLineInBatch returns the next line of the current batch. It returns errTruncatedBatch at the end
+// of the input.
 func (s *server) readLineInBatch() (string, error) {
 	line, err := s.readLine()
 	if errors.Is(err, io.EOF) {
@@ -79,7 +82,7 @@
 	return line, err
 }
 
-// serveBatch reads a batch that begins with the given line, and answers it.
+// serveBatch reads the rest of a batch after its first line, and writes the reply.
 func (s *server) serveBatch(line string) error {
 	f := newFields(line)
 	if f.message != messageClock {
@@ -105,13 +108,13 @@
 	}
 }
 
-// handleLine carries out one line of a batch.
+// handleLine processes one line of a batch. Events for a director that is not running are ignored.
 func (s *server) handleLine(line string) error {
 	f := newFields(line)
 	if f.message == messageDefineList {
 		return s.defineList(f)
 	}
-	director := f.small("Dispatcher")
+	director := f.nonNegativeInt("Dispatcher")
 	if f.err != nil {
 		if !directorMessages[f.message] {
 			return errUnknownMessage(f)
@@ -142,9 +145,9 @@
 	return parseEvent(f)
 }
 
-// startRouter starts a director's Router, in place of the one that it may have had.
+// startRouter starts the Router of a director. It replaces an earlier Router of the director.
 func (s *server) startRouter(director int, f *fields) error {
-	seed, err := strconv.ParseUint(f.need("Prng"), 10, 64)
+	seed, err := strconv.ParseUint(f.required("Prng"), 10, 64)
 	if err != nil {
 		f.fail("Prng", "not an integer")
 	}
--- a/internal/protocol/simulator/server_test.go
+++ b/internal/protocol/simulator/server_test.go
@@ -8,14 +8,14 @@
 	"testing"
 )
 
-// upLine starts a director of the zone west.
+// upLine starts director 3 in the zone west.
 const upLine = "up 3 8565319633688438 Areas=hub,west Balancers=1 FamilyInfo.ParentKind=1 FamilyInfo.SourceKind=2 " +
 	"FamilyInfo.Joins=true FamilyInfo.OneFlowKbPerS=1000.0 FamilyInfo.Tells=all FamilyInfo.GoodFor=0.0 " +
 	"Grades.count=1 Grades.0.Name=clip Grades.0.Aim=400.0 Grades.0.AimStretch=2.0 Grades.0.Deadline=4000.0 " +
 	"Grades.0.Effect=safe Limits.MaxAttempts=6 Limits.MaxRetryAfter=500.0 Models=cache,parent,origin Orgs= " +
 	"Zone=west Not.Known=whatever\n"
 
-// listLines give it a cache, a parent and an origin.
+// listLines define a list of a cache, a parent and an origin, and send it to the director.
 const listLines = "define_list 0 3\nitem 51 west cache 0 IN 1 -\nitem 70 hub parent 1 IN 1.5 6100.0\n" +
 	"item 90 hub origin 2 IN 1 -\ntopology 3 remembered 41 0\n"
 
@@ -50,7 +50,7 @@
 		t.Errorf("%d replies, want 4", got)
 	}
 	if strings.Contains(out, "t/b") {
-		t.Error("a director that was powered off still answers")
+		t.Error("a director that was powered off still sends actions")
 	}
 }
 
@@ -70,7 +70,7 @@
 		"unknown message":   {head + "hello 3\n", `line 3: unknown message "hello"`},
 		"unknown, no value": {head + "hello\n", `line 3: unknown message "hello"`},
 		"missing field":     {head + "left 3\n", "line 3: left: field Xid: missing"},
-		"too many":          {head + "left 3 t/a x\n", "line 3: left: 1 values too many"},
+		"too many":          {head + "left 3 t/a x\n", "line 3: left: too many values: 1 extra"},
 		"bad number":        {head + "query 3 t/a 91f03b7c55d20a64 0 ten - 1 0 1 clip\n", "field Kbytes: not a number"},
 		"bad object":        {head + "query 3 t/a 91f0 0 1 - 1 0 1 clip\n", "field Key: not 16 hex digits"},
 		"bad status":        {head + "answer 3 t/a 1 - 51 0 2 fine 1 -\n", "field Status: unknown"},
@@ -93,7 +93,7 @@
 	}
 }
 
-// TestCommand builds and runs stairvane-sim as the deploy file does.
+// TestCommand builds and runs stairvane-sim in the same way as the deployment file.
 func TestCommand(t *testing.T) {
 	bin := filepath.Join(t.TempDir(), "stairvane-sim")
 	if out, err := exec.Command("go", "build", "-o", bin, "../../../cmd/stairvane-sim").CombinedOutput(); err != nil {
@@ -104,7 +104,7 @@
 		cmd.Stdin = strings.NewReader(in)
 		var stderr strings.Builder
 		cmd.Stderr = &stderr
-		_ = cmd.Run() // the exit code is read below
+		_ = cmd.Run() // the exit code is checked below
 		if got := cmd.ProcessState.ExitCode(); got != code {
 			t.Errorf("%q: exit code %d, want %d", in, got, code)
 		}
--- a/internal/protocol/simulator/setting_reader.go
+++ b/internal/protocol/simulator/setting_reader.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// maxSetting is the greatest number that a setting may have.
+// maxSetting is the maximum absolute value of a numeric setting.
 const maxSetting = 1e15
 
-// settingReader reads settings from words of the form key=value. Keys that nothing asks for are
-// skipped. A setting that is not given, or is absent, has the zero value. The first error stays.
+// settingReader reads settings from words of the form key=value. Keys that are never read are
+// ignored. A setting that is missing or absent has the zero value. The reader keeps the first error.
 type settingReader struct {
 	values map[string]string
 	err    error
@@ -38,7 +38,7 @@
 
 func (s *settingReader) text(key string) string { return s.values[key] }
 
-// list reads a list that is separated by commas.
+// list reads a comma-separated list.
 func (s *settingReader) list(key string) []string {
 	value := s.values[key]
 	if value == "" || value == absent {
@@ -62,7 +62,7 @@
 func (s *settingReader) number(key string) float64 { return s.parseNumber(key, s.values[key]) }
 func (s *settingReader) integer(key string) int    { return int(s.number(key)) }
 
-// time reads milliseconds.
+// time reads a duration in milliseconds. Durations above maxMillis are reduced to it.
 func (s *settingReader) time(key string) time.Duration {
 	return fromMillis(min(s.number(key), maxMillis))
 }
@@ -104,7 +104,7 @@
 	return false
 }
 
-// valueAt is values[i], or the zero value where the list is shorter.
+// valueAt returns values[i], or the zero value if the list is shorter.
 func valueAt[T any](values []T, i int) T {
 	var zero T
 	if i < len(values) {
--- a/internal/protocol/simulator/settings.go
+++ b/internal/protocol/simulator/settings.go
@@ -7,22 +7,22 @@
 	"stairvane.org/stairvane/internal/decision"
 )
 
-// SocketSettings are the settings that the decision module has no part in.
+// SocketSettings are the settings that the decision module does not use.
 type SocketSettings struct {
-	Streams  int           // attempts that one connection carries
-	ConnIdle time.Duration // after which the other end closes an idle connection
+	Streams  int           // maximum number of concurrent attempts per connection
+	ConnIdle time.Duration // time after which the other end closes an idle connection
 	Reports  []string      // names of the load values that answers carry
-	Unused   string        // values of the settings that nothing uses; equal where they are equal
+	Unused   string        // encoded values of the settings that nothing uses; equal if and only if the values are equal
 }
 
-// reportInline is the way of load reports in which answers carry them.
+// reportInline is the mode of load reports in which answers carry them.
 const reportInline = "inline"
 
-// modeSubscribe is the mode of discovery in which a director has to watch for changes.
+// modeSubscribe is the mode of discovery in which a director must watch for changes.
 const modeSubscribe = "subscribe"
 
-// ParseSettings reads settings from words of the form key=value. Times are milliseconds. The error
-// names the key at fault. Unknown keys are skipped.
+// ParseSettings parses settings from words of the form key=value. Times are in milliseconds. The
+// error contains the key at fault. Unknown keys are ignored.
 func ParseSettings(words []string) (decision.Settings, SocketSettings, error) {
 	r, err := newSettingReader(words)
 	if err != nil {
@@ -76,7 +76,7 @@
 
 const keyClassCount = "Grades.count"
 
-// classKey is the key of a setting of one class.
+// classKey returns the key of a setting of one class.
 func classKey(class int, name string) string { return fmt.Sprintf("Grades.%d.%s", class, name) }
 
 func parseClasses(r *settingReader) []decision.Class {
@@ -118,8 +118,8 @@
 	return s
 }
 
-// parseUnused reads the settings that nothing uses. A bad value is an error all the same, and a
-// reload of the configuration reports a change.
+// parseUnused reads the settings that nothing uses. An invalid value is still an error, and the result
+// lets a reload of the configuration detect a changed value.
 func parseUnused(r *settingReader, classes int) string {
 	unused := fmt.Sprintln(
 		r.integer("SlotNo"),
--- a/internal/protocol/simulator/settings_test.go
+++ b/internal/protocol/simulator/settings_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// A reload has to notice a change, and a start a bad value, of a setting that nothing uses.
+// For a setting that nothing uses, a reload must detect a changed value and a start must reject an
+// invalid one.
 func TestUnusedSettings(t *testing.T) {
 	parse := func(words ...string) (string, error) {
 		_, sockets, err := ParseSettings(append([]string{"Grades.count=1"}, words...))
@@ -35,16 +36,16 @@
 	} {
 		changed, err := parse(key + "=" + values.other)
 		if err != nil || changed == base {
-			t.Errorf("%s=%s: no change, error %v", key, values.other, err)
+			t.Errorf("%s=%s: change not detected, error %v", key, values.other, err)
 		}
 		if values.bad == "" {
 			continue
 		}
 		if _, err := parse(key + "=" + values.bad); err == nil || !strings.Contains(err.Error(), "setting "+key+": not ") {
-			t.Errorf("%s=%s: error %v does not name the key", key, values.bad, err)
+			t.Errorf("%s=%s: error %v does not contain the key", key, values.bad, err)
 		}
 	}
 	if again, err := parse("Charges.Probe=0.0", "Limits.Probes=false"); err != nil || again != base {
-		t.Errorf("values that mean the same differ: %q, %q, %v", base, again, err)
+		t.Errorf("equivalent values differ: %q, %q, %v", base, again, err)
 	}
 }
--- a/internal/protocol/simulator/timer.go
+++ b/internal/protocol/simulator/timer.go
@@ -7,7 +7,7 @@
 	"stairvane.org/stairvane/internal/decision"
 )
 
-// timerNames are the simulator's names of the module's timers.
+// timerNames are the names of the decision module's timers in the protocol.
 var timerNames = map[decision.TimerKind]string{
 	decision.TimerUpkeep:          "sweep",
 	decision.TimerWatchEndpoints:  "subscribe",
@@ -16,8 +16,8 @@
 	decision.TimerObjectiveMissed: "late",
 }
 
-// formatTimer writes a timer as one word: its name, then its request and attempt where it has them,
-// separated by colons.
+// formatTimer encodes a timer as one word: its name and, for timers that have them, its request and
+// attempt, separated by colons.
 func formatTimer(t decision.Timer) string {
 	name := timerNames[t.Kind]
 	switch t.Kind {
@@ -29,8 +29,8 @@
 	return name
 }
 
-// parseTimer reads what formatTimer wrote. A word that it did not write is the zero Timer, which
-// the module ignores.
+// parseTimer decodes a timer that formatTimer has encoded. It returns the zero Timer, which the
+// decision module ignores, for an unknown name.
 func parseTimer(word string) decision.Timer {
 	name, rest, _ := strings.Cut(word, ":")
 	for kind, known := range timerNames {
@@ -44,7 +44,7 @@
 		case decision.TimerAttemptOverdue, decision.TimerObjectiveMissed:
 			id, number, _ := strings.Cut(rest, ":")
 			t.Request = decision.RequestID(id)
-			t.Attempt, _ = strconv.Atoi(number) // 0 where it is no number: no such attempt is open, or its first is meant
+			t.Attempt, _ = strconv.Atoi(number) // 0 if invalid: that attempt is not in flight or is the one that is meant
 		}
 		return t
 	}
