--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -28,7 +28,7 @@
 // rejectOrFail ends a request that cannot be served: it rejects a request that is safe to retry and
 // fails any other.
 func (r *Router) rejectOrFail(q *request) {
-	if r.mayRunAnywhere(q) {
+	if r.clientMayRetry(q) {
 		r.emit(Reject{Request: q.ID, RetryAfter: r.retryAfter(q)})
 	} else {
 		r.emit(Fail{Request: q.ID})
@@ -36,13 +36,14 @@
 	r.finish(q)
 }
 
-// mayRunAnywhere reports whether the client can safely retry the request at any director.
-func (r *Router) mayRunAnywhere(q *request) bool {
+// clientMayRetry reports whether the client can safely retry the request at any director.
+func (r *Router) clientMayRetry(q *request) bool {
 	class := r.class(q)
 	return class.Idempotency == Idempotent || q.firstRun() == nil ||
 		class.Idempotency == IdempotentWithKey && class.DedupScope == ScopeAll
 }
 
+// retryAfter returns the delay after which the client should retry a rejected request.
 func (r *Router) retryAfter(q *request) time.Duration {
 	slack := q.objectiveAt - q.sendTime - r.now // the typical overhead is not deducted
 	return min(max(slack/2, minRetryAfter), r.settings.MaxRetryAfter)
--- a/internal/decision/attempts.go
+++ b/internal/decision/attempts.go
@@ -127,6 +127,7 @@
 	defaultCachePriority = 1
 )
 
+// fetchOptions returns the options of an attempt for a class and a fetch depth.
 func (r *Router) fetchOptions(class *Class, depth fetchDepth) FetchOptions {
 	var options FetchOptions
 	if depth == fetchFromSource {
@@ -166,7 +167,7 @@
 	a.ended = true
 	a.cache.attemptsInFlight--
 	r.recordLoad(a.cache, e.Load)
-	a.recordEnd(e)
+	a.recordResult(e)
 	r.observeResult(a, e)
 	r.updateLimits(a, e)
 	waiting := r.closeFill(a)
@@ -180,8 +181,8 @@
 	r.releaseWaiting(waiting, a, e.Status == OK)
 }
 
-// recordEnd updates the attempt from its result.
-func (a *attempt) recordEnd(e AttemptResult) {
+// recordResult updates the attempt from its result.
+func (a *attempt) recordResult(e AttemptResult) {
 	switch e.Status {
 	case Full, ConnectFailed, NotSent, Miss:
 		a.mayHaveRun = false
--- a/internal/decision/doc.go
+++ b/internal/decision/doc.go
@@ -11,7 +11,7 @@
 // and capacities are measured in sending time, so that one large request counts as much as many small ones. The overhead of an answer
 // is its total time less its sending time.
 //
-// # Events in, actions out
+// # Events and actions
 //
 // A Router holds the state of one director. NewRouter creates it and Start returns its first
 // actions. After that the caller passes each event to Handle (a request has arrived, an attempt has
@@ -19,7 +19,7 @@
 // returns, in order (start or cancel an attempt, reject a request, set a timer). The package does no
 // I/O, starts no goroutines and reads no clock.
 //
-// # Duties of the caller
+// # Responsibilities of the caller
 //
 //   - For every SetTimer the caller passes one TimerFired with the same Timer. Timers cannot be cancelled; a timer whose request or
 //     attempt has ended has no effect.
--- a/internal/decision/endpoints.go
+++ b/internal/decision/endpoints.go
@@ -39,7 +39,7 @@
 	return h.load.CPUShare > saturatedCPUThreshold || h.load.LinkUse > 1
 }
 
-// recordAnswer records that the host has responded to an attempt.
+// recordAnswer records that the host has responded to an attempt at the given clock time.
 func (h *host) recordAnswer(now time.Duration) {
 	h.lastAnswerAt = now
 	h.health.overdueSinceAnswer = 0
@@ -68,6 +68,7 @@
 
 func (t *endpointTable) isParent(h *host) bool { return slices.Contains(t.parents, h) }
 
+// parentAnsweredSince reports whether any parent has responded to an attempt since a clock time.
 func (t *endpointTable) parentAnsweredSince(since time.Duration) bool {
 	return slices.ContainsFunc(t.parents, func(p *host) bool { return p.lastAnswerAt >= since })
 }
--- a/internal/decision/freshness.go
+++ b/internal/decision/freshness.go
@@ -54,10 +54,10 @@
 	return objectAt, true
 }
 
-// expireBefore removes the purges that were issued before the given clock time.
-func (l *purgeLog) expireBefore(before time.Duration) {
-	maps.DeleteFunc(l.objects, func(_ ObjectID, at time.Duration) bool { return at < before })
-	maps.DeleteFunc(l.groups, func(_ int, at time.Duration) bool { return at < before })
+// expireBefore removes the purges that were issued before the cutoff, a clock time.
+func (l *purgeLog) expireBefore(cutoff time.Duration) {
+	maps.DeleteFunc(l.objects, func(_ ObjectID, at time.Duration) bool { return at < cutoff })
+	maps.DeleteFunc(l.groups, func(_ int, at time.Duration) bool { return at < cutoff })
 }
 
 // handlePurge records a purge and closes the fills that it covers.
--- a/internal/decision/latency.go
+++ b/internal/decision/latency.go
@@ -77,12 +77,12 @@
 // observeSize returns the sending time of a request, computed from its size and the rate of one
 // transfer, and updates the mean of the class. If the size or the rate is unknown, it returns the
 // mean.
-func (s *estimates) observeSize(class int, sizeKB, paceKBPerS float64) time.Duration {
+func (s *estimates) observeSize(class int, sizeKB, rateKBPerS float64) time.Duration {
 	mean := &s.meanSend[class]
-	if sizeKB <= 0 || paceKBPerS <= 0 {
+	if sizeKB <= 0 || rateKBPerS <= 0 {
 		return seconds(*mean)
 	}
-	send := sizeKB / paceKBPerS
+	send := sizeKB / rateKBPerS
 	if *mean == 0 {
 		*mean = send
 	}
@@ -111,7 +111,7 @@
 	if e.CacheStatus == CacheStatusFilled || e.CacheStatus == CacheStatusFilledByOrigin {
 		smooth(&s.fetchShare, indicator(e.CacheStatus == CacheStatusFilledByOrigin), fetchSmoothing)
 	}
-	if r.sourceTookPart(e) {
+	if r.countsForSource(e) {
 		r.observeSource(a, e)
 	}
 }
--- a/internal/decision/limits.go
+++ b/internal/decision/limits.go
@@ -135,7 +135,7 @@
 		return // the source is at fault; its rejections are no sign of an overloaded link or origin
 	}
 	for _, l := range a.limits {
-		if metObjective || l != &r.limits.fills || !r.onlySourceIsSilent(a) && r.limits.linkUse >= lateFillLinkUseThreshold {
+		if metObjective || l != &r.limits.fills || !r.onlySourceIsUnresponsive(a) && r.limits.linkUse >= lateFillLinkUseThreshold {
 			r.updateLimit(l, a.request, metObjective)
 		}
 	}
@@ -148,8 +148,8 @@
 	l.update(q.sendTime, typical, metObjective, math.Sqrt(r.directorsInZone))
 }
 
-// onlySourceIsSilent reports whether, since the attempt was sent, its source has not responded to
-// anything while some parent has.
-func (r *Router) onlySourceIsSilent(a *attempt) bool {
+// onlySourceIsUnresponsive reports whether, since the attempt was sent, its source has not responded
+// to anything while some parent has.
+func (r *Router) onlySourceIsUnresponsive(a *attempt) bool {
 	return a.source.lastAnswerAt < a.sentAt && r.endpoints.parentAnsweredSince(a.sentAt)
 }
--- a/internal/decision/outliers.go
+++ b/internal/decision/outliers.go
@@ -67,20 +67,20 @@
 	return !h.health.isEjected(r.now) && (h.health.consecutiveEjections == 0 || h.attemptsInFlight == 0)
 }
 
-// recordSuccess records a success of the cache of a served attempt and, if the source took part, of
-// the source.
+// recordSuccess records a served attempt as a success of its cache and, if the source was involved,
+// of the source.
 func (r *Router) recordSuccess(a *attempt, e AttemptResult) {
 	if !a.countedAgainstCache {
 		r.recordOutcome(a.cache, false)
 	}
-	if r.sourceTookPart(e) {
+	if r.countsForSource(e) {
 		r.recordOutcome(a.source, false)
 	}
 }
 
-// sourceTookPart reports whether a served attempt counts as a success of its source. If answers do
+// countsForSource reports whether a served attempt counts as a success of its source. If answers do
 // not report a cache status, every served attempt does.
-func (r *Router) sourceTookPart(e AttemptResult) bool {
+func (r *Router) countsForSource(e AttemptResult) bool {
 	isFill := e.CacheStatus == CacheStatusFilled || e.CacheStatus == CacheStatusFilledByOrigin
 	return isFill || r.settings.CacheStatusMode == CacheStatusModeNone
 }
--- a/internal/decision/placement.go
+++ b/internal/decision/placement.go
@@ -45,7 +45,7 @@
 	switch {
 	case r.now+q.sendTime+seconds(r.estimates.overhead.bound(1)) > q.deadline: // the deadline is too short for a fill
 		return fetchFromCache, knownMiss < fetchFromCache
-	case r.inSlowStart(cache, q) && fills.fits(q.requiredHeadroom) && fetches.fits(q.requiredHeadroom):
+	case r.isInSlowStart(cache, q) && fills.fits(q.requiredHeadroom) && fetches.fits(q.requiredHeadroom):
 		return fetchAnywhere, true // a lookup first would use up the slow start budget
 	case knownMiss < fetchFromCache && fills.isLimited():
 		return fetchFromCache, true
--- a/internal/decision/retries.go
+++ b/internal/decision/retries.go
@@ -46,9 +46,8 @@
 	return len(q.attempts) < r.settings.MaxAttempts && r.now+q.sendTime < q.deadline
 }
 
-// mayRepeat reports whether it is safe to send the request to the host although an earlier attempt
-// may have run: no attempt may have run, the request is idempotent, or the host drops repeats of its
-// idempotency key.
+// mayRepeat reports whether it is safe to send the request to the host: no earlier attempt can have
+// run, the request is idempotent, or the host drops repeats of its idempotency key.
 func (r *Router) mayRepeat(q *request, h *host) bool {
 	class := r.class(q)
 	if class.Idempotency == Idempotent {
@@ -103,10 +102,11 @@
 	return max(r.now+typical+margin, r.latestSendAt(q))
 }
 
-// handleOverdue records the fault of an overdue attempt and cancels it if another one may follow.
+// handleOverdue cancels an overdue attempt if another one should replace it, and attributes the delay
+// to the host at fault.
 func (r *Router) handleOverdue(a *attempt) {
 	if r.shouldReplace(a) {
-		r.updateSharedLimits(a, false) // a cancelled attempt cannot be late any more, and would not count
+		r.updateSharedLimits(a, false) // counts as late now, because a cancelled attempt cannot miss its objective later
 		r.emit(CancelAttempt{Request: a.request.ID, Attempt: a.number})
 	}
 	r.recordOverdue(a)
--- a/internal/decision/slowstart.go
+++ b/internal/decision/slowstart.go
@@ -95,8 +95,8 @@
 	return r.directorsInZone
 }
 
-// inSlowStart reports whether attempts at a host count against a slow start budget.
-func (r *Router) inSlowStart(h *host, q *request) bool {
+// isInSlowStart reports whether attempts at a host count against a slow start budget.
+func (r *Router) isInSlowStart(h *host, q *request) bool {
 	_, ok := r.slowStartBudget(h, q)
 	return ok
 }
