--- a/internal/claims/doc.go
+++ b/internal/claims/doc.go
@@ -1,21 +1,23 @@
-// Package claims keeps idempotency claims for requests with an idempotency key: a token runs in one group of caches only within its
-// window, even if the director that sent it is lost.
+// Package claims manages idempotency claims for requests that carry an idempotency key. A claim ensures that, within its window, a
+// token is executed in only one group of caches, even if the director that sent the request is lost.
 //
-// Claims are divided into shards by token. The event log assigns each shard its replicas, which are directors, under an epoch; the
-// first replica is the primary. Claims themselves never enter the event log: they are replicated between directors.
+// Claims are sharded by token. For each epoch of a shard, the event log assigns the directors that are its replicas; the first
+// replica is the primary. Claims themselves are never written to the event log: directors replicate them among themselves.
 //
-// A director requests a claim from the shard's primary. The primary records it, replicates it, and grants it once all replicas
-// have confirmed it. A claim that another director holds is answered with the group where its token runs.
+// A director requests a claim from the shard's primary. The primary stores the claim, replicates it, and grants it once all
+// replicas have acknowledged it. If another director already holds the claim, the reply names the group that executes the token.
 //
 // # Takeover
 //
-// A new primary must know all claims that may be in force before it grants any. It closes earlier epochs at their replicas, which
-// send it their claims, then fills the new replicas, and reports the shard as ready. It serves once the event log shows that. If
-// no replica that has the earlier claims is left, it waits until the longest window is over instead.
+// A new primary must know all claims that may still be in force before it grants any. It closes earlier epochs at their replicas,
+// which send it their claims; it then copies all claims to the new replicas and reports the shard as ready. It serves requests
+// once the event log marks the epoch as ready. If no replica with the earlier claims is left, the primary instead waits until any
+// claim of the longest window has expired.
 //
 // # Use
 //
-// The caller passes messages (Receive), membership events (ApplyMembership), the end of its lease on them (Lease), requests and
-// the time (Tick, each 10 ms or so), and after each of these carries out what Take returns. A message to the node itself is passed
-// to Receive at once. A Node is not safe for concurrent use. The package does no I/O and reads no clock.
+// The caller passes in messages (Receive), membership events (ApplyMembership), the end of its membership lease (Lease), claim
+// requests (Request, Release) and the time (Tick, about every 10 ms). After each call it processes what Take returns. A message
+// addressed to the node itself must be passed to Receive at once. A Node is not safe for concurrent use. The package does no I/O
+// and reads no clock.
 package claims
--- a/internal/claims/grant.go
+++ b/internal/claims/grant.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// serves reports whether this node decides on a shard under an epoch at this moment. It does only once the event log shows the
-// epoch as ready. If the membership changes before that, the next primary takes over from the replicas of the last epoch that the
-// log shows as ready, and those know nothing of claims granted under this one.
+// serves reports whether this node is the primary of a shard for an epoch and may decide on requests at this time. It may do so only
+// once the event log marks the epoch as ready. If the membership changes before that, the next primary recovers claims from the
+// replicas of the last epoch marked as ready, and those do not have claims granted in this epoch.
 func (n *Node) serves(s *shard, epoch int64, now time.Duration) bool {
 	isPrimary := len(s.replicas) > 0 && s.replicas[0] == n.id
 	shownAsReady := s.ready && len(s.previousReplicas) == 0
@@ -15,7 +15,7 @@
 	return isPrimary && shownAsReady && isCurrent && now < n.lease
 }
 
-// handleRequest decides, at the primary, on a claim that a director requests.
+// handleRequest handles a director's request for a claim at the primary.
 func (n *Node) handleRequest(from string, m Message, now time.Duration) {
 	s := &n.shards[m.Shard]
 	wanted := m.Claims[0]
@@ -46,21 +46,21 @@
 	n.replicate(m.Shard, c, now)
 }
 
-// decideOnClaim decides on a request whose token has a claim.
+// decideOnClaim handles a request for a token that already has a claim.
 func (n *Node) decideOnClaim(c *storedClaim, from string, m Message, now time.Duration) {
 	wanted := m.Claims[0]
 	isOwn := c.Owner == from && c.Request == wanted.Request
 	switch {
 	case c.Object != wanted.Object:
 		n.reply(from, m, Reused, nil, now)
-	case len(c.unconfirmed) > 0: // it waits until the claim is replicated
+	case len(c.unconfirmed) > 0: // the request waits until the claim is replicated
 		isRepeated := slices.ContainsFunc(c.waiters, func(w waiter) bool { return w.caller == from && w.Seq == m.Seq })
 		if !isRepeated {
 			c.waiters = append(c.waiters, waiter{caller: from, Message: m})
 		}
-	case isOwn && m.Seq <= c.Seq: // a repeated message
+	case isOwn && m.Seq <= c.Seq: // a duplicate or delayed message
 		n.reply(from, m, Granted, &c.Claim, now)
-	case isOwn && m.MayMove: // nothing has run under it: it moves, and its window begins anew
+	case isOwn && m.MayMove: // nothing has been executed yet: move the claim and restart its window
 		c.Group = wanted.Group
 		c.At = now
 		c.Seq = m.Seq
@@ -74,7 +74,7 @@
 	}
 }
 
-// reply answers a request, with a claim or without.
+// reply sends a verdict on a request to its sender. c may be nil; otherwise it is included in the reply.
 func (n *Node) reply(to string, request Message, v Verdict, c *Claim, now time.Duration) {
 	m := Message{Kind: ReplyClaim, Seq: request.Seq, Epoch: request.Epoch, Shard: request.Shard, Verdict: v}
 	if c != nil {
@@ -83,13 +83,13 @@
 	n.send(to, m)
 }
 
-// withAge returns the claim as it is sent.
+// withAge returns a copy of the claim in its wire form, in which At holds the claim's age instead of a time.
 func (c Claim) withAge(now time.Duration) Claim {
 	c.At = now - c.At
 	return c
 }
 
-// insertClaim records a claim. It replaces one of the same token.
+// insertClaim stores a claim, replacing any claim for the same token.
 func (n *Node) insertClaim(s *shard, c *storedClaim) {
 	if s.claims == nil {
 		s.claims = map[string]*storedClaim{}
@@ -100,7 +100,7 @@
 	s.claims[c.Token] = c
 }
 
-// replicate sends a claim to the other replicas. Those who wait for it are answered once all have confirmed it.
+// replicate sends a claim to the other replicas. The claim's waiters are answered once all replicas have acknowledged it.
 func (n *Node) replicate(i int, c *storedClaim, now time.Duration) {
 	s := &n.shards[i]
 	c.unconfirmed = map[string]bool{}
@@ -115,7 +115,7 @@
 	}
 }
 
-// answerWaiters answers those who wait for a claim that is now replicated. The first is the owner, whose request was replicated.
+// answerWaiters handles the requests that waited for a claim to be replicated. The first is the owner's, which caused the replication.
 func (n *Node) answerWaiters(c *storedClaim, now time.Duration) {
 	waiters := c.waiters
 	c.waiters = nil
@@ -125,7 +125,7 @@
 	}
 }
 
-// handleReplicate records, at a replica, claims from the primary.
+// handleReplicate stores claims received from the primary at a replica and returns the verdict to send back.
 func (n *Node) handleReplicate(m Message, now time.Duration) Verdict {
 	s := &n.shards[m.Shard]
 	if m.Epoch != s.epoch || m.Epoch < s.closedEpoch || !slices.Contains(s.replicas, n.id) {
@@ -137,7 +137,8 @@
 	return Granted
 }
 
-// storeReplica records a claim from a message that was sent at a moment or later. Of two versions, the later stays.
+// storeReplica stores a claim received in a message that was sent at sentAt or later. If a newer version of the same claim is already
+// stored, that version is kept.
 func (n *Node) storeReplica(s *shard, c Claim, sentAt time.Duration) {
 	c.At = sentAt - c.At
 	if old := s.claims[c.Token]; old != nil && old.Version > c.Version && old.Owner == c.Owner && old.Request == c.Request {
@@ -146,8 +147,8 @@
 	n.insertClaim(s, &storedClaim{Claim: c})
 }
 
-// handleConfirm handles, at the primary, that a replica has recorded claims, or not. After a refusal Tick sends them again: one of
-// the two has not applied the epoch yet.
+// handleConfirm handles a replica's reply to a Replicate message at the primary. If the replica refused, one of the two has not
+// applied the epoch yet, and Tick sends the message again.
 func (n *Node) handleConfirm(from string, m Message, now time.Duration) {
 	p := n.unconfirmed[m.Seq]
 	if p == nil || p.Kind != Replicate || p.To != from {
@@ -179,7 +180,8 @@
 	}
 }
 
-// handleRelease releases a claim under which nothing has run: at the primary for its owner, at other replicas for the primary.
+// handleRelease deletes a claim for which nothing has been executed. The primary accepts a release only from the claim's owner, and
+// the other replicas only from the primary.
 func (n *Node) handleRelease(from string, m Message) {
 	s := &n.shards[m.Shard]
 	released := m.Claims[0]
--- a/internal/claims/messages.go
+++ b/internal/claims/messages.go
@@ -2,68 +2,68 @@
 
 import "time"
 
-// Claim is that a token runs in one group of caches only.
+// Claim restricts the execution of a token to one group of caches.
 type Claim struct {
 	Token   string
 	Object  uint64
-	Group   string // in the caller's words
+	Group   string // opaque to this package; the caller defines it
 	Owner   string // ID of the director that requested it
-	Request string // of the owner, which may move the claim while nothing of it has run
-	Version uint32 // counts the moves
-	Seq     uint64 // of the message that it was granted to last
+	Request string // ID that the owner gave the request; the owner may move the claim while nothing has been executed
+	Version uint32 // incremented with each move to another group
+	Seq     uint64 // sequence number of the last request message that it was granted for
 	Window  time.Duration
-	At      time.Duration // when it was recorded, by this node's clock, or earlier; in messages: its age
+	At      time.Duration // when it was stored by this node's clock, or earlier; in messages: the claim's age
 }
 
-// Kind is the kind of a message. Its values are sent between directors.
+// Kind is the type of a message. Its values are part of the protocol between directors.
 type Kind uint8
 
-// Kinds of messages.
+// Message kinds.
 const (
 	RequestClaim   Kind = iota // a director requests a claim from the primary
-	ReplyClaim                 // the primary's verdict
-	Replicate                  // the primary sends a replica one claim, or all claims of a shard to fill it
-	ConfirmReplica             // the replica has recorded them, or not
-	ReleaseClaim               // nothing has run under the claim: it is released
-	CloseEpoch                 // a new primary ends earlier epochs at one of their replicas
-	EpochClosed                // the replica has, and sends all claims of the shard
+	ReplyClaim                 // the primary replies with its verdict
+	Replicate                  // the primary sends a replica one claim, or all claims of the shard to initialize it
+	ConfirmReplica             // the replica reports whether it stored the claims
+	ReleaseClaim               // the claim is released because nothing has been executed
+	CloseEpoch                 // a new primary asks a replica of earlier epochs to close them
+	EpochClosed                // the replica has closed them and sends all its claims of the shard
 )
 
-// Verdict is the result of a request, or of a message. Its values are sent between directors.
+// Verdict is the result of a request or of a message. Its values are part of the protocol between directors.
 type Verdict uint8
 
 // Verdicts.
 const (
 	Granted       Verdict = iota
-	HeldElsewhere         // the token runs in another group; the answer has the group and the claim's age
-	Reused                // the token is in use for another object
-	Full                  // the primary holds as many claims as it may
-	RetryLater            // the node does not serve the shard now
-	Unreachable           // no verdict came in time
+	HeldElsewhere         // the token belongs to another group; the reply has the group and the claim's age
+	Reused                // the token is already used for another object
+	Full                  // the primary has reached its limit of claims
+	RetryLater            // the node does not currently serve the shard
+	Unreachable           // no verdict arrived before the deadline
 )
 
-// Message goes from one director to another.
+// Message is a message from one director to another.
 type Message struct {
 	Kind    Kind
-	Seq     uint64 // of the sender of a request; its answer has the same
+	Seq     uint64 // sequence number of the sender; a reply repeats that of its request
 	Epoch   int64
 	Shard   int
 	Verdict Verdict
-	MayMove bool    // RequestClaim: nothing of the request has run, so its claim may move to another group
-	Claims  []Claim // with ages in place of times
+	MayMove bool    // for RequestClaim: nothing has been executed yet, so an existing claim may move to another group
+	Claims  []Claim // At holds ages instead of times
 }
 
-// Sending is a message and the ID of the director that it goes to.
+// Sending is an outgoing message and the ID of its destination director.
 type Sending struct {
 	To string
 	Message
 }
 
-// Outcome ends a request.
+// Outcome is the final result of a claim request.
 type Outcome struct {
-	Key         uint64 // of the request
+	Key         uint64 // the key passed to Request
 	Verdict     Verdict
-	Group       string        // where the token runs, if HeldElsewhere
-	Age         time.Duration // of the claim, if HeldElsewhere; never too low
-	RequestedAt time.Duration // a granted claim counts from this moment or later
+	Group       string        // the group that executes the token, if HeldElsewhere
+	Age         time.Duration // of the claim, if HeldElsewhere; never underestimated
+	RequestedAt time.Duration // a granted claim's window starts at this time or later
 }
--- a/internal/claims/node.go
+++ b/internal/claims/node.go
@@ -5,78 +5,79 @@
 	"time"
 )
 
-// Settings of a Node.
+// Settings configures a Node.
 type Settings struct {
-	Shards      int           // the same at all directors
-	Slack       time.Duration // added to a claim's lifetime: an attempt may be sent a little after the claim was granted
-	MaxWindow   time.Duration // the longest window of any claim
-	MaxClaims   int           // claims of this node, as primary and as replica
-	ResendAfter time.Duration // after which an unanswered message is sent again
+	Shards      int           // must be the same for all directors
+	Slack       time.Duration // added to a claim's lifetime, since an attempt may be sent a little after the claim was granted
+	MaxWindow   time.Duration // upper bound of the window of any claim
+	MaxClaims   int           // limit of claims stored by this node, as primary and as replica
+	ResendAfter time.Duration // time after which an unacknowledged message is sent again
 }
 
-// lifetime returns how long a claim lasts. A director that is answered with HeldElsewhere may be the first to send, up to the
-// window's end, since the owner may have died before it sent. From then on the caches drop repeats for as long again.
+// lifetime returns how long a claim is kept. A director that receives HeldElsewhere may be the first to send the request, at the
+// latest at the end of the window, because the owner may have failed before sending it. From then on the caches reject duplicates
+// for another window.
 func (s Settings) lifetime(window time.Duration) time.Duration { return 2*window + s.Slack }
 
-// Node is one director's part in the claims. It is not safe for concurrent use.
+// Node is one director's instance of the claims protocol. It is not safe for concurrent use.
 type Node struct {
 	set     Settings
 	id      string
-	members map[string]bool // IDs of all directors that are members
+	members map[string]bool // IDs of the member directors
 	shards  []shard
-	lease   time.Duration // until when the membership is known to be no older than a lease
-	seq     uint64        // of the last message that wants an answer
+	lease   time.Duration // end of the membership lease; no shard is served after it
+	seq     uint64        // sequence number of the last message that expects a reply
 
 	requests         map[uint64]*pendingRequest // by sequence number
-	requestOrder     []uint64                   // sequence numbers, some of requests that are finished
+	requestOrder     []uint64                   // sequence numbers in order of creation; may include finished requests
 	unconfirmed      map[uint64]*pendingMessage // by sequence number
-	unconfirmedOrder []uint64                   // sequence numbers, some of messages that are confirmed
+	unconfirmedOrder []uint64                   // sequence numbers in order of creation; may include acknowledged messages
 
 	claimCount  int
-	nextSweep   int // the next shard whose expired claims are dropped
+	nextSweep   int // the next shard to remove expired claims from
 	outbox      []Sending
 	outcomes    []Outcome
-	readyShards []int64 // pairs of shard and epoch
+	readyShards []int64 // alternating shard and epoch
 }
 
-// shard is one shard of the claims as this node knows it.
+// shard is this node's state of one shard.
 type shard struct {
 	epoch            int64
 	replicas         []string // IDs; the first is the primary
-	previousReplicas []string // of the last epoch that was ready, until this one is
-	closedEpoch      int64    // no earlier epoch is served
+	previousReplicas []string // of the last ready epoch; empty once the current epoch is ready
+	closedEpoch      int64    // epochs before this one are not served
 	ready            bool     // this node is the primary, and all replicas have the claims of earlier epochs
 	claims           map[string]*storedClaim
 
-	// Of a takeover by this node, see continueTakeover.
-	awaitingClose      map[string]bool // replicas of earlier epochs that have not answered; nil: there is no takeover
-	awaitingFill       map[string]bool // new replicas that are not filled
-	hasPreviousClaims  bool            // a replica of the last ready epoch has sent its claims, or this node is one
-	unknownClaimsUntil time.Duration   // until when claims may be in force that no replica has; 0: there are none
+	// State of a takeover by this node; see continueTakeover.
+	awaitingClose      map[string]bool // replicas of earlier epochs that have not replied; nil if no takeover is in progress
+	awaitingFill       map[string]bool // new replicas that have not yet acknowledged the claims
+	hasPreviousClaims  bool            // a replica of the last ready epoch has sent its claims, or this node was one
+	unknownClaimsUntil time.Duration   // when claims that no remaining replica has will have expired; 0: there are none
 }
 
-// storedClaim is a claim that this node holds.
+// storedClaim is a claim stored by this node.
 type storedClaim struct {
 	Claim
-	unconfirmed map[string]bool // replicas that have not confirmed it
+	unconfirmed map[string]bool // replicas that have not acknowledged it
 	waiters     []waiter
 }
 
-// waiter is a request that waits until its claim is replicated.
+// waiter is a request that is answered once its claim is replicated.
 type waiter struct {
 	caller string
 	Message
 }
 
-// pendingMessage is a message that is sent again until it is answered.
+// pendingMessage is a message that is sent again until it is acknowledged.
 type pendingMessage struct {
 	Sending
-	token       string // of the claim; empty: the message is for all claims of a shard
+	token       string // token of the claim; empty if the message concerns all claims of a shard
 	sentAt      time.Duration
 	firstSentAt time.Duration
 }
 
-// New makes the node of a director.
+// New returns the node of the director with the given ID.
 func New(id string, set Settings) *Node {
 	return &Node{
 		set:         set,
@@ -88,8 +89,8 @@
 	}
 }
 
-// Take returns, once, the messages to send, the outcomes of requests, and the shards that have become ready as pairs of shard and
-// epoch, which are to be reported to the control plane.
+// Take returns and clears the messages to send, the outcomes of requests, and the shards that have become ready, as alternating shard
+// and epoch. The caller must report the ready shards to the control plane.
 func (n *Node) Take() (out []Sending, outcomes []Outcome, ready []int64) {
 	out = n.outbox
 	outcomes = n.outcomes
@@ -100,7 +101,8 @@
 	return out, outcomes, ready
 }
 
-// Lease sets until when the membership is known to be no older than a lease. The node serves no shard after that.
+// Lease sets the end of the membership lease, up to which the membership known to the node is no older than a lease. The node serves
+// no shard after that.
 func (n *Node) Lease(until time.Duration) { n.lease = until }
 
 // Receive handles a message from another director, or from the node itself.
@@ -131,7 +133,7 @@
 	}
 }
 
-// Tick sends unanswered messages again, ends requests that have waited too long, goes on with takeovers, and drops expired claims
+// Tick resends unacknowledged messages, ends requests whose deadline has passed, continues takeovers, and removes the expired claims
 // of one shard.
 func (n *Node) Tick(now time.Duration) {
 	n.retryRequests(now)
@@ -144,7 +146,7 @@
 	n.sweep(now)
 }
 
-// sweep drops the expired claims of the next shard.
+// sweep removes the expired claims of the next shard.
 func (n *Node) sweep(now time.Duration) {
 	s := &n.shards[n.nextSweep]
 	n.nextSweep = (n.nextSweep + 1) % len(n.shards)
@@ -156,12 +158,14 @@
 	}
 }
 
+// expired reports whether the lifetime of a claim has ended.
 func (n *Node) expired(c *Claim, now time.Duration) bool { return now >= c.At+n.set.lifetime(c.Window) }
 
-// send queues a message.
+// send enqueues a message, which Take returns.
 func (n *Node) send(to string, m Message) { n.outbox = append(n.outbox, Sending{To: to, Message: m}) }
 
-// sendUntilConfirmed sends a message, and sends it again until it is answered. token is that of its claim, or empty.
+// sendUntilConfirmed sends a message and resends it until it is acknowledged. token is the token of its claim, or empty if the message
+// concerns all claims of a shard.
 func (n *Node) sendUntilConfirmed(s Sending, token string, now time.Duration) {
 	n.seq++
 	s.Seq = n.seq
@@ -170,7 +174,7 @@
 	n.send(s.To, s.Message)
 }
 
-// resendUnconfirmed sends messages again that are unanswered for too long. Those of an earlier epoch are dropped.
+// resendUnconfirmed resends the messages that have not been acknowledged within ResendAfter. Messages of earlier epochs are dropped.
 func (n *Node) resendUnconfirmed(now time.Duration) {
 	n.unconfirmedOrder = slices.DeleteFunc(n.unconfirmedOrder, func(seq uint64) bool { return n.unconfirmed[seq] == nil })
 	for _, seq := range n.unconfirmedOrder {
@@ -184,13 +188,13 @@
 		}
 		p.sentAt = now
 		if p.Kind == Replicate && p.token == "" && len(p.Claims) > 0 {
-			p.Claims = n.claimsWithAges(&n.shards[p.Shard], now) // their ages have grown
+			p.Claims = n.claimsWithAges(&n.shards[p.Shard], now) // their ages have increased
 		}
 		n.send(p.To, p.Message)
 	}
 }
 
-// hasUnconfirmed reports whether a message of a kind for the current epoch of a shard is unanswered.
+// hasUnconfirmed reports whether a message of the given kind to a replica, for the current epoch of a shard, is unacknowledged.
 func (n *Node) hasUnconfirmed(to string, k Kind, shard int) bool {
 	for _, p := range n.unconfirmed {
 		if p.To == to && p.Kind == k && p.Shard == shard && p.Epoch == n.shards[shard].epoch {
@@ -200,7 +204,7 @@
 	return false
 }
 
-// dropUnconfirmed has messages of a kind not sent again.
+// dropUnconfirmed stops resending messages of the given kind to a replica of a shard.
 func (n *Node) dropUnconfirmed(to string, k Kind, shard int) {
 	for seq, p := range n.unconfirmed {
 		if p.To == to && p.Kind == k && p.Shard == shard {
--- a/internal/claims/placement.go
+++ b/internal/claims/placement.go
@@ -7,29 +7,29 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ShardCandidate is a director that holds claims.
+// ShardCandidate is a director that may be a replica of shards.
 type ShardCandidate struct {
 	ID      string
-	Name    string // stays the same when the process starts again, and so do its shards
-	Machine string // failure domains
-	Site    string
+	Name    string // unchanged when the process restarts, so that it keeps its shards
+	Machine string // failure domain
+	Site    string // failure domain
 }
 
-// ShardOf returns the shard of a token.
+// ShardOf returns the shard of a token, from 0 to shards-1.
 func ShardOf(token string, shards int) int { return int(xxhash.Sum64String(token) % uint64(shards)) }
 
-// rendezvousWeight is the weight of a place for a shard. With rendezvous hashing a change of the places moves few shards.
+// rendezvousWeight returns the weight of a candidate for a shard. With rendezvous hashing, a change of the candidates moves few shards.
 func rendezvousWeight(shard int, name string) uint64 {
 	return xxhash.Sum64String(string([]byte{byte(shard >> 8), byte(shard)}) + name)
 }
 
-// weightedPlace is a place and its weight for a shard.
+// weightedPlace is a candidate and its weight for a shard.
 type weightedPlace struct {
 	ShardCandidate
 	weight uint64
 }
 
-// rank returns the places by falling weight for a shard.
+// rank returns the candidates in descending order of their weight for a shard.
 func rank(shard int, places []ShardCandidate) []weightedPlace {
 	ranked := make([]weightedPlace, len(places))
 	for i, p := range places {
@@ -41,8 +41,8 @@
 	return ranked
 }
 
-// SelectReplicas returns the IDs of a shard's replicas, at most count, the primary first. Each is on another machine, and in
-// another site as far as there are sites.
+// SelectReplicas returns the IDs of a shard's replicas, at most count, the primary first. The replicas are on different machines and,
+// as far as there are enough sites, in different sites.
 func SelectReplicas(shard, count int, places []ShardCandidate) []string {
 	ranked := rank(shard, places)
 	machines := map[string]bool{}
@@ -64,8 +64,8 @@
 	return replicas
 }
 
-// Reassign returns the changes after which the places hold all shards, each with at most replicaCount replicas. The replicas of the
-// last epoch that was ready stay named as the previous ones until the new ones are filled.
+// Reassign returns the shards whose replicas must change so that the candidates hold all shards, each with at most replicaCount
+// replicas. PreviousReplicas keeps the replicas of the last ready epoch until the new replicas have all claims.
 func Reassign(shards []ShardState, replicaCount int, places []ShardCandidate) []ShardState {
 	var changed []ShardState
 	for i, s := range shards {
--- a/internal/claims/request.go
+++ b/internal/claims/request.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// pendingRequest is a claim that this director has requested.
+// pendingRequest is a claim request of this director that has no outcome yet.
 type pendingRequest struct {
 	key           uint64
 	claim         Claim
 	mayMove       bool
 	deadline      time.Duration
 	firstSentAt   time.Duration
-	sentAt        time.Duration // of the last message
-	awaitingReply bool          // the last message is unanswered
+	sentAt        time.Duration // when the last message was sent
+	awaitingReply bool          // no reply to the last message has arrived
 }
 
-// Request requests a claim. Its outcome has the key and comes by the deadline. mayMove says that nothing of the request has run, so
-// that a claim that it has may move to another group.
+// Request requests a claim. Take returns its outcome under the given key, at the latest after the first Tick past the deadline.
+// mayMove states that nothing of the request has been executed, so that a claim it already has may move to another group.
 func (n *Node) Request(key uint64, c Claim, mayMove bool, deadline, now time.Duration) {
 	c.Owner = n.id
 	n.seq++
@@ -27,7 +27,7 @@
 	n.sendRequest(n.seq, r, now)
 }
 
-// sendRequest sends a request to the primary of its shard. Without a primary it waits for the next try.
+// sendRequest sends a request to the primary of its shard. If the shard has no primary, the request is retried later.
 func (n *Node) sendRequest(seq uint64, r *pendingRequest, now time.Duration) {
 	i := ShardOf(r.claim.Token, n.set.Shards)
 	s := &n.shards[i]
@@ -48,7 +48,8 @@
 	})
 }
 
-// retryRequests ends requests whose deadline is over, and sends others again: soon after a RetryLater, else after a while.
+// retryRequests ends the requests whose deadline has passed and resends the others: ResendAfter/2 after they were last sent if the
+// verdict was RetryLater, and 4*ResendAfter if there was no reply.
 func (n *Node) retryRequests(now time.Duration) {
 	n.requestOrder = slices.DeleteFunc(n.requestOrder, func(seq uint64) bool { return n.requests[seq] == nil })
 	for _, seq := range slices.Clone(n.requestOrder) {
@@ -63,7 +64,7 @@
 	}
 }
 
-// handleReply handles the verdict on a request.
+// handleReply handles the primary's verdict on a request of this director.
 func (n *Node) handleReply(m Message, now time.Duration) {
 	r := n.requests[m.Seq]
 	if r == nil {
@@ -81,13 +82,14 @@
 	n.finishRequest(m.Seq, o)
 }
 
-// finishRequest ends a request.
+// finishRequest ends a request with an outcome.
 func (n *Node) finishRequest(seq uint64, o Outcome) {
 	delete(n.requests, seq)
 	n.outcomes = append(n.outcomes, o)
 }
 
-// Release releases a claim under which nothing has run. A message that is lost leaves the claim until it expires.
+// Release releases a claim for which nothing has been executed. The message is not resent: if it is lost, the claim remains until it
+// expires.
 func (n *Node) Release(token, request string) {
 	i := ShardOf(token, n.set.Shards)
 	s := &n.shards[i]
--- a/internal/claims/takeover.go
+++ b/internal/claims/takeover.go
@@ -6,16 +6,17 @@
 	"time"
 )
 
-// ShardState is a shard as the membership events describe it.
+// ShardState is the state of a shard in a membership event.
 type ShardState struct {
 	Shard            int
 	Epoch            int64
 	Replicas         []string // IDs; the first is the primary
-	PreviousReplicas []string // of the last epoch that was ready, until this one is
-	ReadyEpoch       int64    // set without the rest: this epoch is ready, all its replicas are filled
+	PreviousReplicas []string // of the last ready epoch; empty once this epoch is ready
+	ReadyEpoch       int64    // if set, only Shard is set too: this epoch is ready, and all its replicas have the claims
 }
 
-// ApplyMembership applies a change of the members and of the shards. A snapshot replaces all members.
+// ApplyMembership applies changes to the members and shards. If snapshot is true, joined replaces all members; otherwise it adds to
+// them.
 func (n *Node) ApplyMembership(joined, left []string, snapshot bool, shards []ShardState, now time.Duration) {
 	if snapshot {
 		clear(n.members)
@@ -29,13 +30,14 @@
 	for _, state := range shards {
 		n.applyShard(state, now)
 	}
-	for i := range n.shards { // a replica that has left is not waited for
+	for i := range n.shards { // takeovers no longer wait for replicas that have left
 		if s := &n.shards[i]; s.awaitingClose != nil {
 			n.continueTakeover(i, now)
 		}
 	}
 }
 
+// applyShard applies the state of a shard: a new epoch, or that the current epoch is ready.
 func (n *Node) applyShard(state ShardState, now time.Duration) {
 	s := &n.shards[state.Shard]
 	becomesReady := state.ReadyEpoch > 0 && state.ReadyEpoch == s.epoch
@@ -49,7 +51,7 @@
 	}
 }
 
-// dropIfNotReplica drops the claims of a shard if this node is none of its replicas any more.
+// dropIfNotReplica removes the claims of a shard if this node is not one of its current replicas.
 func (n *Node) dropIfNotReplica(s *shard) {
 	if !slices.Contains(s.replicas, n.id) {
 		n.claimCount -= len(s.claims)
@@ -57,7 +59,8 @@
 	}
 }
 
-// beginEpoch begins an epoch of a shard. Those who wait for claims request them again under it.
+// beginEpoch switches a shard to a new epoch. Requests that wait for claims are rejected with RetryLater, so that their senders repeat
+// them in the new epoch.
 func (n *Node) beginEpoch(state ShardState, now time.Duration) {
 	s := &n.shards[state.Shard]
 	n.rejectWaiters(s)
@@ -90,7 +93,7 @@
 	n.continueTakeover(state.Shard, now)
 }
 
-// rejectWaiters answers all who wait for claims of a shard with RetryLater.
+// rejectWaiters answers all requests that wait for claims of a shard with RetryLater.
 func (n *Node) rejectWaiters(s *shard) {
 	for _, token := range tokens(s) {
 		c := s.claims[token]
@@ -102,16 +105,16 @@
 	}
 }
 
-// tokens returns the tokens of a shard's claims, sorted, so that messages have a fixed order.
+// tokens returns the tokens of a shard's claims, sorted so that messages have a deterministic order.
 func tokens(s *shard) []string { return slices.Sorted(maps.Keys(s.claims)) }
 
-// continueTakeover goes on with a takeover as far as it can now: it closes earlier epochs at their replicas, which send their claims,
-// then fills the new replicas, and then has the shard ready.
+// continueTakeover advances a takeover as far as currently possible: it closes earlier epochs at their replicas, which send their
+// claims, then sends all claims to the new replicas, and finally marks the shard as ready.
 func (n *Node) continueTakeover(i int, now time.Duration) {
 	s := &n.shards[i]
 	n.closeEarlierEpochs(i, now)
 	if len(s.awaitingClose) == 0 && !s.hasPreviousClaims && s.unknownClaimsUntil == 0 {
-		// Claims may be in force that no remaining replica has. They expire by then.
+		// Claims that no remaining replica has may still be in force. All of them will have expired by this time.
 		s.unknownClaimsUntil = now + n.set.lifetime(n.set.MaxWindow)
 	}
 	if len(s.awaitingClose) > 0 || now < s.unknownClaimsUntil {
@@ -129,7 +132,7 @@
 	}
 }
 
-// closeEarlierEpochs has each replica of earlier epochs close them, and does not wait for those that are no members any more.
+// closeEarlierEpochs asks each replica of earlier epochs to close them. It stops waiting for replicas that are no longer members.
 func (n *Node) closeEarlierEpochs(i int, now time.Duration) {
 	s := &n.shards[i]
 	for _, id := range slices.Sorted(maps.Keys(s.awaitingClose)) {
@@ -144,7 +147,7 @@
 	}
 }
 
-// fillReplicas sends all claims of a shard to the other replicas.
+// fillReplicas sends all claims of a shard to its other replicas.
 func (n *Node) fillReplicas(i int, now time.Duration) {
 	s := &n.shards[i]
 	s.awaitingFill = map[string]bool{}
@@ -155,7 +158,7 @@
 	}
 }
 
-// ReadyShards returns the shards, as pairs of shard and epoch, that are ready and that the event log does not show as ready yet.
+// ReadyShards returns the shards that are ready but not yet marked as ready in the event log, as alternating shard and epoch.
 func (n *Node) ReadyShards() []int64 {
 	var pairs []int64
 	for i := range n.shards {
@@ -166,7 +169,7 @@
 	return pairs
 }
 
-// claimsWithAges returns the claims of a shard as they are sent.
+// claimsWithAges returns the unexpired claims of a shard in their wire form, sorted by token.
 func (n *Node) claimsWithAges(s *shard, now time.Duration) []Claim {
 	var all []Claim
 	for _, token := range tokens(s) {
@@ -177,7 +180,7 @@
 	return all
 }
 
-// handleCloseEpoch ends earlier epochs of a shard at this replica, and sends its claims to the new primary.
+// handleCloseEpoch closes earlier epochs of a shard at this replica and sends its claims to the new primary.
 func (n *Node) handleCloseEpoch(from string, m Message, now time.Duration) {
 	s := &n.shards[m.Shard]
 	if m.Epoch < s.epoch || m.Epoch < s.closedEpoch {
@@ -194,8 +197,8 @@
 	})
 }
 
-// handleEpochClosed takes over, at the new primary, the claims of a replica of an earlier epoch. Their ages count from when that was
-// requested first.
+// handleEpochClosed stores the claims of a replica of an earlier epoch at the new primary. Their ages are taken relative to the time
+// when the CloseEpoch message was first sent.
 func (n *Node) handleEpochClosed(from string, m Message, now time.Duration) {
 	p := n.unconfirmed[m.Seq]
 	if p == nil || p.Kind != CloseEpoch || p.To != from || p.Epoch != m.Epoch {
--- a/internal/claims/wire.go
+++ b/internal/claims/wire.go
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// A message is sent as an array of bulk strings, as caches' commands are: a head of numbers, then the claims, one a line, in bulk
-// strings of a bounded size. Fields are separated by blanks, so no field may contain one.
+// A message is encoded as an array of bulk strings, like the commands of caches: a head of numbers, followed by the claims, one per
+// line, in bulk strings of a bounded size. Fields are separated by spaces, so no field may contain one.
 
-// MaxBulks is the number of bulk strings of claims in a message, at most. A shard of some ten thousand claims fits.
+// MaxBulks is the maximum number of bulk strings of claims in a message. A shard of about ten thousand claims fits.
 const MaxBulks = 6
 
-// errMalformed is the error of Decode.
+// errMalformed is returned by Decode if a message cannot be parsed.
 var errMalformed = errors.New("claims: malformed message")
 
-// Bounds and forms of encoded numbers.
+// Numbers of fields in the encoding, and bounds of encoded values.
 const (
 	headFields  = 6
 	claimFields = 9
-	maxMicros   = uint64(1 << 53) // of a window or an age
+	maxMicros   = uint64(1 << 53) // upper bound of a window or an age
 )
 
-// Head encodes a message without its claims.
+// Head returns the encoding of a message without its claims.
 func (m Message) Head() []byte {
 	mayMove := 0
 	if m.MayMove {
@@ -34,7 +34,8 @@
 	return fmt.Appendf(nil, "%d %d %d %d %d %d", m.Kind, m.Seq, m.Epoch, m.Shard, m.Verdict, mayMove)
 }
 
-// Bulks encodes the claims of a message into bulk strings of at most maxBytes. The error says that they do not fit into MaxBulks.
+// Bulks returns the encoding of the claims of a message as bulk strings of at most maxBytes. It returns an error if they need more
+// than MaxBulks bulk strings.
 func (m Message) Bulks(maxBytes int) (bulks [][]byte, err error) {
 	var b []byte
 	for _, c := range m.Claims {
@@ -50,12 +51,12 @@
 		bulks = append(bulks, b)
 	}
 	if len(bulks) > MaxBulks {
-		return nil, fmt.Errorf("claims: %d claims of one shard do not fit a message", len(m.Claims))
+		return nil, fmt.Errorf("claims: %d claims of one shard exceed the size of a message", len(m.Claims))
 	}
 	return bulks, nil
 }
 
-// orNone encodes an empty field.
+// orNone returns the encoding of a text field; an empty one is encoded as "-".
 func orNone(s string) string {
 	if s == "" {
 		return "-"
@@ -63,7 +64,7 @@
 	return s
 }
 
-// Decode decodes a message from its head and its bulk strings.
+// Decode decodes a message from its head and bulk strings. It returns errMalformed if they cannot be parsed.
 func Decode(head []byte, bulks [][]byte) (m Message, err error) {
 	words := bytes.Fields(head)
 	if len(words) != headFields {
@@ -98,6 +99,7 @@
 	return m, nil
 }
 
+// decodeClaim decodes a claim from a line of a bulk string.
 func decodeClaim(line []byte) (c Claim, err error) {
 	w := bytes.Fields(line)
 	if len(w) != claimFields {
