--- a/internal/health/aggregator.go
+++ b/internal/health/aggregator.go
@@ -8,17 +8,18 @@
 	"time"
 )
 
-// Aggregation looks at all caches and all directors that report them, and is asked for with each report. So a result is reused
-// for aggregateInterval, or longer where there are many directors.
+// Aggregation iterates over all caches and all directors that report on them, and its result is requested with each report. So a result
+// is reused for aggregateInterval, or longer if there are many directors.
 const (
 	aggregateInterval            = 50 * time.Millisecond
 	aggregateIntervalPerDirector = 250 * time.Microsecond
 )
 
 const (
-	// shareSteps is in how many steps a share of failures is compared: a smaller change is no new result.
+	// shareSteps is the number of steps to which shares of failures are rounded before they are compared: a change that does not
+	// alter a rounded share does not count as a new result.
 	shareSteps = 20
-	// sweepLifetimes is after how many lifetimes the outcomes of a director are forgotten.
+	// sweepLifetimes is the number of lifetimes after which a director's outcomes are removed.
 	sweepLifetimes = 4
 )
 
@@ -27,26 +28,26 @@
 	set      Settings
 	epoch    int64
 	seq      uint64
-	lastSeq  map[string]uint64                   // of the last report, by director
+	lastSeq  map[string]uint64                   // sequence number of the last report, by director
 	caches   map[string]map[string]*observation  // by cache and director
-	machines map[string]map[string]time.Duration // when a machine reported anything last, by location and machine
-	result   AggregatedHealth                    // the last one
-	resultAt time.Duration                       // when it was made; below 0: never
-	reported map[string]float64                  // the shares of failures in the last result, in steps, by cache
+	machines map[string]map[string]time.Duration // time of a machine's last report, by location and machine
+	result   AggregatedHealth                    // the last result
+	resultAt time.Duration                       // when result was computed; negative if never
+	reported map[string]float64                  // the rounded shares of failures in the last result, by cache
 }
 
-// observation is what one director has reported of a cache.
+// observation holds the outcomes that one director has reported on a cache.
 type observation struct {
 	ReporterLocation
 	failureShare float64 // smoothed over the last few attempts
-	attempts     float64 // in all
-	failures     float64 // in all
+	attempts     float64 // total
+	failures     float64 // total
 	lagMS        float64
-	updatedAt    time.Duration // of the last report
-	failedAt     time.Duration // of the last report with a failure
+	updatedAt    time.Duration // time of the last report
+	failedAt     time.Duration // time of the last report with a failure
 }
 
-// NewAggregator makes an aggregator without reports. Each leader's must have a higher epoch than the one before.
+// NewAggregator returns an aggregator without reports. Each new leader must use a higher epoch than the previous one.
 func NewAggregator(set Settings, epoch int64) *Aggregator {
 	return &Aggregator{
 		set:      set,
@@ -59,7 +60,8 @@
 	}
 }
 
-// Take takes the report of a director at a place. The order in which reports of several directors come has no influence.
+// Take adds a director's report. at is the director's location. The order in which reports of different directors arrive does not
+// affect the result.
 func (a *Aggregator) Take(r Report, at ReporterLocation, now time.Duration) {
 	if r.Seq <= a.lastSeq[r.Holder] || len(r.Caches) > a.set.MaxCaches {
 		return
@@ -74,7 +76,7 @@
 	}
 }
 
-// recordActive records that a machine reports.
+// recordActive records the time of a machine's last report.
 func (a *Aggregator) recordActive(at ReporterLocation, now time.Duration) {
 	if a.machines[at.Location] == nil {
 		a.machines[at.Location] = map[string]time.Duration{}
@@ -82,7 +84,7 @@
 	a.machines[at.Location][at.Machine] = max(a.machines[at.Location][at.Machine], now)
 }
 
-// observation returns what a director has reported of a cache.
+// observation returns the observation of a cache by a director. It is created if there is none.
 func (a *Aggregator) observation(cache, director string) *observation {
 	if a.caches[cache] == nil {
 		a.caches[cache] = map[string]*observation{}
@@ -95,7 +97,7 @@
 	return o
 }
 
-// add adds outcomes that were reported at a moment.
+// add adds outcomes that were reported at the given time.
 func (o *observation) add(reported Outcomes, at ReporterLocation, attemptWeight float64, now time.Duration) {
 	previousWeight := math.Pow(1-attemptWeight, reported.Attempts)
 	o.failureShare = previousWeight*o.failureShare + (1-previousWeight)*reported.Failures/reported.Attempts
@@ -109,7 +111,7 @@
 	}
 }
 
-// Aggregated returns the suspected caches, those with the largest share of failures first. Its Seq rises with each change.
+// Aggregated returns the suspected caches, those with the largest share of failures first. Seq increases with each change.
 func (a *Aggregator) Aggregated(now time.Duration) AggregatedHealth {
 	interval := max(aggregateInterval, time.Duration(len(a.lastSeq))*aggregateIntervalPerDirector)
 	if a.resultAt >= 0 && now-a.resultAt < interval {
@@ -130,7 +132,7 @@
 	return result
 }
 
-// suspected returns the suspected caches, as many as a result may name.
+// suspected returns the suspected caches, limited to MaxCaches.
 func (a *Aggregator) suspected(now time.Duration) []CacheHealth {
 	var all []CacheHealth
 	for cache := range a.caches {
@@ -146,7 +148,7 @@
 	return all[:min(len(all), a.set.MaxCaches)]
 }
 
-// Caches lists what is known of all caches, for the operator.
+// Caches returns the status of all caches with reports, sorted by name, for the operator.
 func (a *Aggregator) Caches(now time.Duration) []CacheStatus {
 	var all []CacheStatus
 	for _, cache := range slices.Sorted(maps.Keys(a.caches)) {
@@ -169,7 +171,7 @@
 	return all
 }
 
-// Sweep forgets reports that count no more. It is to be called often.
+// Sweep removes reports that are too old to count. It should be called often.
 func (a *Aggregator) Sweep(now time.Duration) {
 	active := map[string]bool{}
 	for cache, observations := range a.caches {
--- a/internal/health/doc.go
+++ b/internal/health/doc.go
@@ -1,15 +1,17 @@
-// Package health aggregates what directors learn of caches, each from a few requests a second, into one picture for all of them.
+// Package health aggregates the directors' observations of caches, each based on a few requests per second, into one health status
+// that all directors share.
 //
-// A director's Reporter gathers the outcomes of its attempts at each cache and reports them with its calls of the control plane.
-// The leader's Aggregator decides from the reports which caches are suspected, and how large a share of attempts fails there. A
-// Notifier, at each replica and relay, knows which directors have been notified of the result. A director's Tracker takes the
-// result, which fades with time. The director uses it as a prior for what it learns itself, never as a verdict.
+// A director's Reporter collects the outcomes of its attempts at each cache and sends them with its calls to the control plane. From
+// the reports, the leader's Aggregator decides which caches are suspected and what share of attempts fails there. A Notifier, at each
+// replica and relay, tracks which directors have been notified of the result. A director's Tracker receives the result and reduces
+// its effect over time. The director uses it as a prior for its own observations, never as a verdict.
 //
 // # Faulty reporters
 //
-// Less than a third of the machines that could report a cache may report anything, true or not: they can't have a healthy cache
-// suspected, nor a cache cleared that nearly all others see failing. Each machine has one vote, however many reports it sends.
+// Fewer than a third of the machines that could report on a cache may send arbitrary reports: they can neither cause a healthy cache
+// to be suspected nor clear a cache that nearly all other machines see failing. Each machine has one vote, however many reports it
+// sends.
 //
 // No type is safe for concurrent use: the caller serializes calls. The package does no I/O and reads no clock: times are passed
-// in. It knows nothing of requests and connections, or of what a director makes of the result.
+// in. It is independent of requests and connections, and of how a director uses the result.
 package health
--- a/internal/health/notifier.go
+++ b/internal/health/notifier.go
@@ -6,13 +6,14 @@
 )
 
 const (
-	// notifyInterval is the time after which a director is notified again of a result that stands, since it fades there.
+	// notifyInterval is the time after which a director is notified again of an unchanged result, because the result expires at the
+	// director.
 	notifyInterval = 500 * time.Millisecond
-	// maxNotified bounds the directors of which it is known what they were notified of.
+	// maxNotified limits the number of directors whose last notification is recorded.
 	maxNotified = 10_000
 )
 
-// Notifier knows which directors were notified of the latest result, from an aggregator here or elsewhere. It is not safe for
+// Notifier tracks which directors have been notified of the latest result of a local or remote aggregator. It is not safe for
 // concurrent use.
 type Notifier struct {
 	current    AggregatedHealth
@@ -20,17 +21,17 @@
 	notified   map[string]notification // by director
 }
 
-// notification is which result a director was notified of last, and when.
+// notification identifies the last result that a director was notified of, and the time.
 type notification struct {
 	epoch int64
 	seq   uint64
 	at    time.Duration
 }
 
-// NewNotifier makes a notifier without a result.
+// NewNotifier returns a notifier without a result.
 func NewNotifier() *Notifier { return &Notifier{notified: map[string]notification{}} }
 
-// Take takes a result and reports whether it differs from the one before. An earlier result changes nothing.
+// Take sets the current result and reports whether it differs from the previous one. A result older than the current one is ignored.
 func (n *Notifier) Take(h AggregatedHealth, now time.Duration) (changed bool) {
 	sameEpoch := h.Epoch == n.current.Epoch
 	if h.Epoch < n.current.Epoch || sameEpoch && h.Seq < n.current.Seq {
@@ -46,8 +47,8 @@
 	return changed
 }
 
-// For returns what a director is to be notified of now, with ages up to now; false if nothing is new to it. It counts as notified
-// from then on.
+// For returns the result to notify a director of, with ages as of now, and records the director as notified. isNew is false if the
+// director needs no notification.
 func (n *Notifier) For(director string, now time.Duration) (h AggregatedHealth, isNew bool) {
 	last := n.notified[director]
 	hasCurrent := last.epoch == n.current.Epoch && last.seq == n.current.Seq
--- a/internal/health/reporter.go
+++ b/internal/health/reporter.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// reportInterval is the time from one report to the next where nothing has failed. Failures are reported with the next call.
+// reportInterval is the interval between reports without failures. Failures are reported with the next call.
 const reportInterval = 500 * time.Millisecond
 
-// Reporter gathers a director's outcomes until they are reported. It is not safe for concurrent use.
+// Reporter collects a director's outcomes until they are reported. It is not safe for concurrent use.
 type Reporter struct {
 	set        Settings
 	holder     string
@@ -17,12 +17,13 @@
 	pending    map[string]Outcomes // by cache
 }
 
-// NewReporter makes the reporter of a director.
+// NewReporter returns the reporter of a director. holder is the director's ID.
 func NewReporter(set Settings, holder string) *Reporter {
 	return &Reporter{set: set, holder: holder, pending: map[string]Outcomes{}}
 }
 
-// Record adds attempts at a cache and how many of them failed. lag is the smoothed lag in seconds; it replaces the one before.
+// Record adds a number of attempts at a cache and the number of those that failed. lag is the smoothed lag in seconds; it replaces the
+// previous value.
 func (r *Reporter) Record(cache string, attempts, failures, lag float64) {
 	o := r.pending[cache]
 	o.Cache = cache
@@ -32,7 +33,7 @@
 	r.pending[cache] = o
 }
 
-// Report returns what is to be sent now. An empty report asks to be notified.
+// Report returns the report to send with the next call. An empty report still requests a notification.
 func (r *Reporter) Report(now time.Duration) Report {
 	r.seq++
 	report := Report{Holder: r.holder, Seq: r.seq, Caches: []Outcomes{}}
@@ -48,6 +49,7 @@
 	return report
 }
 
+// hasFailures reports whether any pending outcome has a failure.
 func (r *Reporter) hasFailures() bool {
 	for _, o := range r.pending {
 		if o.Failures > 0 {
--- a/internal/health/tracker.go
+++ b/internal/health/tracker.go
@@ -6,22 +6,23 @@
 	"time"
 )
 
-// changeStep is the least change of a share of failures that Changes reports.
+// changeStep is the smallest change of a share of failures that Changes reports.
 const changeStep = 0.05
 
-// Tracker is a director's side: the results that it was notified of, which fade. It is not safe for concurrent use.
+// Tracker holds the latest result that a director was notified of and reduces its effect over time. It is not safe for concurrent use.
 type Tracker struct {
 	set         Settings
 	epoch       int64
 	seq         uint64
-	requestedAt time.Duration          // when the call was made whose answer had the last result
+	requestedAt time.Duration          // start time of the call that returned the last result
 	caches      map[string]CacheHealth // by name
 	lifetime    time.Duration
-	reported    map[string]float64 // shares of failures by cache, as Changes has reported them
+	reported    map[string]float64 // shares of failures by cache, as last returned by Changes
 }
 
-// NewTracker makes a tracker that suspects no cache. Its lifetime is between half of the settings' and all of it, by the
-// director's name. So when no director has sent to a suspected cache for a while, a few directors do first, and not all at once.
+// NewTracker returns a tracker that suspects no cache. Its lifetime is between half of the settings' Lifetime and all of it, depending
+// on a hash of the director's name. So after a period in which no director has sent to a suspected cache, a few directors resume first
+// instead of all at once.
 func NewTracker(set Settings, name string) *Tracker {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(name)) // a hash returns no error
@@ -34,8 +35,8 @@
 	}
 }
 
-// Take takes a result that answers a call made at a moment, from which its ages count. A result of an earlier epoch, or an earlier
-// one of the same, changes nothing.
+// Take sets the current result. requestedAt is the start time of the call that returned it, from which its ages count. A result of an
+// earlier epoch, or an older result of the same epoch, is ignored.
 func (t *Tracker) Take(h AggregatedHealth, requestedAt time.Duration) {
 	if h.Epoch < t.epoch || h.Epoch == t.epoch && (h.Seq < t.seq || requestedAt < t.requestedAt) {
 		return
@@ -51,8 +52,8 @@
 	}
 }
 
-// FailureShares returns the share of failures of each suspected cache, 0 to 1. A share counts in full for the first half of the
-// tracker's lifetime and sinks to nothing in the second.
+// FailureShares returns the share of failures of each suspected cache, from 0 to 1. A share counts in full for the first half of the
+// tracker's lifetime and decreases linearly to 0 in the second half.
 func (t *Tracker) FailureShares(now time.Duration) map[string]float64 {
 	shares := make(map[string]float64, len(t.caches))
 	for cache, c := range t.caches {
@@ -64,14 +65,14 @@
 	return shares
 }
 
-// Change is that a cache's share of failures has changed. Either share is 0 where the cache is not suspected.
+// Change describes a change of a cache's share of failures. A share of 0 means that the cache is not suspected.
 type Change struct {
 	Cache        string
 	FailureShare float64
 	Previous     float64
 }
 
-// Changes returns the changes since the last call, without those that are too small.
+// Changes returns the changes since the last call. Changes smaller than changeStep are omitted.
 func (t *Tracker) Changes(now time.Duration) []Change {
 	var changes []Change
 	shares := t.FailureShares(now)
--- a/internal/health/vote.go
+++ b/internal/health/vote.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// machineVote is what the directors of one machine report of a cache together.
+// machineVote combines the reports on a cache by the directors of one machine.
 type machineVote struct {
-	failureShares float64 // the sum of its directors'
+	failureShares float64 // sum over its directors
 	directors     float64
 	lagMS         float64
-	failedAt      time.Duration // of the last report with a failure
+	failedAt      time.Duration // time of the last report with a failure
 }
 
-// aggregate decides the health of a cache from the votes of machines; false if too few report it.
+// aggregate computes the health of a cache from the votes of machines. enough is false if too few machines report on it.
 //
-// A third of the machines that could report the cache may be faulty. So the votes with the highest shares of failures are left
-// out, as many as that, and the rest is averaged: faulty machines alone can't have the cache suspected. What they report last is
-// left out in the same way, so that they can't keep a suspicion alive.
+// A third of the machines that could report on the cache may be faulty. So as many of the votes with the highest shares of failures
+// are discarded and the rest is averaged: faulty machines alone cannot cause the cache to be suspected. The latest failure times are
+// discarded in the same way, so that faulty machines cannot prolong a suspicion.
 func (a *Aggregator) aggregate(cache string, now time.Duration) (c CacheHealth, enough bool) {
 	votes, reporters := a.votes(cache, now)
 	c = CacheHealth{Cache: cache, Machines: len(votes)}
@@ -39,14 +39,14 @@
 	for _, share := range failureShares[:counted] {
 		c.FailureShare += share / float64(counted)
 	}
-	// One sound machine with bad luck, beside the faulty ones, must not be enough.
+	// A single correct machine with an unrepresentative share of failures must not suffice in addition to the faulty ones.
 	c.FailureShare = min(c.FailureShare, failureShares[counted-2])
 	c.LagMS = lags[len(lags)/2]
 	c.AgeMS = (now - failedAt[counted-1]).Milliseconds()
 	return c, true
 }
 
-// votes returns the votes on a cache by machine, and the places that report it. Reports older than a lifetime do not count.
+// votes returns the votes on a cache by machine, and the locations of its reporters. Reports older than Lifetime do not count.
 func (a *Aggregator) votes(cache string, now time.Duration) (map[string]*machineVote, map[ReporterLocation]bool) {
 	votes := map[string]*machineVote{}
 	reporters := map[ReporterLocation]bool{}
@@ -68,8 +68,8 @@
 	return votes, reporters
 }
 
-// eligibleMachines counts the machines that could report a cache: the active ones of each location where more than a third report
-// it. So a few faulty machines can't speak for a location that does not use the cache.
+// eligibleMachines returns the number of machines that could report on a cache: the active machines of each location where more than a
+// third of them report on it. So a few faulty machines cannot make a location count that does not use the cache.
 func (a *Aggregator) eligibleMachines(reporters map[ReporterLocation]bool, now time.Duration) int {
 	eligible := 0
 	for location, machines := range a.machines {
