--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Allocator divides limits among holders and nodes. It is the root of the tree. It is not safe for concurrent use.
+// Allocator divides limits among holders and nodes, as the root of the tree. It is not safe for concurrent use.
 type Allocator struct {
 	divider
 	epoch   int64
-	beganAt time.Duration // since when no earlier allocator grants anything
+	beganAt time.Duration // time after which no earlier allocator grants anything
 }
 
-// NewAllocator makes an allocator. An earlier one grants nothing after now, and has a lower epoch. Unless first says that there
-// was none, the new one grants nothing until all that was granted before is over.
+// NewAllocator returns an allocator. Earlier allocators must have lower epochs and must not grant anything after now. Unless first
+// states that there was none, the new allocator grants nothing until all earlier grants have expired.
 func NewAllocator(set Settings, epoch int64, now time.Duration, first bool) *Allocator {
 	a := &Allocator{divider: newDivider(set), epoch: epoch, beganAt: now}
 	if first {
@@ -19,9 +19,9 @@
 	return a
 }
 
-// Renew answers a renewal. A renewal that comes again or late, and each while the allocator waits for the grants of an earlier one,
-// is answered with a grant without Seq. No holder takes such a grant, so what it has stays in force and counted. The cost of a
-// call does not grow with the number of holders, except for semaphores.
+// Renew handles a renewal and returns the grant to reply with. The grant has no Seq if the renewal is a duplicate or late, or while the
+// allocator waits for the grants of an earlier one to expire. Holders ignore such a grant, so the grants they have stay in force and
+// counted. The cost of a call does not grow with the number of holders, except for semaphores.
 func (a *Allocator) Renew(r Renewal, now time.Duration) Grant {
 	answer := Grant{Holder: r.Holder, Epoch: a.epoch}
 	if !a.accept(r) {
@@ -40,14 +40,15 @@
 	}
 	reserve := a.set.Reserve
 	if now < a.beganAt+a.set.nodeLeaseAtRoot()+a.set.fadeAtAllocator() {
-		reserve = 0 // fallbacks that an earlier allocator granted have not faded yet
+		reserve = 0 // fallbacks that an earlier allocator granted have not expired yet
 	}
 	answer.Fallback = a.grantFallback(r, reserve, now)
 	return answer
 }
 
-// Allocations lists what is in force and who waits, by limit and holder.
+// Allocations returns the shares in force and the demands that wait for one, sorted by limit and holder.
 func (a *Allocator) Allocations(now time.Duration) []Allocation { return a.allocations(now) }
 
-// Sweep forgets limits that nobody holds or wants any more, some with each call. It is to be called several times a second.
+// Sweep removes expired accounts, and limits without accounts. Each call handles a part of them, so it must be called several times a
+// second.
 func (a *Allocator) Sweep(now time.Duration) { a.sweep(now) }
--- a/internal/quota/divider.go
+++ b/internal/quota/divider.go
@@ -6,41 +6,42 @@
 	"time"
 )
 
-// divider divides budgets among holders. It is what Allocator and Node have in common; they differ in where the budgets are from.
+// divider divides budgets among holders. It is the common part of Allocator and Node, which differ in the source of the budgets.
 type divider struct {
 	set     Settings
-	latest  time.Duration // the latest time that it was called with
+	latest  time.Duration // the latest time passed to any call
 	limits  map[string]*limit
-	lastSeq map[string]uint64 // of the last renewal, by holder
-	reserve pool              // the fallbacks
+	lastSeq map[string]uint64 // sequence number of the last renewal, by holder
+	reserve pool              // accounts of the fallbacks
 	scratch []Group           // reused by each division
 }
 
-// limit is one limit, what of it is in force, and how it is divided at the moment.
+// limit is the state of one limit: the shares in force and the current division.
 type limit struct {
 	pool
 	kind       Kind
 	maxHolders int
-	queue      []string // of a semaphore: IDs of those that wait or hold it, in order
+	queue      []string // of a semaphore: IDs of the holders that wait for it or hold it, in order of arrival
 
 	division      division
-	dividedAt     time.Duration // when the division was made, and for which weight and budget
-	dividedWeight int
-	dividedBudget float64
+	dividedAt     time.Duration // when the division was computed
+	dividedWeight int           // the weight that it was computed for
+	dividedBudget float64       // the budget that it was computed for
 }
 
-// budget is what is to be divided of one limit.
+// budget is the part of one limit that is to be divided.
 type budget struct {
 	share     float64
-	evenShare float64 // for each holder of the tree; the floor is a share of it
+	evenShare float64 // an even share for each holder of the tree; Settings.Floor is relative to it
 }
 
-// How many accounts are recounted besides the one that renews.
+// Numbers of accounts to recount in addition to the account that renews.
 const (
 	recountsPerRenewal    = 2
-	recountedShareOfSweep = 0.25 // of all accounts, with each sweep
+	recountedShareOfSweep = 0.25 // fraction of all accounts, with each sweep
 )
 
+// newDivider returns a divider without limits.
 func newDivider(set Settings) divider {
 	return divider{
 		set:     set,
@@ -50,14 +51,14 @@
 	}
 }
 
-// clock returns the time to count with, which never goes back. Callers read their clock before they wait for their lock, so a call
-// may come with an earlier time than the one before it.
+// clock returns the later of now and the latest time passed so far, so that time never goes backwards. Callers read their clock before
+// they acquire their lock, so a call may pass an earlier time than the previous call.
 func (d *divider) clock(now time.Duration) time.Duration {
 	d.latest = max(d.latest, now)
 	return d.latest
 }
 
-// accept reports whether a renewal is later than all others of its holder.
+// accept reports whether a renewal is newer than all previous ones of its holder, and records its sequence number.
 func (d *divider) accept(r Renewal) bool {
 	if r.Seq <= d.lastSeq[r.Holder] {
 		return false
@@ -66,7 +67,8 @@
 	return true
 }
 
-// recordWants records what a holder wants and which grants it uses. It returns the names of the limits that it wants.
+// recordWants updates the holder's accounts with the demands of a renewal and the grants in use. It returns the names of the limits
+// that the holder wants.
 func (d *divider) recordWants(r Renewal, now time.Duration) []string {
 	var wanted []string
 	for _, want := range r.Wants {
@@ -90,7 +92,7 @@
 		delete(d.lastSeq, id)
 	}
 	for name, l := range d.limits {
-		// The holder has given up the limits that it does not name, with all that it was granted of them.
+		// The holder has released the limits that the renewal does not name, with everything it was granted of them.
 		if a := l.accounts[r.Holder]; a != nil && !slices.Contains(wanted, name) {
 			d.release(name, l, a)
 		}
@@ -116,8 +118,8 @@
 	l.acknowledge(a, max(r.InUse, want.InUse), now)
 }
 
-// recordFallback updates the holder's account of the reserve. A holder's fallback fades from when it was requested. Behind a node,
-// fallbacks may begin to fade as late as at the end of the node's lease.
+// recordFallback updates the holder's account of the reserve. A holder's fallback starts to decrease when it is requested. Behind a
+// node, fallbacks may start to decrease as late as at the end of the node's lease.
 func (d *divider) recordFallback(r Renewal, now time.Duration) {
 	a := d.reserve.account(r.Holder)
 	a.renewed = now
@@ -131,7 +133,7 @@
 	d.reserve.acknowledge(a, max(r.InUse, r.FallbackInUse), now)
 }
 
-// grantLifetime returns for how long a share counts that answers a renewal.
+// grantLifetime returns the time for which a share granted for a renewal is counted as in use.
 func (d *divider) grantLifetime(r Renewal) time.Duration {
 	if r.Node {
 		return d.set.nodeLeaseAtRoot()
@@ -139,7 +141,7 @@
 	return d.set.leaseAtAllocator()
 }
 
-// release forgets what a holder has of a limit, and the limit with its last holder.
+// release removes a holder's account of a limit, and the limit itself if that was its last account.
 func (d *divider) release(name string, l *limit, a *account) {
 	l.remove(a)
 	l.leaveQueue(a.id)
@@ -148,7 +150,7 @@
 	}
 }
 
-// grantShare decides what a holder gets of a limit, and counts it.
+// grantShare computes a holder's share of a limit and records it as granted.
 func (d *divider) grantShare(name string, r Renewal, of budget, now time.Duration) Share {
 	l := d.limits[name]
 	a := l.accounts[r.Holder]
@@ -166,7 +168,8 @@
 	return answer
 }
 
-// grantFallback decides what of the reserve a holder may fall back to: an even share, as far as the fallbacks of the others leave it.
+// grantFallback computes a holder's fallback and records it as granted. The fallback is an even share of the reserve, limited to what
+// the fallbacks of the other holders leave.
 func (d *divider) grantFallback(r Renewal, reserve float64, now time.Duration) float64 {
 	a := d.reserve.accounts[r.Holder]
 	even := reserve * float64(a.weight) / float64(max(1, d.reserve.live))
@@ -175,7 +178,7 @@
 	return share
 }
 
-// allocations lists what is in force and who waits, by limit and holder.
+// allocations returns the shares in force and the demands that wait for one, sorted by limit and holder.
 func (d *divider) allocations(now time.Duration) []Allocation {
 	now = d.clock(now)
 	var all []Allocation
@@ -197,7 +200,7 @@
 	return all
 }
 
-// sweep recounts some of the accounts, and forgets limits that nobody holds or wants any more.
+// sweep recounts some of the accounts, which removes expired ones, and removes limits without accounts.
 func (d *divider) sweep(now time.Duration) {
 	now = d.clock(now)
 	for name, l := range d.limits {
@@ -213,7 +216,7 @@
 	}
 }
 
-// recountsPerSweep returns how many accounts of a pool a sweep recounts.
+// recountsPerSweep returns the number of accounts of a pool that a sweep recounts.
 func recountsPerSweep(p *pool) int {
 	return recountsPerRenewal + int(recountedShareOfSweep*float64(len(p.order)))
 }
--- a/internal/quota/division.go
+++ b/internal/quota/division.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// A division looks at all accounts of a limit, and each account renews several times a second. So a division is reused for a time
-// that grows with the number of accounts.
+// Computing a division iterates over all accounts of a limit, and each account renews several times a second. So a division is reused
+// for a time that grows with the number of accounts.
 const (
 	divisionLifetime           = 50 * time.Millisecond
 	divisionLifetimePerAccount = 50 * time.Microsecond
-	// weightChangeDivisor has a division made anew once the number of holders has changed by one in so many.
+	// weightChangeDivisor limits the reuse of a division when the number of holders changes: the division is recomputed once the
+	// number has changed by more than 1/weightChangeDivisor.
 	weightChangeDivisor = 8
 )
 
-// rateShare decides what a holder gets of a rate: its max-min fair share, as far as what is in force of the others allows it.
+// rateShare returns a holder's share of a rate: its max-min fair share, limited by the shares of other holders that are in force.
 func (d *divider) rateShare(l *limit, a *account, of budget, now time.Duration) float64 {
 	d.refreshDivision(l, of, now)
 	target := l.division.shareOf(d.appendScaled(nil, a.demands))
@@ -21,13 +22,13 @@
 	if previous > 0 && len(a.demands) > 0 && isNear && usedByOthers+previous <= of.share {
 		target = previous
 	}
-	// After the budget sank, shares from the larger budget may be renewed but not grow: they end before that budget does.
-	// What was granted since must fit into the smaller budget.
+	// After the budget has decreased, shares granted from the larger budget may be renewed but not increased: they expire before
+	// that budget does. Shares granted since then must fit into the smaller budget.
 	available := min(of.share-(l.recent-a.recent), max(of.share-usedByOthers, a.used))
 	return max(0, roundDown(min(target, available)))
 }
 
-// appendScaled appends groups with their demands scaled from the limit to what is left of it beside the reserve.
+// appendScaled appends groups to a slice, with their demands scaled from the whole limit to the limit without the reserve.
 func (d *divider) appendScaled(to, groups []Group) []Group {
 	for _, group := range groups {
 		to = append(to, Group{group.Demand * (1 - d.set.Reserve), group.Count})
@@ -35,7 +36,7 @@
 	return to
 }
 
-// refreshDivision divides a rate anew if its division is too old, or was made for another budget or number of holders.
+// refreshDivision recomputes the division of a rate if it is too old or the budget or the number of holders has changed.
 func (d *divider) refreshDivision(l *limit, of budget, now time.Duration) {
 	change := max(l.weight-l.dividedWeight, l.dividedWeight-l.weight)
 	lifetime := divisionLifetime + time.Duration(len(l.order))*divisionLifetimePerAccount
@@ -54,14 +55,14 @@
 	l.dividedBudget = of.share
 }
 
-// division is how a budget is divided among holders.
+// division is the result of dividing a budget among holders.
 type division struct {
-	floor float64 // what each that demands anything gets at least
-	level float64 // what each gets at most, without spare
-	spare float64 // what each gets besides, of what nobody demands
+	floor float64 // minimum share of each holder with a demand
+	level float64 // maximum share of each holder, without spare
+	spare float64 // additional share of each holder from the budget that exceeds the demands
 }
 
-// shareOf returns what groups that took part in the division get together.
+// shareOf returns the total share of groups that were included in the division.
 func (v division) shareOf(groups []Group) (sum float64) {
 	for _, group := range groups {
 		if group.Demand > 0 {
@@ -71,11 +72,11 @@
 	return sum
 }
 
-// divide divides a budget by progressive filling, which is max-min fair. Whoever demands less than an even share of what is left
-// gets its demand; the others get the same each. Each that demands anything gets the floor at least, as far as the budget goes.
-// What nobody demands is divided evenly, so that a demand that rises is met at once.
+// divide divides a budget by progressive filling, which is max-min fair. A holder that demands no more than an even share of the
+// remaining budget gets its demand; all other holders get equal shares. Each holder with a demand gets at least the floor, as far as
+// the budget allows. Budget that exceeds the demands is divided evenly, so that an increase in demand is satisfied at once.
 //
-// It passes over the groups that may still get less than their demand, until each of them demands more than an even share. It
+// It iterates over the groups that may still get less than their demand, until each of them demands more than an even share. It
 // reorders groups.
 func divide(groups []Group, budget, floor float64) division {
 	open := groups[:0]
--- a/internal/quota/holder.go
+++ b/internal/quota/holder.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Holder is a director's side of its quotas. It is not safe for concurrent use.
+// Holder requests and holds a director's shares of limits. It is not safe for concurrent use.
 type Holder struct {
 	set         Settings
 	id          string
-	seq         uint64                   // of the last renewal
-	epoch       int64                    // of the root: the latest of a grant in use
-	inUse       uint64                   // the renewal whose grant is in use; 0: none
-	inUseSince  time.Duration            // when that renewal was made: the fallback fades since then
-	requestedAt map[uint64]time.Duration // when each renewal that may still be answered was made
+	seq         uint64                   // sequence number of the last renewal
+	epoch       int64                    // the latest epoch of the root's grants that were in use
+	inUse       uint64                   // sequence number of the renewal whose grant is in use; 0: none
+	inUseSince  time.Duration            // when that renewal was created; the fallback decreases from then on
+	requestedAt map[uint64]time.Duration // creation times of the renewals that may still be answered, by sequence number
 	shares      map[string]leasedShare   // by limit
 	wants       map[string]Want          // by limit
-	releasedAt  map[string]uint64        // the last renewal before each limit was given up; no grant up to it counts
-	fallback    float64                  // what may be used of each rate without a share in force
+	releasedAt  map[string]uint64        // last renewal before each limit was released; grants up to it are ignored for the limit
+	fallback    float64                  // fraction of each rate that may be used without a share in force, before it decreases
 }
 
 // leasedShare is a share of a limit and the end of its lease.
@@ -24,7 +24,7 @@
 	until time.Duration
 }
 
-// NewHolder makes a holder that has nothing.
+// NewHolder returns a holder without demands or shares.
 func NewHolder(id string, set Settings) *Holder {
 	return &Holder{
 		set:         set,
@@ -36,20 +36,20 @@
 	}
 }
 
-// Want sets what the holder wants of a limit. A demand of 0 gives it up.
+// Want sets the holder's demand of a limit. A demand of 0 releases the limit.
 func (h *Holder) Want(w Want) {
 	if w.Demand <= 0 {
 		if _, had := h.wants[w.Limit]; had {
 			h.releasedAt[w.Limit] = h.seq
 		}
 		delete(h.wants, w.Limit)
-		delete(h.shares, w.Limit) // at once: the renewal that gives it back may be sent now
+		delete(h.shares, w.Limit) // immediately, because the renewal that releases it may be sent next
 		return
 	}
 	h.wants[w.Limit] = w
 }
 
-// Renewal returns what is to be sent now.
+// Renewal returns the next renewal to send.
 func (h *Holder) Renewal(now time.Duration) Renewal {
 	h.seq++
 	for seq, at := range h.requestedAt {
@@ -65,12 +65,12 @@
 	return r
 }
 
-// Take takes a grant into use and reports whether it did. A grant changes nothing that is for another holder, answers a renewal
-// before the one whose grant is in use or one that is too old, or comes from a root before the latest one.
+// Take puts a grant into use and reports whether it did. A grant is ignored if it is for another holder, if it answers a renewal that
+// is not newer than the one whose grant is in use or that is too old, or if it is from an earlier root than the latest one.
 //
-// A grant replaces all of the grant before it, whichever source that came from. Each source counts what it granted until that has
-// ended or the holder's renewal names a later grant. The holder uses one grant at a time, in the order of its own renewals. So
-// epochs order only the grants of roots. A node's grants have none, and a holder may go back and forth between nodes and roots.
+// A grant replaces the previous grant entirely, whichever source that came from. Each source counts what it granted until the grant
+// expires or the holder's renewal names a later grant. The holder uses one grant at a time, in the order of its own renewals. So
+// epochs order only the grants of roots. A node's grants have no epoch, and a holder may switch between nodes and roots at any time.
 func (h *Holder) Take(g Grant, _ time.Duration) bool {
 	requestedAt, known := h.requestedAt[g.Seq]
 	if !known || g.Holder != h.id || g.Seq <= h.inUse || g.Source == "" && g.Epoch < h.epoch {
@@ -91,8 +91,8 @@
 	return true
 }
 
-// Available returns what may be used of a limit at this moment: the share in force, or else the fallback, which fades. Without a grant
-// it is 0. It must be asked for just before each use.
+// Available returns the fraction of a limit that may be used at this time: the share in force or, without one, the decreasing
+// fallback. Without a grant it is 0. It must be called immediately before each use.
 func (h *Holder) Available(limit string, now time.Duration) float64 {
 	if s, found := h.shares[limit]; found && now < s.until {
 		return s.share
@@ -103,13 +103,13 @@
 	return h.fallback * max(0, 1-float64(now-h.inUseSince)/float64(h.set.FallbackFade))
 }
 
-// HasShare reports whether what may be used is a share in force, and no fallback.
+// HasShare reports whether a share of the limit is in force, so that Available does not return a fallback.
 func (h *Holder) HasShare(limit string, now time.Duration) bool {
 	s, found := h.shares[limit]
 	return found && now < s.until
 }
 
-// Leave gives up all limits. The next Renewal names none.
+// Leave releases all limits and the fallback. The next Renewal names no limit.
 func (h *Holder) Leave() {
 	for limit := range h.wants {
 		h.Want(Want{Limit: limit})
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -2,40 +2,41 @@
 
 import "time"
 
-// Kind is how a limit is shared.
+// Kind is the way in which a limit is shared.
 type Kind string
 
 // Kinds of limits.
 const (
-	// Rate is divided: the shares of all holders add up to 1 at most.
+	// Rate is a limit that is divided: the shares of all holders add up to at most 1.
 	Rate Kind = "rate"
-	// Semaphore is granted to so many holders at a time, in the order in which they came.
+	// Semaphore is a limit that is granted to a bounded number of holders at a time, in order of arrival.
 	Semaphore Kind = "turns"
 )
 
-// Want is what a holder wants of a limit. For a rate, Demand is in parts of the limit. For a semaphore, any Demand over 0 waits
-// for it, and 0 gives it back.
+// Want is a holder's demand of a limit. For a rate, Demand is a fraction of the limit. For a semaphore, a Demand above 0 acquires it
+// or waits for it, and 0 releases it.
 type Want struct {
 	Limit      string  `json:"limit"`
 	Kind       Kind    `json:"kind"`
 	Demand     float64 `json:"demand"`
-	MaxHolders int     `json:"most,omitempty"` // of a semaphore: holders at a time; 0: one
+	MaxHolders int     `json:"most,omitempty"` // of a semaphore: maximum number of holders at a time; 0: one
 
-	// Groups are, for a node, the demands of its holders, and Demand is their sum. The sum alone would not do: one holder that
-	// demands all of a limit among many that demand little would make each of them seem to demand more than it does.
+	// Groups are, for a node, the demands of its holders; Demand is their sum. The sum alone is not sufficient: if one holder
+	// demands all of a limit and many others demand little, each of the others would appear to demand more than it does.
 	Groups []Group `json:"groups,omitempty"`
-	// InUse is, for a node, the renewal whose grant of this limit covers all that its holders may use.
+	// InUse is, for a node, the sequence number of the renewal whose grant of this limit covers everything that its holders may
+	// use.
 	InUse uint64 `json:"taken,omitempty"`
 }
 
-// Group is so many holders that demand about the same of a limit.
+// Group is a number of holders with about the same demand of a limit.
 type Group struct {
-	Demand float64 `json:"demand"` // of each, in parts of the limit
+	Demand float64 `json:"demand"` // of each holder, as a fraction of the limit
 	Count  int     `json:"count"`
 }
 
-// groups returns the demands behind a want, without those that are malformed. A demand of more than the limit counts as one of
-// all of it.
+// groups returns the demands that a want represents, without invalid ones. A demand of more than the limit is reduced to the limit.
+// node states that the want is from a node.
 func (w Want) groups(node bool) (groups []Group) {
 	demands := w.Groups
 	if !node {
@@ -49,42 +50,44 @@
 	return groups
 }
 
-// Renewal is what a holder sends again and again. It gives up each limit that it does not name.
+// Renewal is the message that a holder sends periodically. It releases each limit that it does not name.
 type Renewal struct {
 	Holder string `json:"holder"`
-	Seq    uint64 `json:"seq"`   // rises with each renewal
-	InUse  uint64 `json:"taken"` // the renewal whose grant is in use: the holder uses no older grant any more
+	Seq    uint64 `json:"seq"`   // increases with each renewal
+	InUse  uint64 `json:"taken"` // sequence number of the renewal whose grant is in use; the holder no longer uses older grants
 	Wants  []Want `json:"wants,omitempty"`
 
-	Node          bool   `json:"node,omitempty"`           // the holder is a node
-	Leaves        int    `json:"leaves,omitempty"`         // holders behind a node that have renewed within their lease
-	FallbackInUse uint64 `json:"taken_fallback,omitempty"` // the renewal whose fallback covers those of the node's holders
+	Node          bool   `json:"node,omitempty"`           // whether the holder is a node
+	Leaves        int    `json:"leaves,omitempty"`         // number of holders behind a node that have renewed within their lease
+	FallbackInUse uint64 `json:"taken_fallback,omitempty"` // renewal whose fallback covers those of the node's holders
 }
 
 // Share is the grant of one limit.
 type Share struct {
 	Limit        string  `json:"limit"`
-	Fraction     float64 `json:"part"`           // of the limit; of a semaphore 1 or 0
-	EvenFraction float64 `json:"even,omitempty"` // to nodes: an even share of the limit for each holder of the tree
+	Fraction     float64 `json:"part"`           // of the limit; 1 or 0 for a semaphore
+	EvenFraction float64 `json:"even,omitempty"` // for nodes: an even share of the limit for each holder of the tree
 }
 
-// Grant answers a renewal. It replaces all of the grant before it.
+// Grant is the reply to a renewal. It replaces the previous grant entirely.
 type Grant struct {
-	Holder string  `json:"holder"`           // who renewed; nobody else may use it, no later process under the name either
-	Source string  `json:"source,omitempty"` // the node that grants; empty: the root
-	Epoch  int64   `json:"epoch"`            // of the root: a holder takes no grant of an earlier one; 0 from nodes
-	Seq    uint64  `json:"seq"`              // of the renewal; 0: nothing is granted and no holder takes it
+	// Holder is the ID of the holder that sent the renewal. No other holder may use the grant, not even a later process with the
+	// same name.
+	Holder string  `json:"holder"`
+	Source string  `json:"source,omitempty"` // ID of the granting node; empty: the root
+	Epoch  int64   `json:"epoch"`            // epoch of the root; holders ignore grants of earlier epochs; 0 in grants of nodes
+	Seq    uint64  `json:"seq"`              // sequence number of the renewal; 0: nothing is granted and holders ignore the grant
 	Shares []Share `json:"parts,omitempty"`
-	// Fallback is the share of each rate that may be used where no share is in force; it fades.
+	// Fallback is the fraction of each rate that may be used without a share in force; it decreases over time.
 	Fallback float64 `json:"fallback,omitempty"`
 }
 
-// Allocation is a share in force, as the allocator counts it.
+// Allocation is a holder's demand and share in force of a limit, as counted by the allocator.
 type Allocation struct {
 	Limit    string        `json:"limit"`
 	Kind     Kind          `json:"kind"`
 	Holder   string        `json:"holder"`
-	Fraction float64       `json:"part"`   // of the limit; of a semaphore 1 or 0
-	Demand   float64       `json:"demand"` // in parts of the limit
+	Fraction float64       `json:"part"`   // of the limit; 1 or 0 for a semaphore
+	Demand   float64       `json:"demand"` // as a fraction of the limit
 	Left     time.Duration `json:"left_ns"`
 }
--- a/internal/quota/node.go
+++ b/internal/quota/node.go
@@ -7,34 +7,34 @@
 	"time"
 )
 
-// Node is the middle of a tree: one holder towards the root, for the sum of what its own holders demand, and an allocator towards
-// them. It divides rates only; a want of a semaphore is answered with 0. It does not answer other nodes.
+// Node is an inner node of the tree. It is a holder towards the root, where it demands the sum of its own holders' demands, and an
+// allocator towards its holders. It divides only rates; for a semaphore it always grants 0. It grants nothing to other nodes.
 //
-// At each moment, all holders of the tree may use at most what is shared of a limit, because
-//   - what a node grants ends before its own lease: it grants nothing when too little of the lease is left;
-//   - a share that sank counts at the root at its old size until the node's renewals name the new grant as in use, which they do
-//     once what the node's holders may still use fits into it;
-//   - the fallback that the root grants is a reserve that the node divides by the same rules. It counts in full for the node's
-//     lease, within which the node grants from it, and fades from then on, not faster than that of any of the node's holders.
+// At any time, all holders of the tree together may use at most the shared part of a limit, because
+//   - grants of a node expire before its own lease: it grants nothing when too little of the lease is left;
+//   - after a node's share has decreased, the root counts the old size until the node's renewals name the new grant as in use, which
+//     they do once everything that the node's holders may still use fits into it;
+//   - the fallback granted by the root is a reserve that the node divides by the same rules. It is counted in full for the node's
+//     lease, within which the node grants from it, and decreases from then on, no faster than that of any of the node's holders.
 //
-// It is not safe for concurrent use. A node that starts again has to take another id.
+// It is not safe for concurrent use. A node that restarts must use a new ID.
 type Node struct {
 	divider
 	id            string
-	parent        *Holder           // the side towards the root
-	inUse         map[string]uint64 // the renewal whose grant covers all that holders may use, by limit
-	fallbackInUse uint64
+	parent        *Holder           // the holder towards the root
+	inUse         map[string]uint64 // renewal whose grant covers everything that the node's holders may use, by limit
+	fallbackInUse uint64            // renewal whose fallback covers those of the node's holders
 }
 
 const (
-	// maxGroups bounds the size of a want. Holders are put into so many groups of equal size by demand, so that only the
-	// demands within one group are taken for their mean where it matters.
+	// maxGroups limits the size of a want. Holders are sorted by demand and divided into that many groups of equal size, so that
+	// only similar demands are replaced by their mean.
 	maxGroups = 16
-	// demandPrecision: demands of groups are rounded to 1/demandPrecision of a limit, to keep renewals short.
+	// demandPrecision is the precision of the demands of groups: they are rounded to 1/demandPrecision of a limit to keep renewals short.
 	demandPrecision = 1e7
 )
 
-// NewNode makes a node that has nothing.
+// NewNode returns a node without holders or shares.
 func NewNode(id string, set Settings) *Node {
 	upwards := set
 	upwards.Lease = set.NodeLease
@@ -46,7 +46,7 @@
 	}
 }
 
-// Renewal returns what is to be sent to the root now. It looks at all holders.
+// Renewal returns the next renewal to send to the root. It iterates over the accounts of all holders.
 func (n *Node) Renewal(now time.Duration) Renewal {
 	now = n.clock(now)
 	for name, l := range n.limits {
@@ -55,7 +55,7 @@
 		}
 	}
 	for name := range n.inUse {
-		if n.limits[name] == nil { // no holder wants it or may use any of it
+		if n.limits[name] == nil { // no holder demands it or may still use any of it
 			n.parent.Want(Want{Limit: name})
 			delete(n.inUse, name)
 		}
@@ -65,15 +65,15 @@
 		n.fallbackInUse = n.parent.inUse
 	}
 	r := n.parent.Renewal(now)
-	r.InUse = 0 // each want names its own
+	r.InUse = 0 // each want has its own InUse
 	r.Node = true
 	r.Leaves = n.reserve.live
 	r.FallbackInUse = n.fallbackInUse
 	return r
 }
 
-// updateWant sets what the node wants of a limit, which is what its holders demand. It names the limit for as long as it has an
-// account of it, also without a demand: to give it up is to say that nobody uses it.
+// updateWant sets the node's want of a limit to the demands of its holders. The node names the limit as long as it has an account of
+// it, even without a demand, because releasing the limit states that no holder uses any of it.
 func (n *Node) updateWant(name string, l *limit, now time.Duration) {
 	l.recountAll(now)
 	if l.used <= n.parent.shares[name].share {
@@ -94,7 +94,7 @@
 	n.parent.wants[name] = want
 }
 
-// mergeGroups puts groups with about the same demand together, so that there are at most maxGroups of about the same size.
+// mergeGroups merges groups with similar demands into at most maxGroups groups of about the same size.
 func mergeGroups(groups []Group) []Group {
 	if len(groups) <= maxGroups {
 		return groups
@@ -116,14 +116,14 @@
 	return merged
 }
 
-// Take takes a grant of the root into use.
+// Take puts a grant of the root into use.
 func (n *Node) Take(g Grant, now time.Duration) {
 	before := n.parent.shares
 	if !n.parent.Take(g, n.clock(now)) {
 		return
 	}
 	for name, l := range n.limits {
-		// While the holders still use more than the share before, the generation of that one goes on.
+		// While the holders still use more than the previous share, the generation of the larger budget continues.
 		previous := before[name].share
 		if n.parent.shares[name].share < previous && l.used <= previous {
 			l.beginGeneration()
@@ -131,8 +131,8 @@
 	}
 }
 
-// Renew answers a renewal of one of its holders. The grant has no Seq where that of Allocator.Renew has none, and while the node's
-// lease does not outlast what would be granted.
+// Renew handles a renewal of one of its holders and returns the grant to reply with. The grant has no Seq if the renewal is a duplicate
+// or late or is from a node, or while the node's lease would end before the grant expires.
 func (n *Node) Renew(r Renewal, now time.Duration) Grant {
 	answer := Grant{Holder: r.Holder, Source: n.id}
 	if r.Node || !n.accept(r) {
@@ -151,12 +151,12 @@
 	return answer
 }
 
-// canGrant reports whether the node's lease outlasts what would be granted now.
+// canGrant reports whether a grant made now expires before the node's lease.
 func (n *Node) canGrant(now time.Duration) bool {
 	return n.parent.inUse > 0 && now+n.set.leaseAtAllocator() <= n.parent.inUseSince+n.set.NodeLease
 }
 
-// shareOf decides what a holder gets of a limit.
+// shareOf computes a holder's share of a limit and records it as granted. For a semaphore it is 0.
 func (n *Node) shareOf(name string, r Renewal, now time.Duration) Share {
 	if n.limits[name].kind == Semaphore {
 		return Share{Limit: name}
@@ -165,5 +165,6 @@
 	return n.grantShare(name, r, budget{share: from.share, evenShare: from.even}, now)
 }
 
-// Sweep forgets limits that nobody holds or wants any more, some with each call. It is to be called several times a second.
+// Sweep removes expired accounts, and limits without accounts. Each call handles a part of them, so it must be called several times a
+// second.
 func (n *Node) Sweep(now time.Duration) { n.sweep(now) }
--- a/internal/quota/pool.go
+++ b/internal/quota/pool.go
@@ -6,11 +6,13 @@
 	"time"
 )
 
-// quantum is the unit of shares. Multiples of it below 2^12 add up without rounding errors, so a running total never drifts.
+// quantum is the unit of shares. Multiples of it below 2^12 are added without rounding errors, so running totals stay exact.
 const quantum = 1.0 / (1 << 40)
 
+// roundDown rounds a share down to a multiple of quantum.
 func roundDown(share float64) float64 { return math.Floor(share/quantum) * quantum }
 
+// roundUp rounds a share up to a multiple of quantum.
 func roundUp(share float64) float64 { return math.Ceil(share/quantum) * quantum }
 
 // grantRecord is a granted share that may be in use.
@@ -18,25 +20,25 @@
 	seq        uint64
 	share      float64
 	until      time.Duration
-	generation int // of the pool's budget
+	generation int // the pool's generation when the share was granted
 }
 
-// account is what one holder demands and may use of one limit, or of the reserve.
+// account records what one holder demands and may use of one limit or of the reserve.
 type account struct {
 	id           string
-	demands      []Group       // none: it wants nothing
-	renewed      time.Duration // when its last renewal came
-	expiresAfter time.Duration // time without a renewal after which it wants nothing
-	fullFor      time.Duration // time for which a grant to it counts in full
-	weight       int           // holders behind it: 1, or those of a node
-	records      []grantRecord // oldest first: shares sink, ends rise
-	used         float64       // the largest share that may be in use, as counted in the pool
-	recent       float64       // the same of records of the pool's generation
-	live         int           // weight while it renews, else 0, as counted in the pool
-	index        int           // in the pool's order
+	demands      []Group       // empty if the holder demands nothing
+	renewed      time.Duration // when its last renewal was received
+	expiresAfter time.Duration // time after the last renewal at which its demands expire
+	fullFor      time.Duration // time for which a grant to it is counted in full
+	weight       int           // number of holders behind it: 1, or that of a node's holders
+	records      []grantRecord // oldest first; shares decrease and expiry times increase
+	used         float64       // the largest share that may be in use, as included in the pool's total
+	recent       float64       // the same for records of the pool's current generation
+	live         int           // weight until the demands expire, then 0, as included in the pool's total
+	index        int           // index in the pool's order
 }
 
-// newest returns the share granted last, 0 if that has ended.
+// newest returns the share granted last, or 0 if it has expired.
 func (a *account) newest() float64 {
 	if n := len(a.records); n > 0 {
 		return a.records[n-1].share
@@ -44,26 +46,27 @@
 	return 0
 }
 
-// pool has the accounts of one limit, or of the reserve, and running totals of them. A total is never too low: what is in use only
-// shrinks while no renewal comes. An account is recounted with each renewal of its own and, in turn, with those of others. So the
-// cost of a renewal does not grow with the number of accounts.
+// pool holds the accounts of one limit, or of the reserve, and running totals over them. A total is never too low, because between
+// renewals the amount in use can only decrease. An account is recounted with each of its own renewals and, in turn, with those of
+// other holders. So the cost of a renewal does not grow with the number of accounts.
 type pool struct {
 	accounts   map[string]*account
-	order      []*account    // in which they are recounted
-	next       int           // in order
+	order      []*account    // the order in which accounts are recounted
+	next       int           // index in order of the next account to recount
 	used       float64       // total of the accounts' used
 	recent     float64       // total of the accounts' recent
 	live       int           // total of the accounts' live
-	weight     int           // total of the accounts' weights, renewing or not
-	fade       time.Duration // time in which a share sinks to nothing at its end; 0: it stays in full up to its end
-	generation int           // rises when the budget sinks
+	weight     int           // total of the accounts' weights, including accounts whose demands have expired
+	fade       time.Duration // time over which a share decreases to 0 before it expires; 0: it is counted in full until it expires
+	generation int           // incremented when the budget decreases
 }
 
+// newPool returns a pool without accounts.
 func newPool(fade time.Duration) pool {
 	return pool{accounts: map[string]*account{}, fade: fade}
 }
 
-// account returns the account of a holder, a new one if there is none.
+// account returns the account of a holder. It is created if there is none.
 func (p *pool) account(id string) *account {
 	a := p.accounts[id]
 	if a == nil {
@@ -74,7 +77,7 @@
 	return a
 }
 
-// remove forgets an account.
+// remove removes an account from the pool and its totals.
 func (p *pool) remove(a *account) {
 	a.records = nil
 	a.renewed = -a.expiresAfter
@@ -88,13 +91,13 @@
 	delete(p.accounts, a.id)
 }
 
-// setWeight sets how many holders are behind an account.
+// setWeight sets the number of holders behind an account.
 func (p *pool) setWeight(a *account, weight int) {
 	p.weight += weight - a.weight
 	a.weight = weight
 }
 
-// usable returns how much of a record may be in use.
+// usable returns how much of a granted share may be in use.
 func (p *pool) usable(r grantRecord, now time.Duration) float64 {
 	if p.fade == 0 {
 		return r.share
@@ -102,7 +105,7 @@
 	return roundUp(r.share * min(1, float64(r.until-now)/float64(p.fade)))
 }
 
-// recount brings an account, and the totals, up to date.
+// recount removes the expired records of an account and updates its counts and the pool's totals.
 func (p *pool) recount(a *account, now time.Duration) {
 	a.records = slices.DeleteFunc(a.records, func(r grantRecord) bool { return now >= r.until })
 	var used, recent float64
@@ -125,13 +128,13 @@
 	a.live = live
 }
 
-// acknowledge forgets the grants before the one that the holder uses.
+// acknowledge removes the records of grants before the one that the holder uses.
 func (p *pool) acknowledge(a *account, inUse uint64, now time.Duration) {
 	a.records = slices.DeleteFunc(a.records, func(r grantRecord) bool { return r.seq < inUse })
 	p.recount(a, now)
 }
 
-// grant records that a share was granted. It forgets records of no larger shares, which end earlier.
+// grant records a granted share. It removes the records of shares that are no larger, since those expire earlier.
 func (p *pool) grant(a *account, seq uint64, share float64, now time.Duration) {
 	n := len(a.records)
 	for n > 0 && a.records[n-1].share <= share {
@@ -146,7 +149,7 @@
 	p.recount(a, now)
 }
 
-// beginGeneration begins a generation: what was granted before does not count as recent.
+// beginGeneration starts a new generation: shares granted before it do not count as recent.
 func (p *pool) beginGeneration() {
 	p.generation++
 	p.recent = 0
@@ -155,8 +158,8 @@
 	}
 }
 
-// recountNext recounts the next accounts in order, and removes those that have nothing and do not renew. It returns the holders of
-// those.
+// recountNext recounts the next accounts in order, and removes those without records whose demands have expired. It returns the IDs of
+// the holders of removed accounts.
 func (p *pool) recountNext(accounts int, now time.Duration) []string {
 	var removed []string
 	for range min(accounts, len(p.order)) {
--- a/internal/quota/semaphore.go
+++ b/internal/quota/semaphore.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// leaveQueue removes a holder from the queue.
+// leaveQueue removes a holder from the semaphore's queue.
 func (l *limit) leaveQueue(id string) {
 	l.queue = slices.DeleteFunc(l.queue, func(q string) bool { return q == id })
 }
 
-// semaphoreShare decides whether a holder gets the semaphore, 1 or 0: those who have waited longest do. It looks at all who wait.
+// semaphoreShare returns 1 if a holder gets the semaphore and 0 otherwise. Holders get it in order of arrival. The call iterates over
+// all waiting holders.
 func (l *limit) semaphoreShare(a *account, now time.Duration) float64 {
 	if len(a.demands) == 0 {
 		l.leaveQueue(a.id)
--- a/internal/quota/settings.go
+++ b/internal/quota/settings.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// DirectorSettings are those by which directors hold shares. Whoever grants to them uses the same, beside NodeLease.
+// DirectorSettings are the settings of directors. Allocators and nodes that grant to them use the same values except for NodeLease.
 var DirectorSettings = Settings{
 	Lease:        400 * time.Millisecond,
 	Drift:        0.02,
@@ -12,36 +12,36 @@
 	MinChange:    0.05,
 }
 
-// Settings are those of allocators, nodes and holders. All must be the same for those that work together, but NodeLease, which
+// Settings configures allocators, nodes and holders. Those that work together must use the same values, except for NodeLease, which
 // holders do not use.
 type Settings struct {
-	// Lease is the time for which a share may be used, by its holder's clock from before it was requested.
+	// Lease is the time for which a share may be used. It is measured by the holder's clock from before the share was requested.
 	Lease time.Duration
-	// Drift is the most by which two clocks run apart, as a share.
+	// Drift is the maximum relative difference between the rates of two clocks.
 	Drift float64
-	// Reserve is the share of each rate that is set aside for the fallback of holders without a share in force.
+	// Reserve is the fraction of each rate that is held back for the fallback of holders without a share in force.
 	Reserve float64
-	// FallbackFade is the time in which a fallback sinks to nothing. 0: there is no fallback.
+	// FallbackFade is the time over which a fallback decreases to 0. If it is 0, there is no fallback.
 	FallbackFade time.Duration
-	// Floor is what each holder that demands anything gets at least, as a share of an even share.
+	// Floor is the minimum share of each holder with a demand, as a fraction of an even share.
 	Floor float64
-	// MinChange is the least change of a share, as a share of it: smaller ones are not made.
+	// MinChange is the smallest change of a share that is made, as a fraction of the share.
 	MinChange float64
-	// NodeLease is what Lease is for nodes, which lease from the allocator what they divide. It must be longer than Lease by
-	// the time that an answer of the allocator may take and several renewals. 0: there are no nodes.
+	// NodeLease is the lease of nodes for the shares that they get from the allocator and divide. It must exceed Lease by the
+	// time that a reply of the allocator may take plus several renewal intervals. If it is 0, there are no nodes.
 	NodeLease time.Duration
 }
 
-// withDrift returns how long a time that another clock counts may last by the own clock.
+// withDrift returns the longest time that may pass by the local clock while d passes by another clock.
 func (s Settings) withDrift(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 + 2*s.Drift))
 }
 
-// leaseAtAllocator returns for how long a share counts where it was granted.
+// leaseAtAllocator returns the time for which the party that granted a share to a holder counts it as in use.
 func (s Settings) leaseAtAllocator() time.Duration { return s.withDrift(s.Lease) }
 
-// nodeLeaseAtRoot returns for how long a node's share counts at the root.
+// nodeLeaseAtRoot returns the time for which the root counts a node's share as in use.
 func (s Settings) nodeLeaseAtRoot() time.Duration { return s.withDrift(s.NodeLease) }
 
-// fadeAtAllocator returns in what time a fallback fades where it was granted.
+// fadeAtAllocator returns the time over which the party that granted a fallback decreases it to 0.
 func (s Settings) fadeAtAllocator() time.Duration { return s.withDrift(s.FallbackFade) }
