--- a/internal/claims/compatibility_test.go
+++ b/internal/claims/compatibility_test.go
@@ -8,7 +8,7 @@
 	"stairvane.org/stairvane/internal/tools/golden"
 )
 
-// TestLandedForms guards the messages between directors: an older version must read them.
+// TestLandedForms guards the wire format of messages between directors, which must stay readable for older versions.
 func TestLandedForms(t *testing.T) {
 	var m Message
 	golden.Fill(&m)
--- a/internal/claims/exploration_test.go
+++ b/internal/claims/exploration_test.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// exploration is one shard with the replicas a and b, of three directors, two of which request the same token for different groups.
-// Each step is a choice: a message arrives or is lost, a director's clock ticks, the primary dies, or a director applies that.
+// exploration is the state of three directors and one shard with the replicas a and b. Two directors request the same token for
+// different groups. Each step is one of several choices: a message arrives or is lost, a director's clock advances, the primary
+// fails, or a director applies the membership change that follows.
 type exploration struct {
 	nodes       map[string]*Node
 	inFlight    []transit
 	now         time.Duration
 	primaryDead bool
 	applied     map[string]bool
-	groups      map[string]bool // in which the token has run
+	groups      map[string]bool // groups that have executed the token
 }
 
 func newExploration() *exploration {
@@ -32,7 +33,7 @@
 	return e
 }
 
-// deliver puts what a node sends in flight and records where the token runs.
+// deliver adds the messages of a node to those in flight and records the groups that execute the token.
 func (e *exploration) deliver(id string) {
 	for {
 		out, outcomes, _ := e.nodes[id].Take()
@@ -57,10 +58,10 @@
 	}
 }
 
-// choices returns how many choices there are now.
+// choices returns the number of choices for the next step.
 func (e *exploration) choices() int { return 2*len(e.inFlight) + 3 + 1 + 2 }
 
-// take makes one of the choices.
+// take performs one of the choices.
 func (e *exploration) take(c int) {
 	if c < 2*len(e.inFlight) {
 		f := e.inFlight[c/2]
@@ -81,7 +82,7 @@
 		}
 	case c == 3:
 		e.primaryDead = true
-	default: // a director leaves the membership only after its lease
+	default: // the primary is removed from the membership only after its lease
 		id := string(rune('b' + c - 4))
 		if e.primaryDead && !e.applied[id] {
 			e.applied[id] = true
@@ -92,7 +93,8 @@
 	}
 }
 
-// The token runs in one group after each sequence of choices up to a depth. STAIRVANE_DEPTH sets another depth.
+// TestNoTokenRunsInTwoGroupsInAnyOrder explores all sequences of choices up to a depth: a token must never be executed in two groups.
+// STAIRVANE_DEPTH overrides the depth.
 func TestNoTokenRunsInTwoGroupsInAnyOrder(t *testing.T) {
 	depth, runs, most := fromEnv("STAIRVANE_DEPTH", 5), 0, 0
 	var walk func(path []int)
@@ -104,7 +106,7 @@
 		runs++
 		most = max(most, len(e.groups))
 		if len(e.groups) > 1 {
-			t.Fatalf("choices %v: it runs in %v", path, e.groups)
+			t.Fatalf("choices %v: the token is executed in the groups %v", path, e.groups)
 		}
 		if len(path) < depth {
 			for c := range e.choices() {
@@ -115,6 +117,6 @@
 	walk(nil)
 	t.Logf("%d states", runs)
 	if most != 1 {
-		t.Error("it never runs")
+		t.Error("the token is never executed")
 	}
 }
--- a/internal/claims/placement_test.go
+++ b/internal/claims/placement_test.go
@@ -8,14 +8,15 @@
 	"pgregory.net/rapid"
 )
 
-// Replicas are on different machines and, as far as there are, in different sites. A place that leaves moves only its own shards.
+// TestSelectReplicas checks that replicas are on different machines and, as far as there are enough, in different sites, and that the
+// removal of a candidate moves only its own shards.
 func TestSelectReplicas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(4, 40).Draw(t, "places")
 		var places []ShardCandidate
 		for i := range n {
 			name := fmt.Sprint("d", i)
-			site := rapid.IntRange(0, 4).Draw(t, "site") // a machine is in one site
+			site := rapid.IntRange(0, 4).Draw(t, "site") // a machine belongs to one site
 			places = append(places, ShardCandidate{
 				ID:      name + "/1",
 				Name:    name,
@@ -52,11 +53,11 @@
 		changed := Reassign(before, count, places[1:])
 		for _, c := range changed {
 			if !slices.Contains(before[c.Shard].Replicas, gone.ID) {
-				t.Fatalf("shard %d moves from %v to %v without need", c.Shard, before[c.Shard].Replicas, c.Replicas)
+				t.Fatalf("shard %d moves from %v to %v, none of which was removed", c.Shard, before[c.Shard].Replicas, c.Replicas)
 			}
 		}
 		if len(changed) != had {
-			t.Fatalf("%d shards change, it had %d", len(changed), had)
+			t.Fatalf("%d shards change, the removed candidate had %d", len(changed), had)
 		}
 	})
 }
--- a/internal/claims/simulation_test.go
+++ b/internal/claims/simulation_test.go
@@ -19,12 +19,12 @@
 	return otherwise
 }
 
-// simulation is a few directors, the membership as they learn it, and messages that take any time or are lost. It records in which
-// group each token runs, and so notices if one runs in two groups within its window.
+// simulation models a few directors, the event log of their membership, and messages that are delayed or lost. It records the group
+// that executes each token, to detect a token that is executed in two groups within its window.
 type simulation struct {
-	skipsReplication bool // without a guard: claims are granted before they are replicated
-	skipsClose       bool // without a guard: earlier epochs are not closed before a new primary serves
-	skipsWait        bool // without a guard: a new primary serves before the event log shows its epoch as ready
+	skipsReplication bool // disables a guard: claims are granted before they are replicated
+	skipsClose       bool // disables a guard: earlier epochs are not closed before a new primary serves
+	skipsWait        bool // disables a guard: a new primary serves before the event log marks its epoch as ready
 
 	rng       *rand.Rand
 	now       time.Duration
@@ -35,38 +35,38 @@
 	epoch     int64
 	members   []string
 	log       []membershipEvent
-	slowUntil time.Duration // no shard is recorded as ready before
+	slowUntil time.Duration // no shard is marked as ready in the event log before this time
 	window    time.Duration
-	runs      map[string]run // the last of each token
+	runs      map[string]run // the last execution of each token
 	stats     map[Verdict]int
 	failure   string
 }
 
-// membershipEvent is an event of the log.
+// membershipEvent is an entry of the event log.
 type membershipEvent struct {
 	joined, left []string
 	shards       []ShardState
 }
 
-// run is where a token ran, and when.
+// run is the group and time of an execution of a token.
 type run struct {
 	group string
 	at    time.Duration
 }
 
-// transit is a message that has not arrived.
+// transit is a message in flight.
 type transit struct {
 	from, to string
 	message  Message
 	at       time.Duration
 }
 
-// simNode is a director with a clock of its own, and its faults.
+// simNode is a director with its own clock and faults.
 type simNode struct {
 	id, name      string
 	node          *Node
-	heardAt       time.Duration // when it called the control plane last
-	appliedEvents int           // of the log
+	heardAt       time.Duration // time of its last call to the control plane
+	appliedEvents int           // number of log entries that it has applied
 	pausedUntil   time.Duration
 	cutUntil      time.Duration // it can't call the control plane until then
 	requests      map[uint64]clientRequest
@@ -84,7 +84,7 @@
 	sendAfter = time.Second
 )
 
-// startNode starts the process of a director, with an ID of its own.
+// startNode starts a director process. Each process of a director has its own ID.
 func (s *simulation) startNode(name string, life int) {
 	id := fmt.Sprintf("%s/%d", name, life)
 	n := &simNode{
@@ -103,8 +103,8 @@
 	return ShardCandidate{ID: id, Name: n.name, Machine: n.name, Site: n.name}
 }
 
-// updateMembership writes the next membership event, if there is a change. Directors that have not called for a lease and its drift
-// are gone.
+// updateMembership appends a membership event if the membership has changed. Directors that have not called for the length of a lease
+// plus its drift are removed.
 func (s *simulation) updateMembership() {
 	var joined, left, members []string
 	for _, id := range s.members {
@@ -141,10 +141,10 @@
 
 func (s *simulation) clock(n *simNode) time.Duration { return s.now + n.skew }
 
-// deliver puts what a node sends in flight and handles its outcomes.
+// deliver adds the messages of a node to those in flight and handles its outcomes.
 func (s *simulation) deliver(n *simNode) {
 	for {
-		out, ends, _ := n.node.Take() // ready shards are reported with each call
+		out, ends, _ := n.node.Take() // ready shards are reported with each call to the control plane
 		if len(out)+len(ends) == 0 {
 			return
 		}
@@ -163,8 +163,8 @@
 	}
 }
 
-// handleOutcome does what a director does with an outcome: it sends the attempt, to its own group or to that of the claim, if there
-// is time.
+// handleOutcome handles an outcome as a director does: it sends the attempt to its own group or to that of the existing claim, if
+// there is enough time left.
 func (s *simulation) handleOutcome(n *simNode, e Outcome) {
 	w := n.requests[e.Key]
 	delete(n.requests, e.Key)
@@ -182,17 +182,18 @@
 	default:
 		return
 	}
-	if s.rng.IntN(6) == 0 { // the director dies before it sends the attempt
+	if s.rng.IntN(6) == 0 { // the director fails before it sends the attempt
 		return
 	}
 	if was, is := s.runs[w.token]; !is || s.now-was.at >= s.window {
 		s.runs[w.token] = run{group, s.now}
 	} else if was.group != group {
-		s.failure = fmt.Sprintf("%s runs in %s and, %v later, in %s", w.token, was.group, s.now-was.at, group)
+		s.failure = fmt.Sprintf("%s is executed in %s and, %v later, in %s", w.token, was.group, s.now-was.at, group)
 	}
 }
 
-// recordReady writes which shards are ready. It may be late with that, while the membership goes on changing.
+// recordReady appends events that mark shards as ready. During a slow period it appends none, while the membership may continue to
+// change.
 func (s *simulation) recordReady(ready []int64) {
 	for i := 0; i+1 < len(ready) && s.now >= s.slowUntil; i += 2 {
 		shard := &s.shards[ready[i]]
@@ -213,7 +214,7 @@
 		if s.now < n.pausedUntil {
 			continue
 		}
-		if s.now >= n.cutUntil && s.rng.IntN(8) == 0 { // it calls the control plane, which answers
+		if s.now >= n.cutUntil && s.rng.IntN(8) == 0 { // it calls the control plane and receives the reply
 			n.heardAt = s.now
 			s.recordReady(n.node.ReadyShards())
 			for ; n.appliedEvents < len(s.log); n.appliedEvents++ {
@@ -281,7 +282,8 @@
 	return ids
 }
 
-// play runs a seed for some time: directors die, start again under another ID, pause and are cut off.
+// play runs the simulation of a seed for 20 s, or up to the first failure: directors fail, restart with another ID, pause and are
+// partitioned. guard names a guard to disable; empty: none.
 func play(seed uint64, guard string) *simulation {
 	s := &simulation{
 		skipsReplication: guard == "replication",
@@ -306,7 +308,7 @@
 		s.step()
 		ids := sorted(s.nodes)
 		switch s.rng.IntN(800) {
-		case 0: // at most two of three replicas are lost together
+		case 0: // at least three directors remain, so at most two of three replicas are lost at the same time
 			if len(ids) > 3 {
 				id := ids[s.rng.IntN(len(ids))]
 				dead[s.nodes[id].name] = s.now + time.Duration(s.rng.IntN(2000))*ms
@@ -328,8 +330,8 @@
 	return s
 }
 
-// No token runs in two groups within its window when directors die, pause, are cut off or start again. Each guard is taken out once,
-// to see that the test notices.
+// TestNoTokenRunsInTwoGroups checks that no token is executed in two groups within its window when directors fail, pause, are
+// partitioned or restart. Each guard is disabled once, to verify that the test detects its absence.
 func TestNoTokenRunsInTwoGroups(t *testing.T) {
 	first, stats := uint64(fromEnv("STAIRVANE_SEED", 1)), map[Verdict]int{}
 	n := fromEnv("STAIRVANE_SEEDS", 60)
@@ -350,16 +352,16 @@
 	}
 	t.Logf("by verdict: %v", stats)
 	if stats[Granted] < 10*n || stats[HeldElsewhere] < 10*n {
-		t.Errorf("hardly anything was decided: %v", stats)
+		t.Errorf("too few requests were granted or redirected: %v", stats)
 	}
 	for _, guard := range []string{"replication", "closing", "waiting"} {
 		seed := uint64(1)
 		for ; seed <= 400 && play(seed, guard).failure == ""; seed++ {
 		}
 		if seed > 400 {
-			t.Errorf("nothing fails without the guard of the %s", guard)
+			t.Errorf("no seed fails with the guard %q disabled", guard)
 		} else {
-			t.Logf("without the guard of the %s seed %d fails", guard, seed)
+			t.Logf("with the guard %q disabled, seed %d fails", guard, seed)
 		}
 	}
 }
--- a/internal/claims/takeover_test.go
+++ b/internal/claims/takeover_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// The replicas of the last ready epoch are members when the next begins, and leave before they have sent their claims. Those may be in
-// force, so nothing is granted until the longest window is over. If one has sent its claims, granting begins at once.
+// TestPreviousReplicasLostDuringTakeover covers replicas of the last ready epoch that are members when the next epoch starts and leave
+// before they have sent their claims. Those claims may still be in force, so nothing may be granted until claims of the longest window
+// have expired. If one replica has sent its claims, requests are granted immediately.
 func TestPreviousReplicasLostDuringTakeover(t *testing.T) {
 	for _, sent := range []bool{false, true} {
 		set := Settings{Shards: 1, MaxClaims: 100, MaxWindow: 4 * time.Second, Slack: time.Second, ResendAfter: 50 * ms}
@@ -35,7 +36,7 @@
 			out, _, _ := n.Take()
 			granted := slices.ContainsFunc(out, func(s Sending) bool { return s.Kind == ReplyClaim && s.Verdict == Granted })
 			if want := sent || at >= 9*time.Second+2*ms; granted != want {
-				t.Errorf("sent %v: after %v granted is %v", sent, at, granted)
+				t.Errorf("claims sent %v: after %v granted is %v", sent, at, granted)
 			}
 		}
 	}
