--- a/internal/health/aggregator_test.go
+++ b/internal/health/aggregator_test.go
@@ -13,14 +13,14 @@
 
 const ms = time.Millisecond
 
-// simulation is directors that send to caches at random and report; some report something else.
+// simulation models directors that send to random caches and report the outcomes. Some directors report false outcomes.
 type simulation struct {
 	aggregator    *Aggregator
 	rng           *rand.Rand
 	now           time.Duration
 	seqs          []uint64
 	failureShares []float64                     // share of attempts that fail, by cache
-	falseOutcomes func(director int) []Outcomes // what a faulty director reports; nil: the director is sound
+	falseOutcomes func(director int) []Outcomes // the reports of a faulty director; nil: the director reports its real outcomes
 }
 
 func directorID(i int) string { return fmt.Sprintf("d%d/1", i) }
@@ -55,8 +55,8 @@
 	}
 }
 
-// A cache that fails two attempts in three is suspected within two seconds by eight directors that each send it two a second. Once it
-// is well, the suspicion ends within its lifetime.
+// TestBadCacheIsSuspected checks that eight directors that each send two attempts per second to a cache suspect it within two seconds if
+// it fails two attempts in three, and that the suspicion ends within its lifetime once the cache has recovered.
 func TestBadCacheIsSuspected(t *testing.T) {
 	f := &simulation{
 		aggregator:    NewAggregator(DefaultSettings, 1),
@@ -69,16 +69,16 @@
 		tracker.Take(f.aggregator.Aggregated(f.now), f.now)
 		for cache, share := range tracker.FailureShares(f.now) {
 			if cache != "b0" {
-				t.Errorf("%v: %s is suspected with %v", f.now, cache, share)
+				t.Errorf("%v: healthy cache %s is suspected, share of failures %v", f.now, cache, share)
 			}
 			if known == 0 {
 				known = f.now
 			}
 		}
 	})
-	t.Logf("known after %v: %v", known, tracker.FailureShares(f.now))
+	t.Logf("suspected after %v: %v", known, tracker.FailureShares(f.now))
 	if known == 0 || known > 2*time.Second {
-		t.Errorf("known after %v", known)
+		t.Errorf("suspected after %v", known)
 	}
 	f.failureShares[0] = 0.02
 	f.run(8, DefaultSettings.Lifetime+time.Second, 8, func() { tracker.Take(f.aggregator.Aggregated(f.now), f.now) })
@@ -87,12 +87,13 @@
 	}
 	f.aggregator.Sweep(f.now + time.Minute)
 	if len(f.aggregator.caches)+len(f.aggregator.lastSeq)+len(f.aggregator.machines) > 0 {
-		t.Errorf("%d caches and %d directors are remembered", len(f.aggregator.caches), len(f.aggregator.lastSeq))
+		t.Errorf("%d caches and %d directors are left after the sweep", len(f.aggregator.caches), len(f.aggregator.lastSeq))
 	}
 }
 
-// Less than a third of the machines report false outcomes of all caches, as many as they like: healthy caches are suspected in under
-// 5 % of the moments, and the bad one still is. With more than two thirds they succeed, so the test would notice.
+// TestFaultyReportersHaveNoInfluence checks reports of false outcomes for all caches, with arbitrarily high counts. If fewer than a third
+// of the machines send them, healthy caches must be suspected in at most 5 % of the samples and the bad cache must still be suspected.
+// If more than two thirds send them, healthy caches are suspected, which verifies that the test detects it.
 func TestFaultyReportersHaveNoInfluence(t *testing.T) {
 	worst := 0
 	for seed := range uint64(60) {
@@ -131,16 +132,16 @@
 			case few && wronglySuspected > 180/20:
 				t.Errorf("seed %d: %d of %d faulty: healthy caches are suspected %d times", seed, faulty, directors, wronglySuspected)
 			case few && known < 20:
-				t.Errorf("seed %d: %d of %d are faulty, and the bad cache is suspected %d times of 60", seed, faulty, directors, known)
+				t.Errorf("seed %d: %d of %d faulty: the bad cache is suspected %d times of 60", seed, faulty, directors, known)
 			case !few && wronglySuspected < 60:
-				t.Errorf("seed %d: %d of %d are faulty, and the test sees nothing of it", seed, faulty, directors)
+				t.Errorf("seed %d: %d of %d faulty: healthy caches are not suspected, so nothing is detected", seed, faulty, directors)
 			}
 		}
 	}
-	t.Logf("at worst a healthy cache was suspected in %d of 180 moments", worst)
+	t.Logf("at worst, healthy caches were suspected %d times in 180 samples", worst)
 }
 
-// Reports of several directors may come in any order, and again: the result is the same.
+// TestReportOrderHasNoInfluence checks that reordered and duplicate reports of several directors give the same result.
 func TestReportOrderHasNoInfluence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(3, 8).Draw(t, "directors")
@@ -167,7 +168,7 @@
 	})
 }
 
-// Impossible, excessive and late reports do not count, and no suspicion outlives its lifetime.
+// TestInvalidAndLateReports checks that invalid, excessive and late reports are ignored and that no suspicion outlives its lifetime.
 func TestInvalidAndLateReports(t *testing.T) {
 	aggregator := NewAggregator(DefaultSettings, 5)
 	for d := range 5 {
@@ -187,7 +188,7 @@
 		aggregator.Take(Report{Holder: directorID(d), Seq: 3, Caches: failing}, ReporterLocation{"one machine", ""}, 0)
 	}
 	if o := aggregator.Aggregated(0); len(o.Caches) > 0 {
-		t.Errorf("one machine is enough: %+v", o)
+		t.Errorf("reports of a single machine are sufficient: %+v", o)
 	}
 	aggregator = NewAggregator(DefaultSettings, 5)
 	for d := range 5 {
@@ -199,23 +200,23 @@
 	if d := tracker.FailureShares(time.Hour); d["x"] < 0.9 {
 		t.Errorf("%v", d)
 	}
-	tracker.Take(AggregatedHealth{Epoch: 4, Seq: 99}, time.Hour+ms) // of an earlier aggregator
+	tracker.Take(AggregatedHealth{Epoch: 4, Seq: 99}, time.Hour+ms) // from an earlier aggregator
 	tracker.Take(AggregatedHealth{Epoch: 5, Seq: 0}, time.Hour+ms)
 	last := 2.0
 	for at := time.Duration(0); at < tracker.lifetime; at += 100 * ms {
 		d := tracker.FailureShares(time.Hour + at)["x"]
 		if d > last || d == 0 || tracker.lifetime < DefaultSettings.Lifetime/2 || tracker.lifetime > DefaultSettings.Lifetime {
-			t.Fatalf("after %v: %v, before %v", at, d, last)
+			t.Fatalf("after %v: share %v, previous share %v", at, d, last)
 		}
 		last = d
 	}
 	if d := tracker.FailureShares(time.Hour + DefaultSettings.Lifetime); len(d) > 0 {
-		t.Errorf("it outlives its lifetime: %v", d)
+		t.Errorf("the suspicion outlives its lifetime: %v", d)
 	}
 	if d := tracker.FailureShares(time.Hour - time.Second); len(d) > 0 {
-		t.Errorf("a clock that is set back makes it young: %v", d)
+		t.Errorf("a clock that is set back extends the suspicion: %v", d)
 	}
 	if o := aggregator.Aggregated(DefaultSettings.Lifetime); len(o.Caches) > 0 {
-		t.Errorf("old outcomes count: %+v", o)
+		t.Errorf("expired outcomes are counted: %+v", o)
 	}
 }
--- a/internal/health/compatibility_test.go
+++ b/internal/health/compatibility_test.go
@@ -6,7 +6,7 @@
 	"stairvane.org/stairvane/internal/tools/golden"
 )
 
-// TestLandedForms guards what directors and the control plane send each other: an older version must read it.
+// TestLandedForms guards the wire format between directors and the control plane, which must stay readable for older versions.
 func TestLandedForms(t *testing.T) {
 	golden.JSON[Report](t, "report")
 	golden.JSON[AggregatedHealth](t, "aggregated-health")
--- a/internal/health/measure_test.go
+++ b/internal/health/measure_test.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// TestMeasureReports measures the bytes a second and the leader's time that reports take, by directors and caches. It runs with
-// STAIRVANE_MEASURE=1. Each director has 8 attempts a second, spread over 20 caches of its location or 4 of all; one cache in 50
-// fails half of them.
+// TestMeasureReports measures the bandwidth of reports and results and the leader's processing time, for different numbers of directors
+// and caches. It runs only with STAIRVANE_MEASURE=1. Each director makes 8 attempts per second, spread over the 20 caches of its
+// location and 4 caches that all directors use; 1 in 50 caches fails half of its attempts.
 func TestMeasureReports(t *testing.T) {
 	if os.Getenv("STAIRVANE_MEASURE") == "" {
-		t.Skip("a measurement, by command: STAIRVANE_MEASURE=1")
+		t.Skip("measurement: set STAIRVANE_MEASURE=1 to run it")
 	}
 	const seconds = 10
 	for _, caches := range []int{100, 500} {
