--- a/internal/quota/allocator_test.go
+++ b/internal/quota/allocator_test.go
@@ -22,7 +22,7 @@
 	return Settings{Lease: 400 * ms, Drift: 0.02, Reserve: 0.2, FallbackFade: 10 * time.Second, Floor: 0.2, MinChange: 0.05}
 }
 
-// scenario is some holders, an allocator that may be replaced, and messages that take any time or are lost.
+// scenario models some holders, an allocator that may be replaced, and messages that are delayed or lost.
 type scenario struct {
 	rng               *rand.Rand
 	now               time.Duration
@@ -32,11 +32,11 @@
 	inFlight          []transit
 	worst             float64
 	underused         time.Duration // time in which less than 0.4 of the limit was in force, though more than 1 was wanted
-	countsFromReceipt bool          // without a guard: shares count from their receipt and not from the request
-	skipsWait         bool          // without a guard: a new allocator does not wait for the grants of the one before
+	countsFromReceipt bool          // disables a guard: leases start at the receipt of a grant and not at its request
+	skipsWait         bool          // disables a guard: a new allocator does not wait for earlier grants to expire
 }
 
-// simHolder is a holder with a clock of its own, and its faults.
+// simHolder is a holder with its own clock and faults.
 type simHolder struct {
 	holder      *Holder
 	rate        float64 // of its clock
@@ -45,7 +45,7 @@
 	demand      float64
 }
 
-// transit is a message that has not arrived.
+// transit is a message in flight.
 type transit struct {
 	from    int
 	renewal *Renewal
@@ -90,7 +90,7 @@
 func (s *scenario) step() {
 	s.now += 10 * ms
 	switch s.rng.IntN(300) {
-	case 0: // another allocator; messages of the one before are lost
+	case 0: // a new allocator replaces the current one, whose messages are lost
 		s.epoch++
 		s.allocator = NewAllocator(testSettings(), s.epoch, s.now, s.skipsWait)
 		s.inFlight = nil
@@ -107,7 +107,7 @@
 		if s.now < h.pausedUntil || s.rng.IntN(10) > 0 {
 			continue
 		}
-		if s.rng.IntN(30) == 0 { // gives up its share, and wants it again with the next renewal
+		if s.rng.IntN(30) == 0 { // releases its share and requests it again with the next renewal
 			h.holder.Want(Want{Limit: "box", Kind: Rate})
 		} else {
 			h.holder.Want(Want{Limit: "box", Kind: Rate, Demand: h.demand})
@@ -147,8 +147,8 @@
 	}
 }
 
-// The shares in force never pass the limit when holders pause, are cut off, die or join, and allocators change. Most of the limit is
-// in use. Each guard is taken out once, to see that the test notices.
+// TestSharesKeepTheLimit checks that the shares in force never exceed the limit and that most of the limit is used, when holders pause,
+// are partitioned, fail or join and allocators are replaced. Each guard is disabled once, to verify that the test detects its absence.
 func TestSharesKeepTheLimit(t *testing.T) {
 	first, unused := uint64(fromEnv("STAIRVANE_SEED", 1)), time.Duration(0)
 	n := fromEnv("STAIRVANE_SEEDS", 200)
@@ -156,32 +156,32 @@
 	for i := range n {
 		f := playScenario(first+uint64(i), []int{2, 3, 8, 20}[i%4], 20*time.Second, "")
 		if f.worst > 1+1e-9 {
-			t.Fatalf("seed %d: %v of the limit may be used", first+uint64(i), f.worst)
+			t.Fatalf("seed %d: %v of the limit is in force", first+uint64(i), f.worst)
 		}
 		unused += f.underused
 	}
-	t.Logf("less than 0.4 of the limit was out for %.1f %% of the time", 100*unused.Seconds()/(20*float64(n)))
+	t.Logf("less than 0.4 of the limit was in force for %.1f %% of the time", 100*unused.Seconds()/(20*float64(n)))
 	if unused > time.Duration(n)*6*time.Second {
-		t.Errorf("too little is in use: %v in %d runs of 20 s", unused, n)
+		t.Errorf("too little of the limit was in force for %v in %d runs of 20 s", unused, n)
 	}
 	for _, guard := range []string{"asking", "waiting"} {
 		seed := uint64(1)
 		for ; seed <= 300 && playScenario(seed, 3, 20*time.Second, guard).worst <= 1+1e-9; seed++ {
 		}
 		if seed > 300 {
-			t.Errorf("nothing fails without the guard of the %s", guard)
+			t.Errorf("no seed exceeds the limit with the guard %q disabled", guard)
 		} else {
 			worst := playScenario(seed, 3, 20*time.Second, guard).worst
-			t.Logf("without the guard of the %s seed %d passes the limit: %.2f", guard, seed, worst)
+			t.Logf("with the guard %q disabled, seed %d exceeds the limit: %.2f", guard, seed, worst)
 		}
 	}
 }
 
-// A late grant for a holder that has died is not taken by its successor, which has sent a renewal with the same number. Both would
-// use the share.
+// TestGrantForEarlierProcess guards against a restarted holder that accepts a late grant for its previous process because it has sent a
+// renewal with the same sequence number. Both processes would then use the share.
 func TestGrantForEarlierProcess(t *testing.T) {
 	if f := playScenario(419623448, 2, 20*time.Second, ""); f.worst > 1+1e-9 {
-		t.Errorf("%v of the limit may be used", f.worst)
+		t.Errorf("%v of the limit is in force", f.worst)
 	}
 	before, after := NewHolder("d/1", testSettings()), NewHolder("d/2", testSettings())
 	allocator := NewAllocator(testSettings(), 1, 0, true)
@@ -190,14 +190,14 @@
 	late := allocator.Renew(before.Renewal(0), 0)
 	after.Renewal(0)
 	if after.Take(late, ms); after.Available("box", ms) != 0 {
-		t.Errorf("it took over %v", after.Available("box", ms))
+		t.Errorf("the new process uses %v of the previous one's grant", after.Available("box", ms))
 	}
 	if before.Take(late, ms); before.Available("box", ms) == 0 {
-		t.Error("the one that asked got nothing")
+		t.Error("the process that sent the renewal has no share")
 	}
 }
 
-// Without faults each holder soon has its max-min fair share.
+// TestSharesAreFair checks that, without faults, each holder soon has its max-min fair share.
 func TestSharesAreFair(t *testing.T) {
 	for _, demands := range [][]float64{{1, 1, 1, 1, 1, 1, 1, 1}, {0.05, 0.1, 1, 1}, {1000, 1, 1}} {
 		settings := testSettings()
@@ -220,13 +220,14 @@
 		want := maxMin(capped, settings.Floor/float64(len(demands)))
 		for i, h := range holders {
 			if got := h.Available("x", now) / (1 - settings.Reserve); got < 0.94*want[i] || got > 1.06*want[i] {
-				t.Errorf("demands %v: %d has %v, fair is %v", demands, i, got, want[i])
+				t.Errorf("demands %v: holder %d has %v, fair share is %v", demands, i, got, want[i])
 			}
 		}
 	}
 }
 
-// A semaphore goes from one holder to the next, no two hold it at once, and one whose holder dies is granted again after its lease.
+// TestSemaphoreGoesRound checks that a semaphore passes from one holder to the next, that no two hold it at the same time, and that it is
+// granted again after its lease if its holder fails.
 func TestSemaphoreGoesRound(t *testing.T) {
 	settings := testSettings()
 	allocator, now := NewAllocator(settings, 1, 0, true), time.Duration(0)
@@ -239,7 +240,7 @@
 		now += 50 * ms
 		holding := 0
 		for i, h := range holders {
-			if i == 1 && had[1] { // it dies while it holds the semaphore
+			if i == 1 && had[1] { // fails while it holds the semaphore
 				continue
 			}
 			demand := 1.0
@@ -258,10 +259,10 @@
 			}
 		}
 		if holding > 1 {
-			t.Fatalf("%d have the turn at %v", holding, now)
+			t.Fatalf("%d holders have the semaphore at %v", holding, now)
 		}
 	}
 	if len(had) != 5 {
-		t.Errorf("only %v had their turn", had)
+		t.Errorf("only holders %v have had the semaphore", had)
 	}
 }
--- a/internal/quota/bench_test.go
+++ b/internal/quota/bench_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// BenchmarkRenew measures one renewal by the number of holders, each of which renews every 100 ms, and of limits.
+// BenchmarkRenew measures one renewal for different numbers of limits and of holders, each of which renews every 100 ms.
 func BenchmarkRenew(b *testing.B) {
 	for _, limits := range []int{0, 1, 8} {
 		for _, holders := range []int{100, 200, 400, 800, 1600, 3500} {
@@ -36,7 +36,8 @@
 	}
 }
 
-// BenchmarkDivide measures one division of a limit by the number of holders. 8 limits make 8/(50 ms + n*50 us) divisions a second.
+// BenchmarkDivide measures one division of a limit for different numbers of holders. With 8 limits and n holders there are
+// 8/(50 ms + n*50 us) divisions per second.
 func BenchmarkDivide(b *testing.B) {
 	for _, holders := range []int{400, 3500} {
 		b.Run(fmt.Sprint("holders=", holders), func(b *testing.B) {
@@ -55,7 +56,7 @@
 	}
 }
 
-// BenchmarkNodeRenewal measures one renewal of a node with 400 leaves that want 8 limits, and the size of it.
+// BenchmarkNodeRenewal measures the time and the size of one renewal of a node with 400 leaves that each want 8 limits.
 func BenchmarkNodeRenewal(b *testing.B) {
 	node := NewNode("n", treeSettings())
 	for i := range 400 {
--- a/internal/quota/division_test.go
+++ b/internal/quota/division_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-// maxMin divides a limit of 1 among demands, with a floor for each. It is what other tests compare granted shares with.
+// maxMin divides a limit of 1 among demands, with a floor for each. Other tests compare granted shares with its result.
 func maxMin(demands []float64, floor float64) []float64 {
 	groups := make([]Group, len(demands))
 	for i, demand := range demands {
@@ -20,7 +20,8 @@
 	return shares
 }
 
-// No holder gets less than its demand while another gets more than that; the shares add up to the limit.
+// TestDivideIsMaxMinFair checks that no holder gets less than its demand while another gets more than both that share and its own demand,
+// and that the shares add up to the limit.
 func TestDivideIsMaxMinFair(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		demands := rapid.SliceOfN(rapid.Float64Range(0, 1), 1, 30).Draw(t, "demands")
@@ -32,11 +33,11 @@
 			if demands[i] > 0 {
 				wants++
 			} else if p != 0 {
-				t.Fatalf("%v: who wants nothing gets %v", demands, p)
+				t.Fatalf("%v: a holder without demand gets %v", demands, p)
 			}
 			for j := range shares {
 				if demands[i] > p+1e-9 && shares[j] > p+1e-9 && demands[j] > 0 && shares[j] > max(demands[j], floor)+1e-9 {
-					t.Fatalf("%v: %v gets %v and lacks, %v gets %v and has enough", demands, demands[i], p, demands[j], shares[j])
+					t.Fatalf("%v: a demand of %v gets only %v, while a demand of %v gets %v", demands, demands[i], p, demands[j], shares[j])
 				}
 			}
 		}
--- a/internal/quota/explore_test.go
+++ b/internal/quota/explore_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// state is two allocators, the second of which takes over at some moment, three holders of one limit, and the messages in flight.
-// The holders' clocks run slow, right and fast by the drift.
+// state is the state of two allocators, the second of which takes over at some time, three holders of one limit, and the messages in
+// flight. The holders' clocks run slow by the drift, exactly, and fast by the drift.
 type state struct {
 	now               time.Duration
 	allocators        [2]*Allocator
@@ -19,9 +19,9 @@
 	wants             [3]float64
 	inFlight          []transit
 	renewals          int
-	renewingHolders   int     // holders that renew, the first ones
-	maxRenewals       int     // of all holders together
-	countsFromReceipt [3]bool // without a guard: shares count from their receipt
+	renewingHolders   int     // number of holders that renew, from the first on
+	maxRenewals       int     // limit of renewals of all holders together
+	countsFromReceipt [3]bool // disables a guard: leases start at the receipt of a grant
 }
 
 var rates = [3]float64{1 - 0.02, 1, 1 + 0.02}
@@ -66,8 +66,8 @@
 	return &c
 }
 
-// step visits the states that may follow: a holder renews, a message in flight arrives, in any order or never, time passes, up to
-// more than a lease, or the second allocator takes over, while the first may still answer.
+// step visits the possible next states: a holder renews; one of the messages in flight arrives, in any order or never; time passes, up
+// to more than a lease; or the second allocator takes over, while the first may still reply.
 func (s *state) step(visit func(*state)) {
 	for i := range s.holders {
 		if i < s.renewingHolders && s.renewals < s.maxRenewals {
@@ -117,7 +117,7 @@
 
 var exploreSeed = maphash.MakeSeed()
 
-// key identifies a state.
+// key returns a hash that identifies a state.
 func (s *state) key() uint64 {
 	var h maphash.Hash
 	h.SetSeed(exploreSeed)
@@ -147,7 +147,7 @@
 	return h.Sum64()
 }
 
-// accountsOfLimit returns the accounts of the one limit.
+// accountsOfLimit returns the accounts of the only limit.
 func (a *Allocator) accountsOfLimit() pool {
 	if l := a.limits["box"]; l != nil {
 		return l.pool
@@ -155,7 +155,7 @@
 	return pool{}
 }
 
-// explore visits all states up to a depth, and returns their number and the most that is in force in any.
+// explore visits all states up to a depth. It returns their number and the largest sum of shares in force.
 func explore(depth, renewing, maxRenewals int, countsFromReceipt bool) (states int, worst float64) {
 	s := &state{
 		renewingHolders:   renewing,
@@ -191,20 +191,20 @@
 	return len(visited), worst
 }
 
-// In each order of renewals, grants, losses, delays, pauses and deaths of two allocators and three holders, up to a depth, the shares in
-// force never pass the limit. STAIRVANE_DEPTH sets another depth.
+// TestExploreMessageOrders explores all orders of renewals, grants, losses, delays, pauses and failures of two allocators and three
+// holders up to a depth: the shares in force must never exceed the limit. STAIRVANE_DEPTH overrides the depth.
 func TestExploreMessageOrders(t *testing.T) {
 	depth := fromEnv("STAIRVANE_DEPTH", 6)
 	states, worst := explore(depth, 3, 3, false)
 	t.Logf("%d states to a depth of %d, at worst %.3f of the limit", states, depth, worst)
 	if worst > 1+1e-9 || worst < 0.5 {
-		t.Errorf("%.3f of the limit may be used", worst)
+		t.Errorf("%.3f of the limit is in force", worst)
 	}
 	if states, worst = explore(7, 2, 2, false); worst > 1+1e-9 {
-		t.Errorf("%.3f of the limit may be used by two", worst)
+		t.Errorf("two holders: %.3f of the limit is in force", worst)
 	}
 	t.Logf("two holders: %d states, at worst %.3f", states, worst)
 	if _, worst := explore(7, 2, 2, true); worst <= 1+1e-9 {
-		t.Errorf("parts counted from when they come pass the limit nowhere: %.3f", worst)
+		t.Errorf("no state exceeds the limit if leases start at receipt: %.3f", worst)
 	}
 }
--- a/internal/quota/node_test.go
+++ b/internal/quota/node_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// newFaultlessTree makes a tree whose messages come at once and whose clocks are right. leaves is the number of leaves at each node,
-// the last that at the root.
+// newFaultlessTree returns a tree whose messages arrive immediately and whose clocks are exact. leaves has the number of leaves of each
+// node and, as the last value, of the root.
 func newFaultlessTree(leaves ...int) *tree {
 	t := newTree(1, len(leaves)-1, 0)
 	t.perfect, t.root.rate = true, 1
@@ -30,14 +30,15 @@
 	return shares
 }
 
-// Two leaves demand all in turn, and the grants for small demands are lost, so the node counts for both what they had before its own
-// share sank. They must not be granted that again, also if the node's share goes on sinking.
+// TestShrunkShareIsNotRenewed covers two leaves that alternately demand the whole limit. Grants for their small demands are lost, so the
+// node still counts the shares that both had before its own share decreased. They must not be granted these shares again, even if the
+// node's share continues to decrease.
 func TestShrunkShareIsNotRenewed(t *testing.T) {
 	for _, further := range []float64{0, 0.001} {
 		tr, part := newFaultlessTree(2, 0), 0.8
 		node, counted := tr.nodes[0].node, []float64{0}
 		for i := range 80 {
-			tr.now += 60 * ms // longer than a filling holds
+			tr.now += 60 * ms // longer than a division is reused
 			if i == 20 {
 				part = 0.4
 			} else if i > 20 {
@@ -52,20 +53,20 @@
 			} else {
 				tr.renewLeaf(turn)
 			}
-			counted = append(counted, part) // for as long as a root counts it that the node never says to have taken another
+			counted = append(counted, part) // a root counts it for the node's lease, since no renewal of the node names a later grant
 			last := counted[max(0, len(counted)-1-int(treeSettings().nodeLeaseAtRoot()/(60*ms))):]
 			if shares := tr.shares(tr.leaves...); shares > slices.Max(last)+1e-9 {
-				t.Fatalf("sinking by %v: at %v %v is in force, and %v counted", further, tr.now, shares, slices.Max(last))
+				t.Fatalf("decreasing by %v: at %v: %v is in force, the root counts %v", further, tr.now, shares, slices.Max(last))
 			}
 		}
 		if shares := tr.shares(tr.leaves...); shares < part/2 {
-			t.Errorf("sinking by %v: only %v of %v is in use", further, shares, part)
+			t.Errorf("decreasing by %v: only %v of %v is in use", further, shares, part)
 		}
 	}
 }
 
-// Each leaf has its max-min fair share of the limit, whatever node it is with, within 10 %. The root and the node each leave a share
-// as it is within 5 %, and groups are approximate.
+// TestTreeIsFair checks that each leaf has its max-min fair share of the limit within 10 %, independent of its node. The tolerance is
+// needed because the root and the node each keep a share unchanged for changes below 5 %, and because groups are approximate.
 func TestTreeIsFair(t *testing.T) {
 	for seed := range uint64(20) {
 		rng, tr := rand.New(rand.NewPCG(seed, 9)), newFaultlessTree(1, 10, 60, 3)
@@ -81,7 +82,7 @@
 		want := maxMin(demands, treeSettings().Floor/float64(len(demands)))
 		for i, p := range tr.leaves {
 			if got := tr.shares(p) / (1 - treeSettings().Reserve); got < 0.9*want[i] || got > 1.1*want[i] {
-				t.Errorf("seed %d: leaf %d, demand %.4f, has %.4f, fair is %.4f", seed, i, demands[i], got, want[i])
+				t.Errorf("seed %d: leaf %d, demand %.4f, has %.4f, fair share is %.4f", seed, i, demands[i], got, want[i])
 			}
 		}
 	}
@@ -96,8 +97,9 @@
 	}
 }
 
-// The share of a leaf that falls silent, or of a node whose leaf goes on, is not granted to another before it ends by the slowest
-// clock, and is in use by another soon after.
+// TestSilentShareEndsBySlowestClock checks the share of a leaf that stops sending renewals, and that of a node that stops while its leaf
+// continues. The share must not be granted to another leaf before it expires by the slowest clock, and must be in use by another leaf
+// soon after.
 func TestSilentShareEndsBySlowestClock(t *testing.T) {
 	for _, behindNode := range []bool{false, true} {
 		tr := newFaultlessTree(1, 2)
@@ -118,17 +120,18 @@
 				tr.renewLeaf(other)
 			}
 			if sum := tr.shares(silent, other); sum > 0.8+1e-9 {
-				t.Fatalf("behind a node %v: %v at %v", behindNode, sum, tr.now)
+				t.Fatalf("behind a node %v: shares in force are %v at %v", behindNode, sum, tr.now)
 			}
 		}
 		if got := tr.shares(other); got < 0.79 {
-			t.Errorf("behind a node %v: the other has %v", behindNode, got)
+			t.Errorf("behind a node %v: the other leaf has only %v", behindNode, got)
 		}
 	}
 }
 
-// Nodes renew each 50 ms and leaves each 100 ms. What the leaves of one node stop to demand, but for their floor of 0.08, is in use by
-// those of another within 700 ms; what a node had that dies with its leaves, within 1,600 ms.
+// TestTreeMovesCapacity checks how fast capacity moves between nodes. Nodes renew every 50 ms and leaves every 100 ms. Capacity that the
+// leaves of one node no longer demand, except for their floor of 0.08, must be in use by the leaves of another node within 700 ms.
+// The capacity of a node that fails together with its leaves must be in use within 1,600 ms.
 func TestTreeMovesCapacity(t *testing.T) {
 	for dies, within := range map[bool]time.Duration{false: 700 * ms, true: 1600 * ms} {
 		tr := newFaultlessTree(5, 5, 0)
@@ -159,28 +162,28 @@
 			}
 			sum = tr.shares(tr.leaves[5:]...)
 		}
-		t.Logf("node dies %v: %v", dies, tr.now-change)
+		t.Logf("node fails %v: moved after %v", dies, tr.now-change)
 		if tr.now-change > within {
-			t.Errorf("node dies %v: %v until the other's leaves have %v", dies, tr.now-change, sum)
+			t.Errorf("node fails %v: it took %v until the leaves of the other node have %v", dies, tr.now-change, sum)
 		}
 	}
 }
 
-// Nothing is granted for a renewal that comes twice, one of a node at a node, one while the node has no lease, and for a semaphore at
-// a node.
+// TestNodeGrantsNothing checks that nothing is granted for a duplicate renewal, and that a node grants nothing to another node, without a
+// lease, or of a semaphore.
 func TestNodeGrantsNothing(t *testing.T) {
 	tr, now := newFaultlessTree(1, 0), 50*ms
 	root, node, leaf := tr.root.root, tr.nodes[0].node, tr.leaves[0].leaf
 	leaf.Want(Want{Limit: "box", Kind: Rate, Demand: 1})
 	leaf.Want(Want{Limit: "look", Kind: Semaphore, Demand: 1})
 	if g := node.Renew(leaf.Renewal(now), now); g.Seq != 0 || node.canGrant(now) {
-		t.Errorf("it grants what it has not: %+v", g)
+		t.Errorf("a node without a lease grants %+v", g)
 	}
 	for range 3 {
 		now += 50 * ms
 		r := node.Renewal(now)
 		if len(r.Wants) != 1 || r.Wants[0].Limit != "box" {
-			t.Errorf("it wants %+v", r.Wants)
+			t.Errorf("the node wants %+v", r.Wants)
 		}
 		node.Take(root.Renew(r, now), now)
 	}
@@ -194,19 +197,19 @@
 	}
 	r = leaf.Renewal(now)
 	if first, second = root.Renew(r, now), root.Renew(r, now); first.Seq != r.Seq || second.Seq != 0 {
-		t.Errorf("the root: %+v, then %+v", first, second)
+		t.Errorf("the root grants %+v, then %+v", first, second)
 	}
 	if g := node.Renew(NewNode("other", treeSettings()).Renewal(now), now); g.Seq != 0 || node.Renewal(now).Leaves != 1 {
-		t.Errorf("it answers a node: %+v", g)
+		t.Errorf("a node grants to a node: %+v", g)
 	}
-	// A grant without a limit replaces the one that had it.
+	// A grant that does not name a limit replaces the previous one that did.
 	leaf.Renewal(now)
 	if !leaf.Take(Grant{Holder: leaf.id, Seq: r.Seq + 1, Source: node.id}, now) || leaf.Available("box", now) != 0 {
-		t.Error("the part before is still in use")
+		t.Error("the previous share is still in use")
 	}
 }
 
-// Epochs order the grants of roots; the holder's renewals order those of several sources.
+// TestGrantsOfSeveralSources checks that epochs order the grants of roots, and the holder's own renewals the grants of several sources.
 func TestGrantsOfSeveralSources(t *testing.T) {
 	leaf := NewHolder("d", treeSettings())
 	for i, x := range []struct {
--- a/internal/quota/tree_test.go
+++ b/internal/quota/tree_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// process is any process of a tree. Its clock runs up to 1 % off true time, so that any two are up to 2 % apart.
+// process is a process of a tree. The rate of its clock deviates by up to 1 %, so that those of any two differ by up to 2 %.
 type process struct {
 	rate        float64
 	pausedUntil time.Duration // it handles nothing until then
@@ -27,26 +27,26 @@
 	root        *Allocator
 	node        *Node
 	leaf        *Holder
-	parent      int // of a leaf: index of its node; len(nodes): the root
+	parent      int // of a leaf: index of its node, or len(nodes) for the root
 	demand      float64
 }
 
-// tree is a root, nodes, leaves, and messages that are late, lost or doubled.
+// tree models a root, nodes, leaves, and messages that are delayed, lost or duplicated.
 type tree struct {
 	rng          *rand.Rand
 	now          time.Duration
 	root         *process
-	oldRoot      *process      // the root before
-	oldRootUntil time.Duration // until when the root before still answers
+	oldRoot      *process      // the previous root
+	oldRootUntil time.Duration // time until which the previous root still replies
 	nodes        []*process
 	leaves       []*process
 	inFlight     []message
-	started      int     // processes, for their names
-	perfect      bool    // messages come at once
-	hard         bool    // most messages are late or lost, and demands change all the time
-	worst        float64 // the most in force, of shares or of fallbacks, in parts of what may be
-	used         float64 // sum over all steps of what is in use
-	wanted       float64 // sum over all steps of what could be
+	started      int     // number of processes started, for their names
+	perfect      bool    // messages arrive immediately
+	hard         bool    // many messages are delayed or lost, and demands change often
+	worst        float64 // the largest sum in force, of shares or of fallbacks, relative to what is allowed
+	used         float64 // sum over all steps of the shares in use
+	wanted       float64 // sum over all steps of the shares that could be in use
 }
 
 type message struct {
@@ -89,7 +89,8 @@
 
 func (t *tree) some(most int) time.Duration { return time.Duration(t.rng.IntN(most)) * ms }
 
-// send puts a message in flight. One in 20 is lost, one in 20 comes twice, one in ten takes up to 320 ms; more if the run is hard.
+// send adds a message to those in flight. One in 20 is lost, one in 20 is delivered twice, and one in ten is delayed by up to 320 ms;
+// more are lost or delayed if the run is hard.
 func (t *tree) send(from, to *process, deliver func()) {
 	if t.perfect {
 		if t.now >= from.cutUntil && t.now >= to.cutUntil {
@@ -120,7 +121,7 @@
 	}
 }
 
-// renewRoot sends a renewal to the root, or perhaps to the one before while that still answers.
+// renewRoot sends a renewal to the root or, at random while it still replies, to the previous root.
 func (t *tree) renewRoot(from *process, r Renewal, take func(Grant)) {
 	root := t.root
 	if t.now < t.oldRootUntil && t.rng.IntN(2) == 0 {
@@ -183,7 +184,7 @@
 	case 7:
 		t.root.pausedUntil = t.now + t.some(1000)
 	case 8:
-		node.cutUntil = 1 << 62 // it dies and is replaced
+		node.cutUntil = 1 << 62 // fails and is replaced
 		t.nodes[place] = t.newNode()
 	case 9:
 		t.leaves[t.rng.IntN(len(t.leaves))] = t.newLeaf()
@@ -191,7 +192,7 @@
 		leaf.parent = t.rng.IntN(len(t.nodes) + 1)
 	case 16, 17, 18, 19, 20, 21:
 		leaf.demand = t.rng.ExpFloat64() / 3
-	case 22, 23: // the leaves of every second node demand little, so that its share sinks at once
+	case 22, 23: // the leaves of every second node demand little, so that its share decreases at once
 		for _, p := range t.leaves {
 			p.demand = 0.001 + float64(p.parent%2)*t.rng.ExpFloat64()
 		}
@@ -234,7 +235,8 @@
 	return shares, fallbacks
 }
 
-// observe records what is in force. Shares and fallbacks each must keep to their part, so that both keep the limit.
+// observe records the shares and fallbacks in force. Each must stay within its part of the limit, so that together they do not exceed
+// the limit.
 func (t *tree) observe() {
 	wanted, set := 0.0, treeSettings()
 	for _, p := range t.leaves {
@@ -256,7 +258,8 @@
 	return t
 }
 
-// Whatever happens to messages, leaves, nodes and roots, all leaves together may use the limit at most, and much of it is used.
+// TestTreeKeepsTheLimit checks that, under faults of messages, leaves, nodes and roots, all leaves together may never use more than the
+// limit, and that much of it is used.
 func TestTreeKeepsTheLimit(t *testing.T) {
 	first, n := uint64(fromEnv("STAIRVANE_SEED", 1)), fromEnv("STAIRVANE_SEEDS", 500)
 	t.Logf("seeds from %d on", first)
@@ -265,15 +268,15 @@
 		seed := first + uint64(i)
 		tr := playTree(seed, 20*time.Second)
 		if tr.worst > 1+1e-9 {
-			t.Fatalf("seed %d: %v of what may be in force is", seed, tr.worst)
+			t.Fatalf("seed %d: %v of the allowed shares or fallbacks are in force", seed, tr.worst)
 		}
 		worst = max(worst, tr.worst)
 		if !tr.hard {
 			used, wanted = used+tr.used, wanted+tr.wanted
 		}
 	}
-	t.Logf("at worst %.3f of what may be in force; %.1f %% of what could be was in use", worst, 100*used/wanted)
+	t.Logf("at worst %.3f of the allowed shares or fallbacks in force; %.1f %% of the usable shares were in use", worst, 100*used/wanted)
 	if used < 0.4*wanted {
-		t.Errorf("only %.1f %% of what could be was in use", 100*used/wanted)
+		t.Errorf("only %.1f %% of the usable shares were in use", 100*used/wanted)
 	}
 }
