--- a/internal/claims/exploration_test.go
+++ b/internal/claims/exploration_test.go
@@ -10,7 +10,7 @@
 // fails, or a director applies the membership change that follows.
 type exploration struct {
 	nodes       map[string]*Node
-	inFlight    []transit
+	inFlight    []inFlightMessage
 	now         time.Duration
 	primaryDead bool
 	applied     map[string]bool
@@ -44,7 +44,7 @@
 			if o.To == id {
 				e.nodes[id].Receive(id, o.Message, e.now)
 			} else {
-				e.inFlight = append(e.inFlight, transit{from: id, to: o.To, message: o.Message})
+				e.inFlight = append(e.inFlight, inFlightMessage{from: id, to: o.To, message: o.Message})
 			}
 		}
 		for _, o := range outcomes {
@@ -61,11 +61,11 @@
 // choices returns the number of choices for the next step.
 func (e *exploration) choices() int { return 2*len(e.inFlight) + 3 + 1 + 2 }
 
-// take performs one of the choices.
-func (e *exploration) take(c int) {
+// apply performs one of the choices.
+func (e *exploration) apply(c int) {
 	if c < 2*len(e.inFlight) {
 		f := e.inFlight[c/2]
-		e.inFlight = append(append([]transit(nil), e.inFlight[:c/2]...), e.inFlight[c/2+1:]...)
+		e.inFlight = append(append([]inFlightMessage(nil), e.inFlight[:c/2]...), e.inFlight[c/2+1:]...)
 		if c%2 == 0 && (!e.primaryDead || f.to != "a") {
 			e.nodes[f.to].Receive(f.from, f.message, e.now)
 			e.deliver(f.to)
@@ -96,14 +96,14 @@
 // TestNoTokenRunsInTwoGroupsInAnyOrder explores all sequences of choices up to a depth: a token must never be executed in two groups.
 // STAIRVANE_DEPTH overrides the depth.
 func TestNoTokenRunsInTwoGroupsInAnyOrder(t *testing.T) {
-	depth, runs, most := fromEnv("STAIRVANE_DEPTH", 5), 0, 0
+	depth, sequences, most := intFromEnv("STAIRVANE_DEPTH", 5), 0, 0
 	var walk func(path []int)
 	walk = func(path []int) {
 		e := newExploration()
 		for _, c := range path {
-			e.take(c)
+			e.apply(c)
 		}
-		runs++
+		sequences++
 		most = max(most, len(e.groups))
 		if len(e.groups) > 1 {
 			t.Fatalf("choices %v: the token is executed in the groups %v", path, e.groups)
@@ -115,7 +115,7 @@
 		}
 	}
 	walk(nil)
-	t.Logf("%d states", runs)
+	t.Logf("%d states", sequences)
 	if most != 1 {
 		t.Error("the token is never executed")
 	}
--- a/internal/claims/grant.go
+++ b/internal/claims/grant.go
@@ -30,10 +30,10 @@
 		c = nil
 	}
 	if c != nil {
-		n.decideOnClaim(c, from, m, now)
+		n.handleClaimedToken(c, from, m, now)
 		return
 	}
-	if n.claimCount >= n.set.MaxClaims {
+	if n.claimCount >= n.settings.MaxClaims {
 		n.reply(from, m, Full, nil, now)
 		return
 	}
@@ -46,8 +46,8 @@
 	n.replicate(m.Shard, c, now)
 }
 
-// decideOnClaim handles a request for a token that already has a claim.
-func (n *Node) decideOnClaim(c *storedClaim, from string, m Message, now time.Duration) {
+// handleClaimedToken handles a request for a token that already has a claim.
+func (n *Node) handleClaimedToken(c *storedClaim, from string, m Message, now time.Duration) {
 	wanted := m.Claims[0]
 	isOwn := c.Owner == from && c.Request == wanted.Request
 	switch {
@@ -132,14 +132,14 @@
 		return RetryLater
 	}
 	for _, c := range m.Claims {
-		n.storeReplica(s, c, now)
+		n.storeReplicatedClaim(s, c, now)
 	}
 	return Granted
 }
 
-// storeReplica stores a claim received in a message that was sent at sentAt or later. If a newer version of the same claim is already
-// stored, that version is kept.
-func (n *Node) storeReplica(s *shard, c Claim, sentAt time.Duration) {
+// storeReplicatedClaim stores a claim received in a message that was sent at sentAt or later. If a newer version of the same claim is
+// already stored, that version is kept.
+func (n *Node) storeReplicatedClaim(s *shard, c Claim, sentAt time.Duration) {
 	c.At = sentAt - c.At
 	if old := s.claims[c.Token]; old != nil && old.Version > c.Version && old.Owner == c.Owner && old.Request == c.Request {
 		return
@@ -147,9 +147,9 @@
 	n.insertClaim(s, &storedClaim{Claim: c})
 }
 
-// handleConfirm handles a replica's reply to a Replicate message at the primary. If the replica refused, one of the two has not
+// handleConfirmReplica handles a replica's reply to a Replicate message at the primary. If the replica refused, one of the two has not
 // applied the epoch yet, and Tick sends the message again.
-func (n *Node) handleConfirm(from string, m Message, now time.Duration) {
+func (n *Node) handleConfirmReplica(from string, m Message, now time.Duration) {
 	p := n.unconfirmed[m.Seq]
 	if p == nil || p.Kind != Replicate || p.To != from {
 		return
--- a/internal/claims/node.go
+++ b/internal/claims/node.go
@@ -21,12 +21,12 @@
 
 // Node is one director's instance of the claims protocol. It is not safe for concurrent use.
 type Node struct {
-	set     Settings
-	id      string
-	members map[string]bool // IDs of the member directors
-	shards  []shard
-	lease   time.Duration // end of the membership lease; no shard is served after it
-	seq     uint64        // sequence number of the last message that expects a reply
+	settings Settings
+	id       string
+	members  map[string]bool // IDs of the member directors
+	shards   []shard
+	lease    time.Duration // end of the membership lease; no shard is served after it
+	seq      uint64        // sequence number of the last message that expects a reply
 
 	requests         map[uint64]*pendingRequest // by sequence number
 	requestOrder     []uint64                   // sequence numbers in order of creation; may include finished requests
@@ -78,12 +78,12 @@
 }
 
 // New returns the node of the director with the given ID.
-func New(id string, set Settings) *Node {
+func New(id string, settings Settings) *Node {
 	return &Node{
-		set:         set,
+		settings:    settings,
 		id:          id,
 		members:     map[string]bool{},
-		shards:      make([]shard, set.Shards),
+		shards:      make([]shard, settings.Shards),
 		requests:    map[uint64]*pendingRequest{},
 		unconfirmed: map[uint64]*pendingMessage{},
 	}
@@ -121,7 +121,7 @@
 		verdict := n.handleReplicate(m, now)
 		n.send(from, Message{Kind: ConfirmReplica, Seq: m.Seq, Epoch: m.Epoch, Shard: m.Shard, Verdict: verdict})
 	case ConfirmReplica:
-		n.handleConfirm(from, m, now)
+		n.handleConfirmReplica(from, m, now)
 	case ReleaseClaim:
 		if len(m.Claims) == 1 {
 			n.handleRelease(from, m)
@@ -159,7 +159,9 @@
 }
 
 // expired reports whether the lifetime of a claim has ended.
-func (n *Node) expired(c *Claim, now time.Duration) bool { return now >= c.At+n.set.lifetime(c.Window) }
+func (n *Node) expired(c *Claim, now time.Duration) bool {
+	return now >= c.At+n.settings.lifetime(c.Window)
+}
 
 // send enqueues a message, which Take returns.
 func (n *Node) send(to string, m Message) { n.outbox = append(n.outbox, Sending{To: to, Message: m}) }
@@ -183,7 +185,7 @@
 			delete(n.unconfirmed, seq)
 			continue
 		}
-		if now-p.sentAt < n.set.ResendAfter {
+		if now-p.sentAt < n.settings.ResendAfter {
 			continue
 		}
 		p.sentAt = now
--- a/internal/claims/placement.go
+++ b/internal/claims/placement.go
@@ -23,19 +23,19 @@
 	return xxhash.Sum64String(string([]byte{byte(shard >> 8), byte(shard)}) + name)
 }
 
-// weightedPlace is a candidate and its weight for a shard.
-type weightedPlace struct {
+// weightedCandidate is a candidate and its weight for a shard.
+type weightedCandidate struct {
 	ShardCandidate
 	weight uint64
 }
 
-// rank returns the candidates in descending order of their weight for a shard.
-func rank(shard int, places []ShardCandidate) []weightedPlace {
-	ranked := make([]weightedPlace, len(places))
-	for i, p := range places {
-		ranked[i] = weightedPlace{ShardCandidate: p, weight: rendezvousWeight(shard, p.Name)}
+// rankCandidates returns the candidates in descending order of their weight for a shard.
+func rankCandidates(shard int, candidates []ShardCandidate) []weightedCandidate {
+	ranked := make([]weightedCandidate, len(candidates))
+	for i, p := range candidates {
+		ranked[i] = weightedCandidate{ShardCandidate: p, weight: rendezvousWeight(shard, p.Name)}
 	}
-	slices.SortFunc(ranked, func(a, b weightedPlace) int {
+	slices.SortFunc(ranked, func(a, b weightedCandidate) int {
 		return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(a.ID, b.ID))
 	})
 	return ranked
@@ -43,8 +43,8 @@
 
 // SelectReplicas returns the IDs of a shard's replicas, at most count, the primary first. The replicas are on different machines and,
 // as far as there are enough sites, in different sites.
-func SelectReplicas(shard, count int, places []ShardCandidate) []string {
-	ranked := rank(shard, places)
+func SelectReplicas(shard, count int, candidates []ShardCandidate) []string {
+	ranked := rankCandidates(shard, candidates)
 	machines := map[string]bool{}
 	sites := map[string]bool{}
 	var replicas []string
@@ -66,10 +66,10 @@
 
 // Reassign returns the shards whose replicas must change so that the candidates hold all shards, each with at most replicaCount
 // replicas. PreviousReplicas keeps the replicas of the last ready epoch until the new replicas have all claims.
-func Reassign(shards []ShardState, replicaCount int, places []ShardCandidate) []ShardState {
+func Reassign(shards []ShardState, replicaCount int, candidates []ShardCandidate) []ShardState {
 	var changed []ShardState
 	for i, s := range shards {
-		replicas := SelectReplicas(i, replicaCount, places)
+		replicas := SelectReplicas(i, replicaCount, candidates)
 		if slices.Equal(replicas, s.Replicas) {
 			continue
 		}
--- a/internal/claims/placement_test.go
+++ b/internal/claims/placement_test.go
@@ -43,21 +43,21 @@
 				t.Fatalf("shard %d: %v", i, h)
 			}
 		}
-		gone := places[0]
-		had := 0
+		removed := places[0]
+		affected := 0
 		for _, s := range before {
-			if slices.Contains(s.Replicas, gone.ID) {
-				had++
+			if slices.Contains(s.Replicas, removed.ID) {
+				affected++
 			}
 		}
 		changed := Reassign(before, count, places[1:])
 		for _, c := range changed {
-			if !slices.Contains(before[c.Shard].Replicas, gone.ID) {
+			if !slices.Contains(before[c.Shard].Replicas, removed.ID) {
 				t.Fatalf("shard %d moves from %v to %v, none of which was removed", c.Shard, before[c.Shard].Replicas, c.Replicas)
 			}
 		}
-		if len(changed) != had {
-			t.Fatalf("%d shards change, the removed candidate had %d", len(changed), had)
+		if len(changed) != affected {
+			t.Fatalf("%d shards change, the removed candidate had %d", len(changed), affected)
 		}
 	})
 }
--- a/internal/claims/request.go
+++ b/internal/claims/request.go
@@ -29,7 +29,7 @@
 
 // sendRequest sends a request to the primary of its shard. If the shard has no primary, the request is retried later.
 func (n *Node) sendRequest(seq uint64, r *pendingRequest, now time.Duration) {
-	i := ShardOf(r.claim.Token, n.set.Shards)
+	i := ShardOf(r.claim.Token, n.settings.Shards)
 	s := &n.shards[i]
 	r.sentAt = now
 	r.awaitingReply = true
@@ -58,7 +58,7 @@
 		switch {
 		case now >= r.deadline:
 			n.finishRequest(seq, Outcome{Key: r.key, Verdict: Unreachable, RequestedAt: r.firstSentAt})
-		case !r.awaitingReply && unanswered >= n.set.ResendAfter/2, unanswered >= 4*n.set.ResendAfter:
+		case !r.awaitingReply && unanswered >= n.settings.ResendAfter/2, unanswered >= 4*n.settings.ResendAfter:
 			n.sendRequest(seq, r, now)
 		}
 	}
@@ -91,7 +91,7 @@
 // Release releases a claim for which nothing has been executed. The message is not resent: if it is lost, the claim remains until it
 // expires.
 func (n *Node) Release(token, request string) {
-	i := ShardOf(token, n.set.Shards)
+	i := ShardOf(token, n.settings.Shards)
 	s := &n.shards[i]
 	if len(s.replicas) == 0 {
 		return
--- a/internal/claims/simulation_test.go
+++ b/internal/claims/simulation_test.go
@@ -12,11 +12,11 @@
 
 const ms = time.Millisecond
 
-func fromEnv(name string, otherwise int) int {
+func intFromEnv(name string, defaultValue int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return n
 	}
-	return otherwise
+	return defaultValue
 }
 
 // simulation models a few directors, the event log of their membership, and messages that are delayed or lost. It records the group
@@ -26,20 +26,20 @@
 	skipsClose       bool // disables a guard: earlier epochs are not closed before a new primary serves
 	skipsWait        bool // disables a guard: a new primary serves before the event log marks its epoch as ready
 
-	rng       *rand.Rand
-	now       time.Duration
-	nodes     map[string]*simNode
-	names     []string
-	inFlight  []transit
-	shards    []ShardState
-	epoch     int64
-	members   []string
-	log       []membershipEvent
-	slowUntil time.Duration // no shard is marked as ready in the event log before this time
-	window    time.Duration
-	runs      map[string]run // the last execution of each token
-	stats     map[Verdict]int
-	failure   string
+	rng               *rand.Rand
+	now               time.Duration
+	nodes             map[string]*simNode
+	names             []string
+	inFlight          []inFlightMessage
+	shards            []ShardState
+	epoch             int64
+	members           []string
+	log               []membershipEvent
+	readyDelayedUntil time.Duration // no shard is marked as ready in the event log before this time
+	window            time.Duration
+	executions        map[string]execution // the last execution of each token
+	stats             map[Verdict]int
+	failure           string
 }
 
 // membershipEvent is an entry of the event log.
@@ -48,14 +48,14 @@
 	shards       []ShardState
 }
 
-// run is the group and time of an execution of a token.
-type run struct {
+// execution is the group and time of an execution of a token.
+type execution struct {
 	group string
 	at    time.Duration
 }
 
-// transit is a message in flight.
-type transit struct {
+// inFlightMessage is a message in flight.
+type inFlightMessage struct {
 	from, to string
 	message  Message
 	at       time.Duration
@@ -63,15 +63,15 @@
 
 // simNode is a director with its own clock and faults.
 type simNode struct {
-	id, name      string
-	node          *Node
-	heardAt       time.Duration // time of its last call to the control plane
-	appliedEvents int           // number of log entries that it has applied
-	pausedUntil   time.Duration
-	cutUntil      time.Duration // it can't call the control plane until then
-	requests      map[uint64]clientRequest
-	lastKey       uint64
-	skew          time.Duration
+	id, name         string
+	node             *Node
+	lastCallAt       time.Duration // time of its last call to the control plane
+	appliedEvents    int           // number of log entries that it has applied
+	pausedUntil      time.Duration
+	partitionedUntil time.Duration // it can't call the control plane until then
+	requests         map[uint64]clientRequest
+	lastKey          uint64
+	skew             time.Duration
 }
 
 // clientRequest is a client's request that waits for its claim.
@@ -85,20 +85,20 @@
 )
 
 // startNode starts a director process. Each process of a director has its own ID.
-func (s *simulation) startNode(name string, life int) {
-	id := fmt.Sprintf("%s/%d", name, life)
+func (s *simulation) startNode(name string, incarnation int) {
+	id := fmt.Sprintf("%s/%d", name, incarnation)
 	n := &simNode{
-		id:       id,
-		name:     name,
-		heardAt:  s.now,
-		requests: map[uint64]clientRequest{},
-		skew:     time.Duration(s.rng.IntN(1000)) * time.Second,
+		id:         id,
+		name:       name,
+		lastCallAt: s.now,
+		requests:   map[uint64]clientRequest{},
+		skew:       time.Duration(s.rng.IntN(1000)) * time.Second,
 	}
 	n.node = New(id, Settings{Shards: 2, Slack: sendAfter + 200*ms, MaxWindow: s.window, MaxClaims: 1000, ResendAfter: 30 * ms})
 	s.nodes[id] = n
 }
 
-func (s *simulation) place(id string) ShardCandidate {
+func (s *simulation) candidate(id string) ShardCandidate {
 	n := s.nodes[id]
 	return ShardCandidate{ID: id, Name: n.name, Machine: n.name, Site: n.name}
 }
@@ -108,16 +108,16 @@
 func (s *simulation) updateMembership() {
 	var joined, left, members []string
 	for _, id := range s.members {
-		if n := s.nodes[id]; n == nil || s.now-n.heardAt > simLease*104/100 {
+		if n := s.nodes[id]; n == nil || s.now-n.lastCallAt > simLease*104/100 {
 			left = append(left, id)
 		} else {
 			members = append(members, id)
 		}
 	}
-	for _, id := range sorted(s.nodes) {
+	for _, id := range sortedIDs(s.nodes) {
 		n := s.nodes[id]
 		hasName := func(other string) bool { return s.nodes[other] != nil && s.nodes[other].name == n.name }
-		if s.now-n.heardAt < simLease/2 && !slices.Contains(members, id) && !slices.ContainsFunc(members, hasName) {
+		if s.now-n.lastCallAt < simLease/2 && !slices.Contains(members, id) && !slices.ContainsFunc(members, hasName) {
 			joined, members = append(joined, id), append(members, id)
 		}
 	}
@@ -128,7 +128,7 @@
 	s.members = members
 	var places []ShardCandidate
 	for _, id := range members {
-		places = append(places, s.place(id))
+		places = append(places, s.candidate(id))
 	}
 	s.epoch++
 	changed := Reassign(s.shards, 3, places)
@@ -144,8 +144,8 @@
 // deliver adds the messages of a node to those in flight and handles its outcomes.
 func (s *simulation) deliver(n *simNode) {
 	for {
-		out, ends, _ := n.node.Take() // ready shards are reported with each call to the control plane
-		if len(out)+len(ends) == 0 {
+		out, outcomes, _ := n.node.Take() // ready shards are reported with each call to the control plane
+		if len(out)+len(outcomes) == 0 {
 			return
 		}
 		for _, o := range out {
@@ -154,10 +154,10 @@
 				continue
 			}
 			if s.rng.IntN(15) > 0 {
-				s.inFlight = append(s.inFlight, transit{n.id, o.To, o.Message, s.now + time.Duration(s.rng.IntN(40))*ms})
+				s.inFlight = append(s.inFlight, inFlightMessage{n.id, o.To, o.Message, s.now + time.Duration(s.rng.IntN(40))*ms})
 			}
 		}
-		for _, e := range ends {
+		for _, e := range outcomes {
 			s.handleOutcome(n, e)
 		}
 	}
@@ -185,17 +185,17 @@
 	if s.rng.IntN(6) == 0 { // the director fails before it sends the attempt
 		return
 	}
-	if was, is := s.runs[w.token]; !is || s.now-was.at >= s.window {
-		s.runs[w.token] = run{group, s.now}
-	} else if was.group != group {
-		s.failure = fmt.Sprintf("%s is executed in %s and, %v later, in %s", w.token, was.group, s.now-was.at, group)
+	if previous, found := s.executions[w.token]; !found || s.now-previous.at >= s.window {
+		s.executions[w.token] = execution{group, s.now}
+	} else if previous.group != group {
+		s.failure = fmt.Sprintf("%s is executed in %s and, %v later, in %s", w.token, previous.group, s.now-previous.at, group)
 	}
 }
 
 // recordReady appends events that mark shards as ready. During a slow period it appends none, while the membership may continue to
 // change.
 func (s *simulation) recordReady(ready []int64) {
-	for i := 0; i+1 < len(ready) && s.now >= s.slowUntil; i += 2 {
+	for i := 0; i+1 < len(ready) && s.now >= s.readyDelayedUntil; i += 2 {
 		shard := &s.shards[ready[i]]
 		if shard.Epoch == ready[i+1] && len(shard.PreviousReplicas) > 0 {
 			shard.PreviousReplicas = nil
@@ -207,15 +207,15 @@
 func (s *simulation) step() {
 	s.now += 5 * ms
 	if s.rng.IntN(600) == 0 {
-		s.slowUntil = s.now + time.Duration(s.rng.IntN(4000))*ms
+		s.readyDelayedUntil = s.now + time.Duration(s.rng.IntN(4000))*ms
 	}
-	for _, id := range sorted(s.nodes) {
+	for _, id := range sortedIDs(s.nodes) {
 		n := s.nodes[id]
 		if s.now < n.pausedUntil {
 			continue
 		}
-		if s.now >= n.cutUntil && s.rng.IntN(8) == 0 { // it calls the control plane and receives the reply
-			n.heardAt = s.now
+		if s.now >= n.partitionedUntil && s.rng.IntN(8) == 0 { // it calls the control plane and receives the reply
+			n.lastCallAt = s.now
 			s.recordReady(n.node.ReadyShards())
 			for ; n.appliedEvents < len(s.log); n.appliedEvents++ {
 				l := s.log[n.appliedEvents]
@@ -245,7 +245,7 @@
 		}
 		s.deliver(n)
 	}
-	var left []transit
+	var left []inFlightMessage
 	net := s.inFlight
 	s.inFlight = nil
 	for _, f := range net {
@@ -258,12 +258,12 @@
 			answer := Message{Seq: f.message.Seq, Epoch: f.message.Epoch, Shard: f.message.Shard}
 			if f.message.Kind == Replicate && s.skipsReplication && len(f.message.Claims) == 1 && s.rng.IntN(3) > 0 {
 				answer.Kind = ConfirmReplica
-				s.inFlight = append(s.inFlight, transit{f.to, f.from, answer, s.now})
+				s.inFlight = append(s.inFlight, inFlightMessage{f.to, f.from, answer, s.now})
 				continue
 			}
 			if f.message.Kind == CloseEpoch && s.skipsClose {
 				answer.Kind = EpochClosed
-				left = append(left, transit{f.to, f.from, answer, s.now})
+				left = append(left, inFlightMessage{f.to, f.from, answer, s.now})
 				continue
 			}
 			to.node.Receive(f.from, f.message, s.clock(to))
@@ -274,7 +274,7 @@
 	s.updateMembership()
 }
 
-func sorted(m map[string]*simNode) (ids []string) {
+func sortedIDs(m map[string]*simNode) (ids []string) {
 	for id := range m {
 		ids = append(ids, id)
 	}
@@ -282,16 +282,16 @@
 	return ids
 }
 
-// play runs the simulation of a seed for 20 s, or up to the first failure: directors fail, restart with another ID, pause and are
+// runSimulation runs the simulation of a seed for 20 s, or up to the first failure: directors fail, restart with another ID, pause and are
 // partitioned. guard names a guard to disable; empty: none.
-func play(seed uint64, guard string) *simulation {
+func runSimulation(seed uint64, guard string) *simulation {
 	s := &simulation{
 		skipsReplication: guard == "replication",
 		skipsClose:       guard == "closing",
 		skipsWait:        guard == "waiting",
 		rng:              rand.New(rand.NewPCG(seed, 5)),
 		nodes:            map[string]*simNode{},
-		runs:             map[string]run{},
+		executions:       map[string]execution{},
 		window:           3 * time.Second,
 		stats:            map[Verdict]int{},
 	}
@@ -303,27 +303,27 @@
 		s.names = append(s.names, string(rune('a'+i)))
 		s.startNode(s.names[i], 0)
 	}
-	life, dead := 0, map[string]time.Duration{}
+	incarnations, restartAt := 0, map[string]time.Duration{}
 	for s.now < 20*time.Second && s.failure == "" {
 		s.step()
-		ids := sorted(s.nodes)
+		ids := sortedIDs(s.nodes)
 		switch s.rng.IntN(800) {
 		case 0: // at least three directors remain, so at most two of three replicas are lost at the same time
 			if len(ids) > 3 {
 				id := ids[s.rng.IntN(len(ids))]
-				dead[s.nodes[id].name] = s.now + time.Duration(s.rng.IntN(2000))*ms
+				restartAt[s.nodes[id].name] = s.now + time.Duration(s.rng.IntN(2000))*ms
 				delete(s.nodes, id)
 			}
 		case 1:
 			s.nodes[ids[s.rng.IntN(len(ids))]].pausedUntil = s.now + time.Duration(s.rng.IntN(3000))*ms
 		case 2:
-			s.nodes[ids[s.rng.IntN(len(ids))]].cutUntil = s.now + time.Duration(s.rng.IntN(1500))*ms
+			s.nodes[ids[s.rng.IntN(len(ids))]].partitionedUntil = s.now + time.Duration(s.rng.IntN(1500))*ms
 		}
 		for _, name := range s.names { // in order
-			if at, is := dead[name]; is && s.now >= at {
-				delete(dead, name)
-				life++
-				s.startNode(name, life)
+			if at, found := restartAt[name]; found && s.now >= at {
+				delete(restartAt, name)
+				incarnations++
+				s.startNode(name, incarnations)
 			}
 		}
 	}
@@ -333,11 +333,11 @@
 // TestNoTokenRunsInTwoGroups checks that no token is executed in two groups within its window when directors fail, pause, are
 // partitioned or restart. Each guard is disabled once, to verify that the test detects its absence.
 func TestNoTokenRunsInTwoGroups(t *testing.T) {
-	first, stats := uint64(fromEnv("STAIRVANE_SEED", 1)), map[Verdict]int{}
-	n := fromEnv("STAIRVANE_SEEDS", 60)
+	first, stats := uint64(intFromEnv("STAIRVANE_SEED", 1)), map[Verdict]int{}
+	n := intFromEnv("STAIRVANE_SEEDS", 60)
 	t.Logf("seeds from %d on", first)
 	for i := range n {
-		s := play(first+uint64(i), "")
+		s := runSimulation(first+uint64(i), "")
 		if s.failure != "" {
 			t.Fatalf("seed %d: %s", first+uint64(i), s.failure)
 		}
@@ -346,7 +346,7 @@
 		}
 	}
 	for _, seed := range []uint64{129, 1179, 2165, 5033, 9002} { // regressions
-		if s := play(seed, ""); s.failure != "" {
+		if s := runSimulation(seed, ""); s.failure != "" {
 			t.Errorf("seed %d: %s", seed, s.failure)
 		}
 	}
@@ -356,7 +356,7 @@
 	}
 	for _, guard := range []string{"replication", "closing", "waiting"} {
 		seed := uint64(1)
-		for ; seed <= 400 && play(seed, guard).failure == ""; seed++ {
+		for ; seed <= 400 && runSimulation(seed, guard).failure == ""; seed++ {
 		}
 		if seed > 400 {
 			t.Errorf("no seed fails with the guard %q disabled", guard)
--- a/internal/claims/takeover.go
+++ b/internal/claims/takeover.go
@@ -47,7 +47,7 @@
 		s.previousReplicas = nil
 		n.dropIfNotReplica(s)
 	case state.ReadyEpoch == 0 && state.Epoch > s.epoch:
-		n.beginEpoch(state, now)
+		n.startEpoch(state, now)
 	}
 }
 
@@ -59,9 +59,9 @@
 	}
 }
 
-// beginEpoch switches a shard to a new epoch. Requests that wait for claims are rejected with RetryLater, so that their senders repeat
+// startEpoch switches a shard to a new epoch. Requests that wait for claims are rejected with RetryLater, so that their senders repeat
 // them in the new epoch.
-func (n *Node) beginEpoch(state ShardState, now time.Duration) {
+func (n *Node) startEpoch(state ShardState, now time.Duration) {
 	s := &n.shards[state.Shard]
 	n.rejectWaiters(s)
 	s.epoch = state.Epoch
@@ -95,7 +95,7 @@
 
 // rejectWaiters answers all requests that wait for claims of a shard with RetryLater.
 func (n *Node) rejectWaiters(s *shard) {
-	for _, token := range tokens(s) {
+	for _, token := range sortedTokens(s) {
 		c := s.claims[token]
 		for _, w := range c.waiters {
 			n.send(w.caller, Message{Kind: ReplyClaim, Seq: w.Seq, Epoch: w.Epoch, Shard: w.Shard, Verdict: RetryLater})
@@ -105,8 +105,8 @@
 	}
 }
 
-// tokens returns the tokens of a shard's claims, sorted so that messages have a deterministic order.
-func tokens(s *shard) []string { return slices.Sorted(maps.Keys(s.claims)) }
+// sortedTokens returns the tokens of a shard's claims, sorted so that messages have a deterministic order.
+func sortedTokens(s *shard) []string { return slices.Sorted(maps.Keys(s.claims)) }
 
 // continueTakeover advances a takeover as far as currently possible: it closes earlier epochs at their replicas, which send their
 // claims, then sends all claims to the new replicas, and finally marks the shard as ready.
@@ -115,7 +115,7 @@
 	n.closeEarlierEpochs(i, now)
 	if len(s.awaitingClose) == 0 && !s.hasPreviousClaims && s.unknownClaimsUntil == 0 {
 		// Claims that no remaining replica has may still be in force. All of them will have expired by this time.
-		s.unknownClaimsUntil = now + n.set.lifetime(n.set.MaxWindow)
+		s.unknownClaimsUntil = now + n.settings.lifetime(n.settings.MaxWindow)
 	}
 	if len(s.awaitingClose) > 0 || now < s.unknownClaimsUntil {
 		return
@@ -172,7 +172,7 @@
 // claimsWithAges returns the unexpired claims of a shard in their wire form, sorted by token.
 func (n *Node) claimsWithAges(s *shard, now time.Duration) []Claim {
 	var all []Claim
-	for _, token := range tokens(s) {
+	for _, token := range sortedTokens(s) {
 		if c := s.claims[token]; !n.expired(&c.Claim, now) {
 			all = append(all, c.withAge(now))
 		}
@@ -211,7 +211,7 @@
 	}
 	for _, c := range m.Claims {
 		if old := s.claims[c.Token]; old == nil || c.Version >= old.Version {
-			n.storeReplica(s, c, p.firstSentAt)
+			n.storeReplicatedClaim(s, c, p.firstSentAt)
 		}
 	}
 	delete(s.awaitingClose, from)
--- a/internal/claims/takeover_test.go
+++ b/internal/claims/takeover_test.go
@@ -12,8 +12,8 @@
 // have expired. If one replica has sent its claims, requests are granted immediately.
 func TestPreviousReplicasLostDuringTakeover(t *testing.T) {
 	for _, sent := range []bool{false, true} {
-		set := Settings{Shards: 1, MaxClaims: 100, MaxWindow: 4 * time.Second, Slack: time.Second, ResendAfter: 50 * ms}
-		n := New("c", set)
+		settings := Settings{Shards: 1, MaxClaims: 100, MaxWindow: 4 * time.Second, Slack: time.Second, ResendAfter: 50 * ms}
+		n := New("c", settings)
 		n.Lease(time.Hour)
 		shard := ShardState{Epoch: 2, Replicas: []string{"c"}, PreviousReplicas: []string{"a", "b"}}
 		n.ApplyMembership([]string{"a", "b", "c"}, nil, true, []ShardState{shard}, 0)
--- a/internal/claims/wire.go
+++ b/internal/claims/wire.go
@@ -40,7 +40,8 @@
 	var b []byte
 	for _, c := range m.Claims {
 		at := len(b)
-		b = fmt.Appendf(b, "%s %x %s %s %s %d %d %d %d\n", orNone(c.Token), c.Object, orNone(c.Group), orNone(c.Owner), orNone(c.Request),
+		b = fmt.Appendf(b, "%s %x %s %s %s %d %d %d %d\n",
+			encodeText(c.Token), c.Object, encodeText(c.Group), encodeText(c.Owner), encodeText(c.Request),
 			c.Version, c.Seq, c.Window.Microseconds(), c.At.Microseconds())
 		if len(b) > maxBytes {
 			bulks = append(bulks, bytes.Clone(b[:at]))
@@ -56,8 +57,8 @@
 	return bulks, nil
 }
 
-// orNone returns the encoding of a text field; an empty one is encoded as "-".
-func orNone(s string) string {
+// encodeText returns the encoding of a text field; an empty one is encoded as "-".
+func encodeText(s string) string {
 	if s == "" {
 		return "-"
 	}
@@ -66,12 +67,12 @@
 
 // Decode decodes a message from its head and bulk strings. It returns errMalformed if they cannot be parsed.
 func Decode(head []byte, bulks [][]byte) (m Message, err error) {
-	words := bytes.Fields(head)
-	if len(words) != headFields {
+	fields := bytes.Fields(head)
+	if len(fields) != headFields {
 		return m, errMalformed
 	}
 	var n [headFields]int64
-	for i, w := range words {
+	for i, w := range fields {
 		if n[i], err = strconv.ParseInt(string(w), 10, 64); err != nil || n[i] < 0 {
 			return m, errMalformed
 		}
@@ -101,22 +102,22 @@
 
 // decodeClaim decodes a claim from a line of a bulk string.
 func decodeClaim(line []byte) (c Claim, err error) {
-	w := bytes.Fields(line)
-	if len(w) != claimFields {
+	fields := bytes.Fields(line)
+	if len(fields) != claimFields {
 		return c, errMalformed
 	}
-	text := func(b []byte) string {
+	decodeText := func(b []byte) string {
 		if string(b) == "-" {
 			return ""
 		}
 		return string(b)
 	}
-	c = Claim{Token: text(w[0]), Group: text(w[2]), Owner: text(w[3]), Request: text(w[4])}
-	if c.Object, err = strconv.ParseUint(string(w[1]), 16, 64); err != nil {
+	c = Claim{Token: decodeText(fields[0]), Group: decodeText(fields[2]), Owner: decodeText(fields[3]), Request: decodeText(fields[4])}
+	if c.Object, err = strconv.ParseUint(string(fields[1]), 16, 64); err != nil {
 		return c, errMalformed
 	}
 	var n [4]uint64
-	for i, b := range w[5:] {
+	for i, b := range fields[5:] {
 		if n[i], err = strconv.ParseUint(string(b), 10, 62); err != nil {
 			return c, errMalformed
 		}
