--- a/internal/health/aggregator.go
+++ b/internal/health/aggregator.go
@@ -19,21 +19,21 @@
 	// shareSteps is the number of steps to which shares of failures are rounded before they are compared: a change that does not
 	// alter a rounded share does not count as a new result.
 	shareSteps = 20
-	// sweepLifetimes is the number of lifetimes after which a director's outcomes are removed.
-	sweepLifetimes = 4
+	// sweepAfterLifetimes is the number of lifetimes after which a director's outcomes are removed.
+	sweepAfterLifetimes = 4
 )
 
 // Aggregator decides which caches are suspected. It is not safe for concurrent use.
 type Aggregator struct {
-	set      Settings
-	epoch    int64
-	seq      uint64
-	lastSeq  map[string]uint64                   // sequence number of the last report, by director
-	caches   map[string]map[string]*observation  // by cache and director
-	machines map[string]map[string]time.Duration // time of a machine's last report, by location and machine
-	result   AggregatedHealth                    // the last result
-	resultAt time.Duration                       // when result was computed; negative if never
-	reported map[string]float64                  // the rounded shares of failures in the last result, by cache
+	settings   Settings
+	epoch      int64
+	seq        uint64
+	lastSeq    map[string]uint64                   // sequence number of the last report, by director
+	caches     map[string]map[string]*observation  // by cache and director
+	machines   map[string]map[string]time.Duration // time of a machine's last report, by location and machine
+	result     AggregatedHealth                    // the last result
+	computedAt time.Duration                       // when result was computed; negative if never
+	reported   map[string]float64                  // the rounded shares of failures in the last result, by cache
 }
 
 // observation holds the outcomes that one director has reported on a cache.
@@ -48,22 +48,22 @@
 }
 
 // NewAggregator returns an aggregator without reports. Each new leader must use a higher epoch than the previous one.
-func NewAggregator(set Settings, epoch int64) *Aggregator {
+func NewAggregator(settings Settings, epoch int64) *Aggregator {
 	return &Aggregator{
-		set:      set,
-		epoch:    epoch,
-		lastSeq:  map[string]uint64{},
-		caches:   map[string]map[string]*observation{},
-		machines: map[string]map[string]time.Duration{},
-		resultAt: -1,
-		reported: map[string]float64{},
+		settings:   settings,
+		epoch:      epoch,
+		lastSeq:    map[string]uint64{},
+		caches:     map[string]map[string]*observation{},
+		machines:   map[string]map[string]time.Duration{},
+		computedAt: -1,
+		reported:   map[string]float64{},
 	}
 }
 
 // Take adds a director's report. at is the director's location. The order in which reports of different directors arrive does not
 // affect the result.
 func (a *Aggregator) Take(r Report, at ReporterLocation, now time.Duration) {
-	if r.Seq <= a.lastSeq[r.Holder] || len(r.Caches) > a.set.MaxCaches {
+	if r.Seq <= a.lastSeq[r.Holder] || len(r.Caches) > a.settings.MaxCaches {
 		return
 	}
 	a.lastSeq[r.Holder] = r.Seq
@@ -72,7 +72,7 @@
 			continue
 		}
 		a.recordActive(at, now)
-		a.observation(o.Cache, r.Holder).add(o, at, a.set.AttemptWeight, now)
+		a.observation(o.Cache, r.Holder).add(o, at, a.settings.AttemptWeight, now)
 	}
 }
 
@@ -114,7 +114,7 @@
 // Aggregated returns the suspected caches, those with the largest share of failures first. Seq increases with each change.
 func (a *Aggregator) Aggregated(now time.Duration) AggregatedHealth {
 	interval := max(aggregateInterval, time.Duration(len(a.lastSeq))*aggregateIntervalPerDirector)
-	if a.resultAt >= 0 && now-a.resultAt < interval {
+	if a.computedAt >= 0 && now-a.computedAt < interval {
 		return a.result
 	}
 	result := AggregatedHealth{Epoch: a.epoch, Caches: a.suspected(now)}
@@ -128,7 +128,7 @@
 	}
 	result.Seq = a.seq
 	a.result = result
-	a.resultAt = now
+	a.computedAt = now
 	return result
 }
 
@@ -138,14 +138,14 @@
 	for cache := range a.caches {
 		c, enough := a.aggregate(cache, now)
 		age := time.Duration(c.AgeMS) * time.Millisecond
-		if enough && c.FailureShare >= a.set.MinFailureShare && age < a.set.Lifetime {
+		if enough && c.FailureShare >= a.settings.MinFailureShare && age < a.settings.Lifetime {
 			all = append(all, c)
 		}
 	}
 	slices.SortFunc(all, func(a, b CacheHealth) int {
 		return cmp.Or(cmp.Compare(b.FailureShare, a.FailureShare), cmp.Compare(a.Cache, b.Cache))
 	})
-	return all[:min(len(all), a.set.MaxCaches)]
+	return all[:min(len(all), a.settings.MaxCaches)]
 }
 
 // Caches returns the status of all caches with reports, sorted by name, for the operator.
@@ -176,7 +176,7 @@
 	active := map[string]bool{}
 	for cache, observations := range a.caches {
 		for director, o := range observations {
-			if now-o.updatedAt > sweepLifetimes*a.set.Lifetime {
+			if now-o.updatedAt > sweepAfterLifetimes*a.settings.Lifetime {
 				delete(observations, director)
 				continue
 			}
@@ -187,7 +187,7 @@
 		}
 	}
 	for location, machines := range a.machines {
-		maps.DeleteFunc(machines, func(_ string, at time.Duration) bool { return now-at > a.set.Lifetime })
+		maps.DeleteFunc(machines, func(_ string, at time.Duration) bool { return now-at > a.settings.Lifetime })
 		if len(machines) == 0 {
 			delete(a.machines, location)
 		}
--- a/internal/health/aggregator_test.go
+++ b/internal/health/aggregator_test.go
@@ -25,7 +25,7 @@
 
 func directorID(i int) string { return fmt.Sprintf("d%d/1", i) }
 
-func (s *simulation) run(directors int, length time.Duration, perSecond float64, each func()) {
+func (s *simulation) run(directors int, length time.Duration, attemptsPerSecond float64, each func()) {
 	s.seqs = make([]uint64, directors)
 	for end := s.now + length; s.now < end; {
 		s.now += 100 * ms
@@ -35,7 +35,7 @@
 				for b, p := range s.failureShares {
 					o := Outcomes{Cache: fmt.Sprint("b", b), LagMS: 5}
 					for range 3 {
-						if s.rng.Float64() < perSecond/10/3/float64(len(s.failureShares)) {
+						if s.rng.Float64() < attemptsPerSecond/10/3/float64(len(s.failureShares)) {
 							o.Attempts++
 							if s.rng.Float64() < p {
 								o.Failures++
@@ -64,21 +64,21 @@
 		failureShares: []float64{0.67, 0.02, 0.02, 0.02},
 		falseOutcomes: func(int) []Outcomes { return nil },
 	}
-	tracker, known := NewTracker(DefaultSettings, "d"), time.Duration(0)
+	tracker, suspectedAt := NewTracker(DefaultSettings, "d"), time.Duration(0)
 	f.run(8, 5*time.Second, 8, func() {
 		tracker.Take(f.aggregator.Aggregated(f.now), f.now)
 		for cache, share := range tracker.FailureShares(f.now) {
 			if cache != "b0" {
 				t.Errorf("%v: healthy cache %s is suspected, share of failures %v", f.now, cache, share)
 			}
-			if known == 0 {
-				known = f.now
+			if suspectedAt == 0 {
+				suspectedAt = f.now
 			}
 		}
 	})
-	t.Logf("suspected after %v: %v", known, tracker.FailureShares(f.now))
-	if known == 0 || known > 2*time.Second {
-		t.Errorf("suspected after %v", known)
+	t.Logf("suspected after %v: %v", suspectedAt, tracker.FailureShares(f.now))
+	if suspectedAt == 0 || suspectedAt > 2*time.Second {
+		t.Errorf("suspected after %v", suspectedAt)
 	}
 	f.failureShares[0] = 0.02
 	f.run(8, DefaultSettings.Lifetime+time.Second, 8, func() { tracker.Take(f.aggregator.Aggregated(f.now), f.now) })
@@ -113,13 +113,13 @@
 				}
 				return append(all, Outcomes{Cache: "b3", Attempts: 1e6})
 			}
-			wronglySuspected, known := 0, 0
+			wronglySuspected, rightlySuspected := 0, 0
 			f.run(directors, 6*time.Second, 24, func() {
 				tracker := NewTracker(DefaultSettings, "d")
 				tracker.Take(f.aggregator.Aggregated(f.now), f.now)
 				for cache := range tracker.FailureShares(f.now) {
 					if cache == "b3" {
-						known++
+						rightlySuspected++
 					} else {
 						wronglySuspected++
 					}
@@ -128,12 +128,12 @@
 			if faulty <= (directors-1)/3 {
 				worst = max(worst, wronglySuspected)
 			}
-			switch few := faulty <= (directors-1)/3; {
-			case few && wronglySuspected > 180/20:
+			switch tolerable := faulty <= (directors-1)/3; {
+			case tolerable && wronglySuspected > 180/20:
 				t.Errorf("seed %d: %d of %d faulty: healthy caches are suspected %d times", seed, faulty, directors, wronglySuspected)
-			case few && known < 20:
-				t.Errorf("seed %d: %d of %d faulty: the bad cache is suspected %d times of 60", seed, faulty, directors, known)
-			case !few && wronglySuspected < 60:
+			case tolerable && rightlySuspected < 20:
+				t.Errorf("seed %d: %d of %d faulty: the bad cache is suspected %d times of 60", seed, faulty, directors, rightlySuspected)
+			case !tolerable && wronglySuspected < 60:
 				t.Errorf("seed %d: %d of %d faulty: healthy caches are not suspected, so nothing is detected", seed, faulty, directors)
 			}
 		}
--- a/internal/health/measure_test.go
+++ b/internal/health/measure_test.go
@@ -20,8 +20,8 @@
 	for _, caches := range []int{100, 500} {
 		for _, directors := range []int{10, 100, 1000} {
 			rng := rand.New(rand.NewPCG(1, uint64(directors)))
-			m := NewAggregator(DefaultSettings, 1)
-			up, down, reports, took := 0, 0, 0, time.Duration(0)
+			aggregator := NewAggregator(DefaultSettings, 1)
+			bytesUp, bytesDown, reports, elapsed := 0, 0, 0, time.Duration(0)
 			pending, seqs := make([]map[string]Outcomes, directors), make([]uint64, directors)
 			var lastSeq uint64
 			for now := 100 * ms; now <= seconds*time.Second; now += 100 * ms {
@@ -55,23 +55,23 @@
 					}
 					clear(pending[d])
 					text, _ := json.Marshal(r)
-					up, reports = up+len(text), reports+1
-					begin := time.Now()
-					m.Take(r, ReporterLocation{fmt.Sprint("m", d), fmt.Sprint("l", d%max(1, caches/20))}, now)
-					_ = m.Aggregated(now)
-					took += time.Since(begin)
+					bytesUp, reports = bytesUp+len(text), reports+1
+					start := time.Now()
+					aggregator.Take(r, ReporterLocation{fmt.Sprint("m", d), fmt.Sprint("l", d%max(1, caches/20))}, now)
+					_ = aggregator.Aggregated(now)
+					elapsed += time.Since(start)
 				}
-				if o := m.Aggregated(now); o.Seq != lastSeq || len(o.Caches) > 0 && now%(500*ms) == 0 {
+				if o := aggregator.Aggregated(now); o.Seq != lastSeq || len(o.Caches) > 0 && now%(500*ms) == 0 {
 					lastSeq = o.Seq
 					text, _ := json.Marshal(o)
-					down += len(text) * directors
+					bytesDown += len(text) * directors
 				}
 			}
-			upKBps, downKBps := float64(up)/seconds/1000, float64(down)/seconds/1000
+			upKBps, downKBps := float64(bytesUp)/seconds/1000, float64(bytesDown)/seconds/1000
 			t.Logf("%4d directors, %3d caches: %6.0f reports/s, %7.1f kB/s up, %7.1f kB/s down, %.1f and %.1f kB/s for each director, "+
 				"the leader aggregates %.1f %% of the time",
 				directors, caches, float64(reports)/seconds, upKBps, downKBps, upKBps/float64(directors), downKBps/float64(directors),
-				100*took.Seconds()/seconds)
+				100*elapsed.Seconds()/seconds)
 		}
 	}
 }
--- a/internal/health/reporter.go
+++ b/internal/health/reporter.go
@@ -10,7 +10,7 @@
 
 // Reporter collects a director's outcomes until they are reported. It is not safe for concurrent use.
 type Reporter struct {
-	set        Settings
+	settings   Settings
 	holder     string
 	seq        uint64
 	reportedAt time.Duration
@@ -18,8 +18,8 @@
 }
 
 // NewReporter returns the reporter of a director. holder is the director's ID.
-func NewReporter(set Settings, holder string) *Reporter {
-	return &Reporter{set: set, holder: holder, pending: map[string]Outcomes{}}
+func NewReporter(settings Settings, holder string) *Reporter {
+	return &Reporter{settings: settings, holder: holder, pending: map[string]Outcomes{}}
 }
 
 // Record adds a number of attempts at a cache and the number of those that failed. lag is the smoothed lag in seconds; it replaces the
@@ -43,7 +43,7 @@
 	for _, o := range r.pending {
 		report.Caches = append(report.Caches, o)
 	}
-	report.Caches = r.set.Trim(report.Caches)
+	report.Caches = r.settings.Trim(report.Caches)
 	clear(r.pending)
 	r.reportedAt = now
 	return report
--- a/internal/health/tracker.go
+++ b/internal/health/tracker.go
@@ -11,7 +11,7 @@
 
 // Tracker holds the latest result that a director was notified of and reduces its effect over time. It is not safe for concurrent use.
 type Tracker struct {
-	set         Settings
+	settings    Settings
 	epoch       int64
 	seq         uint64
 	requestedAt time.Duration          // start time of the call that returned the last result
@@ -23,14 +23,14 @@
 // NewTracker returns a tracker that suspects no cache. Its lifetime is between half of the settings' Lifetime and all of it, depending
 // on a hash of the director's name. So after a period in which no director has sent to a suspected cache, a few directors resume first
 // instead of all at once.
-func NewTracker(set Settings, name string) *Tracker {
+func NewTracker(settings Settings, name string) *Tracker {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(name)) // a hash returns no error
-	part := 0.5 + 0.5*float64(hash.Sum64()>>11)/(1<<53)
+	fraction := 0.5 + 0.5*float64(hash.Sum64()>>11)/(1<<53)
 	return &Tracker{
-		set:      set,
+		settings: settings,
 		caches:   map[string]CacheHealth{},
-		lifetime: time.Duration(part * float64(set.Lifetime)),
+		lifetime: time.Duration(fraction * float64(settings.Lifetime)),
 		reported: map[string]float64{},
 	}
 }
@@ -45,8 +45,8 @@
 	t.seq = h.Seq
 	t.requestedAt = requestedAt
 	clear(t.caches)
-	for _, c := range h.Caches[:min(len(h.Caches), t.set.MaxCaches)] {
-		if c.FailureShare > 0 && c.FailureShare <= 1 && c.AgeMS >= 0 && c.Machines >= t.set.MinMachines {
+	for _, c := range h.Caches[:min(len(h.Caches), t.settings.MaxCaches)] {
+		if c.FailureShare > 0 && c.FailureShare <= 1 && c.AgeMS >= 0 && c.Machines >= t.settings.MinMachines {
 			t.caches[c.Cache] = c
 		}
 	}
@@ -58,8 +58,8 @@
 	shares := make(map[string]float64, len(t.caches))
 	for cache, c := range t.caches {
 		age := now - t.requestedAt + time.Duration(c.AgeMS)*time.Millisecond
-		if left := 1 - float64(age)/float64(t.lifetime); left > 0 && age >= 0 {
-			shares[cache] = c.FailureShare * min(1, 2*left)
+		if remaining := 1 - float64(age)/float64(t.lifetime); remaining > 0 && age >= 0 {
+			shares[cache] = c.FailureShare * min(1, 2*remaining)
 		}
 	}
 	return shares
--- a/internal/health/vote.go
+++ b/internal/health/vote.go
@@ -23,7 +23,7 @@
 	c = CacheHealth{Cache: cache, Machines: len(votes)}
 	maxFaulty := max(1, (a.eligibleMachines(reporters, now)-1)/3)
 	counted := len(votes) - maxFaulty
-	if len(votes) < a.set.MinMachines || counted < a.set.MinMachines-1 {
+	if len(votes) < a.settings.MinMachines || counted < a.settings.MinMachines-1 {
 		return c, false
 	}
 	var failureShares, lags []float64
@@ -51,7 +51,7 @@
 	votes := map[string]*machineVote{}
 	reporters := map[ReporterLocation]bool{}
 	for _, o := range a.caches[cache] {
-		if now-o.updatedAt >= a.set.Lifetime {
+		if now-o.updatedAt >= a.settings.Lifetime {
 			continue
 		}
 		reporters[o.ReporterLocation] = true
@@ -75,7 +75,7 @@
 	for location, machines := range a.machines {
 		active, reporting := 0, 0
 		for machine, at := range machines {
-			if now-at >= a.set.Lifetime {
+			if now-at >= a.settings.Lifetime {
 				continue
 			}
 			active++
