--- a/internal/quota/allocator_test.go
+++ b/internal/quota/allocator_test.go
@@ -11,11 +11,11 @@
 
 const ms = time.Millisecond
 
-func fromEnv(name string, otherwise int) int {
+func intFromEnv(name string, defaultValue int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return n
 	}
-	return otherwise
+	return defaultValue
 }
 
 func testSettings() Settings {
@@ -29,7 +29,7 @@
 	holders           []*simHolder
 	allocator         *Allocator
 	epoch             int64
-	inFlight          []transit
+	inFlight          []inFlightMessage
 	worst             float64
 	underused         time.Duration // time in which less than 0.4 of the limit was in force, though more than 1 was wanted
 	countsFromReceipt bool          // disables a guard: leases start at the receipt of a grant and not at its request
@@ -38,15 +38,15 @@
 
 // simHolder is a holder with its own clock and faults.
 type simHolder struct {
-	holder      *Holder
-	rate        float64 // of its clock
-	pausedUntil time.Duration
-	cutUntil    time.Duration
-	demand      float64
+	holder           *Holder
+	clockRate        float64 // of its clock
+	pausedUntil      time.Duration
+	partitionedUntil time.Duration
+	demand           float64
 }
 
-// transit is a message in flight.
-type transit struct {
+// inFlightMessage is a message in flight.
+type inFlightMessage struct {
 	from    int
 	renewal *Renewal
 	grant   *Grant
@@ -54,10 +54,10 @@
 }
 
 func (s *scenario) clock(h *simHolder) time.Duration {
-	return time.Duration(float64(s.now)*h.rate) + time.Hour
+	return time.Duration(float64(s.now)*h.clockRate) + time.Hour
 }
 
-func playScenario(seed uint64, holders int, length time.Duration, guard string) *scenario {
+func runScenario(seed uint64, holders int, length time.Duration, guard string) *scenario {
 	f := newScenario(seed)
 	f.countsFromReceipt, f.skipsWait = guard == "asking", guard == "waiting"
 	for i := range holders {
@@ -75,9 +75,9 @@
 
 func (s *scenario) add(i int) {
 	h := &simHolder{
-		holder: NewHolder(fmt.Sprint("d", i), testSettings()),
-		rate:   1 + (2*s.rng.Float64()-1)*0.02,
-		demand: s.rng.ExpFloat64() / 4,
+		holder:    NewHolder(fmt.Sprint("d", i), testSettings()),
+		clockRate: 1 + (2*s.rng.Float64()-1)*0.02,
+		demand:    s.rng.ExpFloat64() / 4,
 	}
 	if i < len(s.holders) {
 		h.holder = NewHolder(fmt.Sprintf("d%d/%d", i, s.now), testSettings())
@@ -97,7 +97,7 @@
 	case 1:
 		s.holders[s.rng.IntN(len(s.holders))].pausedUntil = s.now + time.Duration(s.rng.IntN(2000))*ms
 	case 2:
-		s.holders[s.rng.IntN(len(s.holders))].cutUntil = s.now + time.Duration(s.rng.IntN(15000))*ms
+		s.holders[s.rng.IntN(len(s.holders))].partitionedUntil = s.now + time.Duration(s.rng.IntN(15000))*ms
 	case 3:
 		s.add(s.rng.IntN(len(s.holders)))
 	case 4:
@@ -113,11 +113,11 @@
 			h.holder.Want(Want{Limit: "box", Kind: Rate, Demand: h.demand})
 		}
 		renewal := h.holder.Renewal(s.clock(h))
-		if s.now >= h.cutUntil && s.rng.IntN(20) > 0 {
-			s.inFlight = append(s.inFlight, transit{from: i, renewal: &renewal, at: s.now + time.Duration(s.rng.IntN(120))*ms})
+		if s.now >= h.partitionedUntil && s.rng.IntN(20) > 0 {
+			s.inFlight = append(s.inFlight, inFlightMessage{from: i, renewal: &renewal, at: s.now + time.Duration(s.rng.IntN(120))*ms})
 		}
 	}
-	var left []transit
+	var left []inFlightMessage
 	for _, x := range s.inFlight {
 		h := s.holders[x.from]
 		switch {
@@ -125,10 +125,10 @@
 			left = append(left, x)
 		case x.renewal != nil:
 			g := s.allocator.Renew(*x.renewal, s.now)
-			left = append(left, transit{from: x.from, grant: &g, at: s.now + time.Duration(s.rng.IntN(200))*ms})
+			left = append(left, inFlightMessage{from: x.from, grant: &g, at: s.now + time.Duration(s.rng.IntN(200))*ms})
 		default:
 			if s.countsFromReceipt {
-				if _, is := h.holder.requestedAt[x.grant.Seq]; is {
+				if _, found := h.holder.requestedAt[x.grant.Seq]; found {
 					h.holder.requestedAt[x.grant.Seq] = s.clock(h)
 				}
 			}
@@ -150,11 +150,11 @@
 // TestSharesKeepTheLimit checks that the shares in force never exceed the limit and that most of the limit is used, when holders pause,
 // are partitioned, fail or join and allocators are replaced. Each guard is disabled once, to verify that the test detects its absence.
 func TestSharesKeepTheLimit(t *testing.T) {
-	first, unused := uint64(fromEnv("STAIRVANE_SEED", 1)), time.Duration(0)
-	n := fromEnv("STAIRVANE_SEEDS", 200)
+	first, unused := uint64(intFromEnv("STAIRVANE_SEED", 1)), time.Duration(0)
+	n := intFromEnv("STAIRVANE_SEEDS", 200)
 	t.Logf("seeds from %d on", first)
 	for i := range n {
-		f := playScenario(first+uint64(i), []int{2, 3, 8, 20}[i%4], 20*time.Second, "")
+		f := runScenario(first+uint64(i), []int{2, 3, 8, 20}[i%4], 20*time.Second, "")
 		if f.worst > 1+1e-9 {
 			t.Fatalf("seed %d: %v of the limit is in force", first+uint64(i), f.worst)
 		}
@@ -166,12 +166,12 @@
 	}
 	for _, guard := range []string{"asking", "waiting"} {
 		seed := uint64(1)
-		for ; seed <= 300 && playScenario(seed, 3, 20*time.Second, guard).worst <= 1+1e-9; seed++ {
+		for ; seed <= 300 && runScenario(seed, 3, 20*time.Second, guard).worst <= 1+1e-9; seed++ {
 		}
 		if seed > 300 {
 			t.Errorf("no seed exceeds the limit with the guard %q disabled", guard)
 		} else {
-			worst := playScenario(seed, 3, 20*time.Second, guard).worst
+			worst := runScenario(seed, 3, 20*time.Second, guard).worst
 			t.Logf("with the guard %q disabled, seed %d exceeds the limit: %.2f", guard, seed, worst)
 		}
 	}
@@ -180,7 +180,7 @@
 // TestGrantForEarlierProcess guards against a restarted holder that accepts a late grant for its previous process because it has sent a
 // renewal with the same sequence number. Both processes would then use the share.
 func TestGrantForEarlierProcess(t *testing.T) {
-	if f := playScenario(419623448, 2, 20*time.Second, ""); f.worst > 1+1e-9 {
+	if f := runScenario(419623448, 2, 20*time.Second, ""); f.worst > 1+1e-9 {
 		t.Errorf("%v of the limit is in force", f.worst)
 	}
 	before, after := NewHolder("d/1", testSettings()), NewHolder("d/2", testSettings())
@@ -226,25 +226,25 @@
 	}
 }
 
-// TestSemaphoreGoesRound checks that a semaphore passes from one holder to the next, that no two hold it at the same time, and that it is
-// granted again after its lease if its holder fails.
-func TestSemaphoreGoesRound(t *testing.T) {
+// TestSemaphorePassesToEachHolder checks that a semaphore passes from one holder to the next, that no two hold it at the same time, and
+// that it is granted again after its lease if its holder fails.
+func TestSemaphorePassesToEachHolder(t *testing.T) {
 	settings := testSettings()
 	allocator, now := NewAllocator(settings, 1, 0, true), time.Duration(0)
 	var holders []*Holder
 	for i := range 5 {
 		holders = append(holders, NewHolder(fmt.Sprint(i), settings))
 	}
-	had, since := map[int]bool{}, time.Duration(0)
+	served, since := map[int]bool{}, time.Duration(0)
 	for now < 10*time.Second {
 		now += 50 * ms
 		holding := 0
 		for i, h := range holders {
-			if i == 1 && had[1] { // fails while it holds the semaphore
+			if i == 1 && served[1] { // fails while it holds the semaphore
 				continue
 			}
 			demand := 1.0
-			if had[i] && now-since > 300*ms {
+			if served[i] && now-since > 300*ms {
 				demand = 0
 			}
 			h.Want(Want{Limit: "look", Kind: Semaphore, Demand: demand})
@@ -253,8 +253,8 @@
 		for i, h := range holders {
 			if h.Available("look", now) > 0 {
 				holding++
-				if !had[i] {
-					had[i], since = true, now
+				if !served[i] {
+					served[i], since = true, now
 				}
 			}
 		}
@@ -262,7 +262,7 @@
 			t.Fatalf("%d holders have the semaphore at %v", holding, now)
 		}
 	}
-	if len(had) != 5 {
-		t.Errorf("only holders %v have had the semaphore", had)
+	if len(served) != 5 {
+		t.Errorf("only holders %v have had the semaphore", served)
 	}
 }
--- a/internal/quota/divider.go
+++ b/internal/quota/divider.go
@@ -8,12 +8,12 @@
 
 // divider divides budgets among holders. It is the common part of Allocator and Node, which differ in the source of the budgets.
 type divider struct {
-	set     Settings
-	latest  time.Duration // the latest time passed to any call
-	limits  map[string]*limit
-	lastSeq map[string]uint64 // sequence number of the last renewal, by holder
-	reserve pool              // accounts of the fallbacks
-	scratch []Group           // reused by each division
+	settings   Settings
+	latestTime time.Duration // the latest time passed to any call
+	limits     map[string]*limit
+	lastSeq    map[string]uint64 // sequence number of the last renewal, by holder
+	reserve    pool              // accounts of the fallbacks
+	scratch    []Group           // reused by each division
 }
 
 // limit is the state of one limit: the shares in force and the current division.
@@ -37,25 +37,25 @@
 
 // Numbers of accounts to recount in addition to the account that renews.
 const (
-	recountsPerRenewal    = 2
-	recountedShareOfSweep = 0.25 // fraction of all accounts, with each sweep
+	recountsPerRenewal        = 2
+	recountedFractionPerSweep = 0.25 // fraction of all accounts, with each sweep
 )
 
 // newDivider returns a divider without limits.
-func newDivider(set Settings) divider {
+func newDivider(settings Settings) divider {
 	return divider{
-		set:     set,
-		limits:  map[string]*limit{},
-		lastSeq: map[string]uint64{},
-		reserve: newPool(set.fadeAtAllocator()),
+		settings: settings,
+		limits:   map[string]*limit{},
+		lastSeq:  map[string]uint64{},
+		reserve:  newPool(settings.fadeAtAllocator()),
 	}
 }
 
 // clock returns the later of now and the latest time passed so far, so that time never goes backwards. Callers read their clock before
 // they acquire their lock, so a call may pass an earlier time than the previous call.
 func (d *divider) clock(now time.Duration) time.Duration {
-	d.latest = max(d.latest, now)
-	return d.latest
+	d.latestTime = max(d.latestTime, now)
+	return d.latestTime
 }
 
 // accept reports whether a renewal is newer than all previous ones of its holder, and records its sequence number.
@@ -84,7 +84,7 @@
 		l.maxHolders = max(1, want.MaxHolders)
 		d.recordWant(l, want, r, now)
 		for _, id := range l.recountNext(recountsPerRenewal, now) {
-			l.leaveQueue(id)
+			l.removeFromQueue(id)
 		}
 	}
 	d.recordFallback(r, now)
@@ -104,9 +104,9 @@
 func (d *divider) recordWant(l *limit, want Want, r Renewal, now time.Duration) {
 	a := l.account(r.Holder)
 	a.demands = want.groups(r.Node)
-	a.renewed = now
+	a.renewedAt = now
 	a.expiresAfter = d.grantLifetime(r)
-	a.fullFor = a.expiresAfter
+	a.fullDuration = a.expiresAfter
 	weight := 1
 	if r.Node {
 		weight = 0
@@ -122,11 +122,11 @@
 // node, fallbacks may start to decrease as late as at the end of the node's lease.
 func (d *divider) recordFallback(r Renewal, now time.Duration) {
 	a := d.reserve.account(r.Holder)
-	a.renewed = now
+	a.renewedAt = now
 	a.expiresAfter = d.grantLifetime(r)
 	weight := 1
 	if r.Node {
-		a.fullFor = a.expiresAfter
+		a.fullDuration = a.expiresAfter
 		weight = max(0, r.Leaves)
 	}
 	d.reserve.setWeight(a, weight)
@@ -136,43 +136,43 @@
 // grantLifetime returns the time for which a share granted for a renewal is counted as in use.
 func (d *divider) grantLifetime(r Renewal) time.Duration {
 	if r.Node {
-		return d.set.nodeLeaseAtRoot()
+		return d.settings.nodeLeaseAtRoot()
 	}
-	return d.set.leaseAtAllocator()
+	return d.settings.leaseAtAllocator()
 }
 
 // release removes a holder's account of a limit, and the limit itself if that was its last account.
 func (d *divider) release(name string, l *limit, a *account) {
 	l.remove(a)
-	l.leaveQueue(a.id)
+	l.removeFromQueue(a.id)
 	if len(l.accounts) == 0 {
 		delete(d.limits, name)
 	}
 }
 
 // grantShare computes a holder's share of a limit and records it as granted.
-func (d *divider) grantShare(name string, r Renewal, of budget, now time.Duration) Share {
+func (d *divider) grantShare(name string, r Renewal, available budget, now time.Duration) Share {
 	l := d.limits[name]
 	a := l.accounts[r.Holder]
 	var share float64
 	if l.kind == Semaphore {
 		share = l.semaphoreShare(a, now)
 	} else {
-		share = d.rateShare(l, a, of, now)
+		share = d.rateShare(l, a, available, now)
 	}
 	l.grant(a, r.Seq, share, now)
-	answer := Share{Limit: name, Fraction: share}
+	granted := Share{Limit: name, Fraction: share}
 	if r.Node {
-		answer.EvenFraction = of.evenShare
+		granted.EvenFraction = available.evenShare
 	}
-	return answer
+	return granted
 }
 
 // grantFallback computes a holder's fallback and records it as granted. The fallback is an even share of the reserve, limited to what
 // the fallbacks of the other holders leave.
 func (d *divider) grantFallback(r Renewal, reserve float64, now time.Duration) float64 {
 	a := d.reserve.accounts[r.Holder]
-	even := reserve * float64(a.weight) / float64(max(1, d.reserve.live))
+	even := reserve * float64(a.weight) / float64(max(1, d.reserve.activeWeight))
 	share := max(0, roundDown(min(even, reserve-(d.reserve.used-a.used))))
 	d.reserve.grant(a, r.Seq, share, now)
 	return share
@@ -192,7 +192,7 @@
 				x.Demand += group.Demand * float64(group.Count)
 			}
 			if n := len(a.records); n > 0 {
-				x.Left = a.records[n-1].until - now
+				x.Left = a.records[n-1].expiresAt - now
 			}
 			all = append(all, x)
 		}
@@ -205,7 +205,7 @@
 	now = d.clock(now)
 	for name, l := range d.limits {
 		for _, id := range l.recountNext(recountsPerSweep(&l.pool), now) {
-			l.leaveQueue(id)
+			l.removeFromQueue(id)
 		}
 		if len(l.accounts) == 0 {
 			delete(d.limits, name)
@@ -218,5 +218,5 @@
 
 // recountsPerSweep returns the number of accounts of a pool that a sweep recounts.
 func recountsPerSweep(p *pool) int {
-	return recountsPerRenewal + int(recountedShareOfSweep*float64(len(p.order)))
+	return recountsPerRenewal + int(recountedFractionPerSweep*float64(len(p.order)))
 }
--- a/internal/quota/division.go
+++ b/internal/quota/division.go
@@ -13,60 +13,60 @@
 )
 
 // rateShare returns a holder's share of a rate: its max-min fair share, limited by the shares of other holders that are in force.
-func (d *divider) rateShare(l *limit, a *account, of budget, now time.Duration) float64 {
-	d.refreshDivision(l, of, now)
+func (d *divider) rateShare(l *limit, a *account, total budget, now time.Duration) float64 {
+	d.refreshDivision(l, total, now)
 	target := l.division.shareOf(d.appendScaled(nil, a.demands))
 	usedByOthers := l.used - a.used
-	previous := a.newest()
-	isNear := target-previous < d.set.MinChange*previous && previous-target < d.set.MinChange*previous
-	if previous > 0 && len(a.demands) > 0 && isNear && usedByOthers+previous <= of.share {
+	previous := a.newestShare()
+	isNear := target-previous < d.settings.MinChange*previous && previous-target < d.settings.MinChange*previous
+	if previous > 0 && len(a.demands) > 0 && isNear && usedByOthers+previous <= total.share {
 		target = previous
 	}
 	// After the budget has decreased, shares granted from the larger budget may be renewed but not increased: they expire before
 	// that budget does. Shares granted since then must fit into the smaller budget.
-	available := min(of.share-(l.recent-a.recent), max(of.share-usedByOthers, a.used))
+	available := min(total.share-(l.recentlyUsed-a.recentlyUsed), max(total.share-usedByOthers, a.used))
 	return max(0, roundDown(min(target, available)))
 }
 
 // appendScaled appends groups to a slice, with their demands scaled from the whole limit to the limit without the reserve.
 func (d *divider) appendScaled(to, groups []Group) []Group {
 	for _, group := range groups {
-		to = append(to, Group{group.Demand * (1 - d.set.Reserve), group.Count})
+		to = append(to, Group{group.Demand * (1 - d.settings.Reserve), group.Count})
 	}
 	return to
 }
 
 // refreshDivision recomputes the division of a rate if it is too old or the budget or the number of holders has changed.
-func (d *divider) refreshDivision(l *limit, of budget, now time.Duration) {
+func (d *divider) refreshDivision(l *limit, total budget, now time.Duration) {
 	change := max(l.weight-l.dividedWeight, l.dividedWeight-l.weight)
 	lifetime := divisionLifetime + time.Duration(len(l.order))*divisionLifetimePerAccount
-	if now-l.dividedAt < lifetime && change*weightChangeDivisor <= l.dividedWeight && of.share == l.dividedBudget {
+	if now-l.dividedAt < lifetime && change*weightChangeDivisor <= l.dividedWeight && total.share == l.dividedBudget {
 		return
 	}
 	d.scratch = d.scratch[:0]
 	for _, a := range l.order {
-		if now < a.renewed+a.expiresAfter {
+		if now < a.renewedAt+a.expiresAfter {
 			d.scratch = d.appendScaled(d.scratch, a.demands)
 		}
 	}
-	l.division = divide(d.scratch, of.share, d.set.Floor*of.evenShare)
+	l.division = divide(d.scratch, total.share, d.settings.Floor*total.evenShare)
 	l.dividedAt = now
 	l.dividedWeight = l.weight
-	l.dividedBudget = of.share
+	l.dividedBudget = total.share
 }
 
 // division is the result of dividing a budget among holders.
 type division struct {
-	floor float64 // minimum share of each holder with a demand
-	level float64 // maximum share of each holder, without spare
-	spare float64 // additional share of each holder from the budget that exceeds the demands
+	floor   float64 // minimum share of each holder with a demand
+	level   float64 // maximum share of each holder, without surplus
+	surplus float64 // additional share of each holder from the budget that exceeds the demands
 }
 
 // shareOf returns the total share of groups that were included in the division.
 func (v division) shareOf(groups []Group) (sum float64) {
 	for _, group := range groups {
 		if group.Demand > 0 {
-			sum += float64(group.Count) * (min(max(group.Demand, v.floor), v.level) + v.spare)
+			sum += float64(group.Count) * (min(max(group.Demand, v.floor), v.level) + v.surplus)
 		}
 	}
 	return sum
@@ -79,36 +79,36 @@
 // It iterates over the groups that may still get less than their demand, until each of them demands more than an even share. It
 // reorders groups.
 func divide(groups []Group, budget, floor float64) division {
-	open := groups[:0]
+	pending := groups[:0]
 	count := 0
 	for _, group := range groups {
 		if group.Demand > 0 {
-			open = append(open, group)
+			pending = append(pending, group)
 			count += group.Count
 		}
 	}
 	if count == 0 || budget <= 0 {
 		return division{}
 	}
-	all := count
-	rest := budget
-	floor = min(floor, budget/float64(all))
+	totalCount := count
+	remaining := budget
+	floor = min(floor, budget/float64(totalCount))
 	for count > 0 {
-		level := rest / float64(count)
-		wanting := open[:0]
-		for _, group := range open {
+		level := remaining / float64(count)
+		unsatisfied := pending[:0]
+		for _, group := range pending {
 			wanted := max(group.Demand, floor)
 			if wanted > level {
-				wanting = append(wanting, group)
+				unsatisfied = append(unsatisfied, group)
 				continue
 			}
-			rest -= float64(group.Count) * wanted
+			remaining -= float64(group.Count) * wanted
 			count -= group.Count
 		}
-		if len(wanting) == len(open) {
+		if len(unsatisfied) == len(pending) {
 			return division{floor: floor, level: level}
 		}
-		open = wanting
+		pending = unsatisfied
 	}
-	return division{floor: floor, level: budget, spare: max(0, rest) / float64(all)}
+	return division{floor: floor, level: budget, surplus: max(0, remaining) / float64(totalCount)}
 }
--- a/internal/quota/explore_test.go
+++ b/internal/quota/explore_test.go
@@ -17,7 +17,7 @@
 	leader            int
 	holders           [3]*Holder
 	wants             [3]float64
-	inFlight          []transit
+	inFlight          []inFlightMessage
 	renewals          int
 	renewingHolders   int     // number of holders that renew, from the first on
 	maxRenewals       int     // limit of renewals of all holders together
@@ -75,7 +75,7 @@
 			c.renewals++
 			c.holders[i].Want(Want{Limit: "box", Kind: Rate, Demand: c.wants[i]})
 			renewal := c.holders[i].Renewal(c.clock(i))
-			c.inFlight = append(c.inFlight, transit{from: i, renewal: &renewal})
+			c.inFlight = append(c.inFlight, inFlightMessage{from: i, renewal: &renewal})
 			visit(c)
 		}
 	}
@@ -92,7 +92,7 @@
 				c.holders[x.from].Take(*x.grant, c.clock(x.from))
 			case x.renewal != nil && c.allocators[at] != nil && at <= c.leader:
 				g := c.allocators[at].Renew(*x.renewal, c.now)
-				c.inFlight = append(c.inFlight, transit{from: x.from, grant: &g})
+				c.inFlight = append(c.inFlight, inFlightMessage{from: x.from, grant: &g})
 			default:
 				continue
 			}
@@ -108,12 +108,12 @@
 	}
 	if s.leader == 0 {
 		c := s.clone()
-		c.leader, c.allocators[1] = 1, NewAllocator(exploreSet, 2, c.now, false)
+		c.leader, c.allocators[1] = 1, NewAllocator(exploreSettings, 2, c.now, false)
 		visit(c)
 	}
 }
 
-var exploreSet = Settings{Lease: 400 * ms, Drift: 0.02, Reserve: 0.2, FallbackFade: 900 * ms, Floor: 0.2, MinChange: 0.05}
+var exploreSettings = Settings{Lease: 400 * ms, Drift: 0.02, Reserve: 0.2, FallbackFade: 900 * ms, Floor: 0.2, MinChange: 0.05}
 
 var exploreSeed = maphash.MakeSeed()
 
@@ -125,7 +125,7 @@
 	write(s.now, s.leader, s.renewals)
 	for _, g := range s.allocators {
 		if g != nil {
-			write(g.beganAt, g.lastSeq)
+			write(g.startedAt, g.lastSeq)
 			for _, p := range []pool{g.reserve, g.accountsOfLimit()} {
 				write(p.next)
 				for _, a := range p.order {
@@ -163,9 +163,9 @@
 		wants:             [3]float64{1, 1, 0.1},
 		countsFromReceipt: [3]bool{countsFromReceipt, countsFromReceipt, countsFromReceipt},
 	}
-	s.allocators[0] = NewAllocator(exploreSet, 1, 0, true)
+	s.allocators[0] = NewAllocator(exploreSettings, 1, 0, true)
 	for i := range s.holders {
-		s.holders[i] = NewHolder(fmt.Sprint("d", i), exploreSet)
+		s.holders[i] = NewHolder(fmt.Sprint("d", i), exploreSettings)
 	}
 	visited := map[uint64]bool{}
 	level := []*state{s}
@@ -194,7 +194,7 @@
 // TestExploreMessageOrders explores all orders of renewals, grants, losses, delays, pauses and failures of two allocators and three
 // holders up to a depth: the shares in force must never exceed the limit. STAIRVANE_DEPTH overrides the depth.
 func TestExploreMessageOrders(t *testing.T) {
-	depth := fromEnv("STAIRVANE_DEPTH", 6)
+	depth := intFromEnv("STAIRVANE_DEPTH", 6)
 	states, worst := explore(depth, 3, 3, false)
 	t.Logf("%d states to a depth of %d, at worst %.3f of the limit", states, depth, worst)
 	if worst > 1+1e-9 || worst < 0.5 {
--- a/internal/quota/holder.go
+++ b/internal/quota/holder.go
@@ -4,7 +4,7 @@
 
 // Holder requests and holds a director's shares of limits. It is not safe for concurrent use.
 type Holder struct {
-	set         Settings
+	settings    Settings
 	id          string
 	seq         uint64                   // sequence number of the last renewal
 	epoch       int64                    // the latest epoch of the root's grants that were in use
@@ -19,15 +19,15 @@
 
 // leasedShare is a share of a limit and the end of its lease.
 type leasedShare struct {
-	share float64
-	even  float64 // for a node: an even share for each holder of the tree
-	until time.Duration
+	share        float64
+	evenFraction float64 // for a node: an even share for each holder of the tree
+	expiresAt    time.Duration
 }
 
 // NewHolder returns a holder without demands or shares.
-func NewHolder(id string, set Settings) *Holder {
+func NewHolder(id string, settings Settings) *Holder {
 	return &Holder{
-		set:         set,
+		settings:    settings,
 		id:          id,
 		requestedAt: map[uint64]time.Duration{},
 		shares:      map[string]leasedShare{},
@@ -39,7 +39,7 @@
 // Want sets the holder's demand of a limit. A demand of 0 releases the limit.
 func (h *Holder) Want(w Want) {
 	if w.Demand <= 0 {
-		if _, had := h.wants[w.Limit]; had {
+		if _, found := h.wants[w.Limit]; found {
 			h.releasedAt[w.Limit] = h.seq
 		}
 		delete(h.wants, w.Limit)
@@ -53,7 +53,7 @@
 func (h *Holder) Renewal(now time.Duration) Renewal {
 	h.seq++
 	for seq, at := range h.requestedAt {
-		if now-at >= h.set.Lease {
+		if now-at >= h.settings.Lease {
 			delete(h.requestedAt, seq)
 		}
 	}
@@ -83,9 +83,13 @@
 	h.inUseSince = requestedAt
 	h.fallback = g.Fallback
 	h.shares = make(map[string]leasedShare, len(g.Shares))
-	for _, p := range g.Shares {
-		if _, wanted := h.wants[p.Limit]; wanted && g.Seq > h.releasedAt[p.Limit] {
-			h.shares[p.Limit] = leasedShare{share: p.Fraction, even: p.EvenFraction, until: requestedAt + h.set.Lease}
+	for _, granted := range g.Shares {
+		if _, wanted := h.wants[granted.Limit]; wanted && g.Seq > h.releasedAt[granted.Limit] {
+			h.shares[granted.Limit] = leasedShare{
+				share:        granted.Fraction,
+				evenFraction: granted.EvenFraction,
+				expiresAt:    requestedAt + h.settings.Lease,
+			}
 		}
 	}
 	return true
@@ -94,19 +98,19 @@
 // Available returns the fraction of a limit that may be used at this time: the share in force or, without one, the decreasing
 // fallback. Without a grant it is 0. It must be called immediately before each use.
 func (h *Holder) Available(limit string, now time.Duration) float64 {
-	if s, found := h.shares[limit]; found && now < s.until {
+	if s, found := h.shares[limit]; found && now < s.expiresAt {
 		return s.share
 	}
-	if h.wants[limit].Kind != Rate || h.set.FallbackFade <= 0 {
+	if h.wants[limit].Kind != Rate || h.settings.FallbackFade <= 0 {
 		return 0
 	}
-	return h.fallback * max(0, 1-float64(now-h.inUseSince)/float64(h.set.FallbackFade))
+	return h.fallback * max(0, 1-float64(now-h.inUseSince)/float64(h.settings.FallbackFade))
 }
 
 // HasShare reports whether a share of the limit is in force, so that Available does not return a fallback.
 func (h *Holder) HasShare(limit string, now time.Duration) bool {
 	s, found := h.shares[limit]
-	return found && now < s.until
+	return found && now < s.expiresAt
 }
 
 // Leave releases all limits and the fallback. The next Renewal names no limit.
--- a/internal/quota/node.go
+++ b/internal/quota/node.go
@@ -35,13 +35,13 @@
 )
 
 // NewNode returns a node without holders or shares.
-func NewNode(id string, set Settings) *Node {
-	upwards := set
-	upwards.Lease = set.NodeLease
+func NewNode(id string, settings Settings) *Node {
+	parentSettings := settings
+	parentSettings.Lease = settings.NodeLease
 	return &Node{
-		divider: newDivider(set),
+		divider: newDivider(settings),
 		id:      id,
-		parent:  NewHolder(id, upwards),
+		parent:  NewHolder(id, parentSettings),
 		inUse:   map[string]uint64{},
 	}
 }
@@ -67,7 +67,7 @@
 	r := n.parent.Renewal(now)
 	r.InUse = 0 // each want has its own InUse
 	r.Node = true
-	r.Leaves = n.reserve.live
+	r.Leaves = n.reserve.activeWeight
 	r.FallbackInUse = n.fallbackInUse
 	return r
 }
@@ -83,7 +83,7 @@
 	n.inUse[name] = want.InUse
 	var demands []Group
 	for _, a := range l.order {
-		if a.live > 0 {
+		if a.activeWeight > 0 {
 			demands = append(demands, a.demands...)
 		}
 	}
@@ -118,15 +118,15 @@
 
 // Take puts a grant of the root into use.
 func (n *Node) Take(g Grant, now time.Duration) {
-	before := n.parent.shares
+	previousShares := n.parent.shares
 	if !n.parent.Take(g, n.clock(now)) {
 		return
 	}
 	for name, l := range n.limits {
 		// While the holders still use more than the previous share, the generation of the larger budget continues.
-		previous := before[name].share
+		previous := previousShares[name].share
 		if n.parent.shares[name].share < previous && l.used <= previous {
-			l.beginGeneration()
+			l.startGeneration()
 		}
 	}
 }
@@ -134,35 +134,35 @@
 // Renew handles a renewal of one of its holders and returns the grant to reply with. The grant has no Seq if the renewal is a duplicate
 // or late or is from a node, or while the node's lease would end before the grant expires.
 func (n *Node) Renew(r Renewal, now time.Duration) Grant {
-	answer := Grant{Holder: r.Holder, Source: n.id}
+	grant := Grant{Holder: r.Holder, Source: n.id}
 	if r.Node || !n.accept(r) {
-		return answer
+		return grant
 	}
 	now = n.clock(now)
 	wanted := n.recordWants(r, now)
 	if !n.canGrant(now) {
-		return answer
+		return grant
 	}
-	answer.Seq = r.Seq
+	grant.Seq = r.Seq
 	for _, name := range wanted {
-		answer.Shares = append(answer.Shares, n.shareOf(name, r, now))
+		grant.Shares = append(grant.Shares, n.grantLimitShare(name, r, now))
 	}
-	answer.Fallback = n.grantFallback(r, n.parent.fallback, now)
-	return answer
+	grant.Fallback = n.grantFallback(r, n.parent.fallback, now)
+	return grant
 }
 
 // canGrant reports whether a grant made now expires before the node's lease.
 func (n *Node) canGrant(now time.Duration) bool {
-	return n.parent.inUse > 0 && now+n.set.leaseAtAllocator() <= n.parent.inUseSince+n.set.NodeLease
+	return n.parent.inUse > 0 && now+n.settings.leaseAtAllocator() <= n.parent.inUseSince+n.settings.NodeLease
 }
 
-// shareOf computes a holder's share of a limit and records it as granted. For a semaphore it is 0.
-func (n *Node) shareOf(name string, r Renewal, now time.Duration) Share {
+// grantLimitShare computes a holder's share of a limit and records it as granted. For a semaphore it is 0.
+func (n *Node) grantLimitShare(name string, r Renewal, now time.Duration) Share {
 	if n.limits[name].kind == Semaphore {
 		return Share{Limit: name}
 	}
-	from := n.parent.shares[name]
-	return n.grantShare(name, r, budget{share: from.share, evenShare: from.even}, now)
+	parentShare := n.parent.shares[name]
+	return n.grantShare(name, r, budget{share: parentShare.share, evenShare: parentShare.evenFraction}, now)
 }
 
 // Sweep removes expired accounts, and limits without accounts. Each call handles a part of them, so it must be called several times a
--- a/internal/quota/node_test.go
+++ b/internal/quota/node_test.go
@@ -11,14 +11,14 @@
 // node and, as the last value, of the root.
 func newFaultlessTree(leaves ...int) *tree {
 	t := newTree(1, len(leaves)-1, 0)
-	t.perfect, t.root.rate = true, 1
+	t.faultless, t.root.clockRate = true, 1
 	for _, p := range t.nodes {
-		p.rate = 1
+		p.clockRate = 1
 	}
 	for parent, n := range leaves {
 		for range n {
 			p := t.newLeaf()
-			p.parent, p.rate, p.demand = parent, 1, 1
+			p.parent, p.clockRate, p.demand = parent, 1, 1
 			t.leaves = append(t.leaves, p)
 		}
 	}
@@ -35,32 +35,32 @@
 // node's share continues to decrease.
 func TestShrunkShareIsNotRenewed(t *testing.T) {
 	for _, further := range []float64{0, 0.001} {
-		tr, part := newFaultlessTree(2, 0), 0.8
+		tr, nodeShare := newFaultlessTree(2, 0), 0.8
 		node, counted := tr.nodes[0].node, []float64{0}
 		for i := range 80 {
 			tr.now += 60 * ms // longer than a division is reused
 			if i == 20 {
-				part = 0.4
+				nodeShare = 0.4
 			} else if i > 20 {
-				part -= further
+				nodeShare -= further
 			}
 			seq := node.Renewal(tr.now).Seq
-			node.Take(Grant{Holder: node.id, Seq: seq, Shares: []Share{{"box", part, part / 2}}}, tr.now)
-			turn, little := tr.leaves[i/2%2], i > 20 && i%2 == 1
-			if turn.demand = 1; little {
-				turn.demand = 0.001
-				node.Renew(tr.renewal(turn), tr.now)
+			node.Take(Grant{Holder: node.id, Seq: seq, Shares: []Share{{"box", nodeShare, nodeShare / 2}}}, tr.now)
+			demanding, demandsLittle := tr.leaves[i/2%2], i > 20 && i%2 == 1
+			if demanding.demand = 1; demandsLittle {
+				demanding.demand = 0.001
+				node.Renew(tr.renewal(demanding), tr.now)
 			} else {
-				tr.renewLeaf(turn)
+				tr.renewLeaf(demanding)
 			}
-			counted = append(counted, part) // a root counts it for the node's lease, since no renewal of the node names a later grant
+			counted = append(counted, nodeShare) // a root counts it for the node's lease, since no renewal of the node names a later grant
 			last := counted[max(0, len(counted)-1-int(treeSettings().nodeLeaseAtRoot()/(60*ms))):]
 			if shares := tr.shares(tr.leaves...); shares > slices.Max(last)+1e-9 {
 				t.Fatalf("decreasing by %v: at %v: %v is in force, the root counts %v", further, tr.now, shares, slices.Max(last))
 			}
 		}
-		if shares := tr.shares(tr.leaves...); shares < part/2 {
-			t.Errorf("decreasing by %v: only %v of %v is in use", further, shares, part)
+		if shares := tr.shares(tr.leaves...); shares < nodeShare/2 {
+			t.Errorf("decreasing by %v: only %v of %v is in use", further, shares, nodeShare)
 		}
 	}
 }
@@ -107,7 +107,7 @@
 		if behindNode {
 			silent = tr.leaves[0]
 		}
-		silent.rate, tr.nodes[0].rate, tr.root.rate = 0.99, 0.99, 1.01
+		silent.clockRate, tr.nodes[0].clockRate, tr.root.clockRate = 0.99, 0.99, 1.01
 		const silence, over = time.Second, 2300 * ms
 		for tr.now = ms; tr.now < over; tr.now += ms {
 			if tr.now < silence {
@@ -133,11 +133,11 @@
 // leaves of one node no longer demand, except for their floor of 0.08, must be in use by the leaves of another node within 700 ms.
 // The capacity of a node that fails together with its leaves must be in use within 1,600 ms.
 func TestTreeMovesCapacity(t *testing.T) {
-	for dies, within := range map[bool]time.Duration{false: 700 * ms, true: 1600 * ms} {
+	for fails, within := range map[bool]time.Duration{false: 700 * ms, true: 1600 * ms} {
 		tr := newFaultlessTree(5, 5, 0)
 		const change = 2 * time.Second
 		sum, fair := 0.0, 0.72
-		if dies {
+		if fails {
 			fair = 0.8
 		}
 		for tr.now < change || sum < 0.97*fair && tr.now < 2*change {
@@ -145,8 +145,8 @@
 			if tr.now == change {
 				for _, p := range append(tr.leaves[:5:5], tr.nodes[0]) {
 					p.demand = 0.001
-					if dies {
-						p.cutUntil = 1 << 62
+					if fails {
+						p.partitionedUntil = 1 << 62
 					}
 				}
 			}
@@ -162,9 +162,9 @@
 			}
 			sum = tr.shares(tr.leaves[5:]...)
 		}
-		t.Logf("node fails %v: moved after %v", dies, tr.now-change)
+		t.Logf("node fails %v: moved after %v", fails, tr.now-change)
 		if tr.now-change > within {
-			t.Errorf("node fails %v: it took %v until the leaves of the other node have %v", dies, tr.now-change, sum)
+			t.Errorf("node fails %v: it took %v until the leaves of the other node have %v", fails, tr.now-change, sum)
 		}
 	}
 }
--- a/internal/quota/pool.go
+++ b/internal/quota/pool.go
@@ -19,7 +19,7 @@
 type grantRecord struct {
 	seq        uint64
 	share      float64
-	until      time.Duration
+	expiresAt  time.Duration
 	generation int // the pool's generation when the share was granted
 }
 
@@ -27,19 +27,19 @@
 type account struct {
 	id           string
 	demands      []Group       // empty if the holder demands nothing
-	renewed      time.Duration // when its last renewal was received
+	renewedAt    time.Duration // when its last renewal was received
 	expiresAfter time.Duration // time after the last renewal at which its demands expire
-	fullFor      time.Duration // time for which a grant to it is counted in full
+	fullDuration time.Duration // time for which a grant to it is counted in full
 	weight       int           // number of holders behind it: 1, or that of a node's holders
 	records      []grantRecord // oldest first; shares decrease and expiry times increase
 	used         float64       // the largest share that may be in use, as included in the pool's total
-	recent       float64       // the same for records of the pool's current generation
-	live         int           // weight until the demands expire, then 0, as included in the pool's total
+	recentlyUsed float64       // the same for records of the pool's current generation
+	activeWeight int           // weight until the demands expire, then 0, as included in the pool's total
 	index        int           // index in the pool's order
 }
 
-// newest returns the share granted last, or 0 if it has expired.
-func (a *account) newest() float64 {
+// newestShare returns the share granted last, or 0 if it has expired.
+func (a *account) newestShare() float64 {
 	if n := len(a.records); n > 0 {
 		return a.records[n-1].share
 	}
@@ -50,15 +50,15 @@
 // renewals the amount in use can only decrease. An account is recounted with each of its own renewals and, in turn, with those of
 // other holders. So the cost of a renewal does not grow with the number of accounts.
 type pool struct {
-	accounts   map[string]*account
-	order      []*account    // the order in which accounts are recounted
-	next       int           // index in order of the next account to recount
-	used       float64       // total of the accounts' used
-	recent     float64       // total of the accounts' recent
-	live       int           // total of the accounts' live
-	weight     int           // total of the accounts' weights, including accounts whose demands have expired
-	fade       time.Duration // time over which a share decreases to 0 before it expires; 0: it is counted in full until it expires
-	generation int           // incremented when the budget decreases
+	accounts     map[string]*account
+	order        []*account    // the order in which accounts are recounted
+	next         int           // index in order of the next account to recount
+	used         float64       // total of the accounts' used
+	recentlyUsed float64       // total of the accounts' recentlyUsed
+	activeWeight int           // total of the accounts' activeWeight
+	weight       int           // total of the accounts' weights, including accounts whose demands have expired
+	fade         time.Duration // time over which a share decreases to 0 before it expires; 0: it is counted in full until it expires
+	generation   int           // incremented when the budget decreases
 }
 
 // newPool returns a pool without accounts.
@@ -80,7 +80,7 @@
 // remove removes an account from the pool and its totals.
 func (p *pool) remove(a *account) {
 	a.records = nil
-	a.renewed = -a.expiresAfter
+	a.renewedAt = -a.expiresAfter
 	p.setWeight(a, 0)
 	p.recount(a, 0)
 	last := p.order[len(p.order)-1]
@@ -97,35 +97,35 @@
 	a.weight = weight
 }
 
-// usable returns how much of a granted share may be in use.
-func (p *pool) usable(r grantRecord, now time.Duration) float64 {
+// usableShare returns how much of a granted share may be in use.
+func (p *pool) usableShare(r grantRecord, now time.Duration) float64 {
 	if p.fade == 0 {
 		return r.share
 	}
-	return roundUp(r.share * min(1, float64(r.until-now)/float64(p.fade)))
+	return roundUp(r.share * min(1, float64(r.expiresAt-now)/float64(p.fade)))
 }
 
 // recount removes the expired records of an account and updates its counts and the pool's totals.
 func (p *pool) recount(a *account, now time.Duration) {
-	a.records = slices.DeleteFunc(a.records, func(r grantRecord) bool { return now >= r.until })
-	var used, recent float64
-	var live int
+	a.records = slices.DeleteFunc(a.records, func(r grantRecord) bool { return now >= r.expiresAt })
+	var used, recentlyUsed float64
+	var activeWeight int
 	for _, r := range a.records {
-		value := p.usable(r, now)
+		value := p.usableShare(r, now)
 		used = max(used, value)
 		if r.generation == p.generation {
-			recent = max(recent, value)
+			recentlyUsed = max(recentlyUsed, value)
 		}
 	}
-	if now < a.renewed+a.expiresAfter {
-		live = a.weight
+	if now < a.renewedAt+a.expiresAfter {
+		activeWeight = a.weight
 	}
 	p.used += used - a.used
-	p.recent += recent - a.recent
-	p.live += live - a.live
+	p.recentlyUsed += recentlyUsed - a.recentlyUsed
+	p.activeWeight += activeWeight - a.activeWeight
 	a.used = used
-	a.recent = recent
-	a.live = live
+	a.recentlyUsed = recentlyUsed
+	a.activeWeight = activeWeight
 }
 
 // acknowledge removes the records of grants before the one that the holder uses.
@@ -143,30 +143,30 @@
 	a.records = append(a.records[:n], grantRecord{
 		seq:        seq,
 		share:      share,
-		until:      now + a.fullFor + p.fade,
+		expiresAt:  now + a.fullDuration + p.fade,
 		generation: p.generation,
 	})
 	p.recount(a, now)
 }
 
-// beginGeneration starts a new generation: shares granted before it do not count as recent.
-func (p *pool) beginGeneration() {
+// startGeneration starts a new generation: shares granted before it are not included in recentlyUsed.
+func (p *pool) startGeneration() {
 	p.generation++
-	p.recent = 0
+	p.recentlyUsed = 0
 	for _, a := range p.order {
-		a.recent = 0
+		a.recentlyUsed = 0
 	}
 }
 
 // recountNext recounts the next accounts in order, and removes those without records whose demands have expired. It returns the IDs of
 // the holders of removed accounts.
-func (p *pool) recountNext(accounts int, now time.Duration) []string {
+func (p *pool) recountNext(count int, now time.Duration) []string {
 	var removed []string
-	for range min(accounts, len(p.order)) {
+	for range min(count, len(p.order)) {
 		p.next %= max(1, len(p.order))
 		a := p.order[p.next]
 		p.recount(a, now)
-		if len(a.records) > 0 || now < a.renewed+a.expiresAfter+p.fade {
+		if len(a.records) > 0 || now < a.renewedAt+a.expiresAfter+p.fade {
 			p.next++
 			continue
 		}
--- a/internal/quota/semaphore.go
+++ b/internal/quota/semaphore.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// leaveQueue removes a holder from the semaphore's queue.
-func (l *limit) leaveQueue(id string) {
+// removeFromQueue removes a holder from the semaphore's queue.
+func (l *limit) removeFromQueue(id string) {
 	l.queue = slices.DeleteFunc(l.queue, func(q string) bool { return q == id })
 }
 
@@ -14,7 +14,7 @@
 // all waiting holders.
 func (l *limit) semaphoreShare(a *account, now time.Duration) float64 {
 	if len(a.demands) == 0 {
-		l.leaveQueue(a.id)
+		l.removeFromQueue(a.id)
 		return 0
 	}
 	if !slices.Contains(l.queue, a.id) {
@@ -22,7 +22,7 @@
 	}
 	l.queue = slices.DeleteFunc(l.queue, func(id string) bool {
 		waiting := l.accounts[id]
-		return waiting == nil || now >= waiting.renewed+waiting.expiresAfter
+		return waiting == nil || now >= waiting.renewedAt+waiting.expiresAfter
 	})
 	usedByOthers := l.used - a.used // 1 for each holder
 	isNext := slices.Index(l.queue, a.id) < l.maxHolders
--- a/internal/quota/tree_test.go
+++ b/internal/quota/tree_test.go
@@ -21,14 +21,14 @@
 
 // process is a process of a tree. The rate of its clock deviates by up to 1 %, so that those of any two differ by up to 2 %.
 type process struct {
-	rate        float64
-	pausedUntil time.Duration // it handles nothing until then
-	cutUntil    time.Duration // its messages, and those to it, are lost until then
-	root        *Allocator
-	node        *Node
-	leaf        *Holder
-	parent      int // of a leaf: index of its node, or len(nodes) for the root
-	demand      float64
+	clockRate        float64
+	pausedUntil      time.Duration // it handles nothing until then
+	partitionedUntil time.Duration // its messages, and those to it, are lost until then
+	root             *Allocator
+	node             *Node
+	leaf             *Holder
+	parent           int // of a leaf: index of its node, or len(nodes) for the root
+	demand           float64
 }
 
 // tree models a root, nodes, leaves, and messages that are delayed, lost or duplicated.
@@ -42,8 +42,8 @@
 	leaves       []*process
 	inFlight     []message
 	started      int     // number of processes started, for their names
-	perfect      bool    // messages arrive immediately
-	hard         bool    // many messages are delayed or lost, and demands change often
+	faultless    bool    // messages arrive immediately
+	manyFaults   bool    // many messages are delayed or lost, and demands change often
 	worst        float64 // the largest sum in force, of shares or of fallbacks, relative to what is allowed
 	used         float64 // sum over all steps of the shares in use
 	wanted       float64 // sum over all steps of the shares that could be in use
@@ -70,7 +70,7 @@
 
 func (t *tree) process() *process {
 	t.started++
-	return &process{rate: 1 + float64(t.rng.IntN(3)-1)*0.01}
+	return &process{clockRate: 1 + float64(t.rng.IntN(3)-1)*0.01}
 }
 
 func (t *tree) newNode() *process {
@@ -85,15 +85,17 @@
 	return p
 }
 
-func (t *tree) clock(p *process) time.Duration { return time.Duration(float64(t.now) * p.rate) }
+func (t *tree) clock(p *process) time.Duration { return time.Duration(float64(t.now) * p.clockRate) }
 
-func (t *tree) some(most int) time.Duration { return time.Duration(t.rng.IntN(most)) * ms }
+func (t *tree) randomDuration(maxMillis int) time.Duration {
+	return time.Duration(t.rng.IntN(maxMillis)) * ms
+}
 
 // send adds a message to those in flight. One in 20 is lost, one in 20 is delivered twice, and one in ten is delayed by up to 320 ms;
 // more are lost or delayed if the run is hard.
 func (t *tree) send(from, to *process, deliver func()) {
-	if t.perfect {
-		if t.now >= from.cutUntil && t.now >= to.cutUntil {
+	if t.faultless {
+		if t.now >= from.partitionedUntil && t.now >= to.partitionedUntil {
 			deliver()
 		}
 		return
@@ -105,17 +107,17 @@
 	case 1:
 		deliveries = 2
 	case 2, 3, 4, 5, 6:
-		if t.hard {
+		if t.manyFaults {
 			deliveries = 0
 		}
 	}
-	if t.now < from.cutUntil || t.now < to.cutUntil {
+	if t.now < from.partitionedUntil || t.now < to.partitionedUntil {
 		deliveries = 0
 	}
 	for range deliveries {
-		delay := t.some(40)
-		if t.rng.IntN(10) == 0 || t.hard && t.rng.IntN(2) == 0 {
-			delay = t.some(320)
+		delay := t.randomDuration(40)
+		if t.rng.IntN(10) == 0 || t.manyFaults && t.rng.IntN(2) == 0 {
+			delay = t.randomDuration(320)
 		}
 		t.inFlight = append(t.inFlight, message{from, to, t.now + delay, deliver})
 	}
@@ -141,7 +143,7 @@
 
 func (t *tree) renewal(p *process) Renewal {
 	p.leaf.Want(Want{Limit: "box", Kind: Rate, Demand: p.demand})
-	if !t.perfect && t.rng.IntN(30) == 0 { // gives up its share, and wants it again with the next renewal
+	if !t.faultless && t.rng.IntN(30) == 0 { // releases its share and requests it again with the next renewal
 		p.leaf.Want(Want{Limit: "box", Kind: Rate})
 	}
 	return p.leaf.Renewal(t.clock(p))
@@ -161,30 +163,30 @@
 	})
 }
 
-func (t *tree) fault() {
+func (t *tree) injectFault() {
 	leaf, place := t.leaves[t.rng.IntN(len(t.leaves))], t.rng.IntN(len(t.nodes))
 	node := t.nodes[place]
 	event := t.rng.IntN(500)
-	if t.hard && t.rng.IntN(10) == 0 {
+	if t.manyFaults && t.rng.IntN(10) == 0 {
 		event = 16 + t.rng.IntN(8)
 	}
 	switch event {
 	case 0:
 		t.oldRoot, t.oldRootUntil = t.root, t.now+200*ms
 		t.root = t.process()
-		t.root.root = NewAllocator(treeSettings(), t.oldRoot.root.epoch+1, time.Duration(float64(t.oldRootUntil)*t.root.rate), false)
+		t.root.root = NewAllocator(treeSettings(), t.oldRoot.root.epoch+1, time.Duration(float64(t.oldRootUntil)*t.root.clockRate), false)
 	case 1, 2:
-		leaf.pausedUntil = t.now + t.some(2000)
+		leaf.pausedUntil = t.now + t.randomDuration(2000)
 	case 3, 4:
-		node.pausedUntil = t.now + t.some(2000)
+		node.pausedUntil = t.now + t.randomDuration(2000)
 	case 5:
-		leaf.cutUntil = t.now + t.some(5000)
+		leaf.partitionedUntil = t.now + t.randomDuration(5000)
 	case 6:
-		node.cutUntil = t.now + t.some(5000)
+		node.partitionedUntil = t.now + t.randomDuration(5000)
 	case 7:
-		t.root.pausedUntil = t.now + t.some(1000)
+		t.root.pausedUntil = t.now + t.randomDuration(1000)
 	case 8:
-		node.cutUntil = 1 << 62 // fails and is replaced
+		node.partitionedUntil = 1 << 62 // fails and is replaced
 		t.nodes[place] = t.newNode()
 	case 9:
 		t.leaves[t.rng.IntN(len(t.leaves))] = t.newLeaf()
@@ -216,11 +218,11 @@
 	for _, m := range net {
 		if t.now < m.at || t.now < m.to.pausedUntil {
 			t.inFlight = append(t.inFlight, m)
-		} else if t.now >= m.to.cutUntil {
+		} else if t.now >= m.to.partitionedUntil {
 			m.deliver()
 		}
 	}
-	t.observe()
+	t.recordInForce()
 }
 
 // inForce returns the sums of the shares and of the fallbacks in force.
@@ -235,24 +237,24 @@
 	return shares, fallbacks
 }
 
-// observe records the shares and fallbacks in force. Each must stay within its part of the limit, so that together they do not exceed
+// recordInForce records the shares and fallbacks in force. Each must stay within its part of the limit, so that together they do not exceed
 // the limit.
-func (t *tree) observe() {
-	wanted, set := 0.0, treeSettings()
+func (t *tree) recordInForce() {
+	wanted, settings := 0.0, treeSettings()
 	for _, p := range t.leaves {
 		wanted += p.demand
 	}
 	shares, fallbacks := t.inForce(t.leaves...)
-	t.worst = max(t.worst, shares/(1-set.Reserve), fallbacks/set.Reserve)
+	t.worst = max(t.worst, shares/(1-settings.Reserve), fallbacks/settings.Reserve)
 	t.used += min(shares, wanted)
-	t.wanted += min(1-set.Reserve, wanted)
+	t.wanted += min(1-settings.Reserve, wanted)
 }
 
-func playTree(seed uint64, length time.Duration) *tree {
+func runTree(seed uint64, length time.Duration) *tree {
 	t := newTree(seed, 1+int(seed%3), 3+int(seed%6))
-	t.hard = seed%2 == 0
+	t.manyFaults = seed%2 == 0
 	for t.now < length {
-		t.fault()
+		t.injectFault()
 		t.step()
 	}
 	return t
@@ -261,17 +263,17 @@
 // TestTreeKeepsTheLimit checks that, under faults of messages, leaves, nodes and roots, all leaves together may never use more than the
 // limit, and that much of it is used.
 func TestTreeKeepsTheLimit(t *testing.T) {
-	first, n := uint64(fromEnv("STAIRVANE_SEED", 1)), fromEnv("STAIRVANE_SEEDS", 500)
+	first, n := uint64(intFromEnv("STAIRVANE_SEED", 1)), intFromEnv("STAIRVANE_SEEDS", 500)
 	t.Logf("seeds from %d on", first)
 	used, wanted, worst := 0.0, 0.0, 0.0
 	for i := range n {
 		seed := first + uint64(i)
-		tr := playTree(seed, 20*time.Second)
+		tr := runTree(seed, 20*time.Second)
 		if tr.worst > 1+1e-9 {
 			t.Fatalf("seed %d: %v of the allowed shares or fallbacks are in force", seed, tr.worst)
 		}
 		worst = max(worst, tr.worst)
-		if !tr.hard {
+		if !tr.manyFaults {
 			used, wanted = used+tr.used, wanted+tr.wanted
 		}
 	}
