--- a/internal/claims/doc.go
+++ b/internal/claims/doc.go
@@ -16,8 +16,8 @@
 //
 // # Use
 //
-// The caller passes in messages (Receive), membership events (ApplyMembership), the end of its membership lease (Lease), claim
-// requests (Request, Release) and the time (Tick, about every 10 ms). After each call it processes what Take returns. A message
+// The caller passes in messages (Receive), membership events (ApplyMembership), the end of its membership lease (SetLeaseEnd), claim
+// requests (Request, Release) and the time (Tick, about every 10 ms). After each call it processes what DrainOutput returns. A message
 // addressed to the node itself must be passed to Receive at once. A Node is not safe for concurrent use. The package does no I/O
 // and reads no clock.
 package claims
--- a/internal/claims/exploration_test.go
+++ b/internal/claims/exploration_test.go
@@ -22,7 +22,7 @@
 	for _, id := range []string{"a", "b", "c"} {
 		n := New(id, Settings{Shards: 1, Slack: time.Second, MaxWindow: time.Minute, MaxClaims: 10, ResendAfter: 10 * ms})
 		n.ApplyMembership([]string{"a", "b", "c"}, nil, true, []ShardState{{Epoch: 1, Replicas: []string{"a", "b"}}}, e.now)
-		n.Lease(e.now + time.Hour)
+		n.SetLeaseEnd(e.now + time.Hour)
 		e.nodes[id] = n
 	}
 	for i, id := range []string{"b", "c"} {
@@ -36,7 +36,7 @@
 // deliver adds the messages of a node to those in flight and records the groups that execute the token.
 func (e *exploration) deliver(id string) {
 	for {
-		out, outcomes, _ := e.nodes[id].Take()
+		out, outcomes, _ := e.nodes[id].DrainOutput()
 		if len(out)+len(outcomes) == 0 {
 			return
 		}
--- a/internal/claims/grant.go
+++ b/internal/claims/grant.go
@@ -108,7 +108,7 @@
 	for _, id := range s.replicas[1:] {
 		c.unconfirmed[id] = true
 		m := Message{Kind: Replicate, Epoch: s.epoch, Shard: i, Claims: sent}
-		n.sendUntilConfirmed(Sending{To: id, Message: m}, c.Token, now)
+		n.sendUntilConfirmed(OutgoingMessage{To: id, Message: m}, c.Token, now)
 	}
 	if len(s.replicas) == 1 {
 		n.answerWaiters(c, now)
--- a/internal/claims/messages.go
+++ b/internal/claims/messages.go
@@ -53,8 +53,8 @@
 	Claims  []Claim // At holds ages instead of times
 }
 
-// Sending is an outgoing message and the ID of its destination director.
-type Sending struct {
+// OutgoingMessage is an outgoing message and the ID of its destination director.
+type OutgoingMessage struct {
 	To string
 	Message
 }
--- a/internal/claims/node.go
+++ b/internal/claims/node.go
@@ -35,7 +35,7 @@
 
 	claimCount  int
 	nextSweep   int // the next shard to remove expired claims from
-	outbox      []Sending
+	outbox      []OutgoingMessage
 	outcomes    []Outcome
 	readyShards []int64 // alternating shard and epoch
 }
@@ -71,7 +71,7 @@
 
 // pendingMessage is a message that is sent again until it is acknowledged.
 type pendingMessage struct {
-	Sending
+	OutgoingMessage
 	token       string // token of the claim; empty if the message concerns all claims of a shard
 	sentAt      time.Duration
 	firstSentAt time.Duration
@@ -89,9 +89,9 @@
 	}
 }
 
-// Take returns and clears the messages to send, the outcomes of requests, and the shards that have become ready, as alternating shard
-// and epoch. The caller must report the ready shards to the control plane.
-func (n *Node) Take() (out []Sending, outcomes []Outcome, ready []int64) {
+// DrainOutput returns and clears the messages to send, the outcomes of requests, and the shards that have become ready, as alternating
+// shard and epoch. The caller must report the ready shards to the control plane.
+func (n *Node) DrainOutput() (out []OutgoingMessage, outcomes []Outcome, ready []int64) {
 	out = n.outbox
 	outcomes = n.outcomes
 	ready = n.readyShards
@@ -101,9 +101,9 @@
 	return out, outcomes, ready
 }
 
-// Lease sets the end of the membership lease, up to which the membership known to the node is no older than a lease. The node serves
+// SetLeaseEnd sets the end of the membership lease, up to which the membership known to the node is no older than a lease. The node serves
 // no shard after that.
-func (n *Node) Lease(until time.Duration) { n.lease = until }
+func (n *Node) SetLeaseEnd(until time.Duration) { n.lease = until }
 
 // Receive handles a message from another director, or from the node itself.
 func (n *Node) Receive(from string, m Message, now time.Duration) {
@@ -163,16 +163,18 @@
 	return now >= c.At+n.settings.lifetime(c.Window)
 }
 
-// send enqueues a message, which Take returns.
-func (n *Node) send(to string, m Message) { n.outbox = append(n.outbox, Sending{To: to, Message: m}) }
+// send enqueues a message, which DrainOutput returns.
+func (n *Node) send(to string, m Message) {
+	n.outbox = append(n.outbox, OutgoingMessage{To: to, Message: m})
+}
 
 // sendUntilConfirmed sends a message and resends it until it is acknowledged. token is the token of its claim, or empty if the message
 // concerns all claims of a shard.
-func (n *Node) sendUntilConfirmed(s Sending, token string, now time.Duration) {
+func (n *Node) sendUntilConfirmed(s OutgoingMessage, token string, now time.Duration) {
 	n.seq++
 	s.Seq = n.seq
 	n.unconfirmedOrder = append(n.unconfirmedOrder, n.seq)
-	n.unconfirmed[n.seq] = &pendingMessage{Sending: s, token: token, sentAt: now, firstSentAt: now}
+	n.unconfirmed[n.seq] = &pendingMessage{OutgoingMessage: s, token: token, sentAt: now, firstSentAt: now}
 	n.send(s.To, s.Message)
 }
 
--- a/internal/claims/simulation_test.go
+++ b/internal/claims/simulation_test.go
@@ -144,7 +144,7 @@
 // deliver adds the messages of a node to those in flight and handles its outcomes.
 func (s *simulation) deliver(n *simNode) {
 	for {
-		out, outcomes, _ := n.node.Take() // ready shards are reported with each call to the control plane
+		out, outcomes, _ := n.node.DrainOutput() // ready shards are reported with each call to the control plane
 		if len(out)+len(outcomes) == 0 {
 			return
 		}
@@ -221,7 +221,7 @@
 				l := s.log[n.appliedEvents]
 				n.node.ApplyMembership(l.joined, l.left, false, l.shards, s.clock(n))
 			}
-			n.node.Lease(s.clock(n) + simLease)
+			n.node.SetLeaseEnd(s.clock(n) + simLease)
 		}
 		n.node.Tick(s.clock(n))
 		if all := n.node.ReadyShards(); s.skipsWait && len(all) > 0 {
--- a/internal/claims/takeover.go
+++ b/internal/claims/takeover.go
@@ -142,7 +142,7 @@
 			n.dropUnconfirmed(id, CloseEpoch, i)
 		case !n.hasUnconfirmed(id, CloseEpoch, i):
 			m := Message{Kind: CloseEpoch, Epoch: s.epoch, Shard: i}
-			n.sendUntilConfirmed(Sending{To: id, Message: m}, "", now)
+			n.sendUntilConfirmed(OutgoingMessage{To: id, Message: m}, "", now)
 		}
 	}
 }
@@ -154,7 +154,7 @@
 	for _, id := range s.replicas[1:] {
 		s.awaitingFill[id] = true
 		m := Message{Kind: Replicate, Epoch: s.epoch, Shard: i, Claims: n.claimsWithAges(s, now)}
-		n.sendUntilConfirmed(Sending{To: id, Message: m}, "", now)
+		n.sendUntilConfirmed(OutgoingMessage{To: id, Message: m}, "", now)
 	}
 }
 
--- a/internal/claims/takeover_test.go
+++ b/internal/claims/takeover_test.go
@@ -14,10 +14,10 @@
 	for _, sent := range []bool{false, true} {
 		settings := Settings{Shards: 1, MaxClaims: 100, MaxWindow: 4 * time.Second, Slack: time.Second, ResendAfter: 50 * ms}
 		n := New("c", settings)
-		n.Lease(time.Hour)
+		n.SetLeaseEnd(time.Hour)
 		shard := ShardState{Epoch: 2, Replicas: []string{"c"}, PreviousReplicas: []string{"a", "b"}}
 		n.ApplyMembership([]string{"a", "b", "c"}, nil, true, []ShardState{shard}, 0)
-		out, _, _ := n.Take()
+		out, _, _ := n.DrainOutput()
 		if sent {
 			for _, s := range out {
 				if s.To == "a" && s.Kind == CloseEpoch {
@@ -33,8 +33,8 @@
 			}
 			wanted := Claim{Token: fmt.Sprint(at), Window: time.Second}
 			n.Receive("d", Message{Kind: RequestClaim, Seq: uint64(at), Epoch: 2, Claims: []Claim{wanted}}, at)
-			out, _, _ := n.Take()
-			granted := slices.ContainsFunc(out, func(s Sending) bool { return s.Kind == ReplyClaim && s.Verdict == Granted })
+			out, _, _ := n.DrainOutput()
+			granted := slices.ContainsFunc(out, func(s OutgoingMessage) bool { return s.Kind == ReplyClaim && s.Verdict == Granted })
 			if want := sent || at >= 9*time.Second+2*ms; granted != want {
 				t.Errorf("claims sent %v: after %v granted is %v", sent, at, granted)
 			}
--- a/internal/controlplane/health.go
+++ b/internal/controlplane/health.go
@@ -55,7 +55,7 @@
 	defer s.mu.Unlock()
 	switch {
 	case s.aggregator != nil:
-		s.aggregator.Take(r, place, now)
+		s.aggregator.Apply(r, place, now)
 		s.notify(s.aggregator.Aggregated(now), now)
 	case len(s.reports) < maxQueuedReports:
 		s.reports = append(s.reports, api.HealthReport{Report: r, ReporterLocation: place})
@@ -70,7 +70,7 @@
 		return
 	}
 	for _, r := range reports {
-		s.aggregator.Take(r.Report, r.ReporterLocation, now)
+		s.aggregator.Apply(r.Report, r.ReporterLocation, now)
 	}
 	s.notify(s.aggregator.Aggregated(now), now)
 }
@@ -84,7 +84,7 @@
 		return nil
 	}
 	for _, report := range r.Reports {
-		s.aggregator.Take(report.Report, report.ReporterLocation, now)
+		s.aggregator.Apply(report.Report, report.ReporterLocation, now)
 	}
 	h := s.aggregator.Aggregated(now)
 	if len(r.Reports) > 0 {
@@ -125,7 +125,7 @@
 
 // notify has waiting directors answered at once if the aggregated health has changed. The caller holds mu.
 func (s *healthService) notify(h health.AggregatedHealth, now time.Duration) {
-	if s.notifier.Take(h, now) {
+	if s.notifier.Apply(h, now) {
 		s.publish()
 	}
 }
@@ -135,9 +135,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.aggregator != nil {
-		_ = s.notifier.Take(s.aggregator.Aggregated(now), now) // the caller answers a director already
+		_ = s.notifier.Apply(s.aggregator.Aggregated(now), now) // the caller answers a director already
 	}
-	h, isNew := s.notifier.For(id, now)
+	h, isNew := s.notifier.ResultFor(id, now)
 	if !isNew {
 		return nil
 	}
--- a/internal/controlplane/relaysession/session.go
+++ b/internal/controlplane/relaysession/session.go
@@ -31,8 +31,8 @@
 type Quota interface {
 	// Renewal returns what the relay wants of the leader.
 	Renewal(now time.Duration) quota.Renewal
-	// Take takes a grant of the leader into use.
-	Take(grant quota.Grant, now time.Duration)
+	// Apply takes a grant of the leader into use.
+	Apply(grant quota.Grant, now time.Duration)
 	// Renew answers a director's renewal.
 	Renew(renewal quota.Renewal, now time.Duration) quota.Grant
 	// Sweep forgets directors that are gone.
@@ -148,7 +148,7 @@
 
 // Health returns the aggregated health for a director; nil if nothing is new to it.
 func (s *Session) Health(directorID string, now time.Duration) *health.AggregatedHealth {
-	h, isNew := s.notifier.For(directorID, now)
+	h, isNew := s.notifier.ResultFor(directorID, now)
 	if !isNew {
 		return nil
 	}
@@ -250,12 +250,12 @@
 	s.lastAnswered = a.Sequence
 	s.registration = a.Registration
 	if a.Grant != nil && s.quota != nil {
-		s.quota.Take(*a.Grant, now)
+		s.quota.Apply(*a.Grant, now)
 	}
 	if a.AggregatedHealth != nil {
 		s.healthEpoch = a.AggregatedHealth.Epoch
 		s.healthSeq = a.AggregatedHealth.Seq
-		healthChanged = s.notifier.Take(*a.AggregatedHealth, now)
+		healthChanged = s.notifier.Apply(*a.AggregatedHealth, now)
 	}
 	if a.NeedFull {
 		s.resendAll()
--- a/internal/controlplane/relaysession/session_test.go
+++ b/internal/controlplane/relaysession/session_test.go
@@ -43,7 +43,7 @@
 	}
 	return r
 }
-func (f *fakeQuota) Take(g quota.Grant, _ time.Duration) { f.taken = append(f.taken, g) }
+func (f *fakeQuota) Apply(g quota.Grant, _ time.Duration) { f.taken = append(f.taken, g) }
 func (f *fakeQuota) Renew(r quota.Renewal, _ time.Duration) quota.Grant {
 	return quota.Grant{Holder: r.Holder, Seq: r.Seq}
 }
--- a/internal/director/claims_service.go
+++ b/internal/director/claims_service.go
@@ -183,7 +183,7 @@
 	s.processing = true
 	defer func() { s.processing = false }()
 	for {
-		messages, outcomes, _ := s.node.Take() // each poll announces the shards that are ready
+		messages, outcomes, _ := s.node.DrainOutput() // each poll announces the shards that are ready
 		if len(messages)+len(outcomes) == 0 {
 			break
 		}
--- a/internal/director/health.go
+++ b/internal/director/health.go
@@ -46,7 +46,7 @@
 		slog.Warn("health.malformed", "err", err)
 		return
 	}
-	h.tracker.Take(aggregate, requestedAt)
+	h.tracker.Apply(aggregate, requestedAt)
 	h.publish()
 }
 
--- a/internal/director/membership.go
+++ b/internal/director/membership.go
@@ -123,7 +123,7 @@
 func (m *membershipClient) acceptResponse(response discovery.WatchResponse, requestedAt time.Duration) {
 	m.lastRenewal = max(m.lastRenewal, requestedAt)
 	if m.claims != nil && !m.leaving {
-		m.claims.node.Lease(requestedAt + discovery.MembershipLease)
+		m.claims.node.SetLeaseEnd(requestedAt + discovery.MembershipLease)
 	}
 	if len(response.QuotaGrant) > 0 {
 		m.quota.takeGrant(response.QuotaGrant)
@@ -203,6 +203,6 @@
 	m.leaving = true
 	m.quota.leave()
 	if m.claims != nil {
-		m.claims.node.Lease(0)
+		m.claims.node.SetLeaseEnd(0)
 	}
 }
--- a/internal/director/quota.go
+++ b/internal/director/quota.go
@@ -42,7 +42,7 @@
 
 func (q *quotaClient) renewal() json.RawMessage { return mustMarshal(q.holder.Renewal(bootTime())) }
 
-func (q *quotaClient) leave() { q.holder.Leave() }
+func (q *quotaClient) leave() { q.holder.ReleaseAll() }
 
 // updateDemands requests what this director would send to caches that are warming up.
 func (q *quotaClient) updateDemands() {
@@ -74,7 +74,7 @@
 		slog.Warn("quota.malformed", "err", err)
 		return
 	}
-	q.holder.Take(grant, bootTime())
+	q.holder.Apply(grant, bootTime())
 	q.publish()
 }
 
--- a/internal/health/aggregator.go
+++ b/internal/health/aggregator.go
@@ -60,9 +60,9 @@
 	}
 }
 
-// Take adds a director's report. at is the director's location. The order in which reports of different directors arrive does not
+// Apply adds a director's report. at is the director's location. The order in which reports of different directors arrive does not
 // affect the result.
-func (a *Aggregator) Take(r Report, at ReporterLocation, now time.Duration) {
+func (a *Aggregator) Apply(r Report, at ReporterLocation, now time.Duration) {
 	if r.Seq <= a.lastSeq[r.Holder] || len(r.Caches) > a.settings.MaxCaches {
 		return
 	}
--- a/internal/health/aggregator_test.go
+++ b/internal/health/aggregator_test.go
@@ -49,7 +49,7 @@
 			}
 			s.seqs[d]++
 			r.Seq = s.seqs[d]
-			s.aggregator.Take(r, ReporterLocation{fmt.Sprint("m", d), "west"}, s.now)
+			s.aggregator.Apply(r, ReporterLocation{fmt.Sprint("m", d), "west"}, s.now)
 		}
 		each()
 	}
@@ -66,7 +66,7 @@
 	}
 	tracker, suspectedAt := NewTracker(DefaultSettings, "d"), time.Duration(0)
 	f.run(8, 5*time.Second, 8, func() {
-		tracker.Take(f.aggregator.Aggregated(f.now), f.now)
+		tracker.Apply(f.aggregator.Aggregated(f.now), f.now)
 		for cache, share := range tracker.FailureShares(f.now) {
 			if cache != "b0" {
 				t.Errorf("%v: healthy cache %s is suspected, share of failures %v", f.now, cache, share)
@@ -81,7 +81,7 @@
 		t.Errorf("suspected after %v", suspectedAt)
 	}
 	f.failureShares[0] = 0.02
-	f.run(8, DefaultSettings.Lifetime+time.Second, 8, func() { tracker.Take(f.aggregator.Aggregated(f.now), f.now) })
+	f.run(8, DefaultSettings.Lifetime+time.Second, 8, func() { tracker.Apply(f.aggregator.Aggregated(f.now), f.now) })
 	if d := tracker.FailureShares(f.now); len(d) > 0 {
 		t.Errorf("still suspected: %v", d)
 	}
@@ -116,7 +116,7 @@
 			wronglySuspected, rightlySuspected := 0, 0
 			f.run(directors, 6*time.Second, 24, func() {
 				tracker := NewTracker(DefaultSettings, "d")
-				tracker.Take(f.aggregator.Aggregated(f.now), f.now)
+				tracker.Apply(f.aggregator.Aggregated(f.now), f.now)
 				for cache := range tracker.FailureShares(f.now) {
 					if cache == "b3" {
 						rightlySuspected++
@@ -158,9 +158,9 @@
 		order := rapid.Permutation(all).Draw(t, "order")
 		a, b := NewAggregator(DefaultSettings, 1), NewAggregator(DefaultSettings, 1)
 		for i := range all {
-			a.Take(all[i], ReporterLocation{all[i].Holder, "west"}, time.Second)
-			b.Take(order[i], ReporterLocation{order[i].Holder, "west"}, time.Second)
-			b.Take(order[rapid.IntRange(0, i).Draw(t, "again")], ReporterLocation{"other", "east"}, time.Second)
+			a.Apply(all[i], ReporterLocation{all[i].Holder, "west"}, time.Second)
+			b.Apply(order[i], ReporterLocation{order[i].Holder, "west"}, time.Second)
+			b.Apply(order[rapid.IntRange(0, i).Draw(t, "again")], ReporterLocation{"other", "east"}, time.Second)
 		}
 		if x, y := a.Aggregated(2*time.Second), b.Aggregated(2*time.Second); !reflect.DeepEqual(x, y) {
 			t.Fatalf("%+v\n%+v", x, y)
@@ -178,30 +178,30 @@
 			{Cache: "", Attempts: 1},
 			{Cache: "z", Attempts: 1e300},
 		}
-		aggregator.Take(Report{Holder: directorID(d), Seq: 1, Caches: impossible}, ReporterLocation{directorID(d), ""}, 0)
+		aggregator.Apply(Report{Holder: directorID(d), Seq: 1, Caches: impossible}, ReporterLocation{directorID(d), ""}, 0)
 	}
 	if len(aggregator.caches) > 0 {
 		t.Errorf("%v", maps.Collect(maps.All(aggregator.caches)))
 	}
 	failing := []Outcomes{{Cache: "x", Attempts: 4, Failures: 4}}
 	for d := range 5 {
-		aggregator.Take(Report{Holder: directorID(d), Seq: 3, Caches: failing}, ReporterLocation{"one machine", ""}, 0)
+		aggregator.Apply(Report{Holder: directorID(d), Seq: 3, Caches: failing}, ReporterLocation{"one machine", ""}, 0)
 	}
 	if o := aggregator.Aggregated(0); len(o.Caches) > 0 {
 		t.Errorf("reports of a single machine are sufficient: %+v", o)
 	}
 	aggregator = NewAggregator(DefaultSettings, 5)
 	for d := range 5 {
-		aggregator.Take(Report{Holder: directorID(d), Seq: 3, Caches: failing}, ReporterLocation{directorID(d), ""}, 0)
+		aggregator.Apply(Report{Holder: directorID(d), Seq: 3, Caches: failing}, ReporterLocation{directorID(d), ""}, 0)
 	}
 	o := aggregator.Aggregated(0)
 	tracker := NewTracker(DefaultSettings, "d")
-	tracker.Take(o, time.Hour)
+	tracker.Apply(o, time.Hour)
 	if d := tracker.FailureShares(time.Hour); d["x"] < 0.9 {
 		t.Errorf("%v", d)
 	}
-	tracker.Take(AggregatedHealth{Epoch: 4, Seq: 99}, time.Hour+ms) // from an earlier aggregator
-	tracker.Take(AggregatedHealth{Epoch: 5, Seq: 0}, time.Hour+ms)
+	tracker.Apply(AggregatedHealth{Epoch: 4, Seq: 99}, time.Hour+ms) // from an earlier aggregator
+	tracker.Apply(AggregatedHealth{Epoch: 5, Seq: 0}, time.Hour+ms)
 	last := 2.0
 	for at := time.Duration(0); at < tracker.lifetime; at += 100 * ms {
 		d := tracker.FailureShares(time.Hour + at)["x"]
--- a/internal/health/measure_test.go
+++ b/internal/health/measure_test.go
@@ -57,7 +57,7 @@
 					text, _ := json.Marshal(r)
 					bytesUp, reports = bytesUp+len(text), reports+1
 					start := time.Now()
-					aggregator.Take(r, ReporterLocation{fmt.Sprint("m", d), fmt.Sprint("l", d%max(1, caches/20))}, now)
+					aggregator.Apply(r, ReporterLocation{fmt.Sprint("m", d), fmt.Sprint("l", d%max(1, caches/20))}, now)
 					_ = aggregator.Aggregated(now)
 					elapsed += time.Since(start)
 				}
--- a/internal/health/notifier.go
+++ b/internal/health/notifier.go
@@ -31,8 +31,8 @@
 // NewNotifier returns a notifier without a result.
 func NewNotifier() *Notifier { return &Notifier{notified: map[string]notification{}} }
 
-// Take sets the current result and reports whether it differs from the previous one. A result older than the current one is ignored.
-func (n *Notifier) Take(h AggregatedHealth, now time.Duration) (changed bool) {
+// Apply sets the current result and reports whether it differs from the previous one. A result older than the current one is ignored.
+func (n *Notifier) Apply(h AggregatedHealth, now time.Duration) (changed bool) {
 	sameEpoch := h.Epoch == n.current.Epoch
 	if h.Epoch < n.current.Epoch || sameEpoch && h.Seq < n.current.Seq {
 		return false
@@ -47,9 +47,9 @@
 	return changed
 }
 
-// For returns the result to notify a director of, with ages as of now, and records the director as notified. isNew is false if the
+// ResultFor returns the result to notify a director of, with ages as of now, and records the director as notified. isNew is false if the
 // director needs no notification.
-func (n *Notifier) For(director string, now time.Duration) (h AggregatedHealth, isNew bool) {
+func (n *Notifier) ResultFor(director string, now time.Duration) (h AggregatedHealth, isNew bool) {
 	last := n.notified[director]
 	hasCurrent := last.epoch == n.current.Epoch && last.seq == n.current.Seq
 	if hasCurrent && (len(n.current.Caches) == 0 || now-last.at < notifyInterval) {
--- a/internal/health/tracker.go
+++ b/internal/health/tracker.go
@@ -35,9 +35,9 @@
 	}
 }
 
-// Take sets the current result. requestedAt is the start time of the call that returned it, from which its ages count. A result of an
+// Apply sets the current result. requestedAt is the start time of the call that returned it, from which its ages count. A result of an
 // earlier epoch, or an older result of the same epoch, is ignored.
-func (t *Tracker) Take(h AggregatedHealth, requestedAt time.Duration) {
+func (t *Tracker) Apply(h AggregatedHealth, requestedAt time.Duration) {
 	if h.Epoch < t.epoch || h.Epoch == t.epoch && (h.Seq < t.seq || requestedAt < t.requestedAt) {
 		return
 	}
--- a/internal/quota/allocator_test.go
+++ b/internal/quota/allocator_test.go
@@ -132,7 +132,7 @@
 					h.holder.requestedAt[x.grant.Seq] = s.clock(h)
 				}
 			}
-			h.holder.Take(*x.grant, s.clock(h))
+			h.holder.Apply(*x.grant, s.clock(h))
 		}
 	}
 	s.inFlight = left
@@ -189,10 +189,10 @@
 	after.Want(Want{Limit: "box", Kind: Rate, Demand: 1})
 	late := allocator.Renew(before.Renewal(0), 0)
 	after.Renewal(0)
-	if after.Take(late, ms); after.Available("box", ms) != 0 {
+	if after.Apply(late, ms); after.Available("box", ms) != 0 {
 		t.Errorf("the new process uses %v of the previous one's grant", after.Available("box", ms))
 	}
-	if before.Take(late, ms); before.Available("box", ms) == 0 {
+	if before.Apply(late, ms); before.Available("box", ms) == 0 {
 		t.Error("the process that sent the renewal has no share")
 	}
 }
@@ -210,7 +210,7 @@
 			now += 50 * ms
 			for i, h := range holders {
 				h.Want(Want{Limit: "x", Kind: Rate, Demand: demands[i]})
-				h.Take(allocator.Renew(h.Renewal(now), now), now)
+				h.Apply(allocator.Renew(h.Renewal(now), now), now)
 			}
 		}
 		capped := make([]float64, len(demands))
@@ -248,7 +248,7 @@
 				demand = 0
 			}
 			h.Want(Want{Limit: "look", Kind: Semaphore, Demand: demand})
-			h.Take(allocator.Renew(h.Renewal(now), now), now)
+			h.Apply(allocator.Renew(h.Renewal(now), now), now)
 		}
 		for i, h := range holders {
 			if h.Available("look", now) > 0 {
--- a/internal/quota/bench_test.go
+++ b/internal/quota/bench_test.go
@@ -23,7 +23,7 @@
 				renew := func(i int) {
 					now += 100 * ms / time.Duration(holders)
 					h := all[i%holders]
-					h.Take(allocator.Renew(h.Renewal(now), now), now)
+					h.Apply(allocator.Renew(h.Renewal(now), now), now)
 				}
 				for i := range 3 * holders {
 					renew(i)
--- a/internal/quota/doc.go
+++ b/internal/quota/doc.go
@@ -18,7 +18,7 @@
 //
 // # Use
 //
-// A holder sends the result of Renewal several times a second and passes each reply to Take. The allocator or node passes each renewal
-// to Renew, sends the result back, and calls Sweep several times a second. No type is safe for concurrent use: the caller serializes
-// calls. The package does no I/O and reads no clock; each party passes the time of its own clock.
+// A holder sends the result of Renewal several times a second and passes each reply to Apply. The allocator or node passes each
+// renewal to Renew, sends the result back, and calls Sweep several times a second. No type is safe for concurrent use: the caller
+// serializes calls. The package does no I/O and reads no clock; each party passes the time of its own clock.
 package quota
--- a/internal/quota/explore_test.go
+++ b/internal/quota/explore_test.go
@@ -89,7 +89,7 @@
 				if c.countsFromReceipt[x.from] {
 					c.holders[x.from].requestedAt[x.grant.Seq] = c.clock(x.from)
 				}
-				c.holders[x.from].Take(*x.grant, c.clock(x.from))
+				c.holders[x.from].Apply(*x.grant, c.clock(x.from))
 			case x.renewal != nil && c.allocators[at] != nil && at <= c.leader:
 				g := c.allocators[at].Renew(*x.renewal, c.now)
 				c.inFlight = append(c.inFlight, inFlightMessage{from: x.from, grant: &g})
--- a/internal/quota/holder.go
+++ b/internal/quota/holder.go
@@ -65,13 +65,13 @@
 	return r
 }
 
-// Take puts a grant into use and reports whether it did. A grant is ignored if it is for another holder, if it answers a renewal that
+// Apply puts a grant into use and reports whether it did. A grant is ignored if it is for another holder, if it answers a renewal that
 // is not newer than the one whose grant is in use or that is too old, or if it is from an earlier root than the latest one.
 //
 // A grant replaces the previous grant entirely, whichever source that came from. Each source counts what it granted until the grant
 // expires or the holder's renewal names a later grant. The holder uses one grant at a time, in the order of its own renewals. So
 // epochs order only the grants of roots. A node's grants have no epoch, and a holder may switch between nodes and roots at any time.
-func (h *Holder) Take(g Grant, _ time.Duration) bool {
+func (h *Holder) Apply(g Grant, _ time.Duration) bool {
 	requestedAt, known := h.requestedAt[g.Seq]
 	if !known || g.Holder != h.id || g.Seq <= h.inUse || g.Source == "" && g.Epoch < h.epoch {
 		return false
@@ -113,8 +113,8 @@
 	return found && now < s.expiresAt
 }
 
-// Leave releases all limits and the fallback. The next Renewal names no limit.
-func (h *Holder) Leave() {
+// ReleaseAll releases all limits and the fallback. The next Renewal names no limit.
+func (h *Holder) ReleaseAll() {
 	for limit := range h.wants {
 		h.Want(Want{Limit: limit})
 	}
--- a/internal/quota/node.go
+++ b/internal/quota/node.go
@@ -116,10 +116,10 @@
 	return merged
 }
 
-// Take puts a grant of the root into use.
-func (n *Node) Take(g Grant, now time.Duration) {
+// Apply puts a grant of the root into use.
+func (n *Node) Apply(g Grant, now time.Duration) {
 	previousShares := n.parent.shares
-	if !n.parent.Take(g, n.clock(now)) {
+	if !n.parent.Apply(g, n.clock(now)) {
 		return
 	}
 	for name, l := range n.limits {
--- a/internal/quota/node_test.go
+++ b/internal/quota/node_test.go
@@ -45,7 +45,7 @@
 				nodeShare -= further
 			}
 			seq := node.Renewal(tr.now).Seq
-			node.Take(Grant{Holder: node.id, Seq: seq, Shares: []Share{{"box", nodeShare, nodeShare / 2}}}, tr.now)
+			node.Apply(Grant{Holder: node.id, Seq: seq, Shares: []Share{{"box", nodeShare, nodeShare / 2}}}, tr.now)
 			demanding, demandsLittle := tr.leaves[i/2%2], i > 20 && i%2 == 1
 			if demanding.demand = 1; demandsLittle {
 				demanding.demand = 0.001
@@ -185,11 +185,11 @@
 		if len(r.Wants) != 1 || r.Wants[0].Limit != "box" {
 			t.Errorf("the node wants %+v", r.Wants)
 		}
-		node.Take(root.Renew(r, now), now)
+		node.Apply(root.Renew(r, now), now)
 	}
 	r := leaf.Renewal(now)
 	first, second := node.Renew(r, now), node.Renew(r, now)
-	if second.Seq != 0 || leaf.Take(second, now) || !leaf.Take(first, now) {
+	if second.Seq != 0 || leaf.Apply(second, now) || !leaf.Apply(first, now) {
 		t.Errorf("%+v, then %+v", first, second)
 	}
 	if rate, semaphore := leaf.Available("box", now), leaf.Available("look", now); rate < 0.79 || semaphore != 0 {
@@ -204,7 +204,7 @@
 	}
 	// A grant that does not name a limit replaces the previous one that did.
 	leaf.Renewal(now)
-	if !leaf.Take(Grant{Holder: leaf.id, Seq: r.Seq + 1, Source: node.id}, now) || leaf.Available("box", now) != 0 {
+	if !leaf.Apply(Grant{Holder: leaf.id, Seq: r.Seq + 1, Source: node.id}, now) || leaf.Available("box", now) != 0 {
 		t.Error("the previous share is still in use")
 	}
 }
@@ -228,7 +228,7 @@
 	} {
 		leaf.Renewal(0)
 		x.grant.Holder = "d"
-		if taken := leaf.Take(x.grant, 0); taken != x.taken {
+		if taken := leaf.Apply(x.grant, 0); taken != x.taken {
 			t.Errorf("%d: %+v: taken %v", i, x.grant, taken)
 		}
 	}
--- a/internal/quota/tree_test.go
+++ b/internal/quota/tree_test.go
@@ -138,7 +138,7 @@
 }
 
 func (t *tree) renewNode(p *process) {
-	t.renewRoot(p, p.node.Renewal(t.clock(p)), func(g Grant) { p.node.Take(g, t.clock(p)) })
+	t.renewRoot(p, p.node.Renewal(t.clock(p)), func(g Grant) { p.node.Apply(g, t.clock(p)) })
 }
 
 func (t *tree) renewal(p *process) Renewal {
@@ -151,7 +151,7 @@
 
 func (t *tree) renewLeaf(p *process) {
 	r := t.renewal(p)
-	take := func(g Grant) { p.leaf.Take(g, t.clock(p)) }
+	take := func(g Grant) { p.leaf.Apply(g, t.clock(p)) }
 	if p.parent == len(t.nodes) {
 		t.renewRoot(p, r, take)
 		return
--- a/internal/tools/capacity/measure/director_watch.go
+++ b/internal/tools/capacity/measure/director_watch.go
@@ -103,7 +103,7 @@
 			return
 		}
 		grant.Seq = c.sequence
-		c.holder.Take(grant, c.now)
+		c.holder.Apply(grant, c.now)
 	})
 	if readErr != nil {
 		return 0, readErr
--- a/internal/tools/capacity/measure/leader_health.go
+++ b/internal/tools/capacity/measure/leader_health.go
@@ -59,7 +59,7 @@
 		}
 		report.Caches = append(report.Caches, outcomes)
 	}
-	r.aggregator.Take(report, r.places[director], r.now)
+	r.aggregator.Apply(report, r.places[director], r.now)
 	r.now += healthReportInterval / time.Duration(len(r.ids))
 	r.next = (r.next + 1) % len(r.ids)
 	if r.next == 0 {
--- a/internal/tools/capacity/measure/relay_quota.go
+++ b/internal/tools/capacity/measure/relay_quota.go
@@ -46,7 +46,7 @@
 }
 
 func (t *quotaTree) renewNode() {
-	t.node.Take(t.root.Renew(t.node.Renewal(t.now), t.now), t.now)
+	t.node.Apply(t.root.Renew(t.node.Renewal(t.now), t.now), t.now)
 	t.renewed = t.now
 }
 
--- a/internal/tools/fleetsim/fleetsim.go
+++ b/internal/tools/fleetsim/fleetsim.go
@@ -271,7 +271,7 @@
 				left = append(left, message{director: d, grant: &grant, deliverAt: m.now + m.delay()})
 			}
 		case m.now >= d.cutUntil:
-			d.holder.Take(*msg.grant, m.clock(d))
+			d.holder.Apply(*msg.grant, m.clock(d))
 		}
 	}
 	m.inFlight = append(left, m.inFlight...)
--- a/internal/tools/scale/simulated/director.go
+++ b/internal/tools/scale/simulated/director.go
@@ -221,7 +221,7 @@
 		d.process.count.reasons["malformed grant: "+err.Error()]++
 		return
 	}
-	d.renewer.Take(grant, now)
+	d.renewer.Apply(grant, now)
 	d.process.count.grants++
 }
 
