--- a/internal/claims/node.go
+++ b/internal/claims/node.go
@@ -44,7 +44,7 @@
 type shard struct {
 	epoch            int64
 	replicas         []string // IDs; the first is the primary
-	previousReplicas []string // of the last ready epoch; empty once the current epoch is ready
+	previousReplicas []string // of the last ready epoch; empty once the event log marks the current epoch as ready
 	closedEpoch      int64    // epochs before this one are not served
 	ready            bool     // this node is the primary, and all replicas have the claims of earlier epochs
 	claims           map[string]*storedClaim
@@ -101,8 +101,8 @@
 	return out, outcomes, ready
 }
 
-// SetLeaseEnd sets the end of the membership lease, up to which the membership known to the node is no older than a lease. The node serves
-// no shard after that.
+// SetLeaseEnd sets the end of the membership lease. Until then, the membership known to the node is no older than a lease; after that,
+// the node serves no shard.
 func (n *Node) SetLeaseEnd(until time.Duration) { n.lease = until }
 
 // Receive handles a message from another director, or from the node itself.
--- a/internal/claims/request.go
+++ b/internal/claims/request.go
@@ -17,7 +17,7 @@
 }
 
 // Request requests a claim. DrainOutput returns its outcome under the given key, at the latest after the first Tick past the deadline.
-// mayMove states that nothing of the request has been executed, so that a claim it already has may move to another group.
+// mayMove indicates that nothing of the request has been executed, so that a claim it already has may move to another group.
 func (n *Node) Request(key uint64, c Claim, mayMove bool, deadline, now time.Duration) {
 	c.Owner = n.id
 	n.seq++
--- a/internal/claims/simulation_test.go
+++ b/internal/claims/simulation_test.go
@@ -80,8 +80,8 @@
 }
 
 const (
-	simLease  = 400 * ms
-	sendAfter = time.Second
+	simLease     = 400 * ms
+	maxSendDelay = time.Second
 )
 
 // startNode starts a director process. Each process of a director has its own ID.
@@ -94,7 +94,7 @@
 		requests:   map[uint64]clientRequest{},
 		skew:       time.Duration(s.rng.IntN(1000)) * time.Second,
 	}
-	n.node = New(id, Settings{Shards: 2, Slack: sendAfter + 200*ms, MaxWindow: s.window, MaxClaims: 1000, ResendAfter: 30 * ms})
+	n.node = New(id, Settings{Shards: 2, Slack: maxSendDelay + 200*ms, MaxWindow: s.window, MaxClaims: 1000, ResendAfter: 30 * ms})
 	s.nodes[id] = n
 }
 
@@ -126,12 +126,12 @@
 	}
 	slices.Sort(joined)
 	s.members = members
-	var places []ShardCandidate
+	var candidates []ShardCandidate
 	for _, id := range members {
-		places = append(places, s.candidate(id))
+		candidates = append(candidates, s.candidate(id))
 	}
 	s.epoch++
-	changed := Reassign(s.shards, 3, places)
+	changed := Reassign(s.shards, 3, candidates)
 	for i := range changed {
 		changed[i].Epoch = s.epoch
 		s.shards[changed[i].Shard] = changed[i]
@@ -166,13 +166,13 @@
 // handleOutcome handles an outcome as a director does: it sends the attempt to its own group or to that of the existing claim, if
 // there is enough time left.
 func (s *simulation) handleOutcome(n *simNode, e Outcome) {
-	w := n.requests[e.Key]
+	request := n.requests[e.Key]
 	delete(n.requests, e.Key)
 	s.stats[e.Verdict]++
-	group := w.group
+	group := request.group
 	switch e.Verdict {
 	case Granted:
-		if s.clock(n)-e.RequestedAt > sendAfter {
+		if s.clock(n)-e.RequestedAt > maxSendDelay {
 			return
 		}
 	case HeldElsewhere:
@@ -185,10 +185,10 @@
 	if s.rng.IntN(6) == 0 { // the director fails before it sends the attempt
 		return
 	}
-	if previous, found := s.executions[w.token]; !found || s.now-previous.at >= s.window {
-		s.executions[w.token] = execution{group, s.now}
+	if previous, found := s.executions[request.token]; !found || s.now-previous.at >= s.window {
+		s.executions[request.token] = execution{group, s.now}
 	} else if previous.group != group {
-		s.failure = fmt.Sprintf("%s is executed in %s and, %v later, in %s", w.token, previous.group, s.now-previous.at, group)
+		s.failure = fmt.Sprintf("%s is executed in %s and, %v later, in %s", request.token, previous.group, s.now-previous.at, group)
 	}
 }
 
@@ -228,16 +228,16 @@
 			n.node.ApplyMembership(nil, nil, false, []ShardState{{Shard: int(all[0]), ReadyEpoch: all[1]}}, s.clock(n))
 		}
 		if s.rng.IntN(25) == 0 { // a client's request or retry
-			w := clientRequest{
+			request := clientRequest{
 				token: fmt.Sprintf("t%d", int(s.now/(4*time.Second))*3+s.rng.IntN(3)),
 				group: string(rune('x' + s.rng.IntN(3))),
 			}
 			n.lastKey++
-			n.requests[n.lastKey] = w
+			n.requests[n.lastKey] = request
 			c := Claim{
-				Token:   w.token,
+				Token:   request.token,
 				Object:  1,
-				Group:   w.group,
+				Group:   request.group,
 				Request: fmt.Sprintf("%s-%d", id, n.lastKey),
 				Window:  s.window,
 			}
--- a/internal/claims/takeover.go
+++ b/internal/claims/takeover.go
@@ -11,7 +11,7 @@
 	Shard            int
 	Epoch            int64
 	Replicas         []string // IDs; the first is the primary
-	PreviousReplicas []string // of the last ready epoch; empty once this epoch is ready
+	PreviousReplicas []string // of the last ready epoch; empty once the event log marks this epoch as ready
 	ReadyEpoch       int64    // if set, only Shard is set too: this epoch is ready, and all its replicas have the claims
 }
 
@@ -30,7 +30,7 @@
 	for _, state := range shards {
 		n.applyShard(state, now)
 	}
-	for i := range n.shards { // takeovers no longer wait for replicas that have left
+	for i := range n.shards { // a takeover stops waiting for replicas that have left
 		if s := &n.shards[i]; s.awaitingClose != nil {
 			n.continueTakeover(i, now)
 		}
--- a/internal/health/vote.go
+++ b/internal/health/vote.go
@@ -15,9 +15,9 @@
 
 // aggregate computes the health of a cache from the votes of machines. enough is false if too few machines report on it.
 //
-// A third of the machines that could report on the cache may be faulty. So as many of the votes with the highest shares of failures
-// are discarded and the rest is averaged: faulty machines alone cannot cause the cache to be suspected. The latest failure times are
-// discarded in the same way, so that faulty machines cannot prolong a suspicion.
+// A third of the machines that could report on the cache may be faulty. So that many of the votes, those with the highest shares of
+// failures, are discarded and the rest are averaged: faulty machines alone cannot cause the cache to be suspected. The latest failure
+// times are discarded in the same way, so that faulty machines cannot prolong a suspicion.
 func (a *Aggregator) aggregate(cache string, now time.Duration) (c CacheHealth, enough bool) {
 	votes, reporters := a.votes(cache, now)
 	c = CacheHealth{Cache: cache, Machines: len(votes)}
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -9,8 +9,8 @@
 	startedAt time.Duration // time after which no earlier allocator grants anything
 }
 
-// NewAllocator returns an allocator. Earlier allocators must have lower epochs and must not grant anything after now. Unless first
-// states that there was none, the new allocator grants nothing until all earlier grants have expired.
+// NewAllocator returns an allocator. Earlier allocators must have lower epochs and must not grant anything after now. first
+// indicates that there was no earlier allocator; if it is false, the new one grants nothing until all earlier grants have expired.
 func NewAllocator(settings Settings, epoch int64, now time.Duration, first bool) *Allocator {
 	a := &Allocator{divider: newDivider(settings), epoch: epoch, startedAt: now}
 	if first {
--- a/internal/quota/allocator_test.go
+++ b/internal/quota/allocator_test.go
@@ -39,7 +39,7 @@
 // simHolder is a holder with its own clock and faults.
 type simHolder struct {
 	holder           *Holder
-	clockRate        float64 // of its clock
+	clockRate        float64 // rate of its clock relative to true time
 	pausedUntil      time.Duration
 	partitionedUntil time.Duration
 	demand           float64
--- a/internal/quota/explore_test.go
+++ b/internal/quota/explore_test.go
@@ -10,7 +10,7 @@
 )
 
 // state is the state of two allocators, the second of which takes over at some time, three holders of one limit, and the messages in
-// flight. The holders' clocks run slow by the drift, exactly, and fast by the drift.
+// flight. One holder's clock is slow by the drift, one is exact, and one is fast by the drift.
 type state struct {
 	now               time.Duration
 	allocators        [2]*Allocator
--- a/internal/quota/holder.go
+++ b/internal/quota/holder.go
@@ -7,7 +7,7 @@
 	settings    Settings
 	id          string
 	seq         uint64                   // sequence number of the last renewal
-	epoch       int64                    // the latest epoch of the root's grants that were in use
+	epoch       int64                    // latest epoch among the root's grants that were put into use
 	inUse       uint64                   // sequence number of the renewal whose grant is in use; 0: none
 	inUseSince  time.Duration            // when that renewal was created; the fallback decreases from then on
 	requestedAt map[uint64]time.Duration // creation times of the renewals that may still be answered, by sequence number
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -36,7 +36,7 @@
 }
 
 // groups returns the demands that a want represents, without invalid ones. A demand of more than the limit is reduced to the limit.
-// node states that the want is from a node.
+// node indicates that the want is from a node.
 func (w Want) groups(node bool) (groups []Group) {
 	demands := w.Groups
 	if !node {
--- a/internal/quota/tree_test.go
+++ b/internal/quota/tree_test.go
@@ -92,7 +92,7 @@
 }
 
 // send adds a message to those in flight. One in 20 is lost, one in 20 is delivered twice, and one in ten is delayed by up to 320 ms;
-// more are lost or delayed if the run is hard.
+// more are lost or delayed if manyFaults is set.
 func (t *tree) send(from, to *process, deliver func()) {
 	if t.faultless {
 		if t.now >= from.partitionedUntil && t.now >= to.partitionedUntil {
@@ -237,8 +237,8 @@
 	return shares, fallbacks
 }
 
-// recordInForce records the shares and fallbacks in force. Each must stay within its part of the limit, so that together they do not exceed
-// the limit.
+// recordInForce records the shares and fallbacks in force. Each of the two must stay within its part of the limit, so that their sum
+// does not exceed the limit.
 func (t *tree) recordInForce() {
 	wanted, settings := 0.0, treeSettings()
 	for _, p := range t.leaves {
