--- a/internal/claims/takeover.go
+++ b/internal/claims/takeover.go
@@ -6,16 +6,17 @@
 	"time"
 )
 
-// ShardState is a shard as the membership events describe it.
+// ShardState is the state of a shard in a membership event.
 type ShardState struct {
 	Shard            int
 	Epoch            int64
 	Replicas         []string // IDs; the first is the primary
-	PreviousReplicas []string // of the last epoch that was ready, until this one is
-	ReadyEpoch       int64    // set without the rest: this epoch is ready, all its replicas are filled
+	PreviousReplicas []string // of the last ready epoch; empty once the event log marks this epoch as ready
+	ReadyEpoch       int64    // if set, only Shard is set too: this epoch is ready, and all its replicas have the claims
 }
 
-// ApplyMembership applies a change of the members and of the shards. A snapshot replaces all members.
+// ApplyMembership applies changes to the members and shards. If snapshot is true, joined replaces all members; otherwise it adds to
+// them.
 func (n *Node) ApplyMembership(joined, left []string, snapshot bool, shards []ShardState, now time.Duration) {
 	if snapshot {
 		clear(n.members)
@@ -29,13 +30,14 @@
 	for _, state := range shards {
 		n.applyShard(state, now)
 	}
-	for i := range n.shards { // a replica that has left is not waited for
+	for i := range n.shards { // a takeover stops waiting for replicas that have left
 		if s := &n.shards[i]; s.awaitingClose != nil {
 			n.continueTakeover(i, now)
 		}
 	}
 }
 
+// applyShard applies the state of a shard: a new epoch, or that the current epoch is ready.
 func (n *Node) applyShard(state ShardState, now time.Duration) {
 	s := &n.shards[state.Shard]
 	becomesReady := state.ReadyEpoch > 0 && state.ReadyEpoch == s.epoch
@@ -45,11 +47,11 @@
 		s.previousReplicas = nil
 		n.dropIfNotReplica(s)
 	case state.ReadyEpoch == 0 && state.Epoch > s.epoch:
-		n.beginEpoch(state, now)
+		n.startEpoch(state, now)
 	}
 }
 
-// dropIfNotReplica drops the claims of a shard if this node is none of its replicas any more.
+// dropIfNotReplica removes the claims of a shard if this node is not one of its current replicas.
 func (n *Node) dropIfNotReplica(s *shard) {
 	if !slices.Contains(s.replicas, n.id) {
 		n.claimCount -= len(s.claims)
@@ -57,8 +59,9 @@
 	}
 }
 
-// beginEpoch begins an epoch of a shard. Those who wait for claims request them again under it.
-func (n *Node) beginEpoch(state ShardState, now time.Duration) {
+// startEpoch switches a shard to a new epoch. Requests that wait for claims are rejected with RetryLater, so that their senders repeat
+// them in the new epoch.
+func (n *Node) startEpoch(state ShardState, now time.Duration) {
 	s := &n.shards[state.Shard]
 	n.rejectWaiters(s)
 	s.epoch = state.Epoch
@@ -90,9 +93,9 @@
 	n.continueTakeover(state.Shard, now)
 }
 
-// rejectWaiters answers all who wait for claims of a shard with RetryLater.
+// rejectWaiters answers all requests that wait for claims of a shard with RetryLater.
 func (n *Node) rejectWaiters(s *shard) {
-	for _, token := range tokens(s) {
+	for _, token := range sortedTokens(s) {
 		c := s.claims[token]
 		for _, w := range c.waiters {
 			n.send(w.caller, Message{Kind: ReplyClaim, Seq: w.Seq, Epoch: w.Epoch, Shard: w.Shard, Verdict: RetryLater})
@@ -102,17 +105,17 @@
 	}
 }
 
-// tokens returns the tokens of a shard's claims, sorted, so that messages have a fixed order.
-func tokens(s *shard) []string { return slices.Sorted(maps.Keys(s.claims)) }
+// sortedTokens returns the tokens of a shard's claims, sorted so that messages have a deterministic order.
+func sortedTokens(s *shard) []string { return slices.Sorted(maps.Keys(s.claims)) }
 
-// continueTakeover goes on with a takeover as far as it can now: it closes earlier epochs at their replicas, which send their claims,
-// then fills the new replicas, and then has the shard ready.
+// continueTakeover advances a takeover as far as currently possible: it closes earlier epochs at their replicas, which send their
+// claims, then sends all claims to the new replicas, and finally marks the shard as ready.
 func (n *Node) continueTakeover(i int, now time.Duration) {
 	s := &n.shards[i]
 	n.closeEarlierEpochs(i, now)
 	if len(s.awaitingClose) == 0 && !s.hasPreviousClaims && s.unknownClaimsUntil == 0 {
-		// Claims may be in force that no remaining replica has. They expire by then.
-		s.unknownClaimsUntil = now + n.set.lifetime(n.set.MaxWindow)
+		// Claims that no remaining replica has may still be in force. All of them will have expired by this time.
+		s.unknownClaimsUntil = now + n.settings.lifetime(n.settings.MaxWindow)
 	}
 	if len(s.awaitingClose) > 0 || now < s.unknownClaimsUntil {
 		return
@@ -129,7 +132,7 @@
 	}
 }
 
-// closeEarlierEpochs has each replica of earlier epochs close them, and does not wait for those that are no members any more.
+// closeEarlierEpochs asks each replica of earlier epochs to close them. It stops waiting for replicas that are no longer members.
 func (n *Node) closeEarlierEpochs(i int, now time.Duration) {
 	s := &n.shards[i]
 	for _, id := range slices.Sorted(maps.Keys(s.awaitingClose)) {
@@ -139,23 +142,23 @@
 			n.dropUnconfirmed(id, CloseEpoch, i)
 		case !n.hasUnconfirmed(id, CloseEpoch, i):
 			m := Message{Kind: CloseEpoch, Epoch: s.epoch, Shard: i}
-			n.sendUntilConfirmed(Sending{To: id, Message: m}, "", now)
+			n.sendUntilConfirmed(OutgoingMessage{To: id, Message: m}, "", now)
 		}
 	}
 }
 
-// fillReplicas sends all claims of a shard to the other replicas.
+// fillReplicas sends all claims of a shard to its other replicas.
 func (n *Node) fillReplicas(i int, now time.Duration) {
 	s := &n.shards[i]
 	s.awaitingFill = map[string]bool{}
 	for _, id := range s.replicas[1:] {
 		s.awaitingFill[id] = true
 		m := Message{Kind: Replicate, Epoch: s.epoch, Shard: i, Claims: n.claimsWithAges(s, now)}
-		n.sendUntilConfirmed(Sending{To: id, Message: m}, "", now)
+		n.sendUntilConfirmed(OutgoingMessage{To: id, Message: m}, "", now)
 	}
 }
 
-// ReadyShards returns the shards, as pairs of shard and epoch, that are ready and that the event log does not show as ready yet.
+// ReadyShards returns the shards that are ready but not yet marked as ready in the event log, as alternating shard and epoch.
 func (n *Node) ReadyShards() []int64 {
 	var pairs []int64
 	for i := range n.shards {
@@ -166,10 +169,10 @@
 	return pairs
 }
 
-// claimsWithAges returns the claims of a shard as they are sent.
+// claimsWithAges returns the unexpired claims of a shard in their wire form, sorted by token.
 func (n *Node) claimsWithAges(s *shard, now time.Duration) []Claim {
 	var all []Claim
-	for _, token := range tokens(s) {
+	for _, token := range sortedTokens(s) {
 		if c := s.claims[token]; !n.expired(&c.Claim, now) {
 			all = append(all, c.withAge(now))
 		}
@@ -177,7 +180,7 @@
 	return all
 }
 
-// handleCloseEpoch ends earlier epochs of a shard at this replica, and sends its claims to the new primary.
+// handleCloseEpoch closes earlier epochs of a shard at this replica and sends its claims to the new primary.
 func (n *Node) handleCloseEpoch(from string, m Message, now time.Duration) {
 	s := &n.shards[m.Shard]
 	if m.Epoch < s.epoch || m.Epoch < s.closedEpoch {
@@ -194,8 +197,8 @@
 	})
 }
 
-// handleEpochClosed takes over, at the new primary, the claims of a replica of an earlier epoch. Their ages count from when that was
-// requested first.
+// handleEpochClosed stores the claims of a replica of an earlier epoch at the new primary. Their ages are taken relative to the time
+// when the CloseEpoch message was first sent.
 func (n *Node) handleEpochClosed(from string, m Message, now time.Duration) {
 	p := n.unconfirmed[m.Seq]
 	if p == nil || p.Kind != CloseEpoch || p.To != from || p.Epoch != m.Epoch {
@@ -208,7 +211,7 @@
 	}
 	for _, c := range m.Claims {
 		if old := s.claims[c.Token]; old == nil || c.Version >= old.Version {
-			n.storeReplica(s, c, p.firstSentAt)
+			n.storeReplicatedClaim(s, c, p.firstSentAt)
 		}
 	}
 	delete(s.awaitingClose, from)
--- a/internal/claims/wire.go
+++ b/internal/claims/wire.go
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// A message is sent as an array of bulk strings, as caches' commands are: a head of numbers, then the claims, one a line, in bulk
-// strings of a bounded size. Fields are separated by blanks, so no field may contain one.
+// A message is encoded as an array of bulk strings, like the commands of caches: a head of numbers, followed by the claims, one per
+// line, in bulk strings of a bounded size. Fields are separated by spaces, so no field may contain one.
 
-// MaxBulks is the number of bulk strings of claims in a message, at most. A shard of some ten thousand claims fits.
+// MaxBulks is the maximum number of bulk strings of claims in a message. A shard of about ten thousand claims fits.
 const MaxBulks = 6
 
-// errMalformed is the error of Decode.
+// errMalformed is returned by Decode if a message cannot be parsed.
 var errMalformed = errors.New("claims: malformed message")
 
-// Bounds and forms of encoded numbers.
+// Numbers of fields in the encoding, and bounds of encoded values.
 const (
 	headFields  = 6
 	claimFields = 9
-	maxMicros   = uint64(1 << 53) // of a window or an age
+	maxMicros   = uint64(1 << 53) // upper bound of a window or an age
 )
 
-// Head encodes a message without its claims.
+// Head returns the encoding of a message without its claims.
 func (m Message) Head() []byte {
 	mayMove := 0
 	if m.MayMove {
@@ -34,12 +34,14 @@
 	return fmt.Appendf(nil, "%d %d %d %d %d %d", m.Kind, m.Seq, m.Epoch, m.Shard, m.Verdict, mayMove)
 }
 
-// Bulks encodes the claims of a message into bulk strings of at most maxBytes. The error says that they do not fit into MaxBulks.
+// Bulks returns the encoding of the claims of a message as bulk strings of at most maxBytes. It returns an error if they need more
+// than MaxBulks bulk strings.
 func (m Message) Bulks(maxBytes int) (bulks [][]byte, err error) {
 	var b []byte
 	for _, c := range m.Claims {
 		at := len(b)
-		b = fmt.Appendf(b, "%s %x %s %s %s %d %d %d %d\n", orNone(c.Token), c.Object, orNone(c.Group), orNone(c.Owner), orNone(c.Request),
+		b = fmt.Appendf(b, "%s %x %s %s %s %d %d %d %d\n",
+			encodeText(c.Token), c.Object, encodeText(c.Group), encodeText(c.Owner), encodeText(c.Request),
 			c.Version, c.Seq, c.Window.Microseconds(), c.At.Microseconds())
 		if len(b) > maxBytes {
 			bulks = append(bulks, bytes.Clone(b[:at]))
@@ -50,27 +52,27 @@
 		bulks = append(bulks, b)
 	}
 	if len(bulks) > MaxBulks {
-		return nil, fmt.Errorf("claims: %d claims of one shard do not fit a message", len(m.Claims))
+		return nil, fmt.Errorf("claims: %d claims of one shard exceed the size of a message", len(m.Claims))
 	}
 	return bulks, nil
 }
 
-// orNone encodes an empty field.
-func orNone(s string) string {
+// encodeText returns the encoding of a text field; an empty one is encoded as "-".
+func encodeText(s string) string {
 	if s == "" {
 		return "-"
 	}
 	return s
 }
 
-// Decode decodes a message from its head and its bulk strings.
+// Decode decodes a message from its head and bulk strings. It returns errMalformed if they cannot be parsed.
 func Decode(head []byte, bulks [][]byte) (m Message, err error) {
-	words := bytes.Fields(head)
-	if len(words) != headFields {
+	fields := bytes.Fields(head)
+	if len(fields) != headFields {
 		return m, errMalformed
 	}
 	var n [headFields]int64
-	for i, w := range words {
+	for i, w := range fields {
 		if n[i], err = strconv.ParseInt(string(w), 10, 64); err != nil || n[i] < 0 {
 			return m, errMalformed
 		}
@@ -98,23 +100,24 @@
 	return m, nil
 }
 
+// decodeClaim decodes a claim from a line of a bulk string.
 func decodeClaim(line []byte) (c Claim, err error) {
-	w := bytes.Fields(line)
-	if len(w) != claimFields {
+	fields := bytes.Fields(line)
+	if len(fields) != claimFields {
 		return c, errMalformed
 	}
-	text := func(b []byte) string {
+	decodeText := func(b []byte) string {
 		if string(b) == "-" {
 			return ""
 		}
 		return string(b)
 	}
-	c = Claim{Token: text(w[0]), Group: text(w[2]), Owner: text(w[3]), Request: text(w[4])}
-	if c.Object, err = strconv.ParseUint(string(w[1]), 16, 64); err != nil {
+	c = Claim{Token: decodeText(fields[0]), Group: decodeText(fields[2]), Owner: decodeText(fields[3]), Request: decodeText(fields[4])}
+	if c.Object, err = strconv.ParseUint(string(fields[1]), 16, 64); err != nil {
 		return c, errMalformed
 	}
 	var n [4]uint64
-	for i, b := range w[5:] {
+	for i, b := range fields[5:] {
 		if n[i], err = strconv.ParseUint(string(b), 10, 62); err != nil {
 			return c, errMalformed
 		}
--- a/internal/health/aggregator_test.go
+++ b/internal/health/aggregator_test.go
@@ -13,19 +13,19 @@
 
 const ms = time.Millisecond
 
-// simulation is directors that send to caches at random and report; some report something else.
+// simulation models directors that send to random caches and report the outcomes. Some directors report false outcomes.
 type simulation struct {
 	aggregator    *Aggregator
 	rng           *rand.Rand
 	now           time.Duration
 	seqs          []uint64
 	failureShares []float64                     // share of attempts that fail, by cache
-	falseOutcomes func(director int) []Outcomes // what a faulty director reports; nil: the director is sound
+	falseOutcomes func(director int) []Outcomes // the reports of a faulty director; nil: the director reports its real outcomes
 }
 
 func directorID(i int) string { return fmt.Sprintf("d%d/1", i) }
 
-func (s *simulation) run(directors int, length time.Duration, perSecond float64, each func()) {
+func (s *simulation) run(directors int, length time.Duration, attemptsPerSecond float64, each func()) {
 	s.seqs = make([]uint64, directors)
 	for end := s.now + length; s.now < end; {
 		s.now += 100 * ms
@@ -35,7 +35,7 @@
 				for b, p := range s.failureShares {
 					o := Outcomes{Cache: fmt.Sprint("b", b), LagMS: 5}
 					for range 3 {
-						if s.rng.Float64() < perSecond/10/3/float64(len(s.failureShares)) {
+						if s.rng.Float64() < attemptsPerSecond/10/3/float64(len(s.failureShares)) {
 							o.Attempts++
 							if s.rng.Float64() < p {
 								o.Failures++
@@ -49,14 +49,14 @@
 			}
 			s.seqs[d]++
 			r.Seq = s.seqs[d]
-			s.aggregator.Take(r, ReporterLocation{fmt.Sprint("m", d), "west"}, s.now)
+			s.aggregator.Apply(r, ReporterLocation{fmt.Sprint("m", d), "west"}, s.now)
 		}
 		each()
 	}
 }
 
-// A cache that fails two attempts in three is suspected within two seconds by eight directors that each send it two a second. Once it
-// is well, the suspicion ends within its lifetime.
+// TestBadCacheIsSuspected checks that eight directors that each send two attempts per second to a cache suspect it within two seconds if
+// it fails two attempts in three, and that the suspicion ends within its lifetime once the cache has recovered.
 func TestBadCacheIsSuspected(t *testing.T) {
 	f := &simulation{
 		aggregator:    NewAggregator(DefaultSettings, 1),
@@ -64,35 +64,36 @@
 		failureShares: []float64{0.67, 0.02, 0.02, 0.02},
 		falseOutcomes: func(int) []Outcomes { return nil },
 	}
-	tracker, known := NewTracker(DefaultSettings, "d"), time.Duration(0)
+	tracker, suspectedAt := NewTracker(DefaultSettings, "d"), time.Duration(0)
 	f.run(8, 5*time.Second, 8, func() {
-		tracker.Take(f.aggregator.Aggregated(f.now), f.now)
+		tracker.Apply(f.aggregator.Aggregated(f.now), f.now)
 		for cache, share := range tracker.FailureShares(f.now) {
 			if cache != "b0" {
-				t.Errorf("%v: %s is suspected with %v", f.now, cache, share)
+				t.Errorf("%v: healthy cache %s is suspected, share of failures %v", f.now, cache, share)
 			}
-			if known == 0 {
-				known = f.now
+			if suspectedAt == 0 {
+				suspectedAt = f.now
 			}
 		}
 	})
-	t.Logf("known after %v: %v", known, tracker.FailureShares(f.now))
-	if known == 0 || known > 2*time.Second {
-		t.Errorf("known after %v", known)
+	t.Logf("suspected after %v: %v", suspectedAt, tracker.FailureShares(f.now))
+	if suspectedAt == 0 || suspectedAt > 2*time.Second {
+		t.Errorf("suspected after %v", suspectedAt)
 	}
 	f.failureShares[0] = 0.02
-	f.run(8, DefaultSettings.Lifetime+time.Second, 8, func() { tracker.Take(f.aggregator.Aggregated(f.now), f.now) })
+	f.run(8, DefaultSettings.Lifetime+time.Second, 8, func() { tracker.Apply(f.aggregator.Aggregated(f.now), f.now) })
 	if d := tracker.FailureShares(f.now); len(d) > 0 {
 		t.Errorf("still suspected: %v", d)
 	}
 	f.aggregator.Sweep(f.now + time.Minute)
 	if len(f.aggregator.caches)+len(f.aggregator.lastSeq)+len(f.aggregator.machines) > 0 {
-		t.Errorf("%d caches and %d directors are remembered", len(f.aggregator.caches), len(f.aggregator.lastSeq))
+		t.Errorf("%d caches and %d directors are left after the sweep", len(f.aggregator.caches), len(f.aggregator.lastSeq))
 	}
 }
 
-// Less than a third of the machines report false outcomes of all caches, as many as they like: healthy caches are suspected in under
-// 5 % of the moments, and the bad one still is. With more than two thirds they succeed, so the test would notice.
+// TestFaultyReportersHaveNoInfluence checks reports of false outcomes for all caches, with arbitrarily high counts. If fewer than a third
+// of the machines send them, healthy caches must be suspected in at most 5 % of the samples and the bad cache must still be suspected.
+// If more than two thirds send them, healthy caches are suspected, which verifies that the test detects it.
 func TestFaultyReportersHaveNoInfluence(t *testing.T) {
 	worst := 0
 	for seed := range uint64(60) {
@@ -112,13 +113,13 @@
 				}
 				return append(all, Outcomes{Cache: "b3", Attempts: 1e6})
 			}
-			wronglySuspected, known := 0, 0
+			wronglySuspected, rightlySuspected := 0, 0
 			f.run(directors, 6*time.Second, 24, func() {
 				tracker := NewTracker(DefaultSettings, "d")
-				tracker.Take(f.aggregator.Aggregated(f.now), f.now)
+				tracker.Apply(f.aggregator.Aggregated(f.now), f.now)
 				for cache := range tracker.FailureShares(f.now) {
 					if cache == "b3" {
-						known++
+						rightlySuspected++
 					} else {
 						wronglySuspected++
 					}
@@ -127,20 +128,20 @@
 			if faulty <= (directors-1)/3 {
 				worst = max(worst, wronglySuspected)
 			}
-			switch few := faulty <= (directors-1)/3; {
-			case few && wronglySuspected > 180/20:
+			switch tolerable := faulty <= (directors-1)/3; {
+			case tolerable && wronglySuspected > 180/20:
 				t.Errorf("seed %d: %d of %d faulty: healthy caches are suspected %d times", seed, faulty, directors, wronglySuspected)
-			case few && known < 20:
-				t.Errorf("seed %d: %d of %d are faulty, and the bad cache is suspected %d times of 60", seed, faulty, directors, known)
-			case !few && wronglySuspected < 60:
-				t.Errorf("seed %d: %d of %d are faulty, and the test sees nothing of it", seed, faulty, directors)
+			case tolerable && rightlySuspected < 20:
+				t.Errorf("seed %d: %d of %d faulty: the bad cache is suspected %d times of 60", seed, faulty, directors, rightlySuspected)
+			case !tolerable && wronglySuspected < 60:
+				t.Errorf("seed %d: %d of %d faulty: healthy caches are not suspected, so nothing is detected", seed, faulty, directors)
 			}
 		}
 	}
-	t.Logf("at worst a healthy cache was suspected in %d of 180 moments", worst)
+	t.Logf("at worst, healthy caches were suspected %d times in 180 samples", worst)
 }
 
-// Reports of several directors may come in any order, and again: the result is the same.
+// TestReportOrderHasNoInfluence checks that reordered and duplicate reports of several directors give the same result.
 func TestReportOrderHasNoInfluence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(3, 8).Draw(t, "directors")
@@ -157,9 +158,9 @@
 		order := rapid.Permutation(all).Draw(t, "order")
 		a, b := NewAggregator(DefaultSettings, 1), NewAggregator(DefaultSettings, 1)
 		for i := range all {
-			a.Take(all[i], ReporterLocation{all[i].Holder, "west"}, time.Second)
-			b.Take(order[i], ReporterLocation{order[i].Holder, "west"}, time.Second)
-			b.Take(order[rapid.IntRange(0, i).Draw(t, "again")], ReporterLocation{"other", "east"}, time.Second)
+			a.Apply(all[i], ReporterLocation{all[i].Holder, "west"}, time.Second)
+			b.Apply(order[i], ReporterLocation{order[i].Holder, "west"}, time.Second)
+			b.Apply(order[rapid.IntRange(0, i).Draw(t, "again")], ReporterLocation{"other", "east"}, time.Second)
 		}
 		if x, y := a.Aggregated(2*time.Second), b.Aggregated(2*time.Second); !reflect.DeepEqual(x, y) {
 			t.Fatalf("%+v\n%+v", x, y)
@@ -167,7 +168,7 @@
 	})
 }
 
-// Impossible, excessive and late reports do not count, and no suspicion outlives its lifetime.
+// TestInvalidAndLateReports checks that invalid, excessive and late reports are ignored and that no suspicion outlives its lifetime.
 func TestInvalidAndLateReports(t *testing.T) {
 	aggregator := NewAggregator(DefaultSettings, 5)
 	for d := range 5 {
@@ -177,45 +178,45 @@
 			{Cache: "", Attempts: 1},
 			{Cache: "z", Attempts: 1e300},
 		}
-		aggregator.Take(Report{Holder: directorID(d), Seq: 1, Caches: impossible}, ReporterLocation{directorID(d), ""}, 0)
+		aggregator.Apply(Report{Holder: directorID(d), Seq: 1, Caches: impossible}, ReporterLocation{directorID(d), ""}, 0)
 	}
 	if len(aggregator.caches) > 0 {
 		t.Errorf("%v", maps.Collect(maps.All(aggregator.caches)))
 	}
 	failing := []Outcomes{{Cache: "x", Attempts: 4, Failures: 4}}
 	for d := range 5 {
-		aggregator.Take(Report{Holder: directorID(d), Seq: 3, Caches: failing}, ReporterLocation{"one machine", ""}, 0)
+		aggregator.Apply(Report{Holder: directorID(d), Seq: 3, Caches: failing}, ReporterLocation{"one machine", ""}, 0)
 	}
 	if o := aggregator.Aggregated(0); len(o.Caches) > 0 {
-		t.Errorf("one machine is enough: %+v", o)
+		t.Errorf("reports of a single machine are sufficient: %+v", o)
 	}
 	aggregator = NewAggregator(DefaultSettings, 5)
 	for d := range 5 {
-		aggregator.Take(Report{Holder: directorID(d), Seq: 3, Caches: failing}, ReporterLocation{directorID(d), ""}, 0)
+		aggregator.Apply(Report{Holder: directorID(d), Seq: 3, Caches: failing}, ReporterLocation{directorID(d), ""}, 0)
 	}
 	o := aggregator.Aggregated(0)
 	tracker := NewTracker(DefaultSettings, "d")
-	tracker.Take(o, time.Hour)
+	tracker.Apply(o, time.Hour)
 	if d := tracker.FailureShares(time.Hour); d["x"] < 0.9 {
 		t.Errorf("%v", d)
 	}
-	tracker.Take(AggregatedHealth{Epoch: 4, Seq: 99}, time.Hour+ms) // of an earlier aggregator
-	tracker.Take(AggregatedHealth{Epoch: 5, Seq: 0}, time.Hour+ms)
+	tracker.Apply(AggregatedHealth{Epoch: 4, Seq: 99}, time.Hour+ms) // from an earlier aggregator
+	tracker.Apply(AggregatedHealth{Epoch: 5, Seq: 0}, time.Hour+ms)
 	last := 2.0
 	for at := time.Duration(0); at < tracker.lifetime; at += 100 * ms {
 		d := tracker.FailureShares(time.Hour + at)["x"]
 		if d > last || d == 0 || tracker.lifetime < DefaultSettings.Lifetime/2 || tracker.lifetime > DefaultSettings.Lifetime {
-			t.Fatalf("after %v: %v, before %v", at, d, last)
+			t.Fatalf("after %v: share %v, previous share %v", at, d, last)
 		}
 		last = d
 	}
 	if d := tracker.FailureShares(time.Hour + DefaultSettings.Lifetime); len(d) > 0 {
-		t.Errorf("it outlives its lifetime: %v", d)
+		t.Errorf("the suspicion outlives its lifetime: %v", d)
 	}
 	if d := tracker.FailureShares(time.Hour - time.Second); len(d) > 0 {
-		t.Errorf("a clock that is set back makes it young: %v", d)
+		t.Errorf("a clock that is set back extends the suspicion: %v", d)
 	}
 	if o := aggregator.Aggregated(DefaultSettings.Lifetime); len(o.Caches) > 0 {
-		t.Errorf("old outcomes count: %+v", o)
+		t.Errorf("expired outcomes are counted: %+v", o)
 	}
 }
--- a/internal/health/measure_test.go
+++ b/internal/health/measure_test.go
@@ -9,19 +9,19 @@
 	"time"
 )
 
-// TestMeasureReports measures the bytes a second and the leader's time that reports take, by directors and caches. It runs with
-// STAIRVANE_MEASURE=1. Each director has 8 attempts a second, spread over 20 caches of its location or 4 of all; one cache in 50
-// fails half of them.
+// TestMeasureReports measures the bandwidth of reports and results and the leader's processing time, for different numbers of directors
+// and caches. It runs only with STAIRVANE_MEASURE=1. Each director makes 8 attempts per second, spread over the 20 caches of its
+// location and 4 caches that all directors use; 1 in 50 caches fails half of its attempts.
 func TestMeasureReports(t *testing.T) {
 	if os.Getenv("STAIRVANE_MEASURE") == "" {
-		t.Skip("a measurement, by command: STAIRVANE_MEASURE=1")
+		t.Skip("measurement: set STAIRVANE_MEASURE=1 to run it")
 	}
 	const seconds = 10
 	for _, caches := range []int{100, 500} {
 		for _, directors := range []int{10, 100, 1000} {
 			rng := rand.New(rand.NewPCG(1, uint64(directors)))
-			m := NewAggregator(DefaultSettings, 1)
-			up, down, reports, took := 0, 0, 0, time.Duration(0)
+			aggregator := NewAggregator(DefaultSettings, 1)
+			bytesUp, bytesDown, reports, elapsed := 0, 0, 0, time.Duration(0)
 			pending, seqs := make([]map[string]Outcomes, directors), make([]uint64, directors)
 			var lastSeq uint64
 			for now := 100 * ms; now <= seconds*time.Second; now += 100 * ms {
@@ -55,23 +55,23 @@
 					}
 					clear(pending[d])
 					text, _ := json.Marshal(r)
-					up, reports = up+len(text), reports+1
-					begin := time.Now()
-					m.Take(r, ReporterLocation{fmt.Sprint("m", d), fmt.Sprint("l", d%max(1, caches/20))}, now)
-					_ = m.Aggregated(now)
-					took += time.Since(begin)
+					bytesUp, reports = bytesUp+len(text), reports+1
+					start := time.Now()
+					aggregator.Apply(r, ReporterLocation{fmt.Sprint("m", d), fmt.Sprint("l", d%max(1, caches/20))}, now)
+					_ = aggregator.Aggregated(now)
+					elapsed += time.Since(start)
 				}
-				if o := m.Aggregated(now); o.Seq != lastSeq || len(o.Caches) > 0 && now%(500*ms) == 0 {
+				if o := aggregator.Aggregated(now); o.Seq != lastSeq || len(o.Caches) > 0 && now%(500*ms) == 0 {
 					lastSeq = o.Seq
 					text, _ := json.Marshal(o)
-					down += len(text) * directors
+					bytesDown += len(text) * directors
 				}
 			}
-			upKBps, downKBps := float64(up)/seconds/1000, float64(down)/seconds/1000
+			upKBps, downKBps := float64(bytesUp)/seconds/1000, float64(bytesDown)/seconds/1000
 			t.Logf("%4d directors, %3d caches: %6.0f reports/s, %7.1f kB/s up, %7.1f kB/s down, %.1f and %.1f kB/s for each director, "+
 				"the leader aggregates %.1f %% of the time",
 				directors, caches, float64(reports)/seconds, upKBps, downKBps, upKBps/float64(directors), downKBps/float64(directors),
-				100*took.Seconds()/seconds)
+				100*elapsed.Seconds()/seconds)
 		}
 	}
 }
--- a/internal/quota/explore_test.go
+++ b/internal/quota/explore_test.go
@@ -9,19 +9,19 @@
 	"time"
 )
 
-// state is two allocators, the second of which takes over at some moment, three holders of one limit, and the messages in flight.
-// The holders' clocks run slow, right and fast by the drift.
+// state is the state of two allocators, the second of which takes over at some time, three holders of one limit, and the messages in
+// flight. One holder's clock is slow by the drift, one is exact, and one is fast by the drift.
 type state struct {
 	now               time.Duration
 	allocators        [2]*Allocator
 	leader            int
 	holders           [3]*Holder
 	wants             [3]float64
-	inFlight          []transit
+	inFlight          []inFlightMessage
 	renewals          int
-	renewingHolders   int     // holders that renew, the first ones
-	maxRenewals       int     // of all holders together
-	countsFromReceipt [3]bool // without a guard: shares count from their receipt
+	renewingHolders   int     // number of holders that renew, from the first on
+	maxRenewals       int     // limit of renewals of all holders together
+	countsFromReceipt [3]bool // disables a guard: leases start at the receipt of a grant
 }
 
 var rates = [3]float64{1 - 0.02, 1, 1 + 0.02}
@@ -66,8 +66,8 @@
 	return &c
 }
 
-// step visits the states that may follow: a holder renews, a message in flight arrives, in any order or never, time passes, up to
-// more than a lease, or the second allocator takes over, while the first may still answer.
+// step visits the possible next states: a holder renews; one of the messages in flight arrives, in any order or never; time passes, up
+// to more than a lease; or the second allocator takes over, while the first may still reply.
 func (s *state) step(visit func(*state)) {
 	for i := range s.holders {
 		if i < s.renewingHolders && s.renewals < s.maxRenewals {
@@ -75,7 +75,7 @@
 			c.renewals++
 			c.holders[i].Want(Want{Limit: "box", Kind: Rate, Demand: c.wants[i]})
 			renewal := c.holders[i].Renewal(c.clock(i))
-			c.inFlight = append(c.inFlight, transit{from: i, renewal: &renewal})
+			c.inFlight = append(c.inFlight, inFlightMessage{from: i, renewal: &renewal})
 			visit(c)
 		}
 	}
@@ -89,10 +89,10 @@
 				if c.countsFromReceipt[x.from] {
 					c.holders[x.from].requestedAt[x.grant.Seq] = c.clock(x.from)
 				}
-				c.holders[x.from].Take(*x.grant, c.clock(x.from))
+				c.holders[x.from].Apply(*x.grant, c.clock(x.from))
 			case x.renewal != nil && c.allocators[at] != nil && at <= c.leader:
 				g := c.allocators[at].Renew(*x.renewal, c.now)
-				c.inFlight = append(c.inFlight, transit{from: x.from, grant: &g})
+				c.inFlight = append(c.inFlight, inFlightMessage{from: x.from, grant: &g})
 			default:
 				continue
 			}
@@ -108,16 +108,16 @@
 	}
 	if s.leader == 0 {
 		c := s.clone()
-		c.leader, c.allocators[1] = 1, NewAllocator(exploreSet, 2, c.now, false)
+		c.leader, c.allocators[1] = 1, NewAllocator(exploreSettings, 2, c.now, false)
 		visit(c)
 	}
 }
 
-var exploreSet = Settings{Lease: 400 * ms, Drift: 0.02, Reserve: 0.2, FallbackFade: 900 * ms, Floor: 0.2, MinChange: 0.05}
+var exploreSettings = Settings{Lease: 400 * ms, Drift: 0.02, Reserve: 0.2, FallbackFade: 900 * ms, Floor: 0.2, MinChange: 0.05}
 
 var exploreSeed = maphash.MakeSeed()
 
-// key identifies a state.
+// key returns a hash that identifies a state.
 func (s *state) key() uint64 {
 	var h maphash.Hash
 	h.SetSeed(exploreSeed)
@@ -125,7 +125,7 @@
 	write(s.now, s.leader, s.renewals)
 	for _, g := range s.allocators {
 		if g != nil {
-			write(g.beganAt, g.lastSeq)
+			write(g.startedAt, g.lastSeq)
 			for _, p := range []pool{g.reserve, g.accountsOfLimit()} {
 				write(p.next)
 				for _, a := range p.order {
@@ -147,7 +147,7 @@
 	return h.Sum64()
 }
 
-// accountsOfLimit returns the accounts of the one limit.
+// accountsOfLimit returns the accounts of the only limit.
 func (a *Allocator) accountsOfLimit() pool {
 	if l := a.limits["box"]; l != nil {
 		return l.pool
@@ -155,7 +155,7 @@
 	return pool{}
 }
 
-// explore visits all states up to a depth, and returns their number and the most that is in force in any.
+// explore visits all states up to a depth. It returns their number and the largest sum of shares in force.
 func explore(depth, renewing, maxRenewals int, countsFromReceipt bool) (states int, worst float64) {
 	s := &state{
 		renewingHolders:   renewing,
@@ -163,9 +163,9 @@
 		wants:             [3]float64{1, 1, 0.1},
 		countsFromReceipt: [3]bool{countsFromReceipt, countsFromReceipt, countsFromReceipt},
 	}
-	s.allocators[0] = NewAllocator(exploreSet, 1, 0, true)
+	s.allocators[0] = NewAllocator(exploreSettings, 1, 0, true)
 	for i := range s.holders {
-		s.holders[i] = NewHolder(fmt.Sprint("d", i), exploreSet)
+		s.holders[i] = NewHolder(fmt.Sprint("d", i), exploreSettings)
 	}
 	visited := map[uint64]bool{}
 	level := []*state{s}
@@ -191,20 +191,20 @@
 	return len(visited), worst
 }
 
-// In each order of renewals, grants, losses, delays, pauses and deaths of two allocators and three holders, up to a depth, the shares in
-// force never pass the limit. STAIRVANE_DEPTH sets another depth.
+// TestExploreMessageOrders explores all orders of renewals, grants, losses, delays, pauses and failures of two allocators and three
+// holders up to a depth: the shares in force must never exceed the limit. STAIRVANE_DEPTH overrides the depth.
 func TestExploreMessageOrders(t *testing.T) {
-	depth := fromEnv("STAIRVANE_DEPTH", 6)
+	depth := intFromEnv("STAIRVANE_DEPTH", 6)
 	states, worst := explore(depth, 3, 3, false)
 	t.Logf("%d states to a depth of %d, at worst %.3f of the limit", states, depth, worst)
 	if worst > 1+1e-9 || worst < 0.5 {
-		t.Errorf("%.3f of the limit may be used", worst)
+		t.Errorf("%.3f of the limit is in force", worst)
 	}
 	if states, worst = explore(7, 2, 2, false); worst > 1+1e-9 {
-		t.Errorf("%.3f of the limit may be used by two", worst)
+		t.Errorf("two holders: %.3f of the limit is in force", worst)
 	}
 	t.Logf("two holders: %d states, at worst %.3f", states, worst)
 	if _, worst := explore(7, 2, 2, true); worst <= 1+1e-9 {
-		t.Errorf("parts counted from when they come pass the limit nowhere: %.3f", worst)
+		t.Errorf("no state exceeds the limit if leases start at receipt: %.3f", worst)
 	}
 }
