--- a/internal/fleet/apply/machine.go
+++ b/internal/fleet/apply/machine.go
@@ -219,7 +219,7 @@
 		}
 	}
 	event := step.Event(in.State.Revision+1, in.State.NowMS, m.Record.Who, m.Record.ID)
-	broken, err := in.State.Admit(event)
+	broken, err := in.State.Violations(event)
 	if err != nil {
 		return m.fault(i, ": "+err.Error())
 	}
--- a/internal/fleet/constraints.go
+++ b/internal/fleet/constraints.go
@@ -25,14 +25,14 @@
 	Have       float64
 	Need       float64
 	Slack      float64
-	Raw        float64 // Slack without exemptions or deaths; for a floor, the share in service whether warm or not
-	Dying      string  // the host whose death is the worst case; may be empty
+	RawSlack   float64 // Slack without exemptions or deaths; for a floor, the share in service whether warm or not
+	FailedHost string  // the host whose death is the worst case; may be empty
 }
 
 func (s Slack) String() string {
 	worst := ""
-	if s.Dying != "" {
-		worst = " with " + s.Dying + " dying"
+	if s.FailedHost != "" {
+		worst = " with " + s.FailedHost + " dying"
 	}
 	switch s.Constraint {
 	case FloorConstraint:
@@ -47,13 +47,14 @@
 	return fmt.Sprintf("cold hub %s: asked for %.4g%s with fills counted, bears %.4g", s.Thing, s.Have, worst, s.Need)
 }
 
-// Worse tells whether a constraint that does not hold after a step is broken by that step. It is not if the constraint was broken before
-// and the step has not made it worse. A step that only ends an exemption, as a second warm cache in a location does, makes nothing worse.
-func (s Slack) Worse(before Slack, existed bool) bool {
-	if !less(s.Slack, 0) || existed && less(before.Raw, s.Raw) {
+// IsNewViolation tells whether a constraint that does not hold after a step is broken by that step. It is not if the constraint was
+// broken before and the step has not made it worse. A step that only ends an exemption, as a second warm cache in a location does, makes
+// nothing worse.
+func (s Slack) IsNewViolation(before Slack, existed bool) bool {
+	if !less(s.Slack, 0) || existed && less(before.RawSlack, s.RawSlack) {
 		return false
 	}
-	return !existed || less(s.Slack, before.Slack) || less(s.Raw, before.Raw)
+	return !existed || less(s.Slack, before.Slack) || less(s.RawSlack, before.RawSlack)
 }
 
 // roundingError is what shares may differ by and count as equal.
@@ -62,9 +63,9 @@
 // less compares shares, rounding errors aside.
 func less(a, b float64) bool { return a < b-roundingError }
 
-// Admit gives the constraints that an event would break: those that are broken after it and were not, or less so, before. A state that
+// Violations gives the constraints that an event would break: those that are broken after it and were not, or less so, before. A state that
 // breaks constraints already may become better step by step, and never worse.
-func (s ObservedState) Admit(e Event) ([]Slack, error) {
+func (s ObservedState) Violations(e Event) ([]Slack, error) {
 	after := s
 	var err error
 	if after.Fleet, err = s.Apply(e); err != nil {
@@ -82,7 +83,7 @@
 	var broken []Slack
 	for _, slack := range after.slacks(locations, parents) {
 		old, existed := before[key{slack.Constraint, slack.Thing}]
-		if slack.Worse(old, existed) {
+		if slack.IsNewViolation(old, existed) {
 			broken = append(broken, slack)
 		}
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -70,8 +70,8 @@
 // Locations are all locations by name.
 func (f Fleet) Locations() iter.Seq[*Location] { return values(f.locations) }
 
-// InSite are the hosts of one site by name.
-func (f Fleet) InSite(site string) iter.Seq[*Host] {
+// HostsInSite are the hosts of one site by name.
+func (f Fleet) HostsInSite(site string) iter.Seq[*Host] {
 	if f.bySite == nil {
 		return values[Host](nil)
 	}
--- a/internal/fleet/fleettest/broken.go
+++ b/internal/fleet/fleettest/broken.go
@@ -35,7 +35,7 @@
 func (s *site) serves(h *fleet.Host) bool { return s.state.Serves(h) && h.Name != s.dying }
 
 func (s *site) count() {
-	for host := range s.state.InSite(s.location.Name) {
+	for host := range s.state.HostsInSite(s.location.Name) {
 		if host.Role != fleet.Cache || !s.serves(host) {
 			continue
 		}
--- a/internal/fleet/location_constraints.go
+++ b/internal/fleet/location_constraints.go
@@ -11,7 +11,7 @@
 }
 
 func (s ObservedState) siteTotals(location string) (t siteTotals) {
-	for host := range s.InSite(location) {
+	for host := range s.HostsInSite(location) {
 		if host.Role != Cache || !s.Serves(host) {
 			continue
 		}
@@ -60,11 +60,11 @@
 }
 
 func (s ObservedState) floorSlack(l *Location, totals siteTotals) Slack {
-	worst := Slack{Constraint: FloorConstraint, Thing: l.Name, Have: totals.warm, Need: l.Floor, Raw: totals.serving}
+	worst := Slack{Constraint: FloorConstraint, Thing: l.Name, Have: totals.warm, Need: l.Floor, RawSlack: totals.serving}
 	for _, host := range totals.caches {
 		if left := totals.warm - host.Serving; !s.IsWarmingUp(host) && left < worst.Have {
 			worst.Have = left
-			worst.Dying = host.Name
+			worst.FailedHost = host.Name
 		}
 	}
 	worst.Slack = worst.Have - worst.Need
@@ -80,11 +80,11 @@
 			continue
 		}
 		slack.Have++
-		if host.Role == Parent && slack.Dying == "" {
-			slack.Dying = name
+		if host.Role == Parent && slack.FailedHost == "" {
+			slack.FailedHost = name
 		}
 	}
-	if slack.Dying != "" {
+	if slack.FailedHost != "" {
 		slack.Have--
 	}
 	slack.Slack = slack.Have - slack.Need
@@ -98,7 +98,7 @@
 		Constraint: WarmingCacheConstraint,
 		Thing:      host.Name,
 		Have:       l.Load * host.Serving / totals.serving,
-		Need:       s.Rules().Cache.BearableLoad(host.Share),
+		Need:       s.Rules().Cache.MaxLoadAtStart(host.Share),
 	}
 	mostAsked := worst.Have
 	for _, dying := range totals.caches {
@@ -111,10 +111,10 @@
 		isOnlyWarm := !s.IsWarmingUp(dying) && totals.warm-dying.Serving <= 0
 		if !isOnlyWarm && asked > worst.Have {
 			worst.Have = asked
-			worst.Dying = dying.Name
+			worst.FailedHost = dying.Name
 		}
 	}
 	worst.Slack = worst.Need - worst.Have
-	worst.Raw = worst.Need - mostAsked
+	worst.RawSlack = worst.Need - mostAsked
 	return worst
 }
--- a/internal/fleet/parent_constraint.go
+++ b/internal/fleet/parent_constraint.go
@@ -19,12 +19,12 @@
 		return load
 	}
 	withoutDeath := asked("")
-	need := s.Rules().Parent.BearableLoad(parent.Share)
-	worst := Slack{Constraint: WarmingParentConstraint, Thing: name, Have: withoutDeath, Need: need, Raw: need - withoutDeath}
+	need := s.Rules().Parent.MaxLoadAtStart(parent.Share)
+	worst := Slack{Constraint: WarmingParentConstraint, Thing: name, Have: withoutDeath, Need: need, RawSlack: need - withoutDeath}
 	for _, dying := range s.relevantDeaths(name, users) {
 		if load := asked(dying); load > worst.Have {
 			worst.Have = load
-			worst.Dying = dying
+			worst.FailedHost = dying
 		}
 	}
 	worst.Slack = worst.Need - worst.Have
@@ -72,5 +72,5 @@
 	if sources <= 0 {
 		return 0
 	}
-	return s.Rules().Fills(l.Load, warm, warming) * parent.Serving / sources
+	return s.Rules().FillLoad(l.Load, warm, warming) * parent.Serving / sources
 }
--- a/internal/fleet/plan/diff_locations.go
+++ b/internal/fleet/plan/diff_locations.go
@@ -64,7 +64,7 @@
 	if is.Floor != 0 || is.Load != 0 {
 		forget.needs = append(forget.needs, d.put(locate(is, closed)))
 	}
-	for host := range d.state.InSite(is.Name) {
+	for host := range d.state.HostsInSite(is.Name) {
 		if remove := d.removes[host.Name]; remove != nil && host.Role == fleet.Cache {
 			forget.needs = append(forget.needs, remove)
 		}
--- a/internal/fleet/plan/ledger.go
+++ b/internal/fleet/plan/ledger.go
@@ -68,7 +68,7 @@
 		if i >= 0 {
 			old = before[i]
 		}
-		if after.Worse(old, i >= 0) {
+		if after.IsNewViolation(old, i >= 0) {
 			rollback()
 			return &after
 		}
--- a/internal/fleet/plan/ledger_constraints.go
+++ b/internal/fleet/plan/ledger_constraints.go
@@ -11,7 +11,7 @@
 		Have:       have,
 		Need:       location.floor,
 		Slack:      have - location.floor,
-		Raw:        location.serving,
+		RawSlack:   location.serving,
 	})
 	if location.caches+len(location.certainSources) > 0 {
 		have := float64(l.liveSources(location))
@@ -74,7 +74,7 @@
 // warmingCacheSlack bounds what a cache that warms up is asked for.
 func (l *ledger) warmingCacheSlack(location *locationLedger, i int) fleet.Slack {
 	cache := location.warming[i]
-	bears := l.rules.Cache.BearableLoad(cache.share)
+	bears := l.rules.Cache.MaxLoadAtStart(cache.share)
 	asked := location.load
 	if warm := location.warmAfterWorstDeath(); warm+cache.serving > 0 {
 		asked = location.load * cache.serving / (warm + cache.serving)
@@ -91,7 +91,7 @@
 		Have:       asked,
 		Need:       bears,
 		Slack:      bears - asked,
-		Raw:        bears - askedWithoutDeath,
+		RawSlack:   bears - askedWithoutDeath,
 	}
 }
 
@@ -109,14 +109,14 @@
 		asked += fills.withDeath
 		askedWithoutDeath += fills.withoutDeath
 	}
-	need := l.rules.Parent.BearableLoad(parent.share)
+	need := l.rules.Parent.MaxLoadAtStart(parent.share)
 	return append(all, fleet.Slack{
 		Constraint: fleet.WarmingParentConstraint,
 		Thing:      parent.name,
 		Have:       asked,
 		Need:       need,
 		Slack:      need - asked,
-		Raw:        need - askedWithoutDeath,
+		RawSlack:   need - askedWithoutDeath,
 	})
 }
 
@@ -125,8 +125,8 @@
 
 func (l *ledger) fillsFrom(parent *sourceLedger, location *locationLedger) fills {
 	warming := location.warmingServing()
-	all := l.rules.Fills(location.load, location.warm.sum, warming)
-	worst := max(all, l.rules.Fills(location.load, location.warm.withoutGreatest(), warming))
+	all := l.rules.FillLoad(location.load, location.warm.sum, warming)
+	worst := max(all, l.rules.FillLoad(location.load, location.warm.withoutGreatest(), warming))
 	others, greatestParent := 0.0, 0.0
 	for _, name := range location.certainSources {
 		s := l.sources[name]
--- a/internal/fleet/plan/ledger_location.go
+++ b/internal/fleet/plan/ledger_location.go
@@ -46,7 +46,7 @@
 		l.load = location.Load
 		l.setSources(location.Sources)
 	}
-	for host := range state.InSite(name) {
+	for host := range state.HostsInSite(name) {
 		if host.Role != fleet.Cache || !state.Serves(host) {
 			continue
 		}
--- a/internal/fleet/plan/plan_test.go
+++ b/internal/fleet/plan/plan_test.go
@@ -49,7 +49,7 @@
 		}
 		state[s.ID] = effected
 		e := s.Event(w.Revision+1, w.NowMS, "test", 1)
-		slacks, err := w.Admit(e)
+		slacks, err := w.Violations(e)
 		if err != nil || len(slacks) > 0 {
 			t.Fatalf("step %d, %v, is not admitted: %v %v\n%s", s.ID, s, err, slacks, text(p))
 		}
--- a/internal/fleet/plan/schedule.go
+++ b/internal/fleet/plan/schedule.go
@@ -206,7 +206,7 @@
 func (s *scheduler) addReads(l *ledger, changes []*change) {
 	for _, name := range slices.Sorted(maps.Keys(l.locations)) {
 		s.plan.Reads = append(s.plan.Reads, s.state.ReadLocation(name))
-		for host := range s.state.InSite(name) {
+		for host := range s.state.HostsInSite(name) {
 			s.addHostRead(host.Name)
 		}
 	}
--- a/internal/fleet/rules.go
+++ b/internal/fleet/rules.go
@@ -9,8 +9,8 @@
 	OverloadFactor float64 `json:"fall"`    // times its present capacity at which it fails
 }
 
-// BearableLoad is the load that a host of a capacity bears the moment it has started.
-func (c SlowStart) BearableLoad(share float64) float64 {
+// MaxLoadAtStart is the load that a host of a capacity bears the moment it has started.
+func (c SlowStart) MaxLoadAtStart(share float64) float64 {
 	return c.OverloadFactor * c.InitialShare * share
 }
 
@@ -57,9 +57,9 @@
 	return r.Cache
 }
 
-// Fills is what a location asks of its sources, in units of share: the misses of its warm caches, and all that those that warm up are
+// FillLoad is what a location asks of its sources, in units of share: the misses of its warm caches, and all that those that warm up are
 // asked for.
-func (r Rules) Fills(load, warm, warming float64) float64 {
+func (r Rules) FillLoad(load, warm, warming float64) float64 {
 	if warm+warming <= 0 {
 		return 0
 	}
