--- a/internal/fleet/observe/monitor.go
+++ b/internal/fleet/observe/monitor.go
@@ -9,53 +9,55 @@
 	"stairvane.org/stairvane/internal/fleet"
 )
 
-// Settings of a monitor.
+// Settings are the parameters of a Monitor.
 type Settings struct {
-	EveryMS   int64 // between two pings of a host, in milliseconds
-	TimeoutMS int64 // in which an answer must come, in milliseconds
-	Misses    int   // answers in a row that must be missing before a host counts as unreachable
+	EveryMS   int64 // time between two pings of a host, in milliseconds
+	TimeoutMS int64 // time in which a host must answer a ping, in milliseconds
+	Misses    int   // consecutive missed answers after which a host counts as unreachable
 }
 
-// Action is what the caller is to do: connect to a host, closing an older connection, or ping over the one that there is.
+// Action is an instruction to the caller: connect to a host, closing any older connection, or send a ping over the existing connection.
 type Action struct {
 	Host    string
 	Address string // to connect to; empty: ping
-	Tag     string // of the ping, which the answer repeats
+	Tag     string // identifies the ping; the answer repeats it
 }
 
 // Monitor observes hosts. It is not safe for concurrent use.
 type Monitor struct {
-	set      Settings
-	hosts    map[string]*host
-	lastPing int64 // the tags of pings count up
+	settings       Settings
+	hosts          map[string]*host
+	lastPingNumber int64 // number of the last ping, from which its tag is made
 }
 
-// host is what is known of one host.
+// host is the state of one observed host.
 type host struct {
 	name        string
 	address     string
 	observation fleet.Observation
 	connected   bool
 	connecting  bool
-	tag         string // of the ping without an answer; empty: there is none
+	tag         string // of the unanswered ping; empty: no ping is pending
 	sentMS      int64  // when that ping was sent
-	nextMS      int64  // when to ping or connect again
-	misses      int    // in a row
-	wasUp       bool   // an answer has come since the host was declared
+	nextMS      int64  // when to send the next ping or connect again
+	misses      int    // consecutive missed answers
+	wasUp       bool   // a ping was answered since the host was declared
 
-	// A process that has ended refuses connections. If its machine has ended too the host is silent, and later does not know the old
-	// connection. If the next connection succeeds at once after one was lost, the network has cut it.
+	// These fields distinguish a restart from a lost connection. If only the process has ended, its machine refuses connections. If the
+	// machine has ended too, the host does not answer, and the old connection does not survive the restart. If the next connection
+	// succeeds immediately after one was lost, the network has interrupted it and the process has not restarted.
 	lost    bool // the last connection was lost
-	refused bool // since then a connection was refused: the process has ended
-	silent  bool // since then the host did not answer at all: its machine may have ended
+	refused bool // a connection was refused since then: the process has ended
+	silent  bool // the host was unreachable since then: its machine may have ended
 }
 
-// New makes a monitor that observes no host yet.
-func New(s Settings) *Monitor { return &Monitor{set: s, hosts: map[string]*host{}} }
+// New returns a monitor without hosts.
+func New(s Settings) *Monitor { return &Monitor{settings: s, hosts: map[string]*host{}} }
 
-// Declare has a host observed. A host is unknown at first, and again under a new address or after it was put in service anew.
-func (m *Monitor) Declare(name, address string, anew bool, nowMS int64) {
-	if h := m.hosts[name]; h != nil && h.address == address && !anew {
+// Declare adds a host to the monitor, with the sight Unknown. It does nothing for a host that is already observed at this address, unless
+// replaced is set: the host was put in service again.
+func (m *Monitor) Declare(name, address string, replaced bool, nowMS int64) {
+	if h := m.hosts[name]; h != nil && h.address == address && !replaced {
 		return
 	}
 	m.hosts[name] = &host{
@@ -66,16 +68,16 @@
 	}
 }
 
-// Remove ends the observation of a host.
+// Remove removes a host from the monitor.
 func (m *Monitor) Remove(name string) { delete(m.hosts, name) }
 
-// Known tells whether a host is observed at this address.
+// Known reports whether a host is observed at an address.
 func (m *Monitor) Known(name, address string) bool {
 	h := m.hosts[name]
 	return h != nil && h.address == address
 }
 
-// Observations are those of all hosts, by name, in no order.
+// Observations yields the observations of all hosts by name, in no particular order.
 func (m *Monitor) Observations() iter.Seq2[string, fleet.Observation] {
 	return func(yield func(string, fleet.Observation) bool) {
 		for name, h := range m.hosts {
@@ -86,7 +88,7 @@
 	}
 }
 
-// Observation is that of one host.
+// Observation returns the observation of a host; its sight is Unknown for a host that is not observed.
 func (m *Monitor) Observation(name string) fleet.Observation {
 	if h := m.hosts[name]; h != nil {
 		return h.observation
@@ -94,7 +96,7 @@
 	return fleet.Observation{Sight: fleet.Unknown}
 }
 
-// Connected reports that a connection has come up.
+// Connected records that a connection was established. It returns the first ping.
 func (m *Monitor) Connected(name string, nowMS int64) []Action {
 	h := m.hosts[name]
 	if h == nil {
@@ -102,10 +104,11 @@
 	}
 	h.connecting = false
 	h.connected = true
-	return []Action{m.ping(h, nowMS)}
+	return []Action{m.pingAction(h, nowMS)}
 }
 
-// Disconnected reports that a connection has ended or did not come up. refused: the machine has answered that nobody listens.
+// Disconnected records that a connection was lost or could not be established. refused means that the machine refused the connection
+// since no process listens at the address.
 func (m *Monitor) Disconnected(name string, refused bool, nowMS int64) {
 	h := m.hosts[name]
 	if h == nil {
@@ -113,18 +116,18 @@
 	}
 	if h.connected {
 		h.lost = true
-		h.nextMS = nowMS // at once: whether the next one is refused tells a dead process from a cut connection
+		h.nextMS = nowMS // immediately: the result distinguishes a process that has ended from an interrupted connection
 	} else {
 		h.refused = h.refused || refused
-		m.miss(h, nowMS)
-		h.nextMS = nowMS + min(m.set.EveryMS, m.set.TimeoutMS)
+		m.countMiss(h, nowMS)
+		h.nextMS = nowMS + min(m.settings.EveryMS, m.settings.TimeoutMS)
 	}
 	h.connected = false
 	h.connecting = false
 	h.tag = ""
 }
 
-// Pong reports the answer to a ping. It tells whether the observation has changed.
+// Pong records the answer to a ping. It reports whether the observation has changed. Answers to other than the pending ping are ignored.
 func (m *Monitor) Pong(name, tag string, nowMS int64) bool {
 	h := m.hosts[name]
 	if h == nil || h.tag != tag {
@@ -144,45 +147,46 @@
 	return h.observation != before
 }
 
-// Tick gives what is due at a time. The connection of a silent host is not closed: if the host answers over it, it has not restarted.
+// Tick returns the actions that are due at nowMS and counts pings that have timed out. The connection of an unresponsive host is kept open:
+// if the host answers over it later, it has not restarted.
 func (m *Monitor) Tick(nowMS int64) (actions []Action) {
 	for _, name := range slices.Sorted(maps.Keys(m.hosts)) {
 		h := m.hosts[name]
-		// The end of an attempt to connect is reported by Connected or Disconnected.
-		if h.tag != "" && nowMS >= h.sentMS+m.set.TimeoutMS {
-			m.miss(h, nowMS)
+		// The caller reports the result of an attempt to connect by Connected or Disconnected, so there is no timeout here.
+		if h.tag != "" && nowMS >= h.sentMS+m.settings.TimeoutMS {
+			m.countMiss(h, nowMS)
 			h.tag = ""
 			h.nextMS = min(h.nextMS, nowMS)
 		}
 		switch {
 		case h.tag != "" || h.connecting || nowMS < h.nextMS:
 		case h.connected:
-			actions = append(actions, m.ping(h, nowMS))
+			actions = append(actions, m.pingAction(h, nowMS))
 		default:
-			actions = append(actions, m.connect(h, nowMS))
+			actions = append(actions, m.connectAction(h, nowMS))
 		}
 	}
 	return actions
 }
 
-func (m *Monitor) connect(h *host, nowMS int64) Action {
+func (m *Monitor) connectAction(h *host, nowMS int64) Action {
 	h.connecting = true
-	h.nextMS = nowMS + m.set.EveryMS
+	h.nextMS = nowMS + m.settings.EveryMS
 	return Action{Host: h.name, Address: h.address}
 }
 
-func (m *Monitor) ping(h *host, nowMS int64) Action {
-	m.lastPing++
-	h.tag = "o" + strconv.FormatInt(m.lastPing, 36)
+func (m *Monitor) pingAction(h *host, nowMS int64) Action {
+	m.lastPingNumber++
+	h.tag = "o" + strconv.FormatInt(m.lastPingNumber, 36)
 	h.sentMS = nowMS
-	h.nextMS = nowMS + m.set.EveryMS
+	h.nextMS = nowMS + m.settings.EveryMS
 	return Action{Host: h.name, Tag: h.tag}
 }
 
-// miss counts an answer that did not come.
-func (m *Monitor) miss(h *host, nowMS int64) {
+// countMiss counts a missed answer, and marks the host as unreachable after the configured number of misses.
+func (m *Monitor) countMiss(h *host, nowMS int64) {
 	h.misses++
-	if h.misses >= m.set.Misses {
+	if h.misses >= m.settings.Misses {
 		h.silent = true
 		h.setSight(fleet.Unreachable, nowMS)
 	}
--- a/internal/fleet/observe/monitor_test.go
+++ b/internal/fleet/observe/monitor_test.go
@@ -6,7 +6,7 @@
 	"stairvane.org/stairvane/internal/fleet"
 )
 
-// scenario drives a monitor of one host. Its methods are what the host does.
+// scenario drives a monitor of one host and simulates the host.
 type scenario struct {
 	t       *testing.T
 	monitor *Monitor
@@ -51,7 +51,7 @@
 	}
 }
 
-// A process that has ended refuses connections. When the host answers again it has restarted.
+// A host has restarted if it refused a connection after one was lost and then answers again.
 func TestRestartAfterRefusedConnection(t *testing.T) {
 	s := newScenario(t)
 	s.want(fleet.Unknown, false)
@@ -61,12 +61,12 @@
 	s.monitor.Disconnected("c-1", false, s.nowMS)
 	s.take(s.monitor.Tick(s.nowMS))
 	s.monitor.Disconnected("c-1", true, s.nowMS)
-	s.want(fleet.Up, false) // one refusal is fewer than three
+	s.want(fleet.Up, false) // one refusal is fewer than three misses
 	s.connect()
 	s.want(fleet.Up, true)
 }
 
-// A connection that was cut while the host goes on is no restart.
+// A lost connection to a host that keeps running is not a restart.
 func TestLostConnectionIsNoRestart(t *testing.T) {
 	s := newScenario(t)
 	s.connect()
@@ -76,8 +76,8 @@
 	s.want(fleet.Up, false)
 }
 
-// A silent host is unreachable after some pings. If it answers over its old connection it has not restarted. If that connection is
-// lost it has.
+// A host that does not answer is unreachable after the configured number of pings. If it later answers over its old connection, it has not
+// restarted; if that connection is lost first, it has.
 func TestUnreachableAfterMissedPings(t *testing.T) {
 	for _, lost := range []bool{false, true} {
 		s := newScenario(t)
@@ -87,7 +87,7 @@
 		}
 		s.want(fleet.Unreachable, false)
 		if s.nowMS > 4000 {
-			t.Errorf("seen after %d ms", s.nowMS-2000)
+			t.Errorf("found unreachable after %d ms", s.nowMS-2000)
 		}
 		if lost {
 			s.monitor.Disconnected("c-1", false, s.nowMS)
@@ -101,7 +101,7 @@
 	}
 }
 
-// A host that was put in service anew under the same name and address is unknown.
+// A host that was put in service again under the same name and address is unknown.
 func TestReplacedHostIsUnknown(t *testing.T) {
 	s := newScenario(t)
 	s.connect()
