--- a/internal/fleet/fleettest/fleettest.go
+++ b/internal/fleet/fleettest/fleettest.go
@@ -1,4 +1,5 @@
-// Package fleettest makes small fleets for the tests of the fleet's packages, and finds broken constraints without the code under test.
+// Package fleettest builds small fleets for the tests of package fleet and its subpackages, and finds violated constraints independently of
+// the code under test.
 package fleettest
 
 import (
@@ -13,7 +14,7 @@
 	"stairvane.org/stairvane/internal/fleet"
 )
 
-// Rules are for small fleets: under them many desired states have a plan, and many orders of steps break a constraint.
+// Rules returns rules for small fleets under which many desired states have a plan and many orders of steps violate a constraint.
 func Rules() fleet.Rules {
 	r := fleet.DefaultRules()
 	r.MaxParallelSteps = 3
@@ -22,7 +23,8 @@
 
 var sites = []string{"east", "west"}
 
-// DrawDesiredState draws a small fleet of up to so many caches: two locations that share names, addresses and sources.
+// DrawDesiredState draws a small desired state of at most the given number of caches, in two locations that share names, addresses and
+// sources.
 func DrawDesiredState(t *rapid.T, caches int) fleet.DesiredState {
 	d := fleet.DesiredState{Rules: Rules()}
 	d.Rules.MaxWarmingShare = rapid.SampledFrom([]float64{0.25, 0.5, 1}).Draw(t, "cold-most")
@@ -59,15 +61,16 @@
 		}
 	}
 	for _, site := range sites {
-		if sum, greatest := cacheShares(d, site); sum > 0 {
-			d.Locations = append(d.Locations, drawLocation(t, site, int(sum-greatest), sources))
+		if sum, largest := cacheShares(d, site); sum > 0 {
+			d.Locations = append(d.Locations, drawLocation(t, site, int(sum-largest), sources))
 		}
 	}
 	d.Normalize()
 	return d
 }
 
-// drawCache draws a cache. There are few names and fewer addresses, so that caches are replaced under their name and at their address.
+// drawCache draws a cache. There are few names and even fewer addresses, so that caches are often replaced under the same name or at the
+// same address.
 func drawCache(t *rapid.T, i int) fleet.HostSpec {
 	return fleet.HostSpec{
 		Name:    fmt.Sprintf("c-%d", i),
@@ -80,7 +83,7 @@
 	}
 }
 
-// drawLocation draws a location whose floor holds with its greatest cache dying.
+// drawLocation draws a location whose floor holds if its largest cache fails.
 func drawLocation(t *rapid.T, site string, greatestFloor int, sources []string) fleet.Location {
 	floor := float64(rapid.IntRange(0, greatestFloor).Draw(t, "floor"))
 	n := rapid.IntRange(1, len(sources)).Draw(t, "sources")
@@ -92,7 +95,7 @@
 	}
 }
 
-// cacheShares are the sum and the greatest of the shares of a site's caches.
+// cacheShares returns the sum and the maximum of the shares of a site's caches.
 func cacheShares(d fleet.DesiredState, site string) (sum, greatest float64) {
 	for _, h := range d.Hosts {
 		if h.Role == fleet.Cache && h.Site == site {
@@ -103,7 +106,7 @@
 	return sum, greatest
 }
 
-// Build makes a fleet that is as desired, and warm.
+// Build returns a fleet in the desired state, with all hosts warm.
 func Build(t interface{ Fatal(...any) }, desired fleet.DesiredState) fleet.Fleet {
 	var f fleet.Fleet
 	put := func(e fleet.Event) {
@@ -123,13 +126,13 @@
 	return f
 }
 
-// Main runs a package's tests. Random tests draw the same cases every time, unless another number of cases (-rapid.checks) or a seed
-// (-rapid.seed) is given: CI has one verdict, and long runs look further.
+// Main runs a package's tests. Random tests draw the same cases in every run, so that the result in CI is reproducible. Longer runs can
+// draw other cases by setting the number of cases (-rapid.checks) or the seed (-rapid.seed).
 func Main(m *testing.M) {
 	flag.Parse()
 	checks, seed := flag.Lookup("rapid.checks"), flag.Lookup("rapid.seed")
 	if checks.Value.String() == checks.DefValue && seed.Value.String() == seed.DefValue {
-		_ = seed.Value.Set("20261201") // a number is always valid
+		_ = seed.Value.Set("20261201") // a number is always a valid seed
 		_ = checks.Value.Set("1000")
 	}
 	os.Exit(m.Run())
