--- a/internal/fleet/compatibility_test.go
+++ b/internal/fleet/compatibility_test.go
@@ -8,7 +8,8 @@
 	"stairvane.org/stairvane/internal/tools/golden"
 )
 
-// TestLandedForms guards stored events and snapshots, and the sums that plans compare: they must not change with a field's name.
+// TestLandedForms checks that the encodings of stored events and snapshots, and the checksums that plans compare, stay the same when a
+// Go field is renamed.
 func TestLandedForms(t *testing.T) {
 	golden.Check[Event](t, "event.cbor", Encode, cbor.Unmarshal)
 	golden.Check[Dump](t, "fleet.cbor", Encode, cbor.Unmarshal)
--- a/internal/fleet/constraints.go
+++ b/internal/fleet/constraints.go
@@ -6,50 +6,51 @@
 	"slices"
 )
 
-// Constraint names one of the constraints.
+// Constraint identifies a rule that the fleet must satisfy while it changes.
 type Constraint string
 
-// The constraints. Each must hold at every moment of a change, with any one host dying.
+// The constraints. Each must hold at every moment of a change, also if any one host fails.
 const (
-	FloorConstraint           Constraint = "floor"     // the share of warm caches in service is at least the location's floor
-	SourceConstraint          Constraint = "source"    // a location with caches has a source that serves
-	WarmingCapacityConstraint Constraint = "cold-most" // no more of a location's capacity warms up than the rules allow
-	WarmingCacheConstraint    Constraint = "cold"      // a cache that warms up is asked for no more than it bears
-	WarmingParentConstraint   Constraint = "cold-hub"  // a parent that warms up is asked for no more than it bears
+	FloorConstraint           Constraint = "floor"     // the serving share of the warm caches is at least the location's floor
+	SourceConstraint          Constraint = "source"    // a location with caches has at least one serving source
+	WarmingCapacityConstraint Constraint = "cold-most" // the part of a location's capacity that is warming up stays within the rules
+	WarmingCacheConstraint    Constraint = "cold"      // the load on a warming cache stays within what it can handle
+	WarmingParentConstraint   Constraint = "cold-hub"  // the load on a warming parent cache stays within what it can handle
 )
 
-// Slack is by how much a constraint holds: Have - Need for floors, Need - Have for loads. It is broken if Slack is negative.
+// Slack is the margin by which a constraint holds: Have - Need for lower bounds (floors and sources), Need - Have for upper bounds (loads).
+// The constraint is violated if the margin is negative.
 type Slack struct {
 	Constraint Constraint
-	Thing      string // the location or the host that it is about
+	Thing      string // name of the location or host that the constraint applies to
 	Have       float64
 	Need       float64
 	Slack      float64
-	RawSlack   float64 // Slack without exemptions or deaths; for a floor, the share in service whether warm or not
-	FailedHost string  // the host whose death is the worst case; may be empty
+	RawSlack   float64 // Slack without exemptions or host failures; for a floor, the share in service whether warm or not
+	FailedHost string  // host whose failure is the worst case; may be empty
 }
 
 func (s Slack) String() string {
 	worst := ""
 	if s.FailedHost != "" {
-		worst = " with " + s.FailedHost + " dying"
+		worst = " if " + s.FailedHost + " fails"
 	}
 	switch s.Constraint {
 	case FloorConstraint:
-		return fmt.Sprintf("floor of location %s: share %.4g in service and warm%s, %.4g needed", s.Thing, s.Have, worst, s.Need)
+		return fmt.Sprintf("floor of location %s: share %.4g in service and warm%s, %.4g required", s.Thing, s.Have, worst, s.Need)
 	case SourceConstraint:
-		return fmt.Sprintf("sources of location %s: %.0f would serve%s, one needed", s.Thing, s.Have, worst)
+		return fmt.Sprintf("sources of location %s: %.0f serving%s, at least one required", s.Thing, s.Have, worst)
 	case WarmingCapacityConstraint:
-		return fmt.Sprintf("cold capacity of location %s: %.4g at once, %.4g allowed", s.Thing, s.Have, s.Need)
+		return fmt.Sprintf("warming capacity of location %s: %.4g at once, %.4g allowed", s.Thing, s.Have, s.Need)
 	case WarmingCacheConstraint:
-		return fmt.Sprintf("cold cache %s: asked for %.4g%s, bears %.4g", s.Thing, s.Have, worst, s.Need)
+		return fmt.Sprintf("warming cache %s: load %.4g%s, at most %.4g allowed", s.Thing, s.Have, worst, s.Need)
 	}
-	return fmt.Sprintf("cold hub %s: asked for %.4g%s with fills counted, bears %.4g", s.Thing, s.Have, worst, s.Need)
+	return fmt.Sprintf("warming parent cache %s: load %.4g from fills%s, at most %.4g allowed", s.Thing, s.Have, worst, s.Need)
 }
 
-// IsNewViolation tells whether a constraint that does not hold after a step is broken by that step. It is not if the constraint was
-// broken before and the step has not made it worse. A step that only ends an exemption, as a second warm cache in a location does, makes
-// nothing worse.
+// IsNewViolation reports whether the constraint is violated after a step and the step is the cause: the constraint held before, or the
+// step has made the violation worse. before is the slack before the step; existed is false if the constraint did not apply then. A step
+// that only ends an exemption, such as the addition of a location's second warm cache, is not the cause of a violation.
 func (s Slack) IsNewViolation(before Slack, existed bool) bool {
 	if !less(s.Slack, 0) || existed && less(before.RawSlack, s.RawSlack) {
 		return false
@@ -57,14 +58,14 @@
 	return !existed || less(s.Slack, before.Slack) || less(s.RawSlack, before.RawSlack)
 }
 
-// roundingError is what shares may differ by and count as equal.
-const roundingError = 1e-9
+// shareTolerance is the difference up to which shares count as equal, because of rounding errors.
+const shareTolerance = 1e-9
 
-// less compares shares, rounding errors aside.
-func less(a, b float64) bool { return a < b-roundingError }
+// less reports whether share a is smaller than share b by more than shareTolerance.
+func less(a, b float64) bool { return a < b-shareTolerance }
 
-// Violations gives the constraints that an event would break: those that are broken after it and were not, or less so, before. A state that
-// breaks constraints already may become better step by step, and never worse.
+// Violations returns the constraints that an event would violate: those that do not hold after it and held before, or were violated less.
+// A state that violates constraints already may thus be improved step by step, but never be made worse. The error is that of Check.
 func (s ObservedState) Violations(e Event) ([]Slack, error) {
 	after := s
 	var err error
@@ -75,13 +76,13 @@
 		constraint Constraint
 		thing      string
 	}
-	locations, parents := s.touched(e)
+	locations, parents := s.affectedBy(e)
 	before := map[key]Slack{}
-	for _, slack := range s.slacks(locations, parents) {
+	for _, slack := range s.slacksOf(locations, parents) {
 		before[key{slack.Constraint, slack.Thing}] = slack
 	}
 	var broken []Slack
-	for _, slack := range after.slacks(locations, parents) {
+	for _, slack := range after.slacksOf(locations, parents) {
 		old, existed := before[key{slack.Constraint, slack.Thing}]
 		if slack.IsNewViolation(old, existed) {
 			broken = append(broken, slack)
@@ -91,8 +92,8 @@
 	return broken, nil
 }
 
-// touched are the locations and parents whose constraints an event may change, each once and sorted.
-func (s ObservedState) touched(e Event) (locations, parents []string) {
+// affectedBy returns the locations and parents whose constraints an event may affect, sorted and without duplicates.
+func (s ObservedState) affectedBy(e Event) (locations, parents []string) {
 	add := func(l *Location) {
 		locations = append(locations, l.Name)
 		for _, source := range l.Sources {
@@ -113,7 +114,7 @@
 		}
 	case e.Host != nil:
 		parents = append(parents, e.Host.Name)
-		for _, l := range s.filledFrom(e.Host.Name) {
+		for _, l := range s.locationsUsing(e.Host.Name) {
 			add(l)
 		}
 	}
@@ -122,18 +123,18 @@
 	return slices.Compact(locations), slices.Compact(parents)
 }
 
-// filledFrom are the locations that name a source.
-func (s ObservedState) filledFrom(source string) (users []*Location) {
+// locationsUsing returns the locations that list a source.
+func (s ObservedState) locationsUsing(source string) (locations []*Location) {
 	for l := range s.Locations() {
 		if slices.Contains(l.Sources, source) {
-			users = append(users, l)
+			locations = append(locations, l)
 		}
 	}
-	return users
+	return locations
 }
 
-// slacks measures all constraints of some locations and parents.
-func (s ObservedState) slacks(locations, parents []string) (all []Slack) {
+// slacksOf returns the slacks of all constraints of the given locations and parents.
+func (s ObservedState) slacksOf(locations, parents []string) (all []Slack) {
 	for _, name := range locations {
 		all = append(all, s.LocationSlacks(name)...)
 	}
--- a/internal/fleet/dump.go
+++ b/internal/fleet/dump.go
@@ -7,7 +7,7 @@
 	"github.com/benbjohnson/immutable"
 )
 
-// Dump is a fleet in the form in which it is stored and sent.
+// Dump is a snapshot of a fleet in its stored and transmitted form.
 type Dump struct {
 	Revision         int64           `json:"revision"`
 	EndpointRevision int64           `json:"roster_no"`
@@ -18,7 +18,7 @@
 	Membership       *MembershipDump `json:"roll,omitempty"`
 }
 
-// Dump lists all that a fleet has. The values are shared with the fleet and must not be changed.
+// Dump returns a snapshot of the fleet. Its values are shared with the fleet and must not be modified.
 func (f Fleet) Dump() Dump {
 	d := Dump{
 		Revision:         f.Revision,
@@ -36,7 +36,7 @@
 	return d
 }
 
-// Restore makes a fleet from a dump, or tells why the dump is none of a fleet.
+// Restore returns the fleet that a dump describes. It returns an error if the dump is invalid.
 func Restore(d Dump) (Fleet, error) {
 	f := Fleet{Revision: d.Revision, EndpointRevision: d.EndpointRevision, rules: d.Rules}
 	for _, host := range d.Hosts {
@@ -49,7 +49,7 @@
 	}
 	for _, location := range d.Locations {
 		if location == nil {
-			return Fleet{}, errors.New("fleet: a dump with a location that is not there")
+			return Fleet{}, errors.New("fleet: dump contains a null location")
 		}
 		f.locations = f.locations.Set(location.Name, location)
 	}
@@ -59,13 +59,14 @@
 	return f, f.restoreMembership(d.Membership)
 }
 
-// restoreHost adds a host in any state. The check of an event that adds one allows only InService.
+// restoreHost adds a host that is in service or terminating. It runs checkHost with the state InService, since checkHost accepts a new
+// host in no other state.
 func (f *Fleet) restoreHost(h *Host) error {
 	if h == nil || h.State == Terminated {
-		return errors.New("fleet: a dump with a box that is not there")
+		return errors.New("fleet: dump contains a null or terminated host")
 	}
 	if f.Host(h.Name) != nil {
-		return fmt.Errorf("fleet: a dump with box %s twice", h.Name)
+		return fmt.Errorf("fleet: dump contains host %s twice", h.Name)
 	}
 	if err := f.checkHost(&Host{HostSpec: h.HostSpec, State: InService}); err != nil {
 		return err
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -12,11 +12,11 @@
 	locationMap = immutable.SortedMap[string, *Location]
 )
 
-// Fleet is the declared state after the event numbered Revision. It is an immutable value: Apply makes a new one and leaves the old one as
-// it was. The zero Fleet is empty.
+// Fleet is the declared state after the event numbered Revision. It is an immutable value: Apply returns a new Fleet and leaves its
+// receiver unchanged. The zero Fleet is empty.
 type Fleet struct {
 	Revision         int64
-	EndpointRevision int64 // of the last event that directors see as a change of the endpoint list
+	EndpointRevision int64 // of the last event that counts as a new version of the endpoint list
 	rules            *Rules
 	hosts            *hostMap // by name
 	locations        *locationMap
@@ -27,7 +27,7 @@
 	shards           *[ShardCount]Shard
 }
 
-// Rules in force.
+// Rules returns the rules in force: DefaultRules until an event sets others.
 func (f Fleet) Rules() Rules {
 	if f.rules == nil {
 		return DefaultRules()
@@ -35,19 +35,19 @@
 	return *f.rules
 }
 
-// WithRules is the fleet as it would be under other rules.
+// WithRules returns a copy of the fleet with the given rules.
 func (f Fleet) WithRules(r Rules) Fleet {
 	f.rules = &r
 	return f
 }
 
-// Host finds a host; nil if there is none of that name.
+// Host returns the host with a name, or nil if there is none.
 func (f Fleet) Host(name string) *Host { return get(f.hosts, name) }
 
-// Location finds a location; nil if there is none of that name.
+// Location returns the location with a name, or nil if there is none.
 func (f Fleet) Location(name string) *Location { return get(f.locations, name) }
 
-// HostAt finds the host that has an address; nil if there is none.
+// HostAt returns the host with an address, or nil if there is none.
 func (f Fleet) HostAt(address string) *Host {
 	if f.addresses == nil {
 		return nil
@@ -56,7 +56,7 @@
 	return f.Host(name)
 }
 
-// Len is how many hosts there are.
+// Len returns the number of hosts.
 func (f Fleet) Len() int {
 	if f.hosts == nil {
 		return 0
@@ -64,22 +64,22 @@
 	return f.hosts.Len()
 }
 
-// Hosts are all hosts by name.
-func (f Fleet) Hosts() iter.Seq[*Host] { return values(f.hosts) }
+// Hosts returns all hosts, sorted by name.
+func (f Fleet) Hosts() iter.Seq[*Host] { return sortedValues(f.hosts) }
 
-// Locations are all locations by name.
-func (f Fleet) Locations() iter.Seq[*Location] { return values(f.locations) }
+// Locations returns all locations, sorted by name.
+func (f Fleet) Locations() iter.Seq[*Location] { return sortedValues(f.locations) }
 
-// HostsInSite are the hosts of one site by name.
+// HostsInSite returns the hosts of one site, sorted by name.
 func (f Fleet) HostsInSite(site string) iter.Seq[*Host] {
 	if f.bySite == nil {
-		return values[Host](nil)
+		return sortedValues[Host](nil)
 	}
 	hosts, _ := f.bySite.Get(site)
-	return values(hosts)
+	return sortedValues(hosts)
 }
 
-// PurgesAfter are the purges that are still sent and have revisions above one, in order.
+// PurgesAfter returns the retained purges with revisions above the given one, in the order of their revisions.
 func (f Fleet) PurgesAfter(revision int64) []PurgeMark {
 	if f.purgeMarks == nil {
 		return nil
@@ -92,7 +92,7 @@
 	return marks
 }
 
-// Apply is the state after an event. The error is that of Check.
+// Apply returns the fleet after an event. The error is that of Check.
 func (f Fleet) Apply(e Event) (Fleet, error) {
 	if err := f.Check(e); err != nil {
 		return f, err
@@ -116,7 +116,7 @@
 	return f, nil
 }
 
-// setHost adds or replaces a host, or removes it if it is terminated.
+// setHost adds or replaces a host, or removes it if its state is Terminated.
 func (f *Fleet) setHost(h *Host) {
 	if f.hosts == nil {
 		f.hosts = &hostMap{}
@@ -136,7 +136,7 @@
 	f.changeSite(h.Site, func(hosts *hostMap) *hostMap { return hosts.Set(h.Name, h) })
 }
 
-// changeSite changes the hosts of one site. A site without hosts is not in the map.
+// changeSite replaces the host map of one site by the result of change. A site without hosts is removed from the map of sites.
 func (f *Fleet) changeSite(site string, change func(*hostMap) *hostMap) {
 	hosts, _ := f.bySite.Get(site)
 	if hosts == nil {
@@ -161,7 +161,7 @@
 	f.locations = f.locations.Set(l.Name, l)
 }
 
-// addPurge adds a purge and drops those that are no longer sent.
+// addPurge appends a purge and removes those that have expired.
 func (f *Fleet) addPurge(p PurgeMark, nowMS int64) {
 	if f.purgeMarks == nil {
 		f.purgeMarks = immutable.NewList[PurgeMark]()
@@ -177,7 +177,7 @@
 	f.purgeMarks = marks.Append(p)
 }
 
-// get finds a value in a map that may be nil.
+// get returns a value from a map that may be nil.
 func get[V any](m *immutable.SortedMap[string, *V], name string) *V {
 	if m == nil {
 		return nil
@@ -186,8 +186,8 @@
 	return v
 }
 
-// values are those of a map that may be nil, by key.
-func values[V any](m *immutable.SortedMap[string, *V]) iter.Seq[*V] {
+// sortedValues returns the values of a map that may be nil, sorted by key.
+func sortedValues[V any](m *immutable.SortedMap[string, *V]) iter.Seq[*V] {
 	return func(yield func(*V) bool) {
 		if m == nil {
 			return
--- a/internal/fleet/location_constraints.go
+++ b/internal/fleet/location_constraints.go
@@ -1,13 +1,13 @@
 package fleet
 
-// siteTotals are what the constraints of one location are made of.
+// siteTotals holds the sums over the serving caches of one location from which its constraints are computed.
 type siteTotals struct {
-	warm            float64 // serving, of the caches that are warm
-	serving         float64 // of all caches that serve
-	capacity        float64 // of all caches that serve
-	warmingCapacity float64
+	warm            float64 // serving share of the warm caches
+	serving         float64 // serving share of all caches
+	capacity        float64 // share of all caches
+	warmingCapacity float64 // share of the warming caches
 	warming         []*Host
-	caches          []*Host // that serve
+	caches          []*Host
 }
 
 func (s ObservedState) siteTotals(location string) (t siteTotals) {
@@ -28,8 +28,8 @@
 	return t
 }
 
-// LocationSlacks measures the constraints of one location. Those about warming up do not count for a location without load, which is
-// not open yet, and where a single cache is all that there is, for then there is no other way.
+// LocationSlacks returns the slacks of the constraints of one location. The constraints on warm-up do not apply to a location without
+// load, which is not open yet, nor to a location whose only cache is warming up, since no other cache could take its load.
 func (s ObservedState) LocationSlacks(name string) (all []Slack) {
 	l := s.Location(name)
 	if l == nil {
@@ -62,8 +62,8 @@
 func (s ObservedState) floorSlack(l *Location, totals siteTotals) Slack {
 	worst := Slack{Constraint: FloorConstraint, Thing: l.Name, Have: totals.warm, Need: l.Floor, RawSlack: totals.serving}
 	for _, host := range totals.caches {
-		if left := totals.warm - host.Serving; !s.IsWarmingUp(host) && left < worst.Have {
-			worst.Have = left
+		if remaining := totals.warm - host.Serving; !s.IsWarmingUp(host) && remaining < worst.Have {
+			worst.Have = remaining
 			worst.FailedHost = host.Name
 		}
 	}
@@ -71,7 +71,7 @@
 	return worst
 }
 
-// sourceSlack counts the sources that serve, with one parent dying.
+// sourceSlack returns the slack of the number of serving sources if one parent fails.
 func (s ObservedState) sourceSlack(l *Location) Slack {
 	slack := Slack{Constraint: SourceConstraint, Thing: l.Name, Need: 1}
 	for _, name := range l.Sources {
@@ -91,8 +91,8 @@
 	return slack
 }
 
-// warmingCacheSlack is what a cache that warms up is asked for: directors divide the location's load by the shares that they are sent.
-// The death of the only warm cache is exempt, for without it the location is not open.
+// warmingCacheSlack returns the slack of the load on a warming cache. Directors divide the location's load in proportion to the serving
+// shares. The failure of the only warm cache is exempt, since the location is not open without it.
 func (s ObservedState) warmingCacheSlack(l *Location, totals siteTotals, host *Host) Slack {
 	worst := Slack{
 		Constraint: WarmingCacheConstraint,
@@ -100,21 +100,21 @@
 		Have:       l.Load * host.Serving / totals.serving,
 		Need:       s.Rules().Cache.MaxLoadAtStart(host.Share),
 	}
-	mostAsked := worst.Have
-	for _, dying := range totals.caches {
-		left := totals.serving - dying.Serving
-		if dying == host || left <= 0 {
+	highestLoad := worst.Have
+	for _, failed := range totals.caches {
+		remaining := totals.serving - failed.Serving
+		if failed == host || remaining <= 0 {
 			continue
 		}
-		asked := l.Load * host.Serving / left
-		mostAsked = max(mostAsked, asked)
-		isOnlyWarm := !s.IsWarmingUp(dying) && totals.warm-dying.Serving <= 0
-		if !isOnlyWarm && asked > worst.Have {
-			worst.Have = asked
-			worst.FailedHost = dying.Name
+		requested := l.Load * host.Serving / remaining
+		highestLoad = max(highestLoad, requested)
+		isOnlyWarm := !s.IsWarmingUp(failed) && totals.warm-failed.Serving <= 0
+		if !isOnlyWarm && requested > worst.Have {
+			worst.Have = requested
+			worst.FailedHost = failed.Name
 		}
 	}
 	worst.Slack = worst.Need - worst.Have
-	worst.RawSlack = worst.Need - mostAsked
+	worst.RawSlack = worst.Need - highestLoad
 	return worst
 }
--- a/internal/fleet/membership.go
+++ b/internal/fleet/membership.go
@@ -9,41 +9,41 @@
 	"github.com/benbjohnson/immutable"
 )
 
-// Director is a director that is a member. Name and Incarnation together are one process: one that restarts under its name has another
-// incarnation, and nothing of the one before belongs to it.
+// Director is a director that is a member. Name and Incarnation together identify one process: a process that restarts under the same
+// name has a new incarnation, and owns nothing of its predecessor.
 type Director struct {
 	Name        string `json:"name"`
-	Incarnation string `json:"inc"` // drawn at the start
+	Incarnation string `json:"inc"` // chosen at random when the process starts
 	Location    string `json:"location,omitempty"`
 	Machine     string `json:"machine,omitempty"`
 	Site        string `json:"site,omitempty"`
 	Version     string `json:"version,omitempty"`
-	Claims      string `json:"claims,omitempty"` // address where it takes claims; empty: it takes none
+	Claims      string `json:"claims,omitempty"` // address at which it accepts claims; empty: it accepts none
 }
 
-// ID names the process.
+// ID returns the identifier of the process, "name/incarnation".
 func (d Director) ID() string { return d.Name + "/" + d.Incarnation }
 
-// MembershipChange is a change of the members and of the replicas of claims.
+// MembershipChange is a change of the members and of the replicas of the claim shards.
 type MembershipChange struct {
 	Joined []Director    `json:"joined,omitempty"`
 	Left   []string      `json:"gone,omitempty"`  // IDs
-	Shards []ShardChange `json:"slots,omitempty"` // only those that change
+	Shards []ShardChange `json:"slots,omitempty"` // only shards that change
 }
 
-// ShardCount is how many shards the claims are divided into, by their tokens.
+// ShardCount is the number of shards into which the claims are divided, by their tokens.
 const ShardCount = 256
 
-// Shard is who has a part of the claims: the first replica decides, the others replicate. Replicas are IDs of directors.
+// Shard is the assignment of one shard of the claims: the first replica decides, the others replicate. Replicas are IDs of directors.
 type Shard struct {
 	Epoch    int64    `json:"epoch"` // revision that set the replicas
 	Replicas []string `json:"homes"`
-	// PreviousReplicas are those of the last epoch in which the shard was ready; empty once it is ready in this one.
+	// PreviousReplicas are the replicas of the last epoch in which the shard was ready; empty once it is ready in the current epoch.
 	PreviousReplicas []string `json:"from,omitempty"`
 }
 
-// ShardChange sets the replicas of a shard, whose epoch is then the event's revision. With ReadyEpoch it says instead that all replicas
-// of that epoch are ready; it has no effect in another epoch.
+// ShardChange assigns replicas to a shard, whose epoch becomes the revision of the event. With ReadyEpoch it states instead that all
+// replicas of that epoch are ready; it has no effect if the shard is in another epoch.
 type ShardChange struct {
 	Shard            int      `json:"slot"` // 0 to ShardCount-1
 	Replicas         []string `json:"homes,omitempty"`
@@ -53,13 +53,13 @@
 
 type directorMap = immutable.SortedMap[string, *Director]
 
-// Directors are the members, by ID.
-func (f Fleet) Directors() iter.Seq[*Director] { return values(f.directors) }
+// Directors returns the members, sorted by ID.
+func (f Fleet) Directors() iter.Seq[*Director] { return sortedValues(f.directors) }
 
-// Director finds a member by its ID; nil if there is none.
+// Director returns the member with an ID, or nil if there is none.
 func (f Fleet) Director(id string) *Director { return get(f.directors, id) }
 
-// Shard is who has a part of the claims. It panics for a number that is none of a shard.
+// Shard returns the assignment of shard n. It panics if n is not in the range 0 to ShardCount-1.
 func (f Fleet) Shard(n int) Shard {
 	if f.shards == nil {
 		return Shard{}
@@ -70,15 +70,15 @@
 func (c MembershipChange) check(f Fleet) error {
 	for _, d := range c.Joined {
 		if d.Name == "" || d.Incarnation == "" {
-			return errors.New("a director joins without a name or an incarnation")
+			return errors.New("a joining director has no name or no incarnation")
 		}
 	}
 	for _, s := range c.Shards {
 		switch {
 		case s.Shard < 0 || s.Shard >= ShardCount:
-			return fmt.Errorf("there is no slot %d", s.Shard)
+			return fmt.Errorf("no such shard: %d", s.Shard)
 		case s.ReadyEpoch > f.Revision:
-			return fmt.Errorf("slot %d: epoch %d is to come", s.Shard, s.ReadyEpoch)
+			return fmt.Errorf("shard %d: epoch %d is in the future", s.Shard, s.ReadyEpoch)
 		}
 	}
 	return nil
@@ -116,13 +116,13 @@
 	f.shards = &next
 }
 
-// MembershipDump is the membership in the form in which it is stored and sent.
+// MembershipDump is a snapshot of the membership in its stored and transmitted form.
 type MembershipDump struct {
 	Directors []*Director `json:"directors"`
 	Shards    []Shard     `json:"slots,omitempty"`
 }
 
-// Membership is the complete membership; nil if there was never a member.
+// Membership returns a snapshot of the complete membership, or nil if there has never been a member.
 func (f Fleet) Membership() *MembershipDump {
 	if f.directors == nil && f.shards == nil {
 		return nil
@@ -141,7 +141,7 @@
 	f.directors = &directorMap{}
 	for _, director := range d.Directors {
 		if director == nil || director.Name == "" {
-			return errors.New("fleet: a dump with a director that is not there")
+			return errors.New("fleet: dump contains a director without a name")
 		}
 		f.directors = f.directors.Set(director.ID(), director)
 	}
@@ -149,7 +149,7 @@
 		return nil
 	}
 	if len(d.Shards) != ShardCount {
-		return fmt.Errorf("fleet: a dump with %d slots", len(d.Shards))
+		return fmt.Errorf("fleet: dump contains an unexpected number of shards: %d", len(d.Shards))
 	}
 	f.shards = (*[ShardCount]Shard)(slices.Clone(d.Shards))
 	return nil
--- a/internal/fleet/parent_constraint.go
+++ b/internal/fleet/parent_constraint.go
@@ -5,40 +5,40 @@
 	"slices"
 )
 
-// parentSlack measures the constraint of one parent. It applies only while the parent serves and warms up.
+// parentSlack returns the slack of the constraint of one parent, which applies only while the parent serves and warms up.
 func (s ObservedState) parentSlack(name string) (slack Slack, applies bool) {
 	parent := s.Host(name)
 	if parent == nil || parent.Role != Parent || !s.Serves(parent) || !s.IsWarmingUp(parent) {
 		return Slack{}, false
 	}
-	users := s.filledFrom(name)
-	asked := func(dying string) (load float64) {
-		for _, l := range users {
-			load += s.fillsFrom(parent, l, dying)
+	locations := s.locationsUsing(name)
+	loadWithFailure := func(failed string) (load float64) {
+		for _, l := range locations {
+			load += s.fillLoad(parent, l, failed)
 		}
 		return load
 	}
-	withoutDeath := asked("")
+	withoutFailure := loadWithFailure("")
 	need := s.Rules().Parent.MaxLoadAtStart(parent.Share)
-	worst := Slack{Constraint: WarmingParentConstraint, Thing: name, Have: withoutDeath, Need: need, RawSlack: need - withoutDeath}
-	for _, dying := range s.relevantDeaths(name, users) {
-		if load := asked(dying); load > worst.Have {
+	worst := Slack{Constraint: WarmingParentConstraint, Thing: name, Have: withoutFailure, Need: need, RawSlack: need - withoutFailure}
+	for _, failed := range s.relevantFailures(name, locations) {
+		if load := loadWithFailure(failed); load > worst.Have {
 			worst.Have = load
-			worst.FailedHost = dying
+			worst.FailedHost = failed
 		}
 	}
 	worst.Slack = worst.Need - worst.Have
 	return worst, true
 }
 
-// relevantDeaths are the hosts whose death may change what a parent is asked for, sorted. They are the other parents of
-// its locations and, where a location has caches that warm up, all of its caches.
-func (s ObservedState) relevantDeaths(parent string, users []*Location) []string {
-	deaths := map[string]bool{}
-	for _, l := range users {
+// relevantFailures returns the hosts whose failure may change the load on a parent, sorted by name: the other parents of its locations
+// and, in locations with warming caches, all caches.
+func (s ObservedState) relevantFailures(parent string, locations []*Location) []string {
+	failures := map[string]bool{}
+	for _, l := range locations {
 		for _, source := range l.Sources {
 			if host := s.Host(source); host != nil && host.Role == Parent && source != parent && s.Serves(host) {
-				deaths[source] = true
+				failures[source] = true
 			}
 		}
 		totals := s.siteTotals(l.Name)
@@ -46,18 +46,18 @@
 			continue
 		}
 		for _, cache := range totals.caches {
-			deaths[cache.Name] = true
+			failures[cache.Name] = true
 		}
 	}
-	return slices.Sorted(maps.Keys(deaths))
+	return slices.Sorted(maps.Keys(failures))
 }
 
-// fillsFrom is what a location asks of a parent when a host has died.
-func (s ObservedState) fillsFrom(parent *Host, l *Location, dying string) float64 {
+// fillLoad returns the load from fills that a location puts on a parent when the host failed is down; empty: all hosts are up.
+func (s ObservedState) fillLoad(parent *Host, l *Location, failed string) float64 {
 	var warm, warming, sources float64
 	for _, cache := range s.siteTotals(l.Name).caches {
 		switch {
-		case cache.Name == dying:
+		case cache.Name == failed:
 		case s.IsWarmingUp(cache):
 			warming += cache.Serving
 		default:
@@ -65,7 +65,7 @@
 		}
 	}
 	for _, name := range l.Sources {
-		if host := s.Host(name); host != nil && s.Serves(host) && host.Name != dying {
+		if host := s.Host(name); host != nil && s.Serves(host) && host.Name != failed {
 			sources += host.Serving
 		}
 	}
--- a/internal/fleet/read.go
+++ b/internal/fleet/read.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// RulesKey names the rules among the things that a plan reads.
+// RulesKey is the key of the rules in the reads of a plan.
 const RulesKey = "rules"
 
 const (
@@ -13,28 +13,29 @@
 	locationPrefix = "location "
 )
 
-// HostKey names a host among the things that a plan reads.
+// HostKey returns the key of a host in the reads of a plan.
 func HostKey(name string) string { return hostPrefix + name }
 
-// LocationKey names a location among the things that a plan reads.
+// LocationKey returns the key of a location in the reads of a plan.
 func LocationKey(name string) string { return locationPrefix + name }
 
-// Read is one thing that a plan was made against. Sum changes if the thing does; Brief says what it was, for people.
+// Read is one host, location or set of rules that a plan depends on. Sum is the checksum of its state, and Brief describes that state to
+// operators.
 type Read struct {
 	Thing string `json:"thing"`
 	Sum   string `json:"sum"`
 	Brief string `json:"brief"`
 }
 
-// hostRead is what a plan reads of a host. Its encoding is summed, and so the tags stay as they are. Whether a host is up or was never
-// observed makes no difference.
+// hostRead is the state of a host that a plan depends on. Plans store the checksum of its encoding, so the tags must not change. Up and
+// Unknown are not distinguished.
 type hostRead struct {
 	Host        *Host `json:"Member"`
 	Unreachable bool  `json:"Unreachable"`
 	RestartedMS int64 `json:"RestartedMS"`
 }
 
-// ReadHost reads a host, which may be absent.
+// ReadHost returns the read of a host, which may be absent.
 func (s ObservedState) ReadHost(name string) Read {
 	host := s.Host(name)
 	if host == nil {
@@ -63,7 +64,7 @@
 	return brief
 }
 
-// ReadLocation reads a location, which may be absent.
+// ReadLocation returns the read of a location, which may be absent.
 func (s ObservedState) ReadLocation(name string) Read {
 	l := s.Location(name)
 	r := Read{Thing: LocationKey(name), Sum: Sum(l), Brief: "absent"}
@@ -73,12 +74,12 @@
 	return r
 }
 
-// ReadRules reads the rules.
+// ReadRules returns the read of the rules in force.
 func (s ObservedState) ReadRules() Read {
 	return Read{Thing: RulesKey, Sum: Sum(s.Rules()), Brief: s.Rules().brief()}
 }
 
-// Reread reads a thing again by its key.
+// Reread returns the current read of the host, location or rules with a key.
 func (s ObservedState) Reread(thing string) (Read, error) {
 	if thing == RulesKey {
 		return s.ReadRules(), nil
@@ -89,5 +90,5 @@
 	if name, isLocation := strings.CutPrefix(thing, locationPrefix); isLocation && name != "" {
 		return s.ReadLocation(name), nil
 	}
-	return Read{}, fmt.Errorf("fleet: nothing is called %q", thing)
+	return Read{}, fmt.Errorf("fleet: unknown key %q in the reads of a plan", thing)
 }
