--- a/internal/fleet/plan/capacity.go
+++ b/internal/fleet/plan/capacity.go
@@ -2,15 +2,16 @@
 
 import "slices"
 
-// capacities is a multiset of capacities with its sum and its greatest member. It has few distinct members, for hosts come in few kinds.
-type capacities struct {
+// capacitySet is a multiset of capacities that tracks its sum and its largest member. It has few distinct members, since hosts come in
+// few sizes.
+type capacitySet struct {
 	sum      float64
 	count    int
 	counts   map[float64]int
-	distinct []float64 // ascending; some may have a count of 0
+	distinct []float64 // in ascending order; some may have a count of 0
 }
 
-func (c *capacities) add(v float64) {
+func (c *capacitySet) add(v float64) {
 	if c.counts == nil {
 		c.counts = map[float64]int{}
 	}
@@ -23,17 +24,17 @@
 	c.count++
 }
 
-func (c *capacities) remove(v float64) {
+func (c *capacitySet) remove(v float64) {
 	c.counts[v]--
 	c.sum -= v
 	c.count--
 	if c.count == 0 {
-		c.sum = 0 // without rounding errors
+		c.sum = 0 // discards accumulated rounding errors
 	}
 }
 
-// greatest is the greatest member; 0 if there is none.
-func (c *capacities) greatest() float64 {
+// largest returns the largest member, or 0 if there is none.
+func (c *capacitySet) largest() float64 {
 	for _, v := range slices.Backward(c.distinct) {
 		if c.counts[v] > 0 {
 			return v
@@ -42,5 +43,5 @@
 	return 0
 }
 
-// withoutGreatest is the sum with the greatest member dying.
-func (c *capacities) withoutGreatest() float64 { return c.sum - c.greatest() }
+// sumWithoutLargest returns the sum without the largest member: the capacity that remains after the worst failure.
+func (c *capacitySet) sumWithoutLargest() float64 { return c.sum - c.largest() }
--- a/internal/fleet/plan/change.go
+++ b/internal/fleet/plan/change.go
@@ -1,19 +1,19 @@
 package plan
 
-// change is a step that is not placed yet.
+// change is a step that has not been assigned to a wave yet.
 type change struct {
 	Step
-	key         string    // of the thing that it changes
-	needs       []*change // must be done before it may begin
-	dependents  []*change // that need it
-	openNeeds   int       // needs that are not done
-	done        bool
-	priority    int  // changes with less are tried first
-	addedByPlan bool // of a raise: the host was added by this plan
+	key                 string    // of the host or location that it changes
+	dependencies        []*change // changes that must be done before it may start
+	dependents          []*change // changes that depend on it
+	pendingDependencies int       // number of dependencies that are not done
+	done                bool
+	priority            int  // changes with a lower value are tried first
+	addedByPlan         bool // set on a raise whose host is added by this plan
 }
 
-// The order in which changes are tried: those that give capacity go before those that take it, and those that others need before those
-// that nothing needs.
+// Priorities of changes, in the order in which they are tried: changes that add capacity before those that remove it, and changes on
+// which others depend before those on which none does.
 const (
 	priorityLocate = iota
 	priorityRaise
@@ -21,16 +21,16 @@
 	priorityWiden
 	priorityRemove
 	priorityNarrow
-	priorityUnblock // a drain that an add needs
+	priorityUnblock // a drain on which an add depends
 	priorityLower
 	priorityDrain
 	priorityForget
 	priorityCount
 )
 
-// takenShare is by how much a change lowers what serves. Among changes of one kind the least is tried first: where it does not fit, no
-// later one does.
-func (c *change) takenShare() float64 {
+// shareReduction returns the amount by which a change reduces the serving share. Among changes of one kind the one with the smallest
+// reduction is tried first: if it does not fit, none of the others does.
+func (c *change) shareReduction() float64 {
 	switch c.Kind {
 	case Drain:
 		return c.Before.Serving
@@ -40,7 +40,7 @@
 	return 0
 }
 
-// raiseAfter is the change that gives a host the rest of its share, after it was added with a part of it and has warmed up.
+// raiseAfter returns the change that raises a host to its full share after it was added with a part of it and has warmed up.
 func raiseAfter(add *change) *change {
 	before, after := *add.Host, *add.Host
 	after.Serving = after.Share
@@ -53,20 +53,20 @@
 	return c
 }
 
-// queue has the changes that need nothing more, by priority and then in the order in which they came.
+// queue holds the changes whose dependencies are done, by priority and, within a priority, in the order in which they became ready.
 type queue struct {
-	ready [priorityCount][]*change
-	left  int // changes that are not done, ready or not
+	ready     [priorityCount][]*change
+	remaining int // number of changes that are not done, whether ready or not
 }
 
 func newQueue(changes []*change) *queue {
-	q := &queue{left: len(changes)}
+	q := &queue{remaining: len(changes)}
 	for _, c := range changes {
-		c.openNeeds = len(c.needs)
-		for _, need := range c.needs {
-			need.dependents = append(need.dependents, c)
+		c.pendingDependencies = len(c.dependencies)
+		for _, dependency := range c.dependencies {
+			dependency.dependents = append(dependency.dependents, c)
 		}
-		if c.openNeeds == 0 {
+		if c.pendingDependencies == 0 {
 			q.push(c)
 		}
 	}
@@ -75,20 +75,20 @@
 
 func (q *queue) push(c *change) { q.ready[c.priority] = append(q.ready[c.priority], c) }
 
-// finish marks a change as done. Those that needed nothing else become ready.
-func (q *queue) finish(c *change) {
+// complete marks a change as done. Changes that have no other pending dependency become ready.
+func (q *queue) complete(c *change) {
 	c.done = true
-	q.left--
+	q.remaining--
 	for _, dependent := range c.dependents {
-		dependent.openNeeds--
-		if dependent.openNeeds == 0 {
+		dependent.pendingDependencies--
+		if dependent.pendingDependencies == 0 {
 			q.push(dependent)
 		}
 	}
 }
 
-// all are the ready changes in order.
-func (q *queue) all(yield func(*change) bool) {
+// readyChanges yields the ready changes in order. It removes changes that are done from the heads of the queues.
+func (q *queue) readyChanges(yield func(*change) bool) {
 	for i := range q.ready {
 		for len(q.ready[i]) > 0 && q.ready[i][0].done {
 			q.ready[i] = q.ready[i][1:]
--- a/internal/fleet/plan/codec.go
+++ b/internal/fleet/plan/codec.go
@@ -11,18 +11,18 @@
 	"stairvane.org/stairvane/internal/fleet"
 )
 
-// The plan file is one line of text, then the plan:
+// A plan file consists of one line of text and the encoded plan:
 //
 //	stairvane-plan VERSION LENGTH BLAKE3\n
 //	LENGTH bytes of CBOR in its deterministic encoding
 //
-// Programs of any version can read the line, which tells them whether they can read the rest. The hash is that of the rest, and names the
-// plan.
+// The line has the same form in all versions, so that a program can tell whether it can read the rest. The hash is that of the rest and
+// identifies the plan.
 
 const (
-	// Version of the plan file that this program writes, and the only one that it reads.
+	// Version is the version of the plan file that this program writes, and the only one that it reads.
 	Version = 1
-	// MaxBytes is the length of the longest plan file, in bytes.
+	// MaxBytes is the maximum length of a plan file in bytes.
 	MaxBytes = 256 << 20
 
 	magic        = "stairvane-plan"
@@ -30,13 +30,13 @@
 )
 
 var (
-	// ErrNewer is the error for a plan file of a version that this program does not know.
+	// ErrNewer is returned for a plan file of a version newer than Version.
 	ErrNewer = errors.New("the plan file is of a newer version")
-	// ErrDamaged is the error for a plan file that is not as it was written.
+	// ErrDamaged is returned for a plan file that is malformed or whose checksum does not match.
 	ErrDamaged = errors.New("the plan file is damaged")
 )
 
-// Encode makes the bytes of a plan file. Equal plans have equal bytes.
+// Encode returns the contents of a plan file. Equal plans have equal bytes.
 func Encode(p *Plan) ([]byte, error) {
 	body, err := fleet.Encode(p)
 	if err != nil {
@@ -45,13 +45,13 @@
 	return frame(body), nil
 }
 
-// frame puts the first line before an encoded plan.
+// frame prepends the first line to an encoded plan.
 func frame(body []byte) []byte {
 	firstLine := fmt.Appendf(nil, "%s %d %d %x\n", magic, Version, len(body), blake3.Sum256(body))
 	return append(firstLine, body...)
 }
 
-// Sum names a plan: the hash in its file, in hex.
+// Sum returns the identifier of a plan: the hash in its file, in hex.
 func Sum(p *Plan) (string, error) {
 	body, err := fleet.Encode(p)
 	if err != nil {
@@ -60,8 +60,8 @@
 	return fmt.Sprintf("%x", blake3.Sum256(body)), nil
 }
 
-// strict decodes plans within limits, and rejects unknown fields and keys that occur twice.
-var strict = func() cbor.DecMode {
+// strictMode decodes plans within limits, and rejects unknown fields and duplicate keys.
+var strictMode = func() cbor.DecMode {
 	m, err := cbor.DecOptions{
 		MaxNestedLevels:   16,
 		MaxArrayElements:  16 << 20,
@@ -70,33 +70,33 @@
 		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
 	}.DecMode()
 	if err != nil {
-		panic(err) // constant options
+		panic(err) // the options are constant
 	}
 	return m
 }()
 
-// Decode reads a plan file. Errors wrap ErrDamaged or ErrNewer.
+// Decode decodes the contents of a plan file. Errors wrap ErrDamaged or ErrNewer.
 func Decode(b []byte) (*Plan, error) {
 	body, err := unframe(b)
 	if err != nil {
 		return nil, err
 	}
 	var p Plan
-	if err := strict.Unmarshal(body, &p); err != nil {
+	if err := strictMode.Unmarshal(body, &p); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
 	if err := p.check(); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
-	// A plan with another encoding would be one plan under two names.
+	// A second encoding of the same plan would give it a second identifier.
 	again, err := fleet.Encode(&p)
 	if err != nil || !bytes.Equal(again, body) {
-		return nil, fmt.Errorf("%w: it is not in the one encoding", ErrDamaged)
+		return nil, fmt.Errorf("%w: not in the deterministic encoding", ErrDamaged)
 	}
 	return &p, nil
 }
 
-// unframe checks the first line of a plan file, and gives the rest.
+// unframe checks the first line of a plan file and returns the encoded plan.
 func unframe(b []byte) ([]byte, error) {
 	end := bytes.IndexByte(b[:min(len(b), maxFirstLine)], '\n')
 	if end < 0 {
@@ -110,33 +110,33 @@
 		return nil, fmt.Errorf("%w: it does not begin with %q", ErrDamaged, magic)
 	}
 	if version > Version {
-		return nil, fmt.Errorf("%w: %d, this program reads %d", ErrNewer, version, Version)
+		return nil, fmt.Errorf("%w: version %d; this program reads version %d", ErrNewer, version, Version)
 	}
 	if n, err := fmt.Sscanf(firstLine, magic+" %d %d %s", &version, &length, &sum); n != 3 || err != nil || version != Version {
-		return nil, fmt.Errorf("%w: its first line can't be read", ErrDamaged)
+		return nil, fmt.Errorf("%w: malformed first line", ErrDamaged)
 	}
 	if len(body) != length {
-		return nil, fmt.Errorf("%w: %d bytes, not %d", ErrDamaged, len(body), length)
+		return nil, fmt.Errorf("%w: %d bytes, expected %d", ErrDamaged, len(body), length)
 	}
 	if is := fmt.Sprintf("%x", blake3.Sum256(body)); is != sum {
-		return nil, fmt.Errorf("%w: its checksum is %s, not %s", ErrDamaged, is, sum)
+		return nil, fmt.Errorf("%w: checksum is %s, expected %s", ErrDamaged, is, sum)
 	}
 	return body, nil
 }
 
-// check checks the form of a plan, so that those who apply it may rely on it.
+// check validates the structure of a plan, so that the code that applies it can rely on it.
 func (p *Plan) check() error {
 	for i, s := range p.Steps {
 		if s.ID != i+1 {
-			return fmt.Errorf("step %d stands at place %d", s.ID, i+1)
+			return fmt.Errorf("step with ID %d at position %d", s.ID, i+1)
 		}
-		for _, need := range s.After {
-			if need < 1 || need >= s.ID {
-				return fmt.Errorf("step %d comes after step %d", s.ID, need)
+		for _, dependency := range s.After {
+			if dependency < 1 || dependency >= s.ID {
+				return fmt.Errorf("step %d depends on step %d, which is not an earlier step", s.ID, dependency)
 			}
 		}
 		if s.Wait != Notified && s.Wait != Warm && s.Wait != Drained {
-			return fmt.Errorf("step %d waits for %q", s.ID, s.Wait)
+			return fmt.Errorf("step %d: unknown wait condition %q", s.ID, s.Wait)
 		}
 		if err := s.check(); err != nil {
 			return fmt.Errorf("step %d: %w", s.ID, err)
@@ -145,7 +145,7 @@
 	return nil
 }
 
-// check checks that a step has what its kind needs, and nothing else.
+// check checks that a step sets exactly the fields that its kind requires.
 func (s Step) check() error {
 	hasOnlyHost := s.Host != nil && s.Location == nil && s.Rules == nil
 	hasOnlyLocation := s.Location != nil && s.Host == nil && s.Rules == nil
@@ -164,7 +164,7 @@
 		return fmt.Errorf("unknown kind %q", s.Kind)
 	}
 	if !isComplete {
-		return fmt.Errorf("a step %q lacks what it changes, or changes more", s.Kind)
+		return fmt.Errorf("step of kind %q must set exactly the fields of its kind", s.Kind)
 	}
 	return nil
 }
--- a/internal/fleet/plan/codec_test.go
+++ b/internal/fleet/plan/codec_test.go
@@ -13,10 +13,10 @@
 
 func TestMain(m *testing.M) { fleettest.Main(m) }
 
-// cachesBy20 is a fleet of so many caches in locations of twenty, without those to skip.
+// cachesBy20 returns a desired state with the given number of caches, 20 to a location, without the caches that skip selects.
 func cachesBy20(caches int, skip func(i int) bool) fleet.DesiredState {
-	w := fleet.DesiredState{Rules: fleet.DefaultRules()}
-	w.Hosts = append(w.Hosts, fleet.HostSpec{
+	desired := fleet.DesiredState{Rules: fleet.DefaultRules()}
+	desired.Hosts = append(desired.Hosts, fleet.HostSpec{
 		Name:    "store",
 		Role:    fleet.Origin,
 		Address: "9.0.0.1:1",
@@ -27,10 +27,10 @@
 	for i := range caches {
 		site := fmt.Sprintf("depot-%05d", i/20)
 		if i%20 == 0 {
-			w.Locations = append(w.Locations, fleet.Location{Name: site, Floor: 24, Load: 24, Sources: []string{"store"}})
+			desired.Locations = append(desired.Locations, fleet.Location{Name: site, Floor: 24, Load: 24, Sources: []string{"store"}})
 		}
 		if !skip(i) {
-			w.Hosts = append(w.Hosts, fleet.HostSpec{
+			desired.Hosts = append(desired.Hosts, fleet.HostSpec{
 				Name:    fmt.Sprintf("c-%06d", i),
 				Role:    fleet.Cache,
 				Site:    site,
@@ -40,17 +40,17 @@
 			})
 		}
 	}
-	w.Normalize()
-	return w
+	desired.Normalize()
+	return desired
 }
 
-// tenthChanged is a fleet of so many caches, and a desired state in which a tenth is drained and a tenth added.
+// tenthChanged returns a fleet of the given number of caches, and a desired state that drains a tenth and adds a tenth of them.
 func tenthChanged(t testing.TB, caches int) (fleet.ObservedState, fleet.DesiredState) {
 	from := cachesBy20(caches, func(i int) bool { return i%10 == 3 })
 	return fleet.ObservedState{Fleet: fleettest.Build(t, from), NowMS: 1}, cachesBy20(caches, func(i int) bool { return i%10 == 7 })
 }
 
-// samplePlanFile is a plan file with steps of several kinds.
+// samplePlanFile returns a plan file with steps of several kinds.
 func samplePlanFile(t testing.TB) []byte {
 	state, desired := tenthChanged(t, 40)
 	p, err := Make(state, desired, "fleet.scm")
@@ -64,7 +64,8 @@
 	return file
 }
 
-// A plan file that was changed anywhere, cut or lengthened is damaged; one of a later version is newer.
+// Decode returns ErrDamaged for a plan file with a changed byte, and for one that is truncated or extended; it returns ErrNewer for a file
+// of a later version.
 func TestDecodeRejectsChangedFiles(t *testing.T) {
 	file := samplePlanFile(t)
 	for at := range file {
@@ -84,7 +85,7 @@
 	}
 }
 
-// A plan of 10,000 steps has no wave with more steps than the rules allow.
+// No wave of a plan with 10,000 steps has more steps than the rules allow.
 func TestWavesOfTenThousandSteps(t *testing.T) {
 	state, desired := tenthChanged(t, 34_000)
 	start := time.Now()
@@ -107,14 +108,15 @@
 	}
 }
 
-// What is decoded can be described, and is encoded to the same bytes.
+// A decoded plan can be described, and is encoded to the same bytes.
 func FuzzDecode(f *testing.F) {
 	file := samplePlanFile(f)
 	f.Add(file)
 	end := bytes.IndexByte(file, '\n')
 	f.Add(file[end+1:])
 	f.Fuzz(func(t *testing.T, b []byte) {
-		// The checksum would keep the fuzzer from the decoder behind it: what is no plan file is tried as the body of one.
+		// Random input rarely has a valid checksum and would not reach the decoder, so input that is not a plan file is framed as the body
+		// of one.
 		p, err := Decode(b)
 		if err != nil {
 			p, err = Decode(frame(b))
@@ -127,7 +129,7 @@
 			_ = s.Event(1, 1, "x", 1)
 		}
 		if again, err := Encode(p); err != nil || !bytes.Equal(again, b) && !bytes.Equal(again, frame(b)) {
-			t.Errorf("decoded and encoded again it differs: %v", err)
+			t.Errorf("decoding and encoding again gives other bytes: %v", err)
 		}
 	})
 }
--- a/internal/fleet/plan/compatibility_test.go
+++ b/internal/fleet/plan/compatibility_test.go
@@ -10,7 +10,7 @@
 	"stairvane.org/stairvane/internal/tools/golden"
 )
 
-// TestLandedForms guards the plan file: one that an older version wrote is read to the same steps and written to the same bytes.
+// TestLandedForms checks that a plan file of an older version is decoded to the same steps and encoded to the same bytes.
 func TestLandedForms(t *testing.T) {
 	golden.Check[Plan](t, "plan.cbor", fleet.Encode, cbor.Unmarshal)
 	golden.JSON[Plan](t, "plan")
@@ -28,6 +28,6 @@
 	golden.Text(t, "landed.txt", text(p))
 	again, err := Encode(p)
 	if err != nil || !bytes.Equal(again, file) {
-		t.Errorf("the landed plan file is written in another form, %v", err)
+		t.Errorf("the stored plan file is encoded to other bytes, %v", err)
 	}
 }
--- a/internal/fleet/plan/diff.go
+++ b/internal/fleet/plan/diff.go
@@ -4,13 +4,13 @@
 	"stairvane.org/stairvane/internal/fleet"
 )
 
-// differ collects the changes that lead from a state to a desired one.
+// differ collects the changes that lead from the observed state to the desired state.
 type differ struct {
 	state   fleet.ObservedState
 	desired fleet.DesiredState
 	changes []*change
-	removes map[string]*change   // by host
-	adds    map[string]*change   // by host
+	removes map[string]*change   // by host name
+	adds    map[string]*change   // by host name
 	addsAt  map[string][]*change // of caches, by location
 	groups  *groups
 }
@@ -26,8 +26,8 @@
 	}
 }
 
-// collect finds all changes. Removals come first, for adds may need them; locations come last, for they may need both.
-func (d *differ) collect() {
+// collectChanges collects all changes: removals first, since adds may depend on them, and locations last, since they may depend on both.
+func (d *differ) collectChanges() {
 	desired := map[string]*fleet.HostSpec{}
 	for i := range d.desired.Hosts {
 		desired[d.desired.Hosts[i].Name] = &d.desired.Hosts[i]
@@ -49,21 +49,21 @@
 	d.collectLocations()
 }
 
-// put adds a change to the collected ones.
-func (d *differ) put(c *change) *change {
+// addChange sets the key of a change and appends it to the collected changes.
+func (d *differ) addChange(c *change) *change {
 	c.key = c.Thing()
 	d.changes = append(d.changes, c)
 	return c
 }
 
-// differsInShareOnly tells whether a host can become another by a change of its share.
+// differsInShareOnly reports whether a change of the share is enough to turn one host into the other. It ignores Running.
 func differsInShareOnly(a, b fleet.HostSpec) bool {
 	a.Share, b.Share = 0, 0
 	a.Running, b.Running = false, false
 	return a == b
 }
 
-// removeHost drains a host and removes it.
+// removeHost adds the changes that drain and remove a host. A host that is already draining is only removed.
 func (d *differ) removeHost(host *fleet.Host) {
 	d.groups.add(groupKey(&host.HostSpec))
 	var drain *change
@@ -71,23 +71,23 @@
 	if host.State == fleet.InService {
 		draining := *host
 		draining.State = fleet.Terminating
-		drain = d.put(&change{Step: Step{Kind: Drain, Wait: Drained, Before: host, Host: &draining}, priority: priorityDrain})
+		drain = d.addChange(&change{Step: Step{Kind: Drain, Wait: Drained, Before: host, Host: &draining}, priority: priorityDrain})
 		last = draining
 	}
 	removed := last
 	removed.State = fleet.Terminated
-	remove := d.put(&change{Step: Step{Kind: Remove, Wait: Notified, Before: &last, Host: &removed}, priority: priorityRemove})
+	remove := d.addChange(&change{Step: Step{Kind: Remove, Wait: Notified, Before: &last, Host: &removed}, priority: priorityRemove})
 	if drain != nil {
-		remove.needs = append(remove.needs, drain)
+		remove.dependencies = append(remove.dependencies, drain)
 	}
 	d.removes[host.Name] = remove
 }
 
-// addHost puts a host in service. Its name and its address must be free first.
+// addHost adds the change that puts a host in service. It depends on the removal of any host that has its name or address.
 func (d *differ) addHost(spec *fleet.HostSpec) {
 	d.groups.add(groupKey(spec))
 	host := &fleet.Host{HostSpec: *spec, State: fleet.InService, Serving: spec.Share}
-	add := d.put(&change{Step: Step{Kind: Add, Wait: Warm, Host: host}, priority: priorityAdd})
+	add := d.addChange(&change{Step: Step{Kind: Add, Wait: Warm, Host: host}, priority: priorityAdd})
 	if !spec.NeedsWarmUp() {
 		add.Wait = Notified
 	}
@@ -96,23 +96,23 @@
 		d.addsAt[spec.Site] = append(d.addsAt[spec.Site], add)
 	}
 	if remove := d.removes[spec.Name]; remove != nil {
-		d.addAfterRemove(add, remove)
+		d.orderAddAfterRemove(add, remove)
 	}
 	if other := d.state.HostAt(spec.Address); other != nil && other.Name != spec.Name && d.removes[other.Name] != nil {
-		d.addAfterRemove(add, d.removes[other.Name])
+		d.orderAddAfterRemove(add, d.removes[other.Name])
 	}
 }
 
-// addAfterRemove has an add wait for the removal of the host that has its name or address.
-func (d *differ) addAfterRemove(add, remove *change) {
-	add.needs = append(add.needs, remove)
-	for _, drain := range remove.needs {
+// orderAddAfterRemove makes an add depend on the removal of the host that has its name or address.
+func (d *differ) orderAddAfterRemove(add, remove *change) {
+	add.dependencies = append(add.dependencies, remove)
+	for _, drain := range remove.dependencies {
 		drain.priority = priorityUnblock
 	}
 	d.groups.join(groupKey(&add.Host.HostSpec), groupKey(&remove.Host.HostSpec))
 }
 
-// changeShare raises or lowers the share of a host.
+// changeShare adds the change that raises or lowers the share of a host.
 func (d *differ) changeShare(host *fleet.Host, want *fleet.HostSpec) {
 	if host.Share == want.Share && host.Serving == want.Share {
 		return
@@ -126,5 +126,5 @@
 		c.Kind = Lower
 		c.priority = priorityLower
 	}
-	d.put(c)
+	d.addChange(c)
 }
--- a/internal/fleet/plan/diff_locations.go
+++ b/internal/fleet/plan/diff_locations.go
@@ -6,99 +6,100 @@
 	"stairvane.org/stairvane/internal/fleet"
 )
 
-// collectLocations declares, changes and removes locations.
+// collectLocations collects the changes that declare, change and remove locations.
 func (d *differ) collectLocations() {
 	desired := map[string]bool{}
 	for _, want := range d.desired.Locations {
 		desired[want.Name] = true
-		is := d.state.Location(want.Name)
-		if is != nil && is.Floor == want.Floor && is.Load == want.Load && slices.Equal(is.Sources, want.Sources) {
+		current := d.state.Location(want.Name)
+		if current != nil && current.Floor == want.Floor && current.Load == want.Load && slices.Equal(current.Sources, want.Sources) {
 			continue
 		}
 		d.groups.add(fleet.LocationKey(want.Name))
-		if is == nil {
+		if current == nil {
 			d.declareLocation(want)
 		} else {
-			d.changeLocation(is, want)
+			d.changeLocation(current, want)
 		}
 	}
-	for is := range d.state.Locations() {
-		if !desired[is.Name] {
-			d.removeLocation(is)
+	for current := range d.state.Locations() {
+		if !desired[current.Name] {
+			d.removeLocation(current)
 		}
 	}
 }
 
-// locate is a change of a location's floor and load; nil before it is declared.
-func locate(before, after *fleet.Location) *change {
+// newLocateChange returns the change that declares a location, or changes its floor and load. before is nil for a new location.
+func newLocateChange(before, after *fleet.Location) *change {
 	return &change{Step: Step{Kind: Locate, Wait: Notified, WasAt: before, Location: after}, priority: priorityLocate}
 }
 
-// withoutLoad is a location that is declared and not open.
+// withoutLoad returns the location without floor and load: declared, but not open yet.
 func withoutLoad(l fleet.Location) *fleet.Location {
 	l.Floor = 0
 	l.Load = 0
 	return &l
 }
 
-// declareLocation declares a new location. It gets its load after all its caches have warmed up, for no client is sent there before.
+// declareLocation adds the changes that declare a new location. Its floor and load are set after all its caches have warmed up, since no
+// client is sent there before.
 func (d *differ) declareLocation(want fleet.Location) {
 	closed := withoutLoad(want)
-	declare := d.put(locate(nil, closed))
-	open := locate(closed, &want)
-	open.needs = append(open.needs, declare)
+	declare := d.addChange(newLocateChange(nil, closed))
+	open := newLocateChange(closed, &want)
+	open.dependencies = append(open.dependencies, declare)
 	for _, add := range d.addsAt[want.Name] {
-		add.needs = append(add.needs, declare)
-		open.needs = append(open.needs, add)
+		add.dependencies = append(add.dependencies, declare)
+		open.dependencies = append(open.dependencies, add)
 	}
 	if want.Floor != 0 || want.Load != 0 {
-		d.put(open)
+		d.addChange(open)
 	}
 }
 
-// removeLocation removes a location after its caches.
-func (d *differ) removeLocation(is *fleet.Location) {
-	d.groups.add(fleet.LocationKey(is.Name))
-	closed := withoutLoad(*is)
+// removeLocation adds the changes that remove a location after its caches have been removed.
+func (d *differ) removeLocation(current *fleet.Location) {
+	d.groups.add(fleet.LocationKey(current.Name))
+	closed := withoutLoad(*current)
 	forget := &change{Step: Step{Kind: Forget, Wait: Notified, WasAt: closed, Location: closed}, priority: priorityForget}
-	if is.Floor != 0 || is.Load != 0 {
-		forget.needs = append(forget.needs, d.put(locate(is, closed)))
+	if current.Floor != 0 || current.Load != 0 {
+		forget.dependencies = append(forget.dependencies, d.addChange(newLocateChange(current, closed)))
 	}
-	for host := range d.state.HostsInSite(is.Name) {
+	for host := range d.state.HostsInSite(current.Name) {
 		if remove := d.removes[host.Name]; remove != nil && host.Role == fleet.Cache {
-			forget.needs = append(forget.needs, remove)
+			forget.dependencies = append(forget.dependencies, remove)
 		}
 	}
-	d.put(forget)
+	d.addChange(forget)
 }
 
-// changeLocation changes a location in up to three steps. Its floor and load change first. Its sources are widened after the new ones were
-// added, and narrowed before the old ones are removed.
-func (d *differ) changeLocation(is *fleet.Location, want fleet.Location) {
-	chain := &locationChain{differ: d, last: is}
-	if is.Floor != want.Floor || is.Load != want.Load {
-		chain.put(Locate, priorityLocate, func(l *fleet.Location) {
+// changeLocation adds the changes of a location, at most three. The floor and load change first. Then new sources are added to its list,
+// after their hosts were added, and finally old sources are taken off the list, before their hosts are removed.
+func (d *differ) changeLocation(current *fleet.Location, want fleet.Location) {
+	chain := &locationChain{differ: d, last: current}
+	if current.Floor != want.Floor || current.Load != want.Load {
+		chain.addChange(Locate, priorityLocate, func(l *fleet.Location) {
 			l.Floor = want.Floor
 			l.Load = want.Load
 		})
 	}
 	wide := slices.Clone(want.Sources)
-	for _, source := range is.Sources {
+	for _, source := range current.Sources {
 		if !slices.Contains(wide, source) {
 			wide = append(wide, source)
 		}
 	}
-	if len(wide) > len(is.Sources) {
-		widen := chain.put(Widen, priorityWiden, func(l *fleet.Location) { l.Sources = wide })
-		widen.needs = append(d.addsOf(wide, is.Sources), widen.needs...)
+	if len(wide) > len(current.Sources) {
+		widen := chain.addChange(Widen, priorityWiden, func(l *fleet.Location) { l.Sources = wide })
+		widen.dependencies = append(d.addsOfSources(wide, current.Sources), widen.dependencies...)
 	}
 	if !slices.Equal(chain.last.Sources, want.Sources) {
-		chain.put(Narrow, priorityNarrow, func(l *fleet.Location) { l.Sources = want.Sources })
+		chain.addChange(Narrow, priorityNarrow, func(l *fleet.Location) { l.Sources = want.Sources })
 	}
 }
 
-// addsOf are the changes that add sources, besides those that are sources already.
-func (d *differ) addsOf(sources, present []string) (adds []*change) {
+// addsOfSources returns the changes that add the hosts of sources, except of those in present.
+func (d *differ) addsOfSources(sources, present []string) (adds []*change) {
 	for _, source := range sources {
 		if add := d.adds[source]; add != nil && !slices.Contains(present, source) {
 			adds = append(adds, add)
@@ -107,19 +108,19 @@
 	return adds
 }
 
-// locationChain puts changes of one location, each of which needs the one before.
+// locationChain adds changes of one location, each of which depends on the previous one.
 type locationChain struct {
 	differ   *differ
-	last     *fleet.Location // after the changes so far
+	last     *fleet.Location // the location after the changes so far
 	previous *change
 }
 
-func (c *locationChain) put(kind Kind, priority int, alter func(*fleet.Location)) *change {
+func (c *locationChain) addChange(kind Kind, priority int, modify func(*fleet.Location)) *change {
 	next := *c.last
-	alter(&next)
-	added := c.differ.put(&change{Step: Step{Kind: kind, Wait: Notified, WasAt: c.last, Location: &next}, priority: priority})
+	modify(&next)
+	added := c.differ.addChange(&change{Step: Step{Kind: kind, Wait: Notified, WasAt: c.last, Location: &next}, priority: priority})
 	if c.previous != nil {
-		added.needs = append(added.needs, c.previous)
+		added.dependencies = append(added.dependencies, c.previous)
 	}
 	c.previous = added
 	c.last = &next
--- a/internal/fleet/plan/groups.go
+++ b/internal/fleet/plan/groups.go
@@ -2,12 +2,12 @@
 
 import "stairvane.org/stairvane/internal/fleet"
 
-// groups are sets of things that bear on each other (union-find). Things are named by the keys of package fleet.
+// groups is a union-find structure of hosts and locations that can affect the same constraints. Its elements are keys of package fleet.
 type groups struct{ parents map[string]string }
 
 func newGroups() *groups { return &groups{parents: map[string]string{}} }
 
-// root names the set that a thing is in. A thing that is in none gets one of its own.
+// root returns the representative of the set that contains a key. It adds a key that is in no set as a set of its own.
 func (g *groups) root(thing string) string {
 	if g.parents[thing] == "" {
 		g.parents[thing] = thing
@@ -19,10 +19,11 @@
 	return thing
 }
 
-// add puts a thing in a set of its own, unless it is in one.
+// add adds a key as a set of its own, unless it is in a set already.
 func (g *groups) add(thing string) { g.root(thing) }
 
-// join makes one set of those of two things. The least name becomes the root, so that the order of joins makes no difference.
+// join merges the sets of two keys. The smaller root becomes the root of the merged set, so that the result does not depend on the order
+// of the calls.
 func (g *groups) join(a, b string) {
 	rootA, rootB := g.root(a), g.root(b)
 	if rootB < rootA {
@@ -31,7 +32,8 @@
 	g.parents[rootB] = rootA
 }
 
-// groupKey is the thing by which a host is grouped: a cache by its location, any other by itself, for it may serve several.
+// groupKey returns the key by which a host is grouped: that of its location for a cache, and its own for other hosts, which may serve
+// several locations.
 func groupKey(h *fleet.HostSpec) string {
 	if h.Role == fleet.Cache {
 		return fleet.LocationKey(h.Site)
--- a/internal/fleet/plan/impossible.go
+++ b/internal/fleet/plan/impossible.go
@@ -8,15 +8,15 @@
 	"stairvane.org/stairvane/internal/fleet"
 )
 
-// Blocked is a change that no order of steps makes possible, and why.
+// Blocked describes a change that is not possible in any order of steps, and the reason.
 type Blocked struct {
 	Change string   `json:"change"`
 	Why    string   `json:"why"`
-	Hosts  []string `json:"boxes,omitempty"` // names of the hosts that it is about
+	Hosts  []string `json:"boxes,omitempty"` // names of the hosts that are involved
 	Remedy string   `json:"remedy"`
 }
 
-// ImpossibleError is the error that there is no plan.
+// ImpossibleError is returned if there is no plan that satisfies the constraints.
 type ImpossibleError struct {
 	Blocked []Blocked `json:"blocked"`
 }
@@ -29,7 +29,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// validate returns an *ImpossibleError for a desired state that is wrong in itself.
+// validate returns an *ImpossibleError for a desired state that is invalid regardless of the observed state.
 func validate(desired fleet.DesiredState) error {
 	invalid := desired.Validate()
 	if len(invalid) == 0 {
@@ -37,18 +37,18 @@
 	}
 	e := &ImpossibleError{}
 	for _, v := range invalid {
-		e.Blocked = append(e.Blocked, Blocked{Change: "the wish itself, " + v.Thing, Why: v.Message, Remedy: "correct the file"})
+		e.Blocked = append(e.Blocked, Blocked{Change: "desired state, " + v.Thing, Why: v.Message, Remedy: "correct the file"})
 	}
 	return e
 }
 
-// rejection is a change that could not be placed, and the constraint that it would break.
+// rejection is a change that could not be placed, with the constraint that it would violate.
 type rejection struct {
 	change *change
 	broken *fleet.Slack
 }
 
-// explain gives the constraint and the hosts that stand in the way of a change, and what would make it possible.
+// explain describes the constraint and the hosts that block a change, and what would make the change possible.
 func (r rejection) explain() Blocked {
 	b := Blocked{Change: r.change.String(), Why: r.broken.String()}
 	if r.change.Host != nil {
@@ -60,14 +60,14 @@
 		b.Remedy = fmt.Sprintf("add share %.4g to %s first, or lower its floor to %.4g",
 			r.broken.Need-r.broken.Have, thing, max(0, r.broken.Have))
 	case fleet.SourceConstraint:
-		b.Remedy = fmt.Sprintf("give %s another source first", thing)
+		b.Remedy = fmt.Sprintf("add another source to %s first", thing)
 	case fleet.WarmingCapacityConstraint:
-		b.Remedy = fmt.Sprintf("wait until what is cold in %s is warm, or raise cold-most", thing)
+		b.Remedy = fmt.Sprintf("wait until the warming caches in %s are warm, or raise cold-most", thing)
 	case fleet.WarmingCacheConstraint:
 		b.Remedy = fmt.Sprintf("wait until %s is warm, add warm share to its location, or lower the location's load", thing)
 		b.Hosts = append(b.Hosts, thing)
 	default:
-		b.Remedy = fmt.Sprintf("wait until hub %s is warm, or let fewer locations fill from it", thing)
+		b.Remedy = fmt.Sprintf("wait until parent cache %s is warm, or use it as a source of fewer locations", thing)
 		b.Hosts = append(b.Hosts, thing)
 	}
 	slices.Sort(b.Hosts)
@@ -75,7 +75,7 @@
 	return b
 }
 
-// explainBlocked explains why none of the changes that are left can be placed. Without a rejection they wait for each other.
+// explainBlocked describes why none of the remaining changes can be placed. If no change was rejected, they depend on each other.
 func explainBlocked(changes []*change, rejected []rejection) (blocked []Blocked) {
 	for _, r := range rejected {
 		blocked = append(blocked, r.explain())
@@ -87,7 +87,7 @@
 		if !c.done {
 			blocked = append(blocked, Blocked{
 				Change: c.String(),
-				Why:    "it waits for steps that wait for it",
+				Why:    "it depends on steps that depend on it",
 				Remedy: "make the change in two plans",
 			})
 		}
--- a/internal/fleet/plan/ledger.go
+++ b/internal/fleet/plan/ledger.go
@@ -6,11 +6,12 @@
 	"stairvane.org/stairvane/internal/fleet"
 )
 
-// ledger counts what the constraints of one group are made of. The steps of a wave may take effect in any order, and some may be late.
-// Each change therefore counts at its worst: the capacity that it takes counts from the moment at which it is placed, and the capacity
-// that it gives only after its wave is done. A wave that keeps the constraints in the ledger keeps them at every moment.
+// ledger tracks the quantities that the constraints of one group bound. The steps of a wave may take effect in any order, and some may be
+// delayed. The ledger therefore assumes the worst case for each change: the capacity that it removes is subtracted when the change is
+// placed, and the capacity that it adds is added only when its wave is done. A wave that satisfies the constraints in the ledger
+// satisfies them at every moment.
 type ledger struct {
-	state     fleet.ObservedState // before the plan
+	state     fleet.ObservedState // before the plan is applied
 	rules     fleet.Rules
 	locations map[string]*locationLedger
 	sources   map[string]*sourceLedger
@@ -27,8 +28,8 @@
 	}
 }
 
-// openLocation adds a location as it is, and its sources.
-func (l *ledger) openLocation(name string) {
+// addLocation adds a location in its current state, and its sources.
+func (l *ledger) addLocation(name string) {
 	if l.locations[name] != nil {
 		return
 	}
@@ -36,18 +37,18 @@
 	l.locations[name] = location
 	l.addUser(location, location.possibleSources)
 	for _, source := range location.possibleSources {
-		l.openSource(source)
+		l.addSource(source)
 	}
 }
 
-// openSource adds a parent or an origin as it is.
-func (l *ledger) openSource(name string) {
+// addSource adds a parent or an origin in its current state.
+func (l *ledger) addSource(name string) {
 	if l.sources[name] == nil {
 		l.sources[name] = newSourceLedger(l.state, name)
 	}
 }
 
-// addUser records that a location may fill from sources.
+// addUser registers a location as a possible user of sources.
 func (l *ledger) addUser(location *locationLedger, sources []string) {
 	for _, source := range sources {
 		if !slices.Contains(l.users[source], location) {
@@ -56,11 +57,12 @@
 	}
 }
 
-// place counts a change in the wave. If a constraint would break, or break more than before, it is given and the ledger stays as it was.
+// place adds a change to the current wave. If the change would violate a constraint, or worsen a violation, place returns that constraint
+// and leaves the ledger unchanged.
 func (l *ledger) place(c *change) (broken *fleet.Slack) {
-	before := l.measure(l.touched(c))
-	rollback := l.begin(c)
-	for _, after := range l.measure(l.touched(c)) {
+	before := l.slacksOf(l.affectedBy(c))
+	rollback := l.reserve(c)
+	for _, after := range l.slacksOf(l.affectedBy(c)) {
 		var old fleet.Slack
 		i := slices.IndexFunc(before, func(s fleet.Slack) bool {
 			return s.Constraint == after.Constraint && s.Thing == after.Thing
@@ -76,8 +78,8 @@
 	return nil
 }
 
-// touched are the locations and parents whose constraints a change bears on.
-func (l *ledger) touched(c *change) (locations []*locationLedger, parents []*sourceLedger) {
+// affectedBy returns the locations and parents whose constraints a change may affect.
+func (l *ledger) affectedBy(c *change) (locations []*locationLedger, parents []*sourceLedger) {
 	switch {
 	case c.Location != nil:
 		locations = append(locations, l.locations[c.Location.Name])
@@ -97,8 +99,8 @@
 	return locations, parents
 }
 
-// measure gives the constraints of locations and parents.
-func (l *ledger) measure(locations []*locationLedger, parents []*sourceLedger) (all []fleet.Slack) {
+// slacksOf returns the slacks of the constraints of locations and parents.
+func (l *ledger) slacksOf(locations []*locationLedger, parents []*sourceLedger) (all []fleet.Slack) {
 	for _, location := range locations {
 		all = l.appendLocationSlacks(all, location)
 	}
@@ -108,21 +110,22 @@
 	return all
 }
 
-// begin counts what a change takes. rollback takes that back.
-func (l *ledger) begin(c *change) (rollback func()) {
+// reserve subtracts the capacity that a change removes, and counts the load that it adds. rollback restores the ledger.
+func (l *ledger) reserve(c *change) (rollback func()) {
 	switch {
 	case c.Location != nil:
-		return l.beginLocation(l.locations[c.Location.Name], c)
+		return l.reserveLocation(l.locations[c.Location.Name], c)
 	case c.Host != nil && c.Host.Role == fleet.Cache:
-		return l.locations[c.Host.Site].begin(c, l.state.Serves)
+		return l.locations[c.Host.Site].reserve(c, l.state.Serves)
 	case c.Host != nil:
-		return l.sources[c.Host.Name].begin(c)
+		return l.sources[c.Host.Name].reserve(c)
 	}
 	return func() {}
 }
 
-// beginLocation counts a location at the greater of its old and new floor and load, and with the sources that are common to both.
-func (l *ledger) beginLocation(location *locationLedger, c *change) (rollback func()) {
+// reserveLocation sets the floor and load of a location to the larger of the old and new values, and keeps as certain only the sources
+// that it has both before and after the change.
+func (l *ledger) reserveLocation(location *locationLedger, c *change) (rollback func()) {
 	before := *location
 	switch c.Kind {
 	case Locate:
@@ -146,8 +149,8 @@
 	}
 }
 
-// needsOwnWave tells whether a change must have a wave to itself: of a host that warms up, neither the old nor the new share is the worst
-// case in every respect.
+// needsOwnWave reports whether a change must be the only one in its wave. This holds for changes of the share of a warming host, since
+// neither the old nor the new share is the worst case for all constraints.
 func (l *ledger) needsOwnWave(c *change) bool {
 	if c.Kind != Raise && c.Kind != Lower {
 		return false
@@ -158,8 +161,8 @@
 	return l.sources[c.Host.Name].isWarmingUp
 }
 
-// finish counts what a change gives, once its wave is done.
-func (l *ledger) finish(c *change) {
+// complete adds the capacity that a change provides, once its wave is done.
+func (l *ledger) complete(c *change) {
 	switch {
 	case c.Location != nil:
 		location := l.locations[c.Location.Name]
@@ -168,15 +171,15 @@
 		location.setSources(c.Location.Sources)
 		l.addUser(location, c.Location.Sources)
 	case c.Host != nil && c.Host.Role == fleet.Cache:
-		l.locations[c.Host.Site].finish(c, l.state.Serves)
+		l.locations[c.Host.Site].complete(c, l.state.Serves)
 	case c.Host != nil:
-		l.sources[c.Host.Name].finish(c)
+		l.sources[c.Host.Name].complete(c)
 	}
 }
 
-// beginWave begins the next wave.
-func (l *ledger) beginWave() {
+// startWave prepares the ledger for the next wave.
+func (l *ledger) startWave() {
 	for _, location := range l.locations {
-		location.beginWave()
+		location.startWave()
 	}
 }
--- a/internal/fleet/plan/ledger_constraints.go
+++ b/internal/fleet/plan/ledger_constraints.go
@@ -2,9 +2,9 @@
 
 import "stairvane.org/stairvane/internal/fleet"
 
-// appendLocationSlacks appends the constraints of a location.
+// appendLocationSlacks appends the slacks of the constraints of a location.
 func (l *ledger) appendLocationSlacks(all []fleet.Slack, location *locationLedger) []fleet.Slack {
-	have := location.warm.withoutGreatest()
+	have := location.warm.sumWithoutLargest()
 	all = append(all, fleet.Slack{
 		Constraint: fleet.FloorConstraint,
 		Thing:      location.name,
@@ -14,7 +14,7 @@
 		RawSlack:   location.serving,
 	})
 	if location.caches+len(location.certainSources) > 0 {
-		have := float64(l.liveSources(location))
+		have := float64(l.sourcesAfterWorstFailure(location))
 		all = append(all, fleet.Slack{Constraint: fleet.SourceConstraint, Thing: location.name, Have: have, Need: 1, Slack: have - 1})
 	}
 	if location.load == 0 {
@@ -23,7 +23,7 @@
 	if slack, applies := l.warmingCapacitySlack(location); applies {
 		all = append(all, slack)
 	}
-	if location.warmAtBegin == 0 && location.caches == 1 { // the first cache, or the last
+	if location.warmAtWaveStart == 0 && location.caches == 1 { // the only cache of the location is warming up
 		return all
 	}
 	for i := range location.warming {
@@ -32,8 +32,8 @@
 	return all
 }
 
-// liveSources is how many sources a location keeps with any one parent dying.
-func (l *ledger) liveSources(location *locationLedger) int {
+// sourcesAfterWorstFailure returns the number of serving sources that a location keeps if any one parent fails.
+func (l *ledger) sourcesAfterWorstFailure(location *locationLedger) int {
 	live := 0
 	hasParent := false
 	for _, name := range location.certainSources {
@@ -48,17 +48,17 @@
 	return live
 }
 
-// warmingCapacitySlack bounds the capacity that warms up at once. Where there is at most one warm cache nothing more may warm up, for what
-// is warm first changes what the others are asked for.
+// warmingCapacitySlack returns the slack of the capacity that warms up at once. A location with at most one warm cache must not get another
+// cache while one is warming up, since the first one to become warm changes the load on the others.
 func (l *ledger) warmingCapacitySlack(location *locationLedger) (slack fleet.Slack, applies bool) {
 	have := location.warmingCapacity()
 	allowed := 0.0
 	switch {
 	case len(location.warming) > 1:
-		if location.warmAtBegin > 1 {
+		if location.warmAtWaveStart > 1 {
 			allowed = l.rules.MaxWarmingShare * location.capacity
 		}
-	case location.warmAtBegin <= 1 && location.addedWarming > 0 && location.addedWarm > 0:
+	case location.warmAtWaveStart <= 1 && location.addedWarming > 0 && location.addedWarm > 0:
 	default:
 		return fleet.Slack{}, false
 	}
@@ -71,63 +71,64 @@
 	}, true
 }
 
-// warmingCacheSlack bounds what a cache that warms up is asked for.
+// warmingCacheSlack returns the slack of the load on a warming cache, in the worst case of the wave and of any one failure.
 func (l *ledger) warmingCacheSlack(location *locationLedger, i int) fleet.Slack {
 	cache := location.warming[i]
-	bears := l.rules.Cache.MaxLoadAtStart(cache.share)
-	asked := location.load
-	if warm := location.warmAfterWorstDeath(); warm+cache.serving > 0 {
-		asked = location.load * cache.serving / (warm + cache.serving)
+	maxLoad := l.rules.Cache.MaxLoadAtStart(cache.share)
+	requested := location.load
+	if warm := location.warmAfterWorstFailure(); warm+cache.serving > 0 {
+		requested = location.load * cache.serving / (warm + cache.serving)
 	}
-	// Without deaths all that serves takes part, also what warmed up when the wave began. That may be drained.
+	// Without a failure all serving caches share the load, including those that were warming up when the wave started, which may be
+	// drained.
 	serving := location.serving
 	if isAdded := i >= len(location.warming)-location.addedWarming; isAdded {
 		serving += cache.serving
 	}
-	askedWithoutDeath := location.load * cache.serving / max(serving, cache.serving)
+	requestedWithoutFailure := location.load * cache.serving / max(serving, cache.serving)
 	return fleet.Slack{
 		Constraint: fleet.WarmingCacheConstraint,
 		Thing:      cache.name,
-		Have:       asked,
-		Need:       bears,
-		Slack:      bears - asked,
-		RawSlack:   bears - askedWithoutDeath,
+		Have:       requested,
+		Need:       maxLoad,
+		Slack:      maxLoad - requested,
+		RawSlack:   maxLoad - requestedWithoutFailure,
 	}
 }
 
-// appendParentSlack appends the constraint of a parent, which applies while it warms up.
+// appendParentSlack appends the slack of the constraint of a parent, which applies only while the parent warms up.
 func (l *ledger) appendParentSlack(all []fleet.Slack, parent *sourceLedger) []fleet.Slack {
 	if !parent.isWarmingUp || parent.role != fleet.Parent {
 		return all
 	}
-	asked, askedWithoutDeath := 0.0, 0.0
+	requested, requestedWithoutFailure := 0.0, 0.0
 	for _, location := range l.users[parent.name] {
 		if location.caches == 0 {
 			continue
 		}
-		fills := l.fillsFrom(parent, location)
-		asked += fills.withDeath
-		askedWithoutDeath += fills.withoutDeath
+		fills := l.fillLoad(parent, location)
+		requested += fills.withFailure
+		requestedWithoutFailure += fills.withoutFailure
 	}
 	need := l.rules.Parent.MaxLoadAtStart(parent.share)
 	return append(all, fleet.Slack{
 		Constraint: fleet.WarmingParentConstraint,
 		Thing:      parent.name,
-		Have:       asked,
+		Have:       requested,
 		Need:       need,
-		Slack:      need - asked,
-		RawSlack:   need - askedWithoutDeath,
+		Slack:      need - requested,
+		RawSlack:   need - requestedWithoutFailure,
 	})
 }
 
-// fills is what a location asks of a parent, with the worst death and without any.
-type fills struct{ withDeath, withoutDeath float64 }
+// fillLoads is the load from fills that a location puts on a parent, with the worst failure and without a failure.
+type fillLoads struct{ withFailure, withoutFailure float64 }
 
-func (l *ledger) fillsFrom(parent *sourceLedger, location *locationLedger) fills {
+func (l *ledger) fillLoad(parent *sourceLedger, location *locationLedger) fillLoads {
 	warming := location.warmingServing()
 	all := l.rules.FillLoad(location.load, location.warm.sum, warming)
-	worst := max(all, l.rules.FillLoad(location.load, location.warm.withoutGreatest(), warming))
-	others, greatestParent := 0.0, 0.0
+	worstCase := max(all, l.rules.FillLoad(location.load, location.warm.sumWithoutLargest(), warming))
+	others, largestParent := 0.0, 0.0
 	for _, name := range location.certainSources {
 		s := l.sources[name]
 		if s == nil || s == parent {
@@ -135,15 +136,15 @@
 		}
 		others += s.serving
 		if s.role == fleet.Parent {
-			greatestParent = max(greatestParent, s.serving)
+			largestParent = max(largestParent, s.serving)
 		}
 	}
-	serving := others - greatestParent + parent.warmingServing
+	serving := others - largestParent + parent.warmingServing
 	if serving <= 0 {
-		return fills{}
+		return fillLoads{}
 	}
-	return fills{
-		withDeath:    worst * parent.warmingServing / serving,
-		withoutDeath: all * parent.warmingServing / (others + parent.warmingServing),
+	return fillLoads{
+		withFailure:    worstCase * parent.warmingServing / serving,
+		withoutFailure: all * parent.warmingServing / (others + parent.warmingServing),
 	}
 }
--- a/internal/fleet/plan/ledger_location.go
+++ b/internal/fleet/plan/ledger_location.go
@@ -6,28 +6,28 @@
 	"stairvane.org/stairvane/internal/fleet"
 )
 
-// locationLedger is the ledger of one location.
+// locationLedger tracks the quantities that the constraints of one location bound.
 type locationLedger struct {
 	name  string
 	floor float64
 	load  float64
 
-	warm     capacities     // serving, of the warm caches, less what the wave takes
-	warming  []warmingCache // those that warm up
-	serving  float64        // of all caches that serve, less what the wave takes
-	capacity float64        // of all caches that serve, less what the wave takes
-	caches   int            // that serve, at most
+	warm     capacitySet // serving shares of the warm caches, less what the wave removes
+	warming  []warmingCache
+	serving  float64 // serving share of all serving caches, less what the wave removes
+	capacity float64 // share of all serving caches, less what the wave removes
+	caches   int     // upper bound of the number of serving caches
 
-	certainSources  []string // that it has whichever steps of the wave have taken effect
-	possibleSources []string // that it may have
+	certainSources  []string // sources that it has regardless of which steps of the wave have taken effect
+	possibleSources []string // sources that it has if some steps of the wave have taken effect
 
-	warmAtBegin    int // warm caches when the wave began
-	warmingAtBegin int // caches that warmed up when the wave began
-	addedWarming   int // caches that the wave adds and that warm up
-	addedWarm      int // caches that the wave adds and that are warm
+	warmAtWaveStart    int // warm caches when the wave started
+	warmingAtWaveStart int // warming caches when the wave started
+	addedWarming       int // caches that the wave adds and that must warm up
+	addedWarm          int // caches that the wave adds and that are already warm
 }
 
-// warmingCache is a cache that warms up.
+// warmingCache is a cache that is warming up.
 type warmingCache struct {
 	name    string
 	share   float64
@@ -38,7 +38,7 @@
 	return warmingCache{name: h.Name, share: h.Share, serving: h.Serving}
 }
 
-// newLocationLedger is the ledger of a location as it is.
+// newLocationLedger returns the ledger of a location in its current state.
 func newLocationLedger(state fleet.ObservedState, name string) *locationLedger {
 	l := &locationLedger{name: name}
 	if location := state.Location(name); location != nil {
@@ -59,7 +59,7 @@
 			l.warm.add(host.Serving)
 		}
 	}
-	l.warmAtBegin = l.warm.count
+	l.warmAtWaveStart = l.warm.count
 	return l
 }
 
@@ -68,15 +68,15 @@
 	l.possibleSources = sources
 }
 
-// beginWave begins the next wave.
-func (l *locationLedger) beginWave() {
-	l.warmAtBegin = l.warm.count
-	l.warmingAtBegin = len(l.warming)
+// startWave prepares the ledger for the next wave.
+func (l *locationLedger) startWave() {
+	l.warmAtWaveStart = l.warm.count
+	l.warmingAtWaveStart = len(l.warming)
 	l.addedWarming = 0
 	l.addedWarm = 0
 }
 
-// warmingIndex is the index of a cache among those that warm up; negative if it is none of them.
+// warmingIndex returns the index of a cache in warming, or a negative number if it is not warming up.
 func (l *locationLedger) warmingIndex(name string) int {
 	return slices.IndexFunc(l.warming, func(c warmingCache) bool { return c.name == name })
 }
@@ -95,36 +95,37 @@
 	return sum
 }
 
-// warmAfterWorstDeath is what is warm with the worst cache dying. The death of the only warm cache is exempt, for without it the location
-// is not open. It is not certain to be the only one while others may finish to warm up.
-func (l *locationLedger) warmAfterWorstDeath() float64 {
-	if l.warmAtBegin == 1 && l.warmingAtBegin == 0 {
+// warmAfterWorstFailure returns the serving share of the warm caches after the worst failure of one. The failure of the only warm cache is
+// exempt, since the location is not open without it. While other caches may finish warming up, the cache is not certain to be the only
+// warm one, and so the exemption does not apply.
+func (l *locationLedger) warmAfterWorstFailure() float64 {
+	if l.warmAtWaveStart == 1 && l.warmingAtWaveStart == 0 {
 		return l.warm.sum
 	}
-	return l.warm.withoutGreatest()
+	return l.warm.sumWithoutLargest()
 }
 
-// begin counts what a change of a cache takes. serves tells whether a host of the state before the plan serves.
-func (l *locationLedger) begin(c *change, serves func(*fleet.Host) bool) (rollback func()) {
+// reserve subtracts the capacity that a change of a cache removes. serves reports whether a host serves in the state before the plan.
+func (l *locationLedger) reserve(c *change, serves func(*fleet.Host) bool) (rollback func()) {
 	switch c.Kind {
 	case Raise:
-		return l.beginRaise(c.Host)
+		return l.reserveRaise(c.Host)
 	case Add:
-		return l.beginAdd(c.Host)
+		return l.reserveAdd(c.Host)
 	case Drain:
 		if serves(c.Before) {
-			return l.beginDrain(c.Before)
+			return l.reserveDrain(c.Before)
 		}
 	case Lower:
 		if serves(c.Before) {
-			return l.beginLower(c.Before, c.Host)
+			return l.reserveLower(c.Before, c.Host)
 		}
 	}
 	return func() {}
 }
 
-// beginRaise counts a cache that warms up at its new share. A warm one gives, and so counts when the wave is done.
-func (l *locationLedger) beginRaise(after *fleet.Host) (rollback func()) {
+// reserveRaise sets a warming cache to its new share. The raise of a warm cache only adds capacity and counts when the wave is done.
+func (l *locationLedger) reserveRaise(after *fleet.Host) (rollback func()) {
 	i := l.warmingIndex(after.Name)
 	if i < 0 {
 		return func() {}
@@ -134,7 +135,7 @@
 	return func() { l.warming[i] = before }
 }
 
-func (l *locationLedger) beginAdd(host *fleet.Host) (rollback func()) {
+func (l *locationLedger) reserveAdd(host *fleet.Host) (rollback func()) {
 	l.caches++
 	if !host.NeedsWarmUp() {
 		l.addedWarm++
@@ -154,9 +155,9 @@
 	}
 }
 
-func (l *locationLedger) beginDrain(before *fleet.Host) (rollback func()) {
+func (l *locationLedger) reserveDrain(before *fleet.Host) (rollback func()) {
 	l.serving -= before.Serving
-	if l.warmingIndex(before.Name) >= 0 { // it counts as one that warms up until it is drained
+	if l.warmingIndex(before.Name) >= 0 { // it counts as a warming cache until it is drained
 		return func() { l.serving += before.Serving }
 	}
 	l.capacity -= before.Share
@@ -168,7 +169,7 @@
 	}
 }
 
-func (l *locationLedger) beginLower(before, after *fleet.Host) (rollback func()) {
+func (l *locationLedger) reserveLower(before, after *fleet.Host) (rollback func()) {
 	taken := before.Serving - after.Serving
 	l.serving -= taken
 	if i := l.warmingIndex(before.Name); i >= 0 {
@@ -190,24 +191,24 @@
 	}
 }
 
-// finish counts what a change of a cache gives, once its wave is done.
-func (l *locationLedger) finish(c *change, serves func(*fleet.Host) bool) {
+// complete adds the capacity that a change of a cache provides, once its wave is done.
+func (l *locationLedger) complete(c *change, serves func(*fleet.Host) bool) {
 	switch c.Kind {
 	case Add:
-		l.finishAdd(c.Host)
+		l.completeAdd(c.Host)
 	case Raise:
-		l.finishRaise(c, c.addedByPlan || serves(c.Before))
+		l.completeRaise(c, c.addedByPlan || serves(c.Before))
 	case Lower:
 		if i := l.warmingIndex(c.Host.Name); i >= 0 {
-			l.finishWarmingShare(i, c)
+			l.completeWarmingShare(i, c)
 		}
 	case Drain:
-		l.finishDrain(c.Before, serves(c.Before))
+		l.completeDrain(c.Before, serves(c.Before))
 	}
 }
 
-// finishAdd counts a cache that has warmed up.
-func (l *locationLedger) finishAdd(host *fleet.Host) {
+// completeAdd adds a cache that is now warm.
+func (l *locationLedger) completeAdd(host *fleet.Host) {
 	l.serving += host.Serving
 	if i := l.warmingIndex(host.Name); i >= 0 {
 		l.warming = slices.Delete(l.warming, i, i+1)
@@ -217,12 +218,12 @@
 	l.warm.add(host.Serving)
 }
 
-func (l *locationLedger) finishRaise(c *change, serves bool) {
+func (l *locationLedger) completeRaise(c *change, serves bool) {
 	if serves {
 		l.serving += c.Host.Serving - c.Before.Serving
 	}
 	if i := l.warmingIndex(c.Host.Name); i >= 0 {
-		l.finishWarmingShare(i, c)
+		l.completeWarmingShare(i, c)
 		return
 	}
 	if serves {
@@ -232,14 +233,14 @@
 	}
 }
 
-// finishWarmingShare counts the new share of a cache that warms up.
-func (l *locationLedger) finishWarmingShare(i int, c *change) {
+// completeWarmingShare sets the new share of a warming cache.
+func (l *locationLedger) completeWarmingShare(i int, c *change) {
 	l.warming[i].share = c.Host.Share
 	l.warming[i].serving = c.Host.Serving
 	l.capacity += c.Host.Share - c.Before.Share
 }
 
-func (l *locationLedger) finishDrain(host *fleet.Host, served bool) {
+func (l *locationLedger) completeDrain(host *fleet.Host, served bool) {
 	if i := l.warmingIndex(host.Name); i >= 0 {
 		l.capacity -= l.warming[i].share
 		l.warming = slices.Delete(l.warming, i, i+1)
--- a/internal/fleet/plan/ledger_source.go
+++ b/internal/fleet/plan/ledger_source.go
@@ -2,17 +2,18 @@
 
 import "stairvane.org/stairvane/internal/fleet"
 
-// sourceLedger is the ledger of one parent or origin.
+// sourceLedger tracks the capacity of one parent or origin.
 type sourceLedger struct {
 	name           string
 	role           fleet.Role
 	share          float64
-	serving        float64 // 0 while it does not serve, or may not
+	serving        float64 // serving share that is certain: 0 if the host does not serve, is warming up or may be drained by the wave
 	isWarmingUp    bool
-	warmingServing float64 // that directors are sent while it warms up
+	warmingServing float64 // serving share that directors are sent while it warms up
 }
 
-// newSourceLedger is the ledger of a source as it is. One that is not there yet counts as a parent that does not serve.
+// newSourceLedger returns the ledger of a source in its current state. A source that does not exist yet counts as a parent that does not
+// serve.
 func newSourceLedger(state fleet.ObservedState, name string) *sourceLedger {
 	s := &sourceLedger{name: name, role: fleet.Parent}
 	host := state.Host(name)
@@ -32,8 +33,8 @@
 	return s
 }
 
-// begin counts what a change takes.
-func (s *sourceLedger) begin(c *change) (rollback func()) {
+// reserve subtracts the capacity that a change removes.
+func (s *sourceLedger) reserve(c *change) (rollback func()) {
 	before := *s
 	switch c.Kind {
 	case Add:
@@ -55,8 +56,8 @@
 	return func() { *s = before }
 }
 
-// finish counts what a change gives, once its wave is done.
-func (s *sourceLedger) finish(c *change) {
+// complete adds the capacity that a change provides, once its wave is done.
+func (s *sourceLedger) complete(c *change) {
 	switch c.Kind {
 	case Add:
 		s.isWarmingUp = false
--- a/internal/fleet/plan/plan.go
+++ b/internal/fleet/plan/plan.go
@@ -7,20 +7,20 @@
 	"stairvane.org/stairvane/internal/fleet"
 )
 
-// Plan is a change of the fleet: what was read, and the steps.
+// Plan is a planned change of the fleet: the state that it depends on, and the steps.
 type Plan struct {
-	Revision    int64        `json:"revision"` // of the fleet that was read
-	NowMS       int64        `json:"now_ms"`   // when it was read
+	Revision    int64        `json:"revision"` // of the fleet for which the plan was made
+	NowMS       int64        `json:"now_ms"`   // when the plan was made
 	DesiredFile string       `json:"wish_file,omitempty"`
 	DesiredSum  string       `json:"wish_sum"`
 	RevertOf    int64        `json:"revert_of,omitempty"` // the apply that this plan reverts
-	Rules       fleet.Rules  `json:"rules"`               // in force while it is applied
-	Reads       []fleet.Read `json:"reads"`               // all that the plan rests on, by key
+	Rules       fleet.Rules  `json:"rules"`               // in force while the plan is applied
+	Reads       []fleet.Read `json:"reads"`               // everything that the plan depends on, sorted by key
 	Steps       []Step       `json:"steps"`
 }
 
-// Make plans the way from an observed state to a desired one. file is the name of the desired state's file; it may be empty. The error is
-// an *Impossible if no order of steps keeps the constraints.
+// Make returns a plan that leads from an observed state to a desired state. file is the name of the desired state's file; it may be empty.
+// The error is an *ImpossibleError if no order of steps satisfies the constraints.
 func Make(state fleet.ObservedState, desired fleet.DesiredState, file string) (*Plan, error) {
 	desired.Normalize()
 	if err := validate(desired); err != nil {
@@ -41,7 +41,7 @@
 	}
 	state.Fleet = state.WithRules(desired.Rules)
 	d := newDiffer(state, desired)
-	d.collect()
+	d.collectChanges()
 	s := &scheduler{state: state, plan: p, changes: d.changes, groups: d.groups, afterRules: changesRules, read: map[string]bool{}}
 	if err := s.run(); err != nil {
 		return nil, err
@@ -50,7 +50,7 @@
 	return p, nil
 }
 
-// StaleRead is one thing that is not as a plan read it.
+// StaleRead is one read of a plan that no longer matches the state.
 type StaleRead struct {
 	Thing string `json:"thing"`
 	Was   string `json:"was"`
@@ -59,7 +59,7 @@
 
 func (r StaleRead) String() string { return r.Thing + " was " + r.Was + ", is " + r.Is }
 
-// Stale compares what a plan has read with the state as it is now.
+// Stale returns the reads of the plan that no longer match the state.
 func (p *Plan) Stale(state fleet.ObservedState) (moved []StaleRead, err error) {
 	for _, read := range p.Reads {
 		now, err := state.Reread(read.Thing)
--- a/internal/fleet/plan/plan_test.go
+++ b/internal/fleet/plan/plan_test.go
@@ -15,17 +15,18 @@
 	"stairvane.org/stairvane/internal/fleet/fleettest"
 )
 
-// applyInRandomOrder applies a plan in a random order that its graph allows. It calls check with the state before and after each event.
+// applyInRandomOrder applies the steps of a plan in a random order that its graph allows, and returns the state after the last step. It
+// calls check with the state before and after each event.
 func applyInRandomOrder(
-	t *rapid.T, w fleet.ObservedState, p *Plan, check func(before, after fleet.ObservedState, s Step),
+	t *rapid.T, observed fleet.ObservedState, p *Plan, check func(before, after fleet.ObservedState, s Step),
 ) fleet.ObservedState {
 	const pending, effected, done = 0, 1, 2
 	state := make([]int, len(p.Steps)+1)
 	for left := 2 * len(p.Steps); left > 0; left-- {
-		if rapid.IntRange(0, 9).Draw(t, "time") == 0 { // what warms up may be warm at any moment
-			w.NowMS += 20_000
+		if rapid.IntRange(0, 9).Draw(t, "time") == 0 { // warming hosts may become warm at any moment
+			observed.NowMS += 20_000
 		}
-		var can []int
+		var candidates []int
 		running := 0
 		for _, s := range p.Steps {
 			if state[s.ID] == effected {
@@ -36,34 +37,34 @@
 			ready := state[s.ID] == pending && running < p.Rules.MaxParallelSteps &&
 				!slices.ContainsFunc(s.After, func(a int) bool { return state[a] != done })
 			if ready || state[s.ID] == effected {
-				can = append(can, s.ID)
+				candidates = append(candidates, s.ID)
 			}
 		}
-		s := p.Steps[rapid.SampledFrom(can).Draw(t, "next")-1]
+		s := p.Steps[rapid.SampledFrom(candidates).Draw(t, "next")-1]
 		if state[s.ID] == effected {
-			if m := w.Host(thingName(s)); s.Wait == Warm && m != nil {
-				w.NowMS = max(w.NowMS, w.WarmAtMS(m))
+			if host := observed.Host(thingName(s)); s.Wait == Warm && host != nil {
+				observed.NowMS = max(observed.NowMS, observed.WarmAtMS(host))
 			}
 			state[s.ID] = done
 			continue
 		}
 		state[s.ID] = effected
-		e := s.Event(w.Revision+1, w.NowMS, "test", 1)
-		slacks, err := w.Violations(e)
+		e := s.Event(observed.Revision+1, observed.NowMS, "test", 1)
+		slacks, err := observed.Violations(e)
 		if err != nil || len(slacks) > 0 {
 			t.Fatalf("step %d, %v, is not admitted: %v %v\n%s", s.ID, s, err, slacks, text(p))
 		}
-		before := w
-		if w.Fleet, err = w.Apply(e); err != nil {
+		before := observed
+		if observed.Fleet, err = observed.Apply(e); err != nil {
 			t.Fatal(err)
 		}
-		if s.Kind == Remove || s.Kind == Add { // the observer forgets a host that was removed, and does not know a new one
-			w.Observed = maps.Clone(w.Observed)
-			delete(w.Observed, s.Host.Name)
+		if s.Kind == Remove || s.Kind == Add { // the observer drops a removed host and has not observed a new one
+			observed.Observed = maps.Clone(observed.Observed)
+			delete(observed.Observed, s.Host.Name)
 		}
-		check(before, w, s)
+		check(before, observed, s)
 	}
-	return w
+	return observed
 }
 
 func thingName(s Step) string {
@@ -81,34 +82,34 @@
 	return b.String()
 }
 
-// isDesired tells whether a fleet is as desired.
+// isDesired reports whether a fleet matches a desired state.
 func isDesired(f fleet.Fleet, desired fleet.DesiredState) bool {
 	desired.Normalize()
 	is := f.DesiredState()
 	for _, hosts := range [][]fleet.HostSpec{is.Hosts, desired.Hosts} {
 		for i := range hosts {
-			hosts[i].Running = false // without meaning once a host is there
+			hosts[i].Running = false // ignored once a host is in service
 		}
 	}
 	return fleet.Sum(is) == fleet.Sum(desired)
 }
 
-// For random states and desired states: the plan leads to the desired state, and a second plan is empty. In any order of steps that the
-// graph allows, no step breaks a constraint with any one host dying. Hosts may be dead before.
+// For random observed and desired states, the plan leads to the desired state and a second plan is empty. In any order of steps that the
+// graph allows, no step violates a constraint, also if any one host fails. Some hosts may be unreachable before the plan is made.
 func TestPlansKeepConstraintsAtEveryStep(t *testing.T) {
 	made, steps := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		from, to := fleettest.DrawDesiredState(t, 8), fleettest.DrawDesiredState(t, 8)
-		w := fleet.ObservedState{Fleet: fleettest.Build(t, from), NowMS: 1_000_000, Observed: map[string]fleet.Observation{}}
-		for m := range w.Hosts() {
+		observed := fleet.ObservedState{Fleet: fleettest.Build(t, from), NowMS: 1_000_000, Observed: map[string]fleet.Observation{}}
+		for host := range observed.Hosts() {
 			switch rapid.IntRange(0, 15).Draw(t, "seen") {
 			case 0:
-				w.Observed[m.Name] = fleet.Observation{Sight: fleet.Unreachable}
+				observed.Observed[host.Name] = fleet.Observation{Sight: fleet.Unreachable}
 			case 1:
-				w.Observed[m.Name] = fleet.Observation{Sight: fleet.Up, RestartedMS: w.NowMS - 1000}
+				observed.Observed[host.Name] = fleet.Observation{Sight: fleet.Up, RestartedMS: observed.NowMS - 1000}
 			}
 		}
-		p, err := Make(w, to, "")
+		p, err := Make(observed, to, "")
 		var impossible *ImpossibleError
 		if errors.As(err, &impossible) {
 			if len(impossible.Blocked) == 0 {
@@ -120,37 +121,38 @@
 			t.Fatal(err)
 		}
 		made, steps = made+1, steps+len(p.Steps)
-		again, err := Make(w, to, "")
+		again, err := Make(observed, to, "")
 		a, _ := Encode(p)
 		if b, _ := Encode(again); err != nil || !bytes.Equal(a, b) {
-			t.Fatal("the same input gave other bytes")
+			t.Fatal("the same input gave different bytes")
 		}
 		if back, err := Decode(a); err != nil || fleet.Sum(back) != fleet.Sum(p) {
-			t.Fatalf("not read back: %v", err)
+			t.Fatalf("the plan is not decoded as it was encoded: %v", err)
 		}
-		deaths := []string{""}
+		failures := []string{""}
 		for _, b := range slices.Concat(from.Hosts, to.Hosts) {
 			if b.Role != fleet.Origin {
-				deaths = append(deaths, b.Name)
+				failures = append(failures, b.Name)
 			}
 		}
-		end := applyInRandomOrder(t, w, p, func(before, after fleet.ObservedState, s Step) {
-			if s.Kind == SetRules { // what the constraints are is the operator's
+		end := applyInRandomOrder(t, observed, p, func(before, after fleet.ObservedState, s Step) {
+			if s.Kind == SetRules { // the operator decides what the constraints are
 				return
 			}
-			if s.Kind == Add && s.Host.Running { // more warm share only helps, though it may end an exemption
+			if s.Kind == Add && s.Host.Running { // adding warm share improves every constraint, though it may end an exemption
 				return
 			}
-			for _, d := range deaths {
-				was := fleettest.Broken(before, d)
-				for what, by := range fleettest.Broken(after, d) {
-					if old, is := was[what]; !is || by > old+1e-9 {
-						worst := false // another death broke it as much before
-						for _, o := range deaths {
-							worst = worst || fleettest.Broken(before, o)[what] >= by-1e-9
+			for _, failing := range failures {
+				brokenBefore := fleettest.Broken(before, failing)
+				for what, by := range fleettest.Broken(after, failing) {
+					if old, existed := brokenBefore[what]; !existed || by > old+1e-9 {
+						brokenByOther := false // the failure of another host violated it as much before
+						for _, other := range failures {
+							brokenByOther = brokenByOther || fleettest.Broken(before, other)[what] >= by-1e-9
 						}
-						if !worst {
-							t.Fatalf("step %d, %v: %s broken by %v (was %v) with %q dying\n%s", s.ID, s, what, by, old, d, text(p))
+						if !brokenByOther {
+							t.Fatalf("step %d, %v: %s violated by %v (before: %v) with %q failing\n%s",
+								s.ID, s, what, by, old, failing, text(p))
 						}
 					}
 				}
--- a/internal/fleet/plan/schedule.go
+++ b/internal/fleet/plan/schedule.go
@@ -9,20 +9,20 @@
 	"stairvane.org/stairvane/internal/fleet"
 )
 
-// initialShares are the parts of its share at which a host that warms up may be added, where it would be asked for too much at all of it.
+// initialShares are the fractions of its share with which a warming host may be added if the load at its full share would be too high.
 var initialShares = []float64{0.5, 0.25, 0.125, 0.0625}
 
-// maxRejectionsPerWave bounds how many changes are tried in vain once a wave has steps. The next wave tries them again.
+// maxRejectionsPerWave limits the number of rejected changes in a wave that has steps. The next wave tries the rejected changes again.
 const maxRejectionsPerWave = 64
 
-// scheduler places changes in waves, group by group.
+// scheduler assigns changes to waves, group by group.
 type scheduler struct {
 	state      fleet.ObservedState
 	plan       *Plan
 	changes    []*change
 	groups     *groups
-	afterRules bool            // step 1 sets the rules, and all others come after it
-	read       map[string]bool // keys of the hosts that are in the plan's reads
+	afterRules bool            // step 1 sets the rules, and all other steps depend on it
+	read       map[string]bool // keys of the hosts that are in the reads of the plan
 }
 
 func (s *scheduler) run() error {
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// groupKey is the thing by which a change is grouped.
+// groupKey returns the key by which a change is grouped.
 func (c *change) groupKey() string {
 	if c.Location != nil {
 		return fleet.LocationKey(c.Location.Name)
@@ -59,8 +59,8 @@
 	return groupKey(&c.Host.HostSpec)
 }
 
-// joinSharedSources joins the locations that share a source that changes or warms up. Through a warm source that stays as it is,
-// locations do not bear on each other.
+// joinSharedSources joins the groups of locations that share a source that is changed or warming up. Locations that share only warm,
+// unchanged sources do not affect each other's constraints.
 func (s *scheduler) joinSharedSources() {
 	changing := map[string]bool{}
 	for _, c := range s.changes {
@@ -85,14 +85,14 @@
 	}
 }
 
-// placeGroup appends the steps of a group to the plan, or gives the changes that can't be placed.
+// placeGroup appends the steps of a group to the plan, or returns the changes that can't be placed.
 func (s *scheduler) placeGroup(number int, changes []*change, locations []string) []Blocked {
-	l := s.openLedger(changes, locations)
+	l := s.newGroupLedger(changes, locations)
 	s.addReads(l, changes)
 	slices.SortStableFunc(changes, func(a, b *change) int {
 		return cmp.Or(
 			cmp.Compare(a.priority, b.priority),
-			cmp.Compare(a.takenShare(), b.takenShare()),
+			cmp.Compare(a.shareReduction(), b.shareReduction()),
 			cmp.Compare(a.key, b.key),
 			cmp.Compare(a.Kind, b.Kind))
 	})
@@ -101,8 +101,8 @@
 		previous = []int{1}
 	}
 	q := newQueue(changes)
-	for wave := 1; q.left > 0; wave++ {
-		l.beginWave()
+	for wave := 1; q.remaining > 0; wave++ {
+		l.startWave()
 		placed, rejected := s.placeWave(l, q)
 		if len(placed) == 0 {
 			placed = s.addWithPartOfShare(l, q)
@@ -112,10 +112,10 @@
 		}
 		previous = s.appendSteps(placed, Step{Group: number, Wave: wave, After: previous})
 		for _, c := range placed {
-			l.finish(c)
-			q.finish(c)
+			l.complete(c)
+			q.complete(c)
 			if c.Kind == Add && c.Host.Serving < c.Host.Share {
-				q.left++
+				q.remaining++
 				q.push(raiseAfter(c))
 			}
 		}
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// appendSteps appends the steps of a wave to the plan, with the group, wave and predecessors of a model, and gives their IDs.
+// appendSteps appends the steps of a wave to the plan, with the group, wave and predecessors of model, and returns their IDs.
 func (s *scheduler) appendSteps(placed []*change, model Step) []int {
 	ids := make([]int, 0, len(placed))
 	for _, c := range placed {
@@ -137,32 +137,32 @@
 	return ids
 }
 
-// openLedger makes the ledger of a group, with all that its changes bear on.
-func (s *scheduler) openLedger(changes []*change, locations []string) *ledger {
+// newGroupLedger returns the ledger of a group, with all locations and sources that its changes affect.
+func (s *scheduler) newGroupLedger(changes []*change, locations []string) *ledger {
 	l := newLedger(s.state)
 	for _, name := range locations {
-		l.openLocation(name)
+		l.addLocation(name)
 	}
 	for _, c := range changes {
 		switch {
 		case c.Location != nil:
-			l.openLocation(c.Location.Name)
+			l.addLocation(c.Location.Name)
 			for _, name := range c.Location.Sources {
-				l.openSource(name)
+				l.addSource(name)
 			}
 		case c.Host.Role == fleet.Cache:
-			l.openLocation(c.Host.Site)
+			l.addLocation(c.Host.Site)
 		default:
-			l.openSource(c.Host.Name)
+			l.addSource(c.Host.Name)
 		}
 	}
 	return l
 }
 
-// placeWave places the ready changes that fit together.
+// placeWave places the ready changes that can be in one wave without violating a constraint, and returns the placed and rejected changes.
 func (s *scheduler) placeWave(l *ledger, q *queue) (placed []*change, rejected []rejection) {
 	maxSteps := max(1, s.plan.Rules.MaxParallelSteps)
-	for c := range q.all {
+	for c := range q.readyChanges {
 		if len(placed) == maxSteps || len(placed) > 0 && len(rejected) >= maxRejectionsPerWave {
 			break
 		}
@@ -182,10 +182,10 @@
 	return placed, rejected
 }
 
-// addWithPartOfShare adds one host that warms up with a part of its share.
+// addWithPartOfShare places the addition of one warming host with the largest of initialShares that fits. It returns nil if none fits.
 func (s *scheduler) addWithPartOfShare(l *ledger, q *queue) []*change {
 	for _, part := range initialShares {
-		for c := range q.all {
+		for c := range q.readyChanges {
 			if c.Kind != Add || !c.Host.NeedsWarmUp() {
 				continue
 			}
@@ -202,7 +202,7 @@
 	return nil
 }
 
-// addReads adds all that a group's steps rest on to the plan's reads.
+// addReads adds everything that a group's steps depend on to the reads of the plan.
 func (s *scheduler) addReads(l *ledger, changes []*change) {
 	for _, name := range slices.Sorted(maps.Keys(l.locations)) {
 		s.plan.Reads = append(s.plan.Reads, s.state.ReadLocation(name))
--- a/internal/fleet/plan/step.go
+++ b/internal/fleet/plan/step.go
@@ -7,49 +7,49 @@
 	"stairvane.org/stairvane/internal/fleet"
 )
 
-// Kind is what a step does.
+// Kind is the kind of change that a step makes.
 type Kind string
 
 // Kinds of steps.
 const (
-	SetRules Kind = "rules"  // put new rules in force
+	SetRules Kind = "rules"  // put new rules into force
 	Locate   Kind = "locate" // declare a location, or change its floor and load
-	Widen    Kind = "widen"  // let a location fill from more sources
-	Narrow   Kind = "narrow" // take sources from a location
+	Widen    Kind = "widen"  // add sources to a location
+	Narrow   Kind = "narrow" // remove sources from a location
 	Forget   Kind = "forget" // remove a location
 	Add      Kind = "add"    // put a host in service
-	Raise    Kind = "raise"  // give a host more share
-	Lower    Kind = "lower"  // give a host less share
+	Raise    Kind = "raise"  // increase the share of a host
+	Lower    Kind = "lower"  // decrease the share of a host
 	Drain    Kind = "drain"
 	Remove   Kind = "remove" // take a drained host off the endpoint list
 )
 
-// Wait is what a step waits for after its event.
+// Wait is the condition that completes a step after its event.
 type Wait string
 
-// Waits.
+// Wait conditions.
 const (
-	Notified Wait = "told"    // every director has acknowledged the event, or counts as having it
-	Warm     Wait = "warm"    // after Notified: the host has warmed up, and is seen up if hosts are observed
-	Drained  Wait = "drained" // after Notified: the last requests have had their time
+	Notified Wait = "told"    // every director has acknowledged the event, or NotifiedWithinMS has passed
+	Warm     Wait = "warm"    // after Notified: the host has warmed up, and is observed as up if there is an observer
+	Drained  Wait = "drained" // after Notified: DrainSettleMS has passed, in which the last requests are answered
 )
 
-// Step is one change and its event. Before and WasAt are what the host or the location must be when the step begins; nil: absent.
+// Step is one change and its event. Before and WasAt are the required state of the host or the location when the step starts; nil: absent.
 type Step struct {
-	ID       int             `json:"id"` // from 1 on, in the order of the plan
+	ID       int             `json:"id"` // from 1, in the order of the plan
 	Kind     Kind            `json:"kind"`
-	Group    int             `json:"group"`           // steps of different groups do not bear on each other
-	Wave     int             `json:"wave"`            // within its group; the steps of a wave may run at once, in any order
-	After    []int           `json:"after,omitempty"` // IDs of the steps that must be done before
+	Group    int             `json:"group"`           // steps of different groups do not affect each other's constraints
+	Wave     int             `json:"wave"`            // number within its group; the steps of a wave may run concurrently, in any order
+	After    []int           `json:"after,omitempty"` // IDs of the steps that must be completed before
 	Wait     Wait            `json:"wait"`
 	Before   *fleet.Host     `json:"before,omitempty"`
-	Host     *fleet.Host     `json:"member,omitempty"` // as it is to be; its BornMS is set when an Add takes effect
+	Host     *fleet.Host     `json:"member,omitempty"` // state after the step; BornMS is set when an Add takes effect
 	WasAt    *fleet.Location `json:"was_at,omitempty"`
 	Location *fleet.Location `json:"location,omitempty"`
 	Rules    *fleet.Rules    `json:"rules,omitempty"`
 }
 
-// Event is the event of a step that takes effect at a time.
+// Event returns the event of a step that takes effect at nowMS.
 func (s Step) Event(revision, nowMS int64, who string, apply int64) fleet.Event {
 	e := fleet.Event{
 		No:       revision,
@@ -71,7 +71,7 @@
 	return e
 }
 
-// Thing is the key of what the step changes.
+// Thing returns the key of the host, location or rules that the step changes.
 func (s Step) Thing() string {
 	switch {
 	case s.Host != nil:
@@ -100,7 +100,7 @@
 	return fmt.Sprintf("%s %s %s in %s", s.Kind, s.Host.Role, s.Host.Name, s.Host.Site)
 }
 
-// describeShare is the share of a host that is added.
+// describeShare returns a description of the share of a host that is added.
 func (s Step) describeShare() string {
 	share := fmt.Sprintf("share %.4g", s.Host.Serving)
 	if s.Host.Serving != s.Host.Share {
