--- a/internal/fleet/apply/compatibility_test.go
+++ b/internal/fleet/apply/compatibility_test.go
@@ -9,7 +9,7 @@
 	"stairvane.org/stairvane/internal/tools/golden"
 )
 
-// TestLandedForms guards the stored records of an apply under way: a later version goes on from them.
+// TestLandedForms checks that the stored records of an apply in progress keep their encoding, so that a later version can continue it.
 func TestLandedForms(t *testing.T) {
 	golden.Check[Record](t, "record.cbor", fleet.Encode, cbor.Unmarshal)
 	golden.Check[StepState](t, "step.cbor", fleet.Encode, cbor.Unmarshal)
--- a/internal/fleet/apply/errors.go
+++ b/internal/fleet/apply/errors.go
@@ -6,22 +6,22 @@
 	"stairvane.org/stairvane/internal/fleet/plan"
 )
 
-// Reasons why a submitted plan or an order to an apply is rejected. ErrFenced is that of a transaction of an apply.
+// Errors for a submitted plan or an order that is rejected. ErrFenced rejects a transaction of an apply that no longer holds the lease.
 var (
 	ErrStale      = errors.New("the plan is stale")
 	ErrBusy       = errors.New("another apply is under way")
-	ErrNotRunning = errors.New("the apply does not run")
+	ErrNotRunning = errors.New("the apply is not running")
 	ErrNotPaused  = errors.New("the apply is not paused")
 	ErrEnded      = errors.New("the apply has ended")
-	ErrFenced     = errors.New("the lease is another's")
+	ErrFenced     = errors.New("the apply no longer holds the lease")
 )
 
-// RejectedError is one of the errors above with what a person needs to know.
+// RejectedError wraps one of the errors above with details for the operator.
 type RejectedError struct {
 	Err    error
 	Detail string
-	Moved  []plan.StaleRead // of ErrStale: what has changed
-	Holder *Record          // of ErrBusy: the apply that has the lease
+	Moved  []plan.StaleRead // for ErrStale: the reads that no longer match
+	Holder *Record          // for ErrBusy: the apply that holds the lease
 }
 
 func (r *RejectedError) Error() string {
--- a/internal/fleet/apply/order.go
+++ b/internal/fleet/apply/order.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Order is what an operator asks of an apply.
+// Order is an operator's request to change the status of an apply.
 type Order string
 
 // Orders.
@@ -12,26 +12,26 @@
 	OrderCancel Order = "cancel"
 )
 
-// Obey decides the status that an order leads to. A paused apply can't be paused again, so that the reason of the first pause stays.
-// Errors for orders that the apply's status does not allow are *RejectedError.
+// Obey returns the status of an apply after an order. A paused apply can't be paused again, so that the reason of the first pause is kept.
+// The error is a *RejectedError if the status of the apply does not allow the order.
 func Obey(r Record, o Order) (Status, error) {
 	switch {
 	case r.Status.Ended():
-		return "", orderError(ErrEnded, r)
+		return "", statusError(ErrEnded, r)
 	case o == OrderPause && r.Status != Running:
-		return "", orderError(ErrNotRunning, r)
+		return "", statusError(ErrNotRunning, r)
 	case o == OrderPause:
 		return Paused, nil
 	case o == OrderResume && r.Status != Paused:
-		return "", orderError(ErrNotPaused, r)
+		return "", statusError(ErrNotPaused, r)
 	case o == OrderResume:
 		return Running, nil
 	case o == OrderCancel:
 		return Cancelled, nil
 	}
-	return "", fmt.Errorf("no order is called %q", o)
+	return "", fmt.Errorf("unknown order %q", o)
 }
 
-func orderError(err error, r Record) error {
+func statusError(err error, r Record) error {
 	return &RejectedError{Err: err, Detail: fmt.Sprintf("apply %d is %s", r.ID, r.Status)}
 }
--- a/internal/fleet/apply/order_test.go
+++ b/internal/fleet/apply/order_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// An order leads to the status that it asks for, or is rejected where the present status does not allow it.
+// An order leads to the requested status, or is rejected if the current status does not allow it.
 func TestObey(t *testing.T) {
 	for _, c := range []struct {
 		status Status
--- a/internal/fleet/apply/submit.go
+++ b/internal/fleet/apply/submit.go
@@ -8,18 +8,18 @@
 	"stairvane.org/stairvane/internal/fleet/plan"
 )
 
-// maxMovedInDetail is how many changed reads an error's text names.
-const maxMovedInDetail = 3
+// maxStaleReadsInDetail is the number of stale reads that an error text lists.
+const maxStaleReadsInDetail = 3
 
-// Answer to a plan that was submitted: one of both.
+// Answer is the response to a submitted plan. Exactly one of its fields is set.
 type Answer struct {
-	Start   bool    // a new apply begins
-	Already *Record // the same plan was carried out before: nothing changes
+	Start   bool    // a new apply starts
+	Already *Record // the earlier apply that has carried out the same plan: nothing changes
 }
 
-// Submit decides what becomes of a plan. earlier is the last apply of the same plan and holder the apply that has the lease; both may
-// be nil. The order of the checks matters: a plan that was carried out changes nothing even if the fleet has changed since, and a plan
-// is not compared with a fleet that is being changed. Errors are *RejectedError, besides those of reading the state.
+// Submit decides whether a submitted plan is applied. earlier is the last apply of the same plan and holder the apply that holds the lease;
+// both may be nil. The order of the checks matters: a plan that was carried out changes nothing even if the fleet has changed since, and a
+// plan is not compared with a fleet that is being changed. A rejection is a *RejectedError; other errors come from reading the state.
 func Submit(p *plan.Plan, state fleet.ObservedState, earlier, holder *Record) (Answer, error) {
 	if holder != nil {
 		return Answer{}, busyError(holder, earlier)
@@ -32,12 +32,12 @@
 		return Answer{}, err
 	}
 	if len(moved) > 0 {
-		return Answer{}, &RejectedError{Err: ErrStale, Moved: moved, Detail: describeMoved(moved)}
+		return Answer{}, &RejectedError{Err: ErrStale, Moved: moved, Detail: describeStaleReads(moved)}
 	}
 	return Answer{Start: true}, nil
 }
 
-// busyError names the apply that has the lease.
+// busyError returns the error that describes the apply that holds the lease.
 func busyError(holder, earlier *Record) error {
 	same := ""
 	if earlier != nil && earlier.ID == holder.ID {
@@ -48,10 +48,10 @@
 	return &RejectedError{Err: ErrBusy, Holder: holder, Detail: detail}
 }
 
-// describeMoved names the first things that are not as the plan read them.
-func describeMoved(moved []plan.StaleRead) string {
+// describeStaleReads describes the first stale reads of a plan.
+func describeStaleReads(moved []plan.StaleRead) string {
 	var parts []string
-	for _, m := range moved[:min(len(moved), maxMovedInDetail)] {
+	for _, m := range moved[:min(len(moved), maxStaleReadsInDetail)] {
 		parts = append(parts, m.String())
 	}
 	if more := len(moved) - len(parts); more > 0 {
