--- a/cmd/stairvane-fleet/state.go
+++ b/cmd/stairvane-fleet/state.go
@@ -60,7 +60,7 @@
 
 // sightOf says how a host was seen, and for how long it still warms up.
 func sightOf(state fleet.ObservedState, host *fleet.Host) string {
-	sight := string(state.Observed[host.Name].Sight)
+	sight := string(state.Observed[host.Name].Reachability)
 	if sight == "" {
 		sight = string(fleet.Unknown)
 	}
--- a/internal/controlplane/apply_test.go
+++ b/internal/controlplane/apply_test.go
@@ -211,7 +211,7 @@
 			check(t, notDone(applyPlan(t, c, planTo(t, c, desiredState(rules, declared...)))))
 			until(t, "all are seen", func() bool {
 				observed := s.ObservedState().Observed
-				isNotUp := func(x fleet.HostSpec) bool { return observed[x.Name].Sight != fleet.Up }
+				isNotUp := func(x fleet.HostSpec) bool { return observed[x.Name].Reachability != fleet.Up }
 				return len(observed) == 5 && !slices.ContainsFunc(declared, isNotUp)
 			})
 			a, err := c.Submit(planTo(t, c, desiredState(rules, declared[2], declared[3]))) // drains c-0, then c-1
--- a/internal/controlplane/eventlog/encode.go
+++ b/internal/controlplane/eventlog/encode.go
@@ -36,7 +36,7 @@
 		Cell:        h.Block,
 		Health:      string(h.State),
 		Weight:      h.Serving,
-		StartedAtMS: float64(h.BornMS),
+		StartedAtMS: float64(h.AddedMS),
 	}
 }
 
--- a/internal/controlplane/observer.go
+++ b/internal/controlplane/observer.go
@@ -76,7 +76,7 @@
 // applyHost follows one host that an event has set. A host that was born with the event has restarted: it is pinged over a new
 // connection.
 func (o *observer) applyHost(host *fleet.Host, atMS int64) {
-	restarted := host.BornMS == atMS && host.State == fleet.InService
+	restarted := host.AddedMS == atMS && host.State == fleet.InService
 	removed := host.State == fleet.Terminated
 	if c := o.conns[host.Name]; c != nil && (removed || restarted || !o.monitor.Known(host.Name, host.Address)) {
 		c.close()
@@ -168,8 +168,8 @@
 // logObservation logs a host that is seen otherwise than before. The first observation of a host is not logged.
 func logObservation(host string, before, now fleet.Observation) {
 	restarted := before.RestartedMS != now.RestartedMS
-	if before.Sight != now.Sight && before.Sight != "" || restarted {
-		slog.Info("host.observed", "host", host, "sight", now.Sight, "was", before.Sight, "restarted", restarted)
+	if before.Reachability != now.Reachability && before.Reachability != "" || restarted {
+		slog.Info("host.observed", "host", host, "sight", now.Reachability, "was", before.Reachability, "restarted", restarted)
 	}
 }
 
--- a/internal/controlplane/store/compatibility_test.go
+++ b/internal/controlplane/store/compatibility_test.go
@@ -63,7 +63,7 @@
 			HostSpec: fleet.HostSpec{Name: "c-1", Role: fleet.Cache, Address: "10.0.0.2:1", Site: "west", Class: "c", Block: 2, Share: 4},
 			State:    fleet.InService,
 			Serving:  2,
-			BornMS:   7,
+			AddedMS:  7,
 		}},
 		{Purge: &fleet.Purge{Object: "00000000000000ab", IssuedMS: 1_699_999_999_000}},
 		{Purge: &fleet.Purge{Group: &group, IssuedMS: 1_699_999_999_500}},
--- a/internal/fleet/apply/explore_test.go
+++ b/internal/fleet/apply/explore_test.go
@@ -40,7 +40,7 @@
 		b.WriteString(string(s.Phase[0]))
 	}
 	for host := range state.Hosts() {
-		fmt.Fprintf(&b, " %s%v%v", host.Name, state.IsWarmingUp(host), state.Observed[host.Name].Sight)
+		fmt.Fprintf(&b, " %s%v%v", host.Name, state.IsWarmingUp(host), state.Observed[host.Name].Reachability)
 	}
 	return b.String()
 }
@@ -86,7 +86,7 @@
 		for host := range state.Hosts() {
 			if host.Role != fleet.Origin && state.Serves(host) {
 				after := state
-				after.Observed = map[string]fleet.Observation{host.Name: {Sight: fleet.Unreachable}}
+				after.Observed = map[string]fleet.Observation{host.Name: {Reachability: fleet.Unreachable}}
 				x.walk(after, steps, host.Name)
 			}
 		}
@@ -149,7 +149,7 @@
 		}
 	}
 	for _, r := range x.plan.Reads {
-		if name, isHost := strings.CutPrefix(r.Thing, "box "); isHost && name != "store" {
+		if name, isHost := strings.CutPrefix(r.Resource, "box "); isHost && name != "store" {
 			names[name] = true
 		}
 	}
--- a/internal/fleet/apply/machine.go
+++ b/internal/fleet/apply/machine.go
@@ -199,7 +199,7 @@
 	if warmMS := in.State.WarmAtMS(host); warmMS > nowMS {
 		return false, warmMS
 	}
-	if in.HasObserver && in.State.Observed[name].Sight != fleet.Up {
+	if in.HasObserver && in.State.Observed[name].Reachability != fleet.Up {
 		return false, nowMS + hostRecheckMS
 	}
 	return true, nowMS
@@ -229,13 +229,13 @@
 	return Decision{Kind: BeginStep, Step: i + 1, Event: event}
 }
 
-// isSameHost reports whether a host is in the state that a step requires. It ignores BornMS, which the control plane sets, and Running.
+// isSameHost reports whether a host is in the state that a step requires. It ignores AddedMS, which the control plane sets, and Running.
 func isSameHost(current, planned *fleet.Host) bool {
 	if current == nil || planned == nil {
 		return current == planned
 	}
 	a, b := *current, *planned
-	a.BornMS, b.BornMS = 0, 0
+	a.AddedMS, b.AddedMS = 0, 0
 	a.Running, b.Running = false, false
 	return a == b
 }
--- a/internal/fleet/apply/machine_test.go
+++ b/internal/fleet/apply/machine_test.go
@@ -51,7 +51,7 @@
 	}
 	never := func(int64) bool { return false }
 	withFailure := state
-	withFailure.Observed = map[string]fleet.Observation{"c-2": {Sight: fleet.Unreachable}}
+	withFailure.Observed = map[string]fleet.Observation{"c-2": {Reachability: fleet.Unreachable}}
 	d := m.Next(Input{State: withFailure, Acknowledged: never})
 	if d.Kind != Fault || d.Revert || !strings.Contains(d.Reason, "floor of location west") {
 		t.Errorf("%+v", d)
--- a/internal/fleet/apply/submit_test.go
+++ b/internal/fleet/apply/submit_test.go
@@ -16,7 +16,7 @@
 		t.Fatal(a, err)
 	}
 	withFailure := state
-	withFailure.Observed = map[string]fleet.Observation{"c-2": {Sight: fleet.Unreachable}}
+	withFailure.Observed = map[string]fleet.Observation{"c-2": {Reachability: fleet.Unreachable}}
 	_, err := Submit(p, withFailure, nil, nil)
 	moved := "box c-2 was in_service at 2:1, share 2, is in_service at 2:1, share 2, not reachable"
 	if !errors.Is(err, ErrStale) || !strings.Contains(err.Error(), moved) {
--- a/internal/fleet/constraints.go
+++ b/internal/fleet/constraints.go
@@ -22,7 +22,7 @@
 // The constraint is violated if the margin is negative.
 type Slack struct {
 	Constraint Constraint
-	Thing      string // name of the location or host that the constraint applies to
+	Resource   string // name of the location or host that the constraint applies to
 	Have       float64
 	Need       float64
 	Slack      float64
@@ -37,15 +37,15 @@
 	}
 	switch s.Constraint {
 	case FloorConstraint:
-		return fmt.Sprintf("floor of location %s: share %.4g in service and warm%s, %.4g required", s.Thing, s.Have, worst, s.Need)
+		return fmt.Sprintf("floor of location %s: share %.4g in service and warm%s, %.4g required", s.Resource, s.Have, worst, s.Need)
 	case SourceConstraint:
-		return fmt.Sprintf("sources of location %s: %.0f serving%s, at least one required", s.Thing, s.Have, worst)
+		return fmt.Sprintf("sources of location %s: %.0f serving%s, at least one required", s.Resource, s.Have, worst)
 	case WarmingCapacityConstraint:
-		return fmt.Sprintf("warming capacity of location %s: %.4g at once, %.4g allowed", s.Thing, s.Have, s.Need)
+		return fmt.Sprintf("warming capacity of location %s: %.4g at once, %.4g allowed", s.Resource, s.Have, s.Need)
 	case WarmingCacheConstraint:
-		return fmt.Sprintf("warming cache %s: load %.4g%s, at most %.4g allowed", s.Thing, s.Have, worst, s.Need)
+		return fmt.Sprintf("warming cache %s: load %.4g%s, at most %.4g allowed", s.Resource, s.Have, worst, s.Need)
 	}
-	return fmt.Sprintf("warming parent cache %s: load %.4g from fills%s, at most %.4g allowed", s.Thing, s.Have, worst, s.Need)
+	return fmt.Sprintf("warming parent cache %s: load %.4g from fills%s, at most %.4g allowed", s.Resource, s.Have, worst, s.Need)
 }
 
 // IsNewViolation reports whether the constraint is violated after a step and the step is the cause: the constraint held before, or the
@@ -79,16 +79,16 @@
 	locations, parents := s.affectedBy(e)
 	before := map[key]Slack{}
 	for _, slack := range s.slacksOf(locations, parents) {
-		before[key{slack.Constraint, slack.Thing}] = slack
+		before[key{slack.Constraint, slack.Resource}] = slack
 	}
 	var broken []Slack
 	for _, slack := range after.slacksOf(locations, parents) {
-		old, existed := before[key{slack.Constraint, slack.Thing}]
+		old, existed := before[key{slack.Constraint, slack.Resource}]
 		if slack.IsNewViolation(old, existed) {
 			broken = append(broken, slack)
 		}
 	}
-	slices.SortStableFunc(broken, func(a, b Slack) int { return cmp.Compare(a.Thing, b.Thing) })
+	slices.SortStableFunc(broken, func(a, b Slack) int { return cmp.Compare(a.Resource, b.Resource) })
 	return broken, nil
 }
 
--- a/internal/fleet/host.go
+++ b/internal/fleet/host.go
@@ -40,7 +40,7 @@
 	HostSpec
 	State   State   `json:"state"`
 	Serving float64 `json:"serving"` // share that is sent to directors; a new host may be added with less than Share
-	BornMS  int64   `json:"born_ms"` // when it was put in service; 0: warm since the start of the fleet
+	AddedMS int64   `json:"born_ms"` // when it was put in service; 0: warm since the start of the fleet
 }
 
 // Location is a site with caches: the capacity that must stay in service, the load from its clients, and the sources of its fills.
--- a/internal/fleet/location_constraints.go
+++ b/internal/fleet/location_constraints.go
@@ -47,7 +47,7 @@
 		allowed := s.Rules().MaxWarmingShare * totals.capacity
 		all = append(all, Slack{
 			Constraint: WarmingCapacityConstraint,
-			Thing:      name,
+			Resource:   name,
 			Have:       totals.warmingCapacity,
 			Need:       allowed,
 			Slack:      allowed - totals.warmingCapacity,
@@ -60,7 +60,7 @@
 }
 
 func (s ObservedState) floorSlack(l *Location, totals siteTotals) Slack {
-	worst := Slack{Constraint: FloorConstraint, Thing: l.Name, Have: totals.warm, Need: l.Floor, RawSlack: totals.serving}
+	worst := Slack{Constraint: FloorConstraint, Resource: l.Name, Have: totals.warm, Need: l.Floor, RawSlack: totals.serving}
 	for _, host := range totals.caches {
 		if remaining := totals.warm - host.Serving; !s.IsWarmingUp(host) && remaining < worst.Have {
 			worst.Have = remaining
@@ -73,7 +73,7 @@
 
 // sourceSlack returns the slack of the number of serving sources if one parent fails.
 func (s ObservedState) sourceSlack(l *Location) Slack {
-	slack := Slack{Constraint: SourceConstraint, Thing: l.Name, Need: 1}
+	slack := Slack{Constraint: SourceConstraint, Resource: l.Name, Need: 1}
 	for _, name := range l.Sources {
 		host := s.Host(name)
 		if host == nil || !s.Serves(host) {
@@ -96,7 +96,7 @@
 func (s ObservedState) warmingCacheSlack(l *Location, totals siteTotals, host *Host) Slack {
 	worst := Slack{
 		Constraint: WarmingCacheConstraint,
-		Thing:      host.Name,
+		Resource:   host.Name,
 		Have:       l.Load * host.Serving / totals.serving,
 		Need:       s.Rules().Cache.MaxLoadAtStart(host.Share),
 	}
--- a/internal/fleet/observe/monitor.go
+++ b/internal/fleet/observe/monitor.go
@@ -63,7 +63,7 @@
 	m.hosts[name] = &host{
 		name:        name,
 		address:     address,
-		observation: fleet.Observation{Sight: fleet.Unknown, SinceMS: nowMS},
+		observation: fleet.Observation{Reachability: fleet.Unknown, SinceMS: nowMS},
 		nextMS:      nowMS,
 	}
 }
@@ -93,7 +93,7 @@
 	if h := m.hosts[name]; h != nil {
 		return h.observation
 	}
-	return fleet.Observation{Sight: fleet.Unknown}
+	return fleet.Observation{Reachability: fleet.Unknown}
 }
 
 // Connected records that a connection was established. It returns the first ping.
@@ -143,7 +143,7 @@
 	h.refused = false
 	h.silent = false
 	h.wasUp = true
-	h.setSight(fleet.Up, nowMS)
+	h.setReachability(fleet.Up, nowMS)
 	return h.observation != before
 }
 
@@ -188,13 +188,13 @@
 	h.misses++
 	if h.misses >= m.settings.Misses {
 		h.silent = true
-		h.setSight(fleet.Unreachable, nowMS)
+		h.setReachability(fleet.Unreachable, nowMS)
 	}
 }
 
-func (h *host) setSight(s fleet.Sight, nowMS int64) {
-	if h.observation.Sight != s {
-		h.observation.Sight = s
+func (h *host) setReachability(s fleet.Reachability, nowMS int64) {
+	if h.observation.Reachability != s {
+		h.observation.Reachability = s
 		h.observation.SinceMS = nowMS
 	}
 }
--- a/internal/fleet/observe/monitor_test.go
+++ b/internal/fleet/observe/monitor_test.go
@@ -44,9 +44,9 @@
 	s.t.Fatal("never connected")
 }
 
-func (s *scenario) want(sight fleet.Sight, restarted bool) {
+func (s *scenario) want(sight fleet.Reachability, restarted bool) {
 	s.t.Helper()
-	if o := s.monitor.Observation("c-1"); o.Sight != sight || (o.RestartedMS > 0) != restarted {
+	if o := s.monitor.Observation("c-1"); o.Reachability != sight || (o.RestartedMS > 0) != restarted {
 		s.t.Errorf("%+v, want %v, restarted %v", o, sight, restarted)
 	}
 }
@@ -82,7 +82,7 @@
 	for _, lost := range []bool{false, true} {
 		s := newScenario(t)
 		s.connect()
-		for s.nowMS = 2000; s.monitor.Observation("c-1").Sight == fleet.Up && s.nowMS < 60_000; s.nowMS += 100 {
+		for s.nowMS = 2000; s.monitor.Observation("c-1").Reachability == fleet.Up && s.nowMS < 60_000; s.nowMS += 100 {
 			s.take(s.monitor.Tick(s.nowMS))
 		}
 		s.want(fleet.Unreachable, false)
--- a/internal/fleet/parent_constraint.go
+++ b/internal/fleet/parent_constraint.go
@@ -20,7 +20,7 @@
 	}
 	withoutFailure := loadWithFailure("")
 	need := s.Rules().Parent.MaxLoadAtStart(parent.Share)
-	worst := Slack{Constraint: WarmingParentConstraint, Thing: name, Have: withoutFailure, Need: need, RawSlack: need - withoutFailure}
+	worst := Slack{Constraint: WarmingParentConstraint, Resource: name, Have: withoutFailure, Need: need, RawSlack: need - withoutFailure}
 	for _, failed := range s.relevantFailures(name, locations) {
 		if load := loadWithFailure(failed); load > worst.Have {
 			worst.Have = load
--- a/internal/fleet/plan/impossible.go
+++ b/internal/fleet/plan/impossible.go
@@ -37,7 +37,7 @@
 	}
 	e := &ImpossibleError{}
 	for _, v := range invalid {
-		e.Blocked = append(e.Blocked, Blocked{Change: "desired state, " + v.Thing, Why: v.Message, Remedy: "correct the file"})
+		e.Blocked = append(e.Blocked, Blocked{Change: "desired state, " + v.Resource, Why: v.Message, Remedy: "correct the file"})
 	}
 	return e
 }
@@ -54,7 +54,7 @@
 	if r.change.Host != nil {
 		b.Hosts = []string{r.change.Host.Name}
 	}
-	thing := r.broken.Thing
+	thing := r.broken.Resource
 	switch r.broken.Constraint {
 	case fleet.FloorConstraint:
 		b.Remedy = fmt.Sprintf("add share %.4g to %s first, or lower its floor to %.4g",
--- a/internal/fleet/plan/ledger.go
+++ b/internal/fleet/plan/ledger.go
@@ -65,7 +65,7 @@
 	for _, after := range l.slacksOf(l.affectedBy(c)) {
 		var old fleet.Slack
 		i := slices.IndexFunc(before, func(s fleet.Slack) bool {
-			return s.Constraint == after.Constraint && s.Thing == after.Thing
+			return s.Constraint == after.Constraint && s.Resource == after.Resource
 		})
 		if i >= 0 {
 			old = before[i]
--- a/internal/fleet/plan/ledger_constraints.go
+++ b/internal/fleet/plan/ledger_constraints.go
@@ -7,7 +7,7 @@
 	have := location.warm.sumWithoutLargest()
 	all = append(all, fleet.Slack{
 		Constraint: fleet.FloorConstraint,
-		Thing:      location.name,
+		Resource:   location.name,
 		Have:       have,
 		Need:       location.floor,
 		Slack:      have - location.floor,
@@ -15,7 +15,7 @@
 	})
 	if location.caches+len(location.certainSources) > 0 {
 		have := float64(l.sourcesAfterWorstFailure(location))
-		all = append(all, fleet.Slack{Constraint: fleet.SourceConstraint, Thing: location.name, Have: have, Need: 1, Slack: have - 1})
+		all = append(all, fleet.Slack{Constraint: fleet.SourceConstraint, Resource: location.name, Have: have, Need: 1, Slack: have - 1})
 	}
 	if location.load == 0 {
 		return all
@@ -64,7 +64,7 @@
 	}
 	return fleet.Slack{
 		Constraint: fleet.WarmingCapacityConstraint,
-		Thing:      location.name,
+		Resource:   location.name,
 		Have:       have,
 		Need:       allowed,
 		Slack:      allowed - have,
@@ -88,7 +88,7 @@
 	requestedWithoutFailure := location.load * cache.serving / max(serving, cache.serving)
 	return fleet.Slack{
 		Constraint: fleet.WarmingCacheConstraint,
-		Thing:      cache.name,
+		Resource:   cache.name,
 		Have:       requested,
 		Need:       maxLoad,
 		Slack:      maxLoad - requested,
@@ -113,7 +113,7 @@
 	need := l.rules.Parent.MaxLoadAtStart(parent.share)
 	return append(all, fleet.Slack{
 		Constraint: fleet.WarmingParentConstraint,
-		Thing:      parent.name,
+		Resource:   parent.name,
 		Have:       requested,
 		Need:       need,
 		Slack:      need - requested,
--- a/internal/fleet/plan/plan.go
+++ b/internal/fleet/plan/plan.go
@@ -46,28 +46,28 @@
 	if err := s.run(); err != nil {
 		return nil, err
 	}
-	slices.SortFunc(p.Reads, func(a, b fleet.Read) int { return cmp.Compare(a.Thing, b.Thing) })
+	slices.SortFunc(p.Reads, func(a, b fleet.Read) int { return cmp.Compare(a.Resource, b.Resource) })
 	return p, nil
 }
 
 // StaleRead is one read of a plan that no longer matches the state.
 type StaleRead struct {
-	Thing string `json:"thing"`
-	Was   string `json:"was"`
-	Is    string `json:"is"`
+	Resource string `json:"thing"`
+	Was      string `json:"was"`
+	Is       string `json:"is"`
 }
 
-func (r StaleRead) String() string { return r.Thing + " was " + r.Was + ", is " + r.Is }
+func (r StaleRead) String() string { return r.Resource + " was " + r.Was + ", is " + r.Is }
 
 // Stale returns the reads of the plan that no longer match the state.
 func (p *Plan) Stale(state fleet.ObservedState) (moved []StaleRead, err error) {
 	for _, read := range p.Reads {
-		now, err := state.Reread(read.Thing)
+		now, err := state.Reread(read.Resource)
 		if err != nil {
 			return nil, err
 		}
 		if now.Sum != read.Sum {
-			moved = append(moved, StaleRead{Thing: read.Thing, Was: read.Brief, Is: now.Brief})
+			moved = append(moved, StaleRead{Resource: read.Resource, Was: read.Brief, Is: now.Brief})
 		}
 	}
 	return moved, nil
--- a/internal/fleet/plan/plan_test.go
+++ b/internal/fleet/plan/plan_test.go
@@ -104,9 +104,9 @@
 		for host := range observed.Hosts() {
 			switch rapid.IntRange(0, 15).Draw(t, "seen") {
 			case 0:
-				observed.Observed[host.Name] = fleet.Observation{Sight: fleet.Unreachable}
+				observed.Observed[host.Name] = fleet.Observation{Reachability: fleet.Unreachable}
 			case 1:
-				observed.Observed[host.Name] = fleet.Observation{Sight: fleet.Up, RestartedMS: observed.NowMS - 1000}
+				observed.Observed[host.Name] = fleet.Observation{Reachability: fleet.Up, RestartedMS: observed.NowMS - 1000}
 			}
 		}
 		p, err := Make(observed, to, "")
--- a/internal/fleet/plan/step.go
+++ b/internal/fleet/plan/step.go
@@ -43,7 +43,7 @@
 	After    []int           `json:"after,omitempty"` // IDs of the steps that must be completed before
 	Wait     Wait            `json:"wait"`
 	Before   *fleet.Host     `json:"before,omitempty"`
-	Host     *fleet.Host     `json:"member,omitempty"` // state after the step; BornMS is set when an Add takes effect
+	Host     *fleet.Host     `json:"member,omitempty"` // state after the step; AddedMS is set when an Add takes effect
 	WasAt    *fleet.Location `json:"was_at,omitempty"`
 	Location *fleet.Location `json:"location,omitempty"`
 	Rules    *fleet.Rules    `json:"rules,omitempty"`
@@ -64,7 +64,7 @@
 	if s.Host != nil {
 		host := *s.Host
 		if s.Kind == Add && host.NeedsWarmUp() {
-			host.BornMS = nowMS
+			host.AddedMS = nowMS
 		}
 		e.Host = &host
 	}
--- a/internal/fleet/read.go
+++ b/internal/fleet/read.go
@@ -22,9 +22,9 @@
 // Read is one host, location or set of rules that a plan depends on. Sum is the checksum of its state, and Brief describes that state to
 // operators.
 type Read struct {
-	Thing string `json:"thing"`
-	Sum   string `json:"sum"`
-	Brief string `json:"brief"`
+	Resource string `json:"thing"`
+	Sum      string `json:"sum"`
+	Brief    string `json:"brief"`
 }
 
 // hostRead is the state of a host that a plan depends on. Plans store the checksum of its encoding, so the tags must not change. Up and
@@ -39,15 +39,15 @@
 func (s ObservedState) ReadHost(name string) Read {
 	host := s.Host(name)
 	if host == nil {
-		return Read{Thing: HostKey(name), Sum: Sum(hostRead{}), Brief: "absent"}
+		return Read{Resource: HostKey(name), Sum: Sum(hostRead{}), Brief: "absent"}
 	}
 	observation := s.Observed[name]
 	r := hostRead{
 		Host:        host,
-		Unreachable: observation.Sight == Unreachable,
+		Unreachable: observation.Reachability == Unreachable,
 		RestartedMS: observation.RestartedMS,
 	}
-	return Read{Thing: HostKey(name), Sum: Sum(r), Brief: r.brief()}
+	return Read{Resource: HostKey(name), Sum: Sum(r), Brief: r.brief()}
 }
 
 func (r hostRead) brief() string {
@@ -67,7 +67,7 @@
 // ReadLocation returns the read of a location, which may be absent.
 func (s ObservedState) ReadLocation(name string) Read {
 	l := s.Location(name)
-	r := Read{Thing: LocationKey(name), Sum: Sum(l), Brief: "absent"}
+	r := Read{Resource: LocationKey(name), Sum: Sum(l), Brief: "absent"}
 	if l != nil {
 		r.Brief = fmt.Sprintf("floor %.4g, load %.4g, sources %v", l.Floor, l.Load, l.Sources)
 	}
@@ -76,7 +76,7 @@
 
 // ReadRules returns the read of the rules in force.
 func (s ObservedState) ReadRules() Read {
-	return Read{Thing: RulesKey, Sum: Sum(s.Rules()), Brief: s.Rules().brief()}
+	return Read{Resource: RulesKey, Sum: Sum(s.Rules()), Brief: s.Rules().brief()}
 }
 
 // Reread returns the current read of the host, location or rules with a key.
--- a/internal/fleet/validate.go
+++ b/internal/fleet/validate.go
@@ -7,9 +7,9 @@
 
 // ValidationError is a fault in a desired state that makes it impossible from any state of the fleet.
 type ValidationError struct {
-	Thing   string // HostKey or LocationKey
-	Key     string // key in the operator's file; empty: the host or location as a whole
-	Message string
+	Resource string // HostKey or LocationKey
+	Key      string // key in the operator's file; empty: the host or location as a whole
+	Message  string
 }
 
 // Validate returns all faults of a desired state; empty if it is valid.
@@ -46,7 +46,7 @@
 }
 
 func (v *validator) addError(thing, key, format string, args ...any) {
-	v.errors = append(v.errors, ValidationError{Thing: thing, Key: key, Message: fmt.Sprintf(format, args...)})
+	v.errors = append(v.errors, ValidationError{Resource: thing, Key: key, Message: fmt.Sprintf(format, args...)})
 }
 
 func (v *validator) checkHost(h HostSpec) {
--- a/internal/operatorconfig/fleet_resolve.go
+++ b/internal/operatorconfig/fleet_resolve.go
@@ -144,9 +144,9 @@
 // validate reports what is wrong with the desired state at the places where it is declared.
 func (r *fleetReader) validate(declared map[string]declaration) {
 	for _, invalid := range r.desired.Validate() {
-		at, found := declared[invalid.Thing]
+		at, found := declared[invalid.Resource]
 		if !found {
-			panic(fmt.Sprintf("operatorconfig: a validation error of %s, which no file declares", invalid.Thing))
+			panic(fmt.Sprintf("operatorconfig: a validation error of %s, which no file declares", invalid.Resource))
 		}
 		key := at.key
 		if invalid.Key != "" {
--- a/internal/tools/capacity/measure/operator.go
+++ b/internal/tools/capacity/measure/operator.go
@@ -80,7 +80,7 @@
 		Observer: true,
 	}
 	for host := range f.Hosts() {
-		answer.Observed[host.Name] = fleet.Observation{Sight: fleet.Up}
+		answer.Observed[host.Name] = fleet.Observation{Reachability: fleet.Up}
 	}
 	return float64(len(mustJSON(answer))), nil
 }
