--- a/internal/controlplane/executor_decisions.go
+++ b/internal/controlplane/executor_decisions.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	m.MarkBegun(step, revision, atMS)
+	m.MarkStarted(step, revision, atMS)
 	slog.Info("apply.step_started", "apply", m.Record.ID, "step", step, "of", m.Record.Steps, "event", revision,
 		"what", m.Plan.Steps[step-1].String())
 	return nil
--- a/internal/controlplane/executor_requests.go
+++ b/internal/controlplane/executor_requests.go
@@ -68,7 +68,7 @@
 		return submission{}, err
 	}
 	if !answer.Start {
-		return submission{record: *answer.Already, alreadyApplied: true}, nil
+		return submission{record: *answer.CompletedApply, alreadyApplied: true}, nil
 	}
 	record, err := createApply(t, p, who, state)
 	if err != nil {
@@ -124,7 +124,7 @@
 	if m := x.machine; m != nil && m.Record.ID == id {
 		r = m.Record
 	}
-	status, err := apply.Obey(r, order)
+	status, err := apply.StatusAfter(r, order)
 	if err != nil {
 		return r, err
 	}
--- a/internal/controlplane/observer.go
+++ b/internal/controlplane/observer.go
@@ -35,9 +35,9 @@
 	o := &observer{server: s, conns: map[string]*hostConn{}}
 	if set := s.settings.Observer; set.Every > 0 {
 		o.monitor = observe.New(observe.Settings{
-			EveryMS:   set.Every.Milliseconds(),
-			TimeoutMS: set.Timeout.Milliseconds(),
-			Misses:    set.Misses,
+			PingIntervalMS: set.Every.Milliseconds(),
+			TimeoutMS:      set.Timeout.Milliseconds(),
+			Misses:         set.Misses,
 		})
 	}
 	return o
@@ -52,7 +52,7 @@
 		return
 	}
 	for host := range o.server.store.Fleet().Hosts() {
-		o.monitor.Declare(host.Name, host.Address, false, o.server.clock())
+		o.monitor.AddHost(host.Name, host.Address, false, o.server.clock())
 	}
 	o.tickTimer.Fire = o.tick
 	o.publishTimer.Fire = o.publish
@@ -78,14 +78,14 @@
 func (o *observer) applyHost(host *fleet.Host, atMS int64) {
 	restarted := host.AddedMS == atMS && host.State == fleet.InService
 	removed := host.State == fleet.Terminated
-	if c := o.conns[host.Name]; c != nil && (removed || restarted || !o.monitor.Known(host.Name, host.Address)) {
+	if c := o.conns[host.Name]; c != nil && (removed || restarted || !o.monitor.HasHost(host.Name, host.Address)) {
 		c.close()
 	}
 	if removed {
-		o.monitor.Remove(host.Name)
+		o.monitor.RemoveHost(host.Name)
 		return
 	}
-	o.monitor.Declare(host.Name, host.Address, restarted, o.server.clock())
+	o.monitor.AddHost(host.Name, host.Address, restarted, o.server.clock())
 }
 
 // replaceFleet observes the hosts of another fleet from now on.
@@ -95,11 +95,11 @@
 	}
 	for name := range o.monitor.Observations() {
 		if f.Host(name) == nil {
-			o.monitor.Remove(name)
+			o.monitor.RemoveHost(name)
 		}
 	}
 	for host := range f.Hosts() {
-		o.monitor.Declare(host.Name, host.Address, false, o.server.clock())
+		o.monitor.AddHost(host.Name, host.Address, false, o.server.clock())
 	}
 	o.publish()
 }
--- a/internal/fleet/apply/doc.go
+++ b/internal/fleet/apply/doc.go
@@ -3,7 +3,7 @@
 //
 //	d := m.Next(input)
 //	switch d.Kind {
-//	case apply.BeginStep:    // append d.Event and store the step as Waiting, in one transaction; then m.MarkBegun
+//	case apply.BeginStep:    // append d.Event and store the step as Waiting, in one transaction; then m.MarkStarted
 //	case apply.CompleteStep: // store the step as Completed; then m.MarkCompleted
 //	case apply.Fault:        // pause, or revert
 //	case apply.Finish:       // store the status Done
--- a/internal/fleet/apply/machine.go
+++ b/internal/fleet/apply/machine.go
@@ -256,8 +256,8 @@
 	return m.fault(i, fmt.Sprintf(", is not done after %d s: it waits until it is %s", timeoutSeconds, m.Plan.Steps[i].Wait))
 }
 
-// MarkBegun records that a step's event is durable. It panics if the step was not the next one to start.
-func (m *Machine) MarkBegun(step int, revision, nowMS int64) {
+// MarkStarted records that a step's event is durable. It panics if the step was not the next one to start.
+func (m *Machine) MarkStarted(step int, revision, nowMS int64) {
 	i := step - 1
 	if len(m.ready) == 0 || m.ready[0] != i {
 		panic(fmt.Sprintf("apply %d: step %d was started out of order", m.Record.ID, step))
--- a/internal/fleet/apply/machine_test.go
+++ b/internal/fleet/apply/machine_test.go
@@ -67,7 +67,7 @@
 	if state.Fleet, err = state.Apply(d.Event); err != nil {
 		t.Fatal(err)
 	}
-	m.MarkBegun(d.Step, d.Event.No, state.NowMS)
+	m.MarkStarted(d.Step, d.Event.No, state.NowMS)
 	begun := state.NowMS
 	// Without an acknowledgement the step waits until the event counts as acknowledged. Then it waits until the last requests are answered.
 	if d = m.Next(Input{State: state, Acknowledged: never}); d.Kind != Wait || d.UntilMS != begun+p.Rules.NotifiedWithinMS {
--- a/internal/fleet/apply/order.go
+++ b/internal/fleet/apply/order.go
@@ -12,9 +12,10 @@
 	OrderCancel Order = "cancel"
 )
 
-// Obey returns the status of an apply after an order. A paused apply can't be paused again, so that the reason of the first pause is kept.
+// StatusAfter returns the status of an apply after an order. A paused apply can't be paused again, so that the reason of the first pause is
+// kept.
 // The error is a *RejectedError if the status of the apply does not allow the order.
-func Obey(r Record, o Order) (Status, error) {
+func StatusAfter(r Record, o Order) (Status, error) {
 	switch {
 	case r.Status.Ended():
 		return "", statusError(ErrEnded, r)
--- a/internal/fleet/apply/order_test.go
+++ b/internal/fleet/apply/order_test.go
@@ -20,7 +20,7 @@
 		{Paused, OrderCancel, Cancelled, nil},
 		{Done, OrderCancel, "", ErrEnded},
 	} {
-		if got, err := Obey(Record{Status: c.status}, c.order); got != c.want || !errors.Is(err, c.err) {
+		if got, err := StatusAfter(Record{Status: c.status}, c.order); got != c.want || !errors.Is(err, c.err) {
 			t.Errorf("%s %s: %s, %v", c.status, c.order, got, err)
 		}
 	}
--- a/internal/fleet/apply/submit.go
+++ b/internal/fleet/apply/submit.go
@@ -13,8 +13,8 @@
 
 // Answer is the response to a submitted plan. Exactly one of its fields is set.
 type Answer struct {
-	Start   bool    // a new apply starts
-	Already *Record // the earlier apply that has carried out the same plan: nothing changes
+	Start          bool    // a new apply starts
+	CompletedApply *Record // the earlier apply that has carried out the same plan: nothing changes
 }
 
 // Submit decides whether a submitted plan is applied. earlier is the last apply of the same plan and holder the apply that holds the lease;
@@ -25,7 +25,7 @@
 		return Answer{}, busyError(holder, earlier)
 	}
 	if earlier != nil && earlier.Status == Done {
-		return Answer{Already: earlier}, nil
+		return Answer{CompletedApply: earlier}, nil
 	}
 	moved, err := p.Stale(state)
 	if err != nil {
--- a/internal/fleet/apply/submit_test.go
+++ b/internal/fleet/apply/submit_test.go
@@ -26,7 +26,7 @@
 	if _, err = Submit(p, withFailure, nil, holder); !errors.Is(err, ErrBusy) || !strings.Contains(err.Error(), "apply 4 by anna") {
 		t.Error(err)
 	}
-	if a, err := Submit(p, withFailure, &Record{ID: 3, Status: Done}, nil); err != nil || a.Start || a.Already.ID != 3 {
+	if a, err := Submit(p, withFailure, &Record{ID: 3, Status: Done}, nil); err != nil || a.Start || a.CompletedApply.ID != 3 {
 		t.Error(a, err)
 	}
 }
--- a/internal/fleet/observe/monitor.go
+++ b/internal/fleet/observe/monitor.go
@@ -11,9 +11,9 @@
 
 // Settings are the parameters of a Monitor.
 type Settings struct {
-	EveryMS   int64 // time between two pings of a host, in milliseconds
-	TimeoutMS int64 // time in which a host must answer a ping, in milliseconds
-	Misses    int   // consecutive missed answers after which a host counts as unreachable
+	PingIntervalMS int64 // time between two pings of a host, in milliseconds
+	TimeoutMS      int64 // time in which a host must answer a ping, in milliseconds
+	Misses         int   // consecutive missed answers after which a host counts as unreachable
 }
 
 // Action is an instruction to the caller: connect to a host, closing any older connection, or send a ping over the existing connection.
@@ -54,9 +54,9 @@
 // New returns a monitor without hosts.
 func New(s Settings) *Monitor { return &Monitor{settings: s, hosts: map[string]*host{}} }
 
-// Declare adds a host to the monitor, with the sight Unknown. It does nothing for a host that is already observed at this address, unless
+// AddHost adds a host to the monitor, with the sight Unknown. It does nothing for a host that is already observed at this address, unless
 // replaced is set: the host was put in service again.
-func (m *Monitor) Declare(name, address string, replaced bool, nowMS int64) {
+func (m *Monitor) AddHost(name, address string, replaced bool, nowMS int64) {
 	if h := m.hosts[name]; h != nil && h.address == address && !replaced {
 		return
 	}
@@ -68,11 +68,11 @@
 	}
 }
 
-// Remove removes a host from the monitor.
-func (m *Monitor) Remove(name string) { delete(m.hosts, name) }
+// RemoveHost removes a host from the monitor.
+func (m *Monitor) RemoveHost(name string) { delete(m.hosts, name) }
 
-// Known reports whether a host is observed at an address.
-func (m *Monitor) Known(name, address string) bool {
+// HasHost reports whether a host is observed at an address.
+func (m *Monitor) HasHost(name, address string) bool {
 	h := m.hosts[name]
 	return h != nil && h.address == address
 }
@@ -120,7 +120,7 @@
 	} else {
 		h.refused = h.refused || refused
 		m.countMiss(h, nowMS)
-		h.nextMS = nowMS + min(m.settings.EveryMS, m.settings.TimeoutMS)
+		h.nextMS = nowMS + min(m.settings.PingIntervalMS, m.settings.TimeoutMS)
 	}
 	h.connected = false
 	h.connecting = false
@@ -171,7 +171,7 @@
 
 func (m *Monitor) connectAction(h *host, nowMS int64) Action {
 	h.connecting = true
-	h.nextMS = nowMS + m.settings.EveryMS
+	h.nextMS = nowMS + m.settings.PingIntervalMS
 	return Action{Host: h.name, Address: h.address}
 }
 
@@ -179,7 +179,7 @@
 	m.lastPingNumber++
 	h.tag = "o" + strconv.FormatInt(m.lastPingNumber, 36)
 	h.sentMS = nowMS
-	h.nextMS = nowMS + m.settings.EveryMS
+	h.nextMS = nowMS + m.settings.PingIntervalMS
 	return Action{Host: h.name, Tag: h.tag}
 }
 
--- a/internal/fleet/observe/monitor_test.go
+++ b/internal/fleet/observe/monitor_test.go
@@ -15,8 +15,8 @@
 }
 
 func newScenario(t *testing.T) *scenario {
-	s := &scenario{t: t, monitor: New(Settings{EveryMS: 1000, TimeoutMS: 200, Misses: 3})}
-	s.monitor.Declare("c-1", "a:1", false, 0)
+	s := &scenario{t: t, monitor: New(Settings{PingIntervalMS: 1000, TimeoutMS: 200, Misses: 3})}
+	s.monitor.AddHost("c-1", "a:1", false, 0)
 	return s
 }
 
@@ -105,7 +105,7 @@
 func TestReplacedHostIsUnknown(t *testing.T) {
 	s := newScenario(t)
 	s.connect()
-	s.monitor.Declare("c-1", "a:1", true, 10)
+	s.monitor.AddHost("c-1", "a:1", true, 10)
 	s.want(fleet.Unknown, false)
 	if s.monitor.Pong("c-1", s.tag, 11) {
 		t.Error("the answer over an old connection counts for the new host")
