--- a/internal/fleet/apply/order.go
+++ b/internal/fleet/apply/order.go
@@ -12,9 +12,8 @@
 	OrderCancel Order = "cancel"
 )
 
-// StatusAfter returns the status of an apply after an order. A paused apply can't be paused again, so that the reason of the first pause is
-// kept.
-// The error is a *RejectedError if the status of the apply does not allow the order.
+// StatusAfter returns the status of an apply after an order. A paused apply can't be paused again, so that the reason of the first pause
+// is kept. The error is a *RejectedError if the status of the apply does not allow the order.
 func StatusAfter(r Record, o Order) (Status, error) {
 	switch {
 	case r.Status.Ended():
--- a/internal/fleet/apply/order_test.go
+++ b/internal/fleet/apply/order_test.go
@@ -6,7 +6,7 @@
 )
 
 // An order leads to the requested status, or is rejected if the current status does not allow it.
-func TestObey(t *testing.T) {
+func TestStatusAfter(t *testing.T) {
 	for _, c := range []struct {
 		status Status
 		order  Order
--- a/internal/fleet/constraints.go
+++ b/internal/fleet/constraints.go
@@ -74,7 +74,7 @@
 	}
 	type key struct {
 		constraint Constraint
-		thing      string
+		resource   string
 	}
 	locations, parents := s.affectedBy(e)
 	before := map[key]Slack{}
--- a/internal/fleet/fleettest/broken.go
+++ b/internal/fleet/fleettest/broken.go
@@ -70,10 +70,10 @@
 	}
 	slowStart := s.state.Rules().Cache
 	for _, host := range s.warming {
-		asked := s.location.Load * host.Serving / s.serving
-		bears := slowStart.OverloadFactor * slowStart.InitialShare * host.Share
-		if asked > bears+shareTolerance {
-			s.broken["cold "+host.Name] = asked - bears
+		requested := s.location.Load * host.Serving / s.serving
+		maxLoad := slowStart.OverloadFactor * slowStart.InitialShare * host.Share
+		if requested > maxLoad+shareTolerance {
+			s.broken["cold "+host.Name] = requested - maxLoad
 		}
 	}
 }
--- a/internal/fleet/host.go
+++ b/internal/fleet/host.go
@@ -6,7 +6,7 @@
 // Roles. The origin is the central store: the constraints do not consider its failure, and it needs no warm-up.
 const (
 	Cache  Role = "cache"
-	Parent Role = "hub" // a parent cache, from which caches are filled
+	Parent Role = "hub" // a parent cache, which is a source of fills for caches
 	Origin Role = "origin"
 )
 
--- a/internal/fleet/observe/monitor.go
+++ b/internal/fleet/observe/monitor.go
@@ -54,8 +54,8 @@
 // New returns a monitor without hosts.
 func New(s Settings) *Monitor { return &Monitor{settings: s, hosts: map[string]*host{}} }
 
-// AddHost adds a host to the monitor, with the sight Unknown. It does nothing for a host that is already observed at this address, unless
-// replaced is set: the host was put in service again.
+// AddHost adds a host to the monitor, with the reachability Unknown. It does nothing for a host that is already observed at this address,
+// unless replaced is set: the host was put in service again.
 func (m *Monitor) AddHost(name, address string, replaced bool, nowMS int64) {
 	if h := m.hosts[name]; h != nil && h.address == address && !replaced {
 		return
@@ -88,7 +88,7 @@
 	}
 }
 
-// Observation returns the observation of a host; its sight is Unknown for a host that is not observed.
+// Observation returns the observation of a host; its reachability is Unknown for a host that is not observed.
 func (m *Monitor) Observation(name string) fleet.Observation {
 	if h := m.hosts[name]; h != nil {
 		return h.observation
--- a/internal/fleet/observe/monitor_test.go
+++ b/internal/fleet/observe/monitor_test.go
@@ -20,7 +20,7 @@
 	return s
 }
 
-func (s *scenario) take(actions []Action) (connect bool) {
+func (s *scenario) carryOut(actions []Action) (connect bool) {
 	for _, a := range actions {
 		if a.Address != "" {
 			connect = true
@@ -34,8 +34,8 @@
 func (s *scenario) connect() {
 	s.t.Helper()
 	for range 10 {
-		if s.take(s.monitor.Tick(s.nowMS)) {
-			s.take(s.monitor.Connected("c-1", s.nowMS))
+		if s.carryOut(s.monitor.Tick(s.nowMS)) {
+			s.carryOut(s.monitor.Connected("c-1", s.nowMS))
 			s.monitor.Pong("c-1", s.tag, s.nowMS+1)
 			return
 		}
@@ -44,10 +44,10 @@
 	s.t.Fatal("never connected")
 }
 
-func (s *scenario) want(sight fleet.Reachability, restarted bool) {
+func (s *scenario) want(reachability fleet.Reachability, restarted bool) {
 	s.t.Helper()
-	if o := s.monitor.Observation("c-1"); o.Reachability != sight || (o.RestartedMS > 0) != restarted {
-		s.t.Errorf("%+v, want %v, restarted %v", o, sight, restarted)
+	if o := s.monitor.Observation("c-1"); o.Reachability != reachability || (o.RestartedMS > 0) != restarted {
+		s.t.Errorf("%+v, want %v, restarted %v", o, reachability, restarted)
 	}
 }
 
@@ -59,7 +59,7 @@
 	s.want(fleet.Up, false)
 	s.nowMS = 5000
 	s.monitor.Disconnected("c-1", false, s.nowMS)
-	s.take(s.monitor.Tick(s.nowMS))
+	s.carryOut(s.monitor.Tick(s.nowMS))
 	s.monitor.Disconnected("c-1", true, s.nowMS)
 	s.want(fleet.Up, false) // one refusal is fewer than three misses
 	s.connect()
@@ -83,7 +83,7 @@
 		s := newScenario(t)
 		s.connect()
 		for s.nowMS = 2000; s.monitor.Observation("c-1").Reachability == fleet.Up && s.nowMS < 60_000; s.nowMS += 100 {
-			s.take(s.monitor.Tick(s.nowMS))
+			s.carryOut(s.monitor.Tick(s.nowMS))
 		}
 		s.want(fleet.Unreachable, false)
 		if s.nowMS > 4000 {
@@ -94,7 +94,7 @@
 			s.connect()
 		} else {
 			s.nowMS += 1000
-			s.take(s.monitor.Tick(s.nowMS))
+			s.carryOut(s.monitor.Tick(s.nowMS))
 			s.monitor.Pong("c-1", s.tag, s.nowMS)
 		}
 		s.want(fleet.Up, lost)
--- a/internal/fleet/plan/codec_test.go
+++ b/internal/fleet/plan/codec_test.go
@@ -129,7 +129,7 @@
 			_ = s.Event(1, 1, "x", 1)
 		}
 		if again, err := Encode(p); err != nil || !bytes.Equal(again, b) && !bytes.Equal(again, frame(b)) {
-			t.Errorf("decoding and encoding again gives other bytes: %v", err)
+			t.Errorf("decoding and encoding again does not return the same bytes: %v", err)
 		}
 	})
 }
--- a/internal/fleet/plan/diff_locations.go
+++ b/internal/fleet/plan/diff_locations.go
@@ -74,7 +74,7 @@
 }
 
 // changeLocation adds the changes of a location, at most three. The floor and load change first. Then new sources are added to its list,
-// after their hosts were added, and finally old sources are taken off the list, before their hosts are removed.
+// after their hosts were added, and finally old sources are removed from it, before their hosts are removed.
 func (d *differ) changeLocation(current *fleet.Location, want fleet.Location) {
 	chain := &locationChain{differ: d, last: current}
 	if current.Floor != want.Floor || current.Load != want.Load {
--- a/internal/fleet/plan/groups.go
+++ b/internal/fleet/plan/groups.go
@@ -8,19 +8,19 @@
 func newGroups() *groups { return &groups{parents: map[string]string{}} }
 
 // root returns the representative of the set that contains a key. It adds a key that is in no set as a set of its own.
-func (g *groups) root(thing string) string {
-	if g.parents[thing] == "" {
-		g.parents[thing] = thing
+func (g *groups) root(key string) string {
+	if g.parents[key] == "" {
+		g.parents[key] = key
 	}
-	for g.parents[thing] != thing {
-		g.parents[thing] = g.parents[g.parents[thing]]
-		thing = g.parents[thing]
+	for g.parents[key] != key {
+		g.parents[key] = g.parents[g.parents[key]]
+		key = g.parents[key]
 	}
-	return thing
+	return key
 }
 
 // add adds a key as a set of its own, unless it is in a set already.
-func (g *groups) add(thing string) { g.root(thing) }
+func (g *groups) add(key string) { g.root(key) }
 
 // join merges the sets of two keys. The smaller root becomes the root of the merged set, so that the result does not depend on the order
 // of the calls.
--- a/internal/fleet/plan/impossible.go
+++ b/internal/fleet/plan/impossible.go
@@ -54,21 +54,21 @@
 	if r.change.Host != nil {
 		b.Hosts = []string{r.change.Host.Name}
 	}
-	thing := r.broken.Resource
+	resource := r.broken.Resource
 	switch r.broken.Constraint {
 	case fleet.FloorConstraint:
 		b.Remedy = fmt.Sprintf("add share %.4g to %s first, or lower its floor to %.4g",
-			r.broken.Need-r.broken.Have, thing, max(0, r.broken.Have))
+			r.broken.Need-r.broken.Have, resource, max(0, r.broken.Have))
 	case fleet.SourceConstraint:
-		b.Remedy = fmt.Sprintf("add another source to %s first", thing)
+		b.Remedy = fmt.Sprintf("add another source to %s first", resource)
 	case fleet.WarmingCapacityConstraint:
-		b.Remedy = fmt.Sprintf("wait until the warming caches in %s are warm, or raise cold-most", thing)
+		b.Remedy = fmt.Sprintf("wait until the warming caches in %s are warm, or raise cold-most", resource)
 	case fleet.WarmingCacheConstraint:
-		b.Remedy = fmt.Sprintf("wait until %s is warm, add warm share to its location, or lower the location's load", thing)
-		b.Hosts = append(b.Hosts, thing)
+		b.Remedy = fmt.Sprintf("wait until %s is warm, add warm share to its location, or lower the location's load", resource)
+		b.Hosts = append(b.Hosts, resource)
 	default:
-		b.Remedy = fmt.Sprintf("wait until parent cache %s is warm, or use it as a source of fewer locations", thing)
-		b.Hosts = append(b.Hosts, thing)
+		b.Remedy = fmt.Sprintf("wait until parent cache %s is warm, or use it as a source of fewer locations", resource)
+		b.Hosts = append(b.Hosts, resource)
 	}
 	slices.Sort(b.Hosts)
 	b.Hosts = slices.Compact(b.Hosts)
--- a/internal/fleet/plan/schedule.go
+++ b/internal/fleet/plan/schedule.go
@@ -33,9 +33,9 @@
 		byGroup[root] = append(byGroup[root], c)
 	}
 	locations := map[string][]string{}
-	for thing := range s.groups.parents {
-		if name, isLocation := strings.CutPrefix(thing, fleet.LocationKey("")); isLocation {
-			root := s.groups.root(thing)
+	for key := range s.groups.parents {
+		if name, isLocation := strings.CutPrefix(key, fleet.LocationKey("")); isLocation {
+			root := s.groups.root(key)
 			locations[root] = append(locations[root], name)
 		}
 	}
--- a/internal/fleet/plan/step.go
+++ b/internal/fleet/plan/step.go
@@ -10,7 +10,7 @@
 // Kind is the kind of change that a step makes.
 type Kind string
 
-// Kinds of steps.
+// Kinds of steps, with the names of the plan file.
 const (
 	SetRules Kind = "rules"  // put new rules into force
 	Locate   Kind = "locate" // declare a location, or change its floor and load
@@ -21,7 +21,7 @@
 	Raise    Kind = "raise"  // increase the share of a host
 	Lower    Kind = "lower"  // decrease the share of a host
 	Drain    Kind = "drain"
-	Remove   Kind = "remove" // take a drained host off the endpoint list
+	Remove   Kind = "remove" // remove a drained host from the endpoint list
 )
 
 // Wait is the condition that completes a step after its event.
--- a/internal/fleet/read.go
+++ b/internal/fleet/read.go
@@ -80,15 +80,15 @@
 }
 
 // Reread returns the current read of the host, location or rules with a key.
-func (s ObservedState) Reread(thing string) (Read, error) {
-	if thing == RulesKey {
+func (s ObservedState) Reread(key string) (Read, error) {
+	if key == RulesKey {
 		return s.ReadRules(), nil
 	}
-	if name, isHost := strings.CutPrefix(thing, hostPrefix); isHost && name != "" {
+	if name, isHost := strings.CutPrefix(key, hostPrefix); isHost && name != "" {
 		return s.ReadHost(name), nil
 	}
-	if name, isLocation := strings.CutPrefix(thing, locationPrefix); isLocation && name != "" {
+	if name, isLocation := strings.CutPrefix(key, locationPrefix); isLocation && name != "" {
 		return s.ReadLocation(name), nil
 	}
-	return Read{}, fmt.Errorf("fleet: unknown key %q in the reads of a plan", thing)
+	return Read{}, fmt.Errorf("fleet: unknown key %q in the reads of a plan", key)
 }
--- a/internal/fleet/validate.go
+++ b/internal/fleet/validate.go
@@ -45,19 +45,19 @@
 	errors    []ValidationError
 }
 
-func (v *validator) addError(thing, key, format string, args ...any) {
-	v.errors = append(v.errors, ValidationError{Resource: thing, Key: key, Message: fmt.Sprintf(format, args...)})
+func (v *validator) addError(resource, key, format string, args ...any) {
+	v.errors = append(v.errors, ValidationError{Resource: resource, Key: key, Message: fmt.Sprintf(format, args...)})
 }
 
 func (v *validator) checkHost(h HostSpec) {
-	thing := HostKey(h.Name)
+	resource := HostKey(h.Name)
 	if _, declared := v.hosts[h.Name]; declared {
-		v.addError(thing, "", "declared twice")
+		v.addError(resource, "", "declared twice")
 		return
 	}
 	v.hosts[h.Name] = h
 	if other, taken := v.addresses[h.Address]; taken {
-		v.addError(thing, "at", "address %s is that of %s", h.Address, other)
+		v.addError(resource, "at", "address %s is that of %s", h.Address, other)
 	}
 	v.addresses[h.Address] = h.Name
 	if h.Role != Cache {
@@ -70,9 +70,9 @@
 }
 
 func (v *validator) checkLocation(l Location) {
-	thing := LocationKey(l.Name)
+	resource := LocationKey(l.Name)
 	if v.locations[l.Name] {
-		v.addError(thing, "", "declared twice")
+		v.addError(resource, "", "declared twice")
 		return
 	}
 	v.locations[l.Name] = true
@@ -82,30 +82,30 @@
 		if name == "" {
 			name = "its host"
 		}
-		v.addError(thing, "floor", "floor %.4g can't be kept: with %s dying %.4g of %.4g is left; add hosts or lower the floor",
+		v.addError(resource, "floor", "floor %.4g can't be kept: with %s dying %.4g of %.4g is left; add hosts or lower the floor",
 			l.Floor, name, remaining, v.shares[l.Name])
 	}
 	usable := 0
 	for i, source := range l.Sources {
-		if v.checkSource(thing, source, l.Sources[:i]) {
+		if v.checkSource(resource, source, l.Sources[:i]) {
 			usable++
 		}
 	}
 	if v.shares[l.Name] > 0 && usable == 0 {
-		v.addError(thing, "sources", "no source: its caches could not be filled")
+		v.addError(resource, "sources", "no source: its caches could not be filled")
 	}
 }
 
 // checkSource reports whether a location can be filled from a source. earlier lists the sources that the location names before it.
-func (v *validator) checkSource(thing, source string, earlier []string) (usable bool) {
+func (v *validator) checkSource(resource, source string, earlier []string) (usable bool) {
 	host, declared := v.hosts[source]
 	switch {
 	case slices.Contains(earlier, source):
-		v.addError(thing, "sources", "source %s is named twice", source)
+		v.addError(resource, "sources", "source %s is named twice", source)
 	case !declared:
-		v.addError(thing, "sources", "source %s is not declared in this file", source)
+		v.addError(resource, "sources", "source %s is not declared in this file", source)
 	case host.Role == Cache:
-		v.addError(thing, "sources", "source %s is a cache; a source must be a parent cache or an origin", source)
+		v.addError(resource, "sources", "source %s is a cache; a source must be a parent cache or an origin", source)
 	default:
 		return true
 	}
