--- a/internal/fleet/constraints.go
+++ b/internal/fleet/constraints.go
@@ -9,7 +9,7 @@
 // Constraint identifies a rule that the fleet must satisfy while it changes.
 type Constraint string
 
-// The constraints. Each must hold at every moment of a change, also if any one host fails.
+// The constraints. Each must hold at every moment of a change, even if any one host fails.
 const (
 	FloorConstraint           Constraint = "floor"     // the serving share of the warm caches is at least the location's floor
 	SourceConstraint          Constraint = "source"    // a location with caches has at least one serving source
--- a/internal/fleet/plan/codec_test.go
+++ b/internal/fleet/plan/codec_test.go
@@ -64,8 +64,8 @@
 	return file
 }
 
-// Decode returns ErrDamaged for a plan file with a changed byte, and for one that is truncated or extended; it returns ErrNewer for a file
-// of a later version.
+// Decode rejects a plan file with a changed byte as damaged or newer. It returns ErrDamaged for a file that is truncated or extended, and
+// ErrNewer for a file of a later version.
 func TestDecodeRejectsChangedFiles(t *testing.T) {
 	file := samplePlanFile(t)
 	for at := range file {
--- a/internal/fleet/plan/ledger.go
+++ b/internal/fleet/plan/ledger.go
@@ -6,7 +6,7 @@
 	"stairvane.org/stairvane/internal/fleet"
 )
 
-// ledger tracks the quantities that the constraints of one group bound. The steps of a wave may take effect in any order, and some may be
+// ledger tracks the quantities that the constraints of one group limit. The steps of a wave may take effect in any order, and some may be
 // delayed. The ledger therefore assumes the worst case for each change: the capacity that it removes is subtracted when the change is
 // placed, and the capacity that it adds is added only when its wave is done. A wave that satisfies the constraints in the ledger
 // satisfies them at every moment.
--- a/internal/fleet/plan/ledger_constraints.go
+++ b/internal/fleet/plan/ledger_constraints.go
@@ -23,7 +23,7 @@
 	if slack, applies := l.warmingCapacitySlack(location); applies {
 		all = append(all, slack)
 	}
-	if location.warmAtWaveStart == 0 && location.caches == 1 { // the only cache of the location is warming up
+	if location.warmAtWaveStart == 0 && location.caches == 1 { // a single cache and no warm one: the first or the last
 		return all
 	}
 	for i := range location.warming {
--- a/internal/fleet/plan/ledger_location.go
+++ b/internal/fleet/plan/ledger_location.go
@@ -6,7 +6,7 @@
 	"stairvane.org/stairvane/internal/fleet"
 )
 
-// locationLedger tracks the quantities that the constraints of one location bound.
+// locationLedger tracks the quantities that the constraints of one location limit.
 type locationLedger struct {
 	name  string
 	floor float64
--- a/internal/fleet/plan/plan_test.go
+++ b/internal/fleet/plan/plan_test.go
@@ -95,7 +95,7 @@
 }
 
 // For random observed and desired states, the plan leads to the desired state and a second plan is empty. In any order of steps that the
-// graph allows, no step violates a constraint, also if any one host fails. Some hosts may be unreachable before the plan is made.
+// graph allows, no step violates a constraint, even if any one host fails. Some hosts may be unreachable before the plan is made.
 func TestPlansKeepConstraintsAtEveryStep(t *testing.T) {
 	made, steps := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
