--- a/internal/fleet/apply/order_test.go
+++ b/internal/fleet/apply/order_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// An order leads to the status that it asks for, or is rejected where the present status does not allow it.
-func TestObey(t *testing.T) {
+// An order leads to the requested status, or is rejected if the current status does not allow it.
+func TestStatusAfter(t *testing.T) {
 	for _, c := range []struct {
 		status Status
 		order  Order
@@ -20,7 +20,7 @@
 		{Paused, OrderCancel, Cancelled, nil},
 		{Done, OrderCancel, "", ErrEnded},
 	} {
-		if got, err := Obey(Record{Status: c.status}, c.order); got != c.want || !errors.Is(err, c.err) {
+		if got, err := StatusAfter(Record{Status: c.status}, c.order); got != c.want || !errors.Is(err, c.err) {
 			t.Errorf("%s %s: %s, %v", c.status, c.order, got, err)
 		}
 	}
--- a/internal/fleet/observe/monitor_test.go
+++ b/internal/fleet/observe/monitor_test.go
@@ -6,7 +6,7 @@
 	"stairvane.org/stairvane/internal/fleet"
 )
 
-// scenario drives a monitor of one host. Its methods are what the host does.
+// scenario drives a monitor of one host and simulates the host.
 type scenario struct {
 	t       *testing.T
 	monitor *Monitor
@@ -15,12 +15,12 @@
 }
 
 func newScenario(t *testing.T) *scenario {
-	s := &scenario{t: t, monitor: New(Settings{EveryMS: 1000, TimeoutMS: 200, Misses: 3})}
-	s.monitor.Declare("c-1", "a:1", false, 0)
+	s := &scenario{t: t, monitor: New(Settings{PingIntervalMS: 1000, TimeoutMS: 200, Misses: 3})}
+	s.monitor.AddHost("c-1", "a:1", false, 0)
 	return s
 }
 
-func (s *scenario) take(actions []Action) (connect bool) {
+func (s *scenario) carryOut(actions []Action) (connect bool) {
 	for _, a := range actions {
 		if a.Address != "" {
 			connect = true
@@ -34,8 +34,8 @@
 func (s *scenario) connect() {
 	s.t.Helper()
 	for range 10 {
-		if s.take(s.monitor.Tick(s.nowMS)) {
-			s.take(s.monitor.Connected("c-1", s.nowMS))
+		if s.carryOut(s.monitor.Tick(s.nowMS)) {
+			s.carryOut(s.monitor.Connected("c-1", s.nowMS))
 			s.monitor.Pong("c-1", s.tag, s.nowMS+1)
 			return
 		}
@@ -44,14 +44,14 @@
 	s.t.Fatal("never connected")
 }
 
-func (s *scenario) want(sight fleet.Sight, restarted bool) {
+func (s *scenario) want(reachability fleet.Reachability, restarted bool) {
 	s.t.Helper()
-	if o := s.monitor.Observation("c-1"); o.Sight != sight || (o.RestartedMS > 0) != restarted {
-		s.t.Errorf("%+v, want %v, restarted %v", o, sight, restarted)
+	if o := s.monitor.Observation("c-1"); o.Reachability != reachability || (o.RestartedMS > 0) != restarted {
+		s.t.Errorf("%+v, want %v, restarted %v", o, reachability, restarted)
 	}
 }
 
-// A process that has ended refuses connections. When the host answers again it has restarted.
+// A host has restarted if it refused a connection after one was lost and then answers again.
 func TestRestartAfterRefusedConnection(t *testing.T) {
 	s := newScenario(t)
 	s.want(fleet.Unknown, false)
@@ -59,14 +59,14 @@
 	s.want(fleet.Up, false)
 	s.nowMS = 5000
 	s.monitor.Disconnected("c-1", false, s.nowMS)
-	s.take(s.monitor.Tick(s.nowMS))
+	s.carryOut(s.monitor.Tick(s.nowMS))
 	s.monitor.Disconnected("c-1", true, s.nowMS)
-	s.want(fleet.Up, false) // one refusal is fewer than three
+	s.want(fleet.Up, false) // one refusal is fewer than three misses
 	s.connect()
 	s.want(fleet.Up, true)
 }
 
-// A connection that was cut while the host goes on is no restart.
+// A lost connection to a host that keeps running is not a restart.
 func TestLostConnectionIsNoRestart(t *testing.T) {
 	s := newScenario(t)
 	s.connect()
@@ -76,36 +76,36 @@
 	s.want(fleet.Up, false)
 }
 
-// A silent host is unreachable after some pings. If it answers over its old connection it has not restarted. If that connection is
-// lost it has.
+// A host that does not answer is unreachable after the configured number of pings. If it later answers over its old connection, it has not
+// restarted; if that connection is lost first, it has.
 func TestUnreachableAfterMissedPings(t *testing.T) {
 	for _, lost := range []bool{false, true} {
 		s := newScenario(t)
 		s.connect()
-		for s.nowMS = 2000; s.monitor.Observation("c-1").Sight == fleet.Up && s.nowMS < 60_000; s.nowMS += 100 {
-			s.take(s.monitor.Tick(s.nowMS))
+		for s.nowMS = 2000; s.monitor.Observation("c-1").Reachability == fleet.Up && s.nowMS < 60_000; s.nowMS += 100 {
+			s.carryOut(s.monitor.Tick(s.nowMS))
 		}
 		s.want(fleet.Unreachable, false)
 		if s.nowMS > 4000 {
-			t.Errorf("seen after %d ms", s.nowMS-2000)
+			t.Errorf("found unreachable after %d ms", s.nowMS-2000)
 		}
 		if lost {
 			s.monitor.Disconnected("c-1", false, s.nowMS)
 			s.connect()
 		} else {
 			s.nowMS += 1000
-			s.take(s.monitor.Tick(s.nowMS))
+			s.carryOut(s.monitor.Tick(s.nowMS))
 			s.monitor.Pong("c-1", s.tag, s.nowMS)
 		}
 		s.want(fleet.Up, lost)
 	}
 }
 
-// A host that was put in service anew under the same name and address is unknown.
+// A host that was put in service again under the same name and address is unknown.
 func TestReplacedHostIsUnknown(t *testing.T) {
 	s := newScenario(t)
 	s.connect()
-	s.monitor.Declare("c-1", "a:1", true, 10)
+	s.monitor.AddHost("c-1", "a:1", true, 10)
 	s.want(fleet.Unknown, false)
 	if s.monitor.Pong("c-1", s.tag, 11) {
 		t.Error("the answer over an old connection counts for the new host")
