--- a/internal/controlplane/acknowledged/tracker.go
+++ b/internal/controlplane/acknowledged/tracker.go
@@ -35,8 +35,8 @@
 	return &Tracker{notifiedWithinMS: notifiedWithinMS, watchers: map[int64]*watcher{}}
 }
 
-// Within sets the milliseconds after which events that a watcher lacked when it left count as acknowledged.
-func (t *Tracker) Within(notifiedWithinMS int64) { t.notifiedWithinMS = notifiedWithinMS }
+// SetNotifiedWithin sets the milliseconds after which events that a watcher lacked when it left count as acknowledged.
+func (t *Tracker) SetNotifiedWithin(notifiedWithinMS int64) { t.notifiedWithinMS = notifiedWithinMS }
 
 // Join adds a connection under an ID of the caller's.
 func (t *Tracker) Join(id int64, addr netip.Addr) { t.watchers[id] = &watcher{addr: addr} }
--- a/internal/controlplane/watch/server.go
+++ b/internal/controlplane/watch/server.go
@@ -121,7 +121,7 @@
 	}
 	s.mu.Lock()
 	s.lastRevision = s.log.Last()
-	s.tracker.Within(after.Rules().NotifiedWithinMS)
+	s.tracker.SetNotifiedWithin(after.Rules().NotifiedWithinMS)
 	s.mu.Unlock()
 	for w := range s.watchers {
 		if w.waiting {
