--- a/internal/controlplane/acknowledged/tracker_test.go
+++ b/internal/controlplane/acknowledged/tracker_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// An event is acknowledged when every watcher has asked for the events after it. A watcher that left counts until its time is over,
-// unless it comes back with the event.
+// An event is acknowledged once every watcher has requested the events after it. A watcher that disconnected counts until
+// notifiedWithinMS has passed, unless it reconnects with the event.
 func TestAcknowledgedUpTo(t *testing.T) {
 	a, b := netip.MustParseAddr("10.0.0.1"), netip.MustParseAddr("10.0.0.2")
 	tracker := New(7000)
@@ -16,9 +16,9 @@
 			t.Errorf("acknowledged up to %d, want %d", got, revision)
 		}
 	}
-	want(0, 10) // nobody watches
+	want(0, 10) // no watchers
 	tracker.Join(1, a)
-	want(0, 10) // a connection without a request is nobody yet
+	want(0, 10) // a connection without a request is ignored
 	tracker.Ack(1, 7)
 	tracker.Join(2, b)
 	tracker.Ack(2, 9)
@@ -26,7 +26,7 @@
 	tracker.Leave(1, 10, 1000)
 	want(1000, 7)
 	tracker.Join(3, b)
-	tracker.Ack(3, 8) // from another address: not the one that left
+	tracker.Ack(3, 8) // another address than that of the departed watcher
 	want(1000, 7)
 	tracker.Join(4, a)
 	tracker.Ack(4, 10)
