--- a/internal/controlplane/store/applies.go
+++ b/internal/controlplane/store/applies.go
@@ -12,8 +12,8 @@
 	"stairvane.org/stairvane/internal/fleet/plan"
 )
 
-// Create stores a new apply with its plan and what the fleet was before, takes the lease, and sets
-// the id and the epoch.
+// Create stores a new apply with its plan and the fleet's state before it, acquires the apply lock,
+// and returns the record with its ID and epoch set.
 func (t *Tx) Create(r apply.Record, planFile []byte, before fleet.DesiredState) (apply.Record, error) {
 	last, err := t.number(lastApplyKey)
 	if err != nil {
@@ -32,8 +32,8 @@
 	return r, nil
 }
 
-// AcquireApplyLock gives the lease to an apply under a new epoch; whoever has it under an older one is fenced
-// off.
+// AcquireApplyLock gives the apply lock to an apply under a new epoch. A holder under an older epoch
+// is fenced off.
 func (t *Tx) AcquireApplyLock(r apply.Record) (apply.Record, error) {
 	epoch, err := t.number(epochKey)
 	if err != nil {
@@ -45,11 +45,12 @@
 	return r, t.SetRecord(r)
 }
 
-// KeepApplyLock leaves the lease with an apply that took it in this same change, although its record has
-// ended.
+// KeepApplyLock lets an apply that acquired the apply lock in this change keep it, although its record
+// has ended.
 func (t *Tx) KeepApplyLock(r apply.Record) { t.putNumber(holderKey, r.ID) }
 
-// Fence fails with apply.ErrFenced unless the apply has the lease under this epoch.
+// Fence returns an error that wraps apply.ErrFenced unless the apply holds the apply lock under its
+// epoch.
 func (t *Tx) Fence(r apply.Record) error {
 	holder, err := t.number(holderKey)
 	if err != nil {
@@ -64,11 +65,11 @@
 	}
 	return &apply.RejectedError{
 		Err:    apply.ErrFenced,
-		Detail: fmt.Sprintf("apply %d in epoch %d; it is apply %d's in epoch %d", r.ID, r.Epoch, holder, epoch),
+		Detail: fmt.Sprintf("apply %d in epoch %d; the holder is apply %d in epoch %d", r.ID, r.Epoch, holder, epoch),
 	}
 }
 
-// SetRecord stores a record. One that has ended gives the lease back.
+// SetRecord stores the record of an apply. If the apply has ended, SetRecord releases the apply lock.
 func (t *Tx) SetRecord(r apply.Record) error {
 	if err := t.putEncoded(applyBucket, encodeNumber(r.ID), r); err != nil {
 		return err
@@ -88,7 +89,7 @@
 	return binary.BigEndian.AppendUint32(encodeNumber(applyID), uint32(step))
 }
 
-// RunningApply returns the apply that has the lease; nil if there is none.
+// RunningApply returns the apply that holds the apply lock; nil if there is none.
 func (v *View) RunningApply() (*apply.Record, error) {
 	id, err := v.number(holderKey)
 	if err != nil || id == 0 {
@@ -107,7 +108,7 @@
 	return r, decode(raw, r)
 }
 
-// Records returns all applies, in order.
+// Records returns the records of all applies, ordered by ID.
 func (v *View) Records() (all []apply.Record, err error) {
 	last, err := v.number(lastApplyKey)
 	if err != nil {
@@ -126,7 +127,7 @@
 	return all, nil
 }
 
-// LastApplyOfPlan returns the last apply of a plan; nil if there is none.
+// LastApplyOfPlan returns the last apply of the plan with the given checksum; nil if there is none.
 func (v *View) LastApplyOfPlan(sum string) (*apply.Record, error) {
 	raw, err := v.get(planIDBucket, []byte(sum))
 	if err != nil || raw == nil {
@@ -144,7 +145,7 @@
 	return bytes.Clone(raw), err
 }
 
-// DesiredBefore returns what the fleet was when an apply began, as a desired state.
+// DesiredBefore returns the fleet's state at the start of an apply, as a desired state.
 func (v *View) DesiredBefore(applyID int64) (desired fleet.DesiredState, err error) {
 	raw, err := v.get(desiredBucket, encodeNumber(applyID))
 	if err != nil {
@@ -156,7 +157,7 @@
 	return desired, decode(raw, &desired)
 }
 
-// Machine returns the state machine of an apply, built from what is committed.
+// Machine returns the state machine of an apply, built from the committed step states.
 func (v *View) Machine(r apply.Record) (*apply.Machine, error) {
 	raw, err := v.Plan(r.ID)
 	if err != nil {
@@ -183,7 +184,7 @@
 	return apply.New(r, p, states)
 }
 
-// checkApplies checks that no apply and no state of the running apply's steps is missing.
+// checkApplies returns an error if an apply, or a step state of the running apply, is missing.
 func checkApplies(tx *bolt.Tx) error {
 	v := &View{tx: tx}
 	if _, err := v.Records(); err != nil {
@@ -198,7 +199,7 @@
 		return fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
 	if holder.StepsDone > m.Record.StepsDone {
-		return fmt.Errorf("%w: apply %d has lost states of steps", ErrDamaged, holder.ID)
+		return fmt.Errorf("%w: step states of apply %d are missing", ErrDamaged, holder.ID)
 	}
 	return nil
 }
--- a/internal/controlplane/store/applies_test.go
+++ b/internal/controlplane/store/applies_test.go
@@ -9,8 +9,8 @@
 	"stairvane.org/stairvane/internal/fleet/apply"
 )
 
-// Guards against a write of an apply that has lost the lease.
-func TestFencing(t *testing.T) {
+// Guards against writes of an apply that has lost the apply lock.
+func TestFencedApplyCannotWrite(t *testing.T) {
 	s, err := Open(filepath.Join(t.TempDir(), "s"), Options{})
 	check(t, err)
 	defer closeStore(t, s)
--- a/internal/controlplane/store/batch.go
+++ b/internal/controlplane/store/batch.go
@@ -9,18 +9,18 @@
 	"stairvane.org/stairvane/internal/fleet"
 )
 
-// Request is a change that waits for the group.
+// Request is a change that waits to be committed by the group.
 type Request = request
 
-// Requests returns the changes that wait.
+// Requests returns the channel of waiting changes.
 func (s *Store) Requests() <-chan *Request { return s.requests }
 
-// Answer ends a request. It may be called once.
+// Answer completes a request with its result. It must be called at most once.
 func (r *Request) Answer(err error) { r.done <- err }
 
-// batch is what the group agrees on. Its form is stored.
+// batch is the data of a log entry: the puts that one or more changes make. Its encoding is stored.
 type batch struct {
-	Base int64      `cbor:"Base"` // the revision that it builds on
+	Base int64      `cbor:"Base"` // the revision on which it was evaluated
 	Puts []batchPut `cbor:"Puts"`
 }
 
@@ -31,8 +31,8 @@
 	Value  []byte // nil: deleted
 }
 
-// replicatedBuckets are the buckets that batches may write to. Their order is part of the form of a
-// batch.
+// replicatedBuckets are the buckets that batches may write to. Their order is part of the encoding of
+// a batch.
 var replicatedBuckets = [][]byte{
 	metaBucket, eventBucket, applyBucket, planBucket, desiredBucket, stepBucket, planIDBucket, writeBucket, writeAtBucket,
 }
@@ -43,23 +43,24 @@
 			return uint8(i), nil
 		}
 	}
-	return 0, fmt.Errorf("store: %s is not shared with other copies", name)
+	return 0, fmt.Errorf("store: bucket %s is not replicated", name)
 }
 
-// Evaluate runs changes one after the other on what is committed, and returns the batch that they
-// make together. results holds what each returned; they count once the batch is committed.
+// Evaluate runs changes one after the other on the committed state, and returns one encoded batch of
+// their puts. results contains the result of each change, which is valid only once the batch is
+// committed.
 func (s *Store) Evaluate(requests []*Request) (data []byte, results []error, err error) {
 	next := *s.state.Load()
 	b := batch{Base: next.fleet.Revision}
 	results = make([]error, len(requests))
 	err = s.View(func(v *View) error {
-		local := &overlay{puts: map[string][]byte{}, next: v.overlay} // each change reads those before it
+		local := &overlay{puts: map[string][]byte{}, next: v.overlay} // each change sees the writes of the changes before it
 		for i, r := range requests {
 			t := s.newTx(View{tx: v.tx, overlay: local}, next)
 			if results[i] = r.change(t); results[i] != nil {
 				continue
 			}
-			if err := b.add(t.puts, local); err != nil {
+			if err := b.appendPuts(t.puts, local); err != nil {
 				return err
 			}
 			next = t.state
@@ -73,8 +74,8 @@
 	return data, results, err
 }
 
-// add adds a change's puts to the batch and to an overlay.
-func (b *batch) add(puts []put, local *overlay) error {
+// appendPuts adds a change's puts to the batch and to an overlay.
+func (b *batch) appendPuts(puts []put, local *overlay) error {
 	for _, p := range puts {
 		bucket, err := bucketNumber(p.bucket)
 		if err != nil {
@@ -86,9 +87,9 @@
 	return nil
 }
 
-// Apply applies a committed batch in memory; Persist writes it. Nil data stands for an entry
-// without a batch. confState and members are nil unless the entry changed them. An error means that
-// this replica's state is not that of the others.
+// Apply applies a committed entry in memory; Persist writes it. data is nil if the entry holds no
+// batch. confState and members are nil unless the entry changed them. An error means that this
+// replica's state differs from that of the other replicas.
 func (s *Store) Apply(at Position, data, confState, members []byte) error {
 	applied := s.replica.applied
 	applied.At = at
@@ -115,7 +116,7 @@
 	return nil
 }
 
-// appliedBatch is what a committed batch leads to.
+// appliedBatch is the result of applying a committed batch.
 type appliedBatch struct {
 	next    state
 	events  []fleet.Event
@@ -134,11 +135,11 @@
 		overlay: &overlay{puts: make(map[string][]byte, len(b.Puts)), next: s.overlay.Load()},
 	}
 	if revision := a.next.fleet.Revision; b.Base != revision {
-		return nil, fmt.Errorf("%w: entry %d builds on event %d, the history ends at %d", ErrDamaged, at.Index, b.Base, revision)
+		return nil, fmt.Errorf("%w: entry %d is based on event %d, but the event log ends at %d", ErrDamaged, at.Index, b.Base, revision)
 	}
 	for _, w := range b.Puts {
 		if int(w.Bucket) >= len(replicatedBuckets) {
-			return nil, fmt.Errorf("%w: entry %d is of a newer program", ErrNewer, at.Index)
+			return nil, fmt.Errorf("%w: entry %d was written by a newer program", ErrNewer, at.Index)
 		}
 		p := put{bucket: replicatedBuckets[w.Bucket], key: w.Key, value: w.Value}
 		a.puts = append(a.puts, p)
@@ -153,7 +154,7 @@
 	return a, nil
 }
 
-// addEvent verifies that an event follows on the log, and applies it.
+// addEvent verifies that an event continues the event log, and applies it.
 func (a *appliedBatch) addEvent(at Position, raw []byte) error {
 	event, stored, err := readEvent(raw)
 	if err != nil {
@@ -164,7 +165,7 @@
 	}
 	a.next.chain = chainHash(a.next.chain, stored.Event)
 	if !bytes.Equal(stored.Chain, a.next.chain[:]) {
-		return fmt.Errorf("%w: event %d does not follow the history before it", ErrDamaged, event.No)
+		return fmt.Errorf("%w: the hash of event %d does not match the event log before it", ErrDamaged, event.No)
 	}
 	a.next.atMS = max(a.next.atMS, event.AtMS)
 	a.events = append(a.events, event)
--- a/internal/controlplane/store/compatibility_test.go
+++ b/internal/controlplane/store/compatibility_test.go
@@ -18,7 +18,7 @@
 	"stairvane.org/stairvane/internal/tools/golden"
 )
 
-// Guards the form of stored values: this version reads what an older one wrote.
+// Guards the encoding of stored values: this version must read the values that older versions wrote.
 func TestLandedForms(t *testing.T) {
 	golden.Check[chainedEvent](t, "event.cbor", fleet.Encode, cbor.Unmarshal)
 	golden.Check[snapshot](t, "snapshot.cbor", fleet.Encode, cbor.Unmarshal)
@@ -30,8 +30,8 @@
 	golden.Check[HardState](t, "hard-state.cbor", cbor.Marshal, cbor.Unmarshal)
 }
 
-// landedPlan returns the plan file of the plan package's golden files.
-func landedPlan(t *testing.T) (*plan.Plan, []byte) {
+// goldenPlan returns the plan from the golden files of the plan package, decoded and as a file.
+func goldenPlan(t *testing.T) (*plan.Plan, []byte) {
 	t.Helper()
 	file, err := os.ReadFile("../../fleet/plan/testdata/golden/landed.plan")
 	check(t, err)
@@ -40,13 +40,13 @@
 	return p, file
 }
 
-var landedOptions = Options{SnapshotEvery: 4, KeepEvents: 2, Clock: func() int64 { return 1_700_000_000_000 }}
+var goldenOptions = Options{SnapshotEvery: 4, KeepEvents: 2, Clock: func() int64 { return 1_700_000_000_000 }}
 
-// landedHistory makes events of every kind, an apply that has ended, one under way, and a
-// remembered write.
-func landedHistory(t *testing.T, do func(func(*Tx) error) error) {
+// writeGoldenEvents writes events of every kind, an apply that has ended, an apply that is running,
+// and the outcomes of writes.
+func writeGoldenEvents(t *testing.T, do func(func(*Tx) error) error) {
 	t.Helper()
-	p, file := landedPlan(t)
+	p, file := goldenPlan(t)
 	sum, err := plan.Sum(p)
 	check(t, err)
 	group := 3
@@ -101,8 +101,8 @@
 	}
 }
 
-// landedContent returns all that can be read from a store, as text.
-func landedContent(t *testing.T, s *Store) string {
+// readableContent returns everything that can be read from a store, as text.
+func readableContent(t *testing.T, s *Store) string {
 	t.Helper()
 	var b strings.Builder
 	show := func(what string, v any) {
@@ -140,8 +140,9 @@
 	return b.String()
 }
 
-// openLanded opens a copy of a landed store; create writes it anew when golden files are updated.
-func openLanded(t *testing.T, name string, options Options, create func(path string)) *Store {
+// openGoldenStore opens a copy of a golden store file. create generates that file when golden files
+// are updated.
+func openGoldenStore(t *testing.T, name string, options Options, create func(path string)) *Store {
 	t.Helper()
 	var made []byte
 	path := filepath.Join(t.TempDir(), "store")
@@ -159,7 +160,7 @@
 	return s
 }
 
-// compact writes a store's file anew without the pages that it no longer uses.
+// compact rewrites a store's file without its unused pages.
 func compact(t *testing.T, path string) {
 	t.Helper()
 	from, err := bolt.Open(path, 0o600, nil)
@@ -170,37 +171,38 @@
 	check(t, errors.Join(to.Close(), from.Close(), os.Rename(path+".small", path)))
 }
 
-// Guards the file of a control plane without replicas: this version opens what an older one wrote.
-func TestLandedStoreOfOneIsRead(t *testing.T) {
-	s := openLanded(t, "alone.db", landedOptions, func(path string) {
-		s, err := Open(path, landedOptions)
+// Guards the file format of a control plane without replicas: this version must open the file of an
+// older one.
+func TestStandaloneStoreOfOlderVersionIsRead(t *testing.T) {
+	s := openGoldenStore(t, "alone.db", goldenOptions, func(path string) {
+		s, err := Open(path, goldenOptions)
 		check(t, err)
-		landedHistory(t, s.Do)
+		writeGoldenEvents(t, s.Do)
 		check(t, s.Close())
 		compact(t, path)
 	})
-	golden.Text(t, "alone.txt", landedContent(t, s))
+	golden.Text(t, "alone.txt", readableContent(t, s))
 	check(t, add(s, purge(9)))
 }
 
-// Guards the file of one replica of three, with log, snapshot and members: this version opens what
-// an older one wrote.
-func TestLandedStoreOfAReplicaIsRead(t *testing.T) {
-	options := landedOptions
+// Guards the file format of one replica of three, with log, snapshot and members: this version must
+// open the file of an older one.
+func TestReplicaStoreOfOlderVersionIsRead(t *testing.T) {
+	options := goldenOptions
 	options.IsReplica = true
-	s := openLanded(t, "replica.db", options, func(path string) { writeReplica(t, path, options) })
-	golden.Text(t, "replica.txt", landedContent(t, s))
+	s := openGoldenStore(t, "replica.db", options, func(path string) { writeReplica(t, path, options) })
+	golden.Text(t, "replica.txt", readableContent(t, s))
 	persisted, err := s.PersistedState()
 	check(t, err)
 	persisted.Inode = 0
 	persisted.BornNS = 0
 	golden.Text(t, "replica-raft.txt", golden.Values(persisted))
 	if _, isCloned := s.Identity(); !isCloned {
-		t.Error("the file was made on another disk, and is not reported as a copy")
+		t.Error("the file was created on another disk, but is not reported as cloned")
 	}
 }
 
-// writeReplica makes a replica's store: what the log has led to, and entries that follow.
+// writeReplica creates a replica's store with applied state and with later log entries.
 func writeReplica(t *testing.T, path string, options Options) {
 	t.Helper()
 	s, err := Open(path, options)
@@ -222,7 +224,7 @@
 		}
 		return s.Apply(Position{Index: index, Term: 2}, data, nil, nil)
 	}
-	landedHistory(t, do)
+	writeGoldenEvents(t, do)
 	s.CompactLog(Position{Index: 4, Term: 2})
 	check(t, s.Apply(Position{Index: index, Term: 2}, nil, []byte{8, 1, 8, 2, 8, 3}, members))
 	check(t, s.Persist([]Entry{{Index: index + 1, Data: []byte("not committed")}}, &HardState{Term: 3, Vote: 2, Commit: index}))
--- a/internal/controlplane/store/damage_test.go
+++ b/internal/controlplane/store/damage_test.go
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-// Guards against damage that is read as truth or ends the process: a flipped bit or a truncated
-// file is reported, or touches only what is not in use.
-func TestDamage(t *testing.T) {
+// Guards against reading damaged data as valid and against a crash of the process: a flipped bit or a
+// truncated file must be reported, or affect only unused parts of the file.
+func TestDamageIsReported(t *testing.T) {
 	seed := uint64(1)
 	t.Logf("seed %d", seed)
 	rng := rand.New(rand.NewPCG(seed, 1))
@@ -49,7 +49,7 @@
 			t.Errorf("%s is read as another event log", name)
 		}
 	}
-	for i := range 2 { // the library would go on from the older of two headers
+	for i := range 2 { // the library would continue from the older of two headers
 		b := bytes.Clone(intact)
 		b[i*os.Getpagesize()+16+50] ^= 1
 		if try(fmt.Sprintf("header %d", i), b); reported != i+1 {
--- a/internal/controlplane/store/encoding.go
+++ b/internal/controlplane/store/encoding.go
@@ -14,11 +14,11 @@
 // Buckets of the file. Their names are stored.
 var (
 	metaBucket    = []byte("meta")
-	eventBucket   = []byte("events")    // number: chained event
+	eventBucket   = []byte("events")    // event number: chained event
 	snapBucket    = []byte("snap")      // "fleet": the last snapshot
 	applyBucket   = []byte("applies")   // id: record
 	planBucket    = []byte("plans")     // id: plan file
-	desiredBucket = []byte("before")    // id: the fleet before the apply, as a desired state
+	desiredBucket = []byte("before")    // id: the fleet's state before the apply, as a desired state
 	stepBucket    = []byte("steps")     // id and step: state
 	planIDBucket  = []byte("by-plan")   // checksum of a plan: id of its last apply
 	writeBucket   = []byte("writes")    // id of a caller's write: outcome
@@ -29,52 +29,53 @@
 
 var (
 	buckets      = [][]byte{metaBucket, eventBucket, snapBucket, applyBucket, planBucket, desiredBucket, stepBucket, planIDBucket}
-	laterBuckets = [][]byte{writeBucket, writeAtBucket, logBucket, replicaBucket} // files of older versions lack them
+	laterBuckets = [][]byte{writeBucket, writeAtBucket, logBucket, replicaBucket} // missing in files of older versions
 )
 
 // Keys of the meta bucket.
 const (
 	versionKey   = "version"
 	lastApplyKey = "last-apply" // id of the last apply
-	holderKey    = "holder"     // id of the apply that has the lease; 0: none
-	epochKey     = "epoch"      // of the lease
+	holderKey    = "holder"     // id of the apply that holds the apply lock; 0: none
+	epochKey     = "epoch"      // of the apply lock
 )
 
-// headKey is where the number of the last event and the hash of the log up to it are: events that
-// are missing at the end leave no gap.
+// headKey is the key of the last event's number and the hash of the event log up to it. Without it,
+// events missing at the end could not be detected, because they leave no gap.
 var headKey = []byte("head")
 
-// fleetKey is where the snapshot is.
+// fleetKey is the key of the snapshot.
 var fleetKey = []byte("fleet")
 
 const (
 	checksumLength = 8 // bytes after each value
-	numberLength   = 8 // bytes of a number as a key or a value
+	numberLength   = 8 // bytes of a number that is a key or a value
 	fillPercent    = 0.9
 )
 
-// encodeNumber encodes a number so that keys sort by it.
+// encodeNumber encodes a number such that the byte order of keys is their numeric order.
 func encodeNumber(n int64) []byte { return binary.BigEndian.AppendUint64(nil, uint64(n)) }
 
 func decodeNumber(raw []byte) int64 { return int64(binary.BigEndian.Uint64(raw)) }
 
-// readNumber returns a number of the meta bucket; 0 if there is none.
+// readNumber returns a number from the meta bucket; 0 if there is none.
 func readNumber(tx *bolt.Tx, key string) (int64, error) {
 	raw, err := get(tx, metaBucket, []byte(key))
-	return asNumber(raw, err, key)
+	return parseNumber(raw, err, key)
 }
 
-func asNumber(raw []byte, err error, key string) (int64, error) {
+func parseNumber(raw []byte, err error, key string) (int64, error) {
 	if err != nil || raw == nil {
 		return 0, err
 	}
 	if len(raw) != numberLength {
-		return 0, fmt.Errorf("%w: %s is no number", ErrDamaged, key)
+		return 0, fmt.Errorf("%w: %s is not a number", ErrDamaged, key)
 	}
 	return decodeNumber(raw), nil
 }
 
-// checksum binds a value to its bucket and key, so that a value in the wrong place is damage too.
+// checksum returns the checksum of a value. It covers the bucket and the key, so that a value in the
+// wrong place is detected as damage too.
 func checksum(bucket, key, value []byte) []byte {
 	h := blake3.New()
 	_, _ = h.Write(bucket) // a hash never fails
@@ -85,7 +86,7 @@
 	return h.Sum(nil)[:checksumLength]
 }
 
-// put is a value in its place; a nil value deletes what is there.
+// put is a write of a value to a bucket and key; a nil value deletes the key.
 type put struct{ bucket, key, value []byte }
 
 func (p put) write(tx *bolt.Tx) error {
@@ -98,11 +99,11 @@
 // write writes a value with its checksum.
 func write(tx *bolt.Tx, bucket, key, value []byte) error {
 	b := tx.Bucket(bucket)
-	b.FillPercent = fillPercent // events come in the order of their keys
+	b.FillPercent = fillPercent // events are added in the order of their keys
 	return b.Put(key, append(bytes.Clone(value), checksum(bucket, key, value)...))
 }
 
-// get reads a value, which is valid until the transaction ends; nil if there is none.
+// get returns the value of a key; nil if there is none. It is valid until the transaction ends.
 func get(tx *bolt.Tx, bucket, key []byte) ([]byte, error) {
 	raw := tx.Bucket(bucket).Get(key)
 	if raw == nil {
@@ -110,13 +111,13 @@
 	}
 	n := len(raw) - checksumLength
 	if n < 0 || !bytes.Equal(raw[n:], checksum(bucket, key, raw[:n])) {
-		return nil, fmt.Errorf("%w: the value of %s %x is not as it was written", ErrDamaged, bucket, key)
+		return nil, fmt.Errorf("%w: checksum mismatch in the value of %s %x", ErrDamaged, bucket, key)
 	}
 	return raw[:n:n], nil
 }
 
-// decoder reads what this program wrote: a checksum proves that. The library's bound of 131,072
-// elements is meant for what strangers send, and a snapshot may have more purges.
+// decoder decodes values whose checksum proves that this program wrote them. The library's default
+// limit of 131,072 elements is meant for untrusted input, and a snapshot may contain more purges.
 var decoder = newDecoder()
 
 func newDecoder() cbor.DecMode {
--- a/internal/controlplane/store/file_headers.go
+++ b/internal/controlplane/store/file_headers.go
@@ -9,28 +9,30 @@
 	"os"
 )
 
-// The form of bbolt's file: two pages with a header each. After a page header of 16 bytes come
-// magic, version, page size and flags (4 bytes each), root (16), freelist (8), the count of pages
-// in use (8), the transaction's number (8), and the FNV-1a of all that.
+// The layout of a bbolt file: its first two pages each hold a copy of the file header. After a page
+// header of 16 bytes come magic, version, page size and flags (4 bytes each), root (16), freelist
+// (8), the number of pages in use (8), the transaction number (8), and the FNV-1a hash of all these
+// fields.
 const (
 	headerMagic      = 0xED0CDAED
 	headerOffset     = 16
-	headerLength     = 56 // without its checksum
+	headerLength     = 56 // bytes, without the checksum
 	headerSumLength  = 8
 	pageSizeOffset   = 8  // in the header
 	pagesInUseOffset = 40 // in the header
 )
 
-// fileHeader is what counts of a header here.
+// fileHeader contains the fields of a file header that checkFileHeaders needs.
 type fileHeader struct {
 	pageSize   uint64
 	pagesInUse uint64
 }
 
-// checkFileHeaders rejects a file that is shorter than its header says, for reading it would be a
-// memory fault. It also rejects a file of whose two headers one is not as it was written: the
-// library would go on from the older one, and the last change would be lost unnoticed. A header is
-// far shorter than what a disk writes at once, so that a crash does not explain it.
+// checkFileHeaders rejects a file that is shorter than its header says, because reading it would
+// cause a memory fault. Unless acceptOlder is set, it also rejects a file in which one of the two
+// headers is damaged: the library would continue from the older one, and the last change would be
+// lost unnoticed. A crash does not explain such damage, because a header is far shorter than the
+// unit that a disk writes atomically.
 func checkFileHeaders(path string, acceptOlder bool) error {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -39,7 +41,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // the file was only read
 	info, err := f.Stat()
 	if err != nil || info.Size() == 0 {
 		return err
@@ -58,17 +60,17 @@
 	}
 	switch {
 	case intact == 0:
-		return fmt.Errorf("%w: neither of its two heads can be read", ErrDamaged)
+		return fmt.Errorf("%w: neither of the two file headers can be read", ErrDamaged)
 	case intact == 1 && !acceptOlder:
-		return fmt.Errorf("%w: one of its two heads can't be read, and the last change may be lost", ErrDamaged)
+		return fmt.Errorf("%w: one of the two file headers can't be read, and the last change may be lost", ErrDamaged)
 	case uint64(info.Size()) < bytesInUse:
-		return fmt.Errorf("%w: %d bytes long, %d are in use", ErrDamaged, info.Size(), bytesInUse)
+		return fmt.Errorf("%w: the file is %d bytes long, but %d bytes are in use", ErrDamaged, info.Size(), bytesInUse)
 	}
 	return nil
 }
 
-// readFileHeader reads the header of the page at an offset; ok is false if it is not as it was
-// written.
+// readFileHeader reads the file header in the page at an offset. ok is false if the header is
+// damaged.
 func readFileHeader(f io.ReaderAt, offset int64) (header fileHeader, ok bool) {
 	page := make([]byte, headerOffset+headerLength+headerSumLength)
 	if n, _ := f.ReadAt(page, offset); n < len(page) {
--- a/internal/controlplane/store/full_disk_test.go
+++ b/internal/controlplane/store/full_disk_test.go
@@ -12,8 +12,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// fillDisk is a child process with a limit on the length of its files, which fails writes as a full
-// disk does. It returns its exit status.
+// fillDisk runs in a child process with a limit on its file size, which makes writes fail as on a full
+// disk. It returns the exit status.
 func fillDisk(path string) int {
 	signal.Ignore(syscall.SIGXFSZ)
 	s, err := Open(path, Options{})
@@ -36,7 +36,7 @@
 		return 5
 	}
 	revision := s.Fleet().Revision
-	// Once there is space again, it goes on without a restart.
+	// Once there is space again, writes succeed without a restart.
 	if err := unix.Setrlimit(unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: 1 << 30, Max: 1 << 30}); err != nil {
 		return 6
 	}
@@ -45,12 +45,12 @@
 		return 7
 	}
 	fmt.Println(revision + 1)
-	return 0 // without Close, as if it were killed
+	return 0 // without Close, like a killed process
 }
 
-// Guards against a full disk that loses accepted changes, or that needs a restart once there is
-// space again.
-func TestFullDisk(t *testing.T) {
+// Guards against a full disk that loses accepted changes, or after which the store needs a restart
+// once there is space again.
+func TestFullDiskLosesNoAcceptedChange(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), "STAIRVANE_TEST_FULL="+path)
--- a/internal/controlplane/store/load.go
+++ b/internal/controlplane/store/load.go
@@ -11,20 +11,20 @@
 	"stairvane.org/stairvane/internal/fleet"
 )
 
-// tailSlack is how many events beyond KeepEvents may be in memory while the log is replayed:
-// without a snapshot there may be a million.
-const tailSlack = 1000
+// maxExtraTailEvents is how many events beyond KeepEvents the tail keeps in memory when it is trimmed
+// during a replay. Without a limit it could hold a million events if there is no snapshot.
+const maxExtraTailEvents = 1000
 
 // load reads the last snapshot and the events after it, and verifies every other value.
 func (s *Store) load(tx *bolt.Tx) error {
-	r, err := startReplay(tx, s.options.KeepEvents+tailSlack)
+	r, err := startReplay(tx, s.options.KeepEvents+maxExtraTailEvents)
 	if err != nil {
 		return err
 	}
 	if err := r.replayEvents(tx); err != nil {
 		return err
 	}
-	if err := checkHead(tx, r.state); err != nil {
+	if err := verifyHead(tx, r.state); err != nil {
 		return err
 	}
 	s.snapshotRevision = r.snapshotRevision
@@ -43,21 +43,21 @@
 	return checkApplies(tx)
 }
 
-// replay builds the state from the last snapshot and the events in the file, and verifies the chain
-// of their hashes.
+// replay rebuilds the state from the last snapshot and the events in the file, and verifies the hash
+// chain of the events.
 type replay struct {
 	state            state
 	snapshotRevision int64
-	chain            [32]byte // up to lastEvent
-	firstEvent       int64    // of tail; 0: none
-	lastEvent        int64    // 0: none
+	chain            [32]byte // hash of the event log up to lastEvent
+	firstEvent       int64    // number of the first event in tail; 0: none
+	lastEvent        int64    // number of the last event; 0: none
 	tail             []fleet.Event
-	tailLength       int // events in tail, at least
+	minTailLength    int // events that remain in tail when it is trimmed
 }
 
-// startReplay reads the last snapshot.
-func startReplay(tx *bolt.Tx, tailLength int) (*replay, error) {
-	r := &replay{tailLength: tailLength}
+// startReplay returns a replay that starts from the last snapshot.
+func startReplay(tx *bolt.Tx, minTailLength int) (*replay, error) {
+	r := &replay{minTailLength: minTailLength}
 	raw, err := get(tx, snapBucket, fleetKey)
 	if err != nil || raw == nil {
 		return r, err
@@ -81,24 +81,24 @@
 		if err != nil {
 			return err
 		}
-		if err := r.add(decodeNumber(k), raw); err != nil {
+		if err := r.replayEvent(decodeNumber(k), raw); err != nil {
 			return err
 		}
 	}
 	if r.lastEvent != 0 && r.lastEvent < r.snapshotRevision {
-		return fmt.Errorf("%w: events end at %d, before the snapshot at %d", ErrDamaged, r.lastEvent, r.snapshotRevision)
+		return fmt.Errorf("%w: the event log ends at %d, before the snapshot at %d", ErrDamaged, r.lastEvent, r.snapshotRevision)
 	}
 	return nil
 }
 
-// add verifies the next event, and applies it if the snapshot does not hold it.
-func (r *replay) add(number int64, raw []byte) error {
+// replayEvent verifies the next event, and applies it unless the snapshot includes it.
+func (r *replay) replayEvent(number int64, raw []byte) error {
 	event, stored, err := readEvent(raw)
 	if err != nil {
 		return err
 	}
 	if event.No != number || r.lastEvent != 0 && number != r.lastEvent+1 {
-		return fmt.Errorf("%w: event %d stands where %d is wanted", ErrDamaged, event.No, number)
+		return fmt.Errorf("%w: found event %d where event %d is expected", ErrDamaged, event.No, number)
 	}
 	if err := r.verifyChain(number, stored); err != nil {
 		return err
@@ -111,12 +111,12 @@
 	}
 	r.state.atMS = max(r.state.atMS, event.AtMS)
 	r.lastEvent = number
-	r.keep(event)
+	r.appendToTail(event)
 	return nil
 }
 
-// verifyChain verifies the hash of the log up to an event. The first event in the file is the base,
-// unless it is the first of all.
+// verifyChain verifies the hash of the event log up to an event. The chain starts with the stored
+// hash of the first event in the file, unless that is event 1, whose hash is computed.
 func (r *replay) verifyChain(number int64, stored chainedEvent) error {
 	switch {
 	case r.lastEvent != 0:
@@ -127,25 +127,26 @@
 		copy(r.chain[:], stored.Chain)
 	}
 	if [32]byte(stored.Chain) != r.chain || number == r.snapshotRevision && r.chain != r.state.chain {
-		return fmt.Errorf("%w: event %d does not follow the history before it", ErrDamaged, number)
+		return fmt.Errorf("%w: the hash of event %d does not match the event log before it", ErrDamaged, number)
 	}
 	return nil
 }
 
-// keep adds an event to the tail, and drops the oldest ones if the tail is too long.
-func (r *replay) keep(event fleet.Event) {
+// appendToTail appends an event to the tail, and drops the oldest events if the tail is too long.
+func (r *replay) appendToTail(event fleet.Event) {
 	if r.firstEvent == 0 {
 		r.firstEvent = event.No
 	}
 	r.tail = append(r.tail, event)
-	if len(r.tail) > 2*r.tailLength {
-		dropped := len(r.tail) - r.tailLength
+	if len(r.tail) > 2*r.minTailLength {
+		dropped := len(r.tail) - r.minTailLength
 		r.firstEvent += int64(dropped)
 		r.tail = slices.Clone(r.tail[dropped:])
 	}
 }
 
-// chainHash is the hash of a log with one more event.
+// chainHash returns the hash of an event log extended by one event, given the hash of the log before
+// it.
 func chainHash(chain [32]byte, event []byte) [32]byte {
 	h := blake3.New()
 	_, _ = h.Write(chain[:]) // a hash never fails
@@ -153,8 +154,8 @@
 	return [32]byte(h.Sum(nil))
 }
 
-// checkHead compares the end of the log with the head that was written with it.
-func checkHead(tx *bolt.Tx, st state) error {
+// verifyHead returns an error unless the end of the event log matches the stored head.
+func verifyHead(tx *bolt.Tx, st state) error {
 	head, err := get(tx, metaBucket, headKey)
 	if err != nil {
 		return err
@@ -162,7 +163,7 @@
 	if head == nil && st.fleet.Revision == 0 || bytes.Equal(head, encodeHead(st)) {
 		return nil
 	}
-	return fmt.Errorf("%w: the history ends at event %d, and not where it was left", ErrDamaged, st.fleet.Revision)
+	return fmt.Errorf("%w: the event log ends at event %d, which does not match the stored head", ErrDamaged, st.fleet.Revision)
 }
 
 func encodeHead(st state) []byte { return append(encodeNumber(st.fleet.Revision), st.chain[:]...) }
--- a/internal/controlplane/store/open.go
+++ b/internal/controlplane/store/open.go
@@ -12,21 +12,21 @@
 	bolterrors "go.etcd.io/bbolt/errors"
 )
 
-// Versions of the file's form.
+// Versions of the file format.
 const (
-	singleVersion  = 1 // of a control plane without replicas
-	replicaVersion = 2 // of a replica: a program that knows no replicas must not write to it
+	standaloneVersion = 1 // a control plane without replicas
+	replicaVersion    = 2 // a replica; a program without support for replicas must not write to the file
 )
 
 const (
 	lockTimeout = 500 * time.Millisecond
-	// replicaMmapBytes is address space, not memory. All of the file is read while it grows, which
-	// must not block the writer.
+	// replicaMmapBytes is address space, not memory. A snapshot transfer reads the whole file while
+	// the file grows, and remapping the file would block the writer until the transfer ends.
 	replicaMmapBytes = 8 << 30
 )
 
-// Open opens or makes the store at a path. The error wraps ErrLocked, ErrDamaged or ErrNewer where
-// it is one of them; the file is then left as it is.
+// Open opens the store at a path, and creates it if it does not exist. The error wraps ErrLocked,
+// ErrDamaged or ErrNewer in these cases; the file is then left unchanged.
 func Open(path string, options Options) (*Store, error) {
 	options.setDefaults()
 	s := &Store{
@@ -41,16 +41,16 @@
 		return nil, fmt.Errorf("store %s: %w", path, err)
 	}
 	if options.IsReplica {
-		removeReceivedSnapshots(path)
-		close(s.stopped) // there is no writer: the replica's owner writes
+		removeLeftoverSnapshots(path)
+		close(s.stopped) // a replica's store has no writer goroutine; its owner calls Persist
 	} else {
 		go s.runWriter()
 	}
 	return s, nil
 }
 
-// open opens the file and verifies all of it. The file is mapped to memory: one that was cut short
-// causes a memory fault, and a flipped bit a panic of the library. Both are damage.
+// open opens the file and verifies all of it. The file is mapped into memory: a truncated file causes
+// a memory fault, and a flipped bit can make the library panic. Both are reported as damage.
 func (s *Store) open() (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -58,7 +58,7 @@
 			err = fmt.Errorf("%w: %v", ErrDamaged, r)
 		}
 		if err != nil && s.db != nil {
-			_ = s.db.Close() // the first error counts
+			_ = s.db.Close() // the first error is returned
 		}
 	}()
 	if err := checkFileHeaders(s.path, s.options.AcceptOlder); err != nil {
@@ -91,11 +91,11 @@
 	return err
 }
 
-// prepareBuckets checks the form of the file, and makes the buckets that it lacks.
+// prepareBuckets checks the format of the file, and creates missing buckets.
 func (s *Store) prepareBuckets() error {
 	var isNew, isComplete bool
 	err := s.db.View(func(tx *bolt.Tx) (err error) {
-		isNew, err = checkForm(tx)
+		isNew, err = checkFormat(tx)
 		isComplete = hasBuckets(tx, laterBuckets)
 		return err
 	})
@@ -105,13 +105,13 @@
 	return s.db.Update(func(tx *bolt.Tx) error {
 		for _, name := range slices.Concat(buckets, laterBuckets) {
 			if _, err := tx.CreateBucketIfNotExists(name); err != nil {
-				return fmt.Errorf("make bucket %s: %w", name, err)
+				return fmt.Errorf("create bucket %s: %w", name, err)
 			}
 		}
 		if !isNew {
 			return nil
 		}
-		return writeVersion(tx, singleVersion)
+		return writeVersion(tx, standaloneVersion)
 	})
 }
 
@@ -119,7 +119,7 @@
 	return write(tx, metaBucket, []byte(versionKey), binary.BigEndian.AppendUint64(nil, version))
 }
 
-// hasBuckets reports whether a file has all of some buckets.
+// hasBuckets reports whether a file contains all of the named buckets.
 func hasBuckets(tx *bolt.Tx, names [][]byte) bool {
 	for _, name := range names {
 		if tx.Bucket(name) == nil {
@@ -129,14 +129,14 @@
 	return true
 }
 
-// checkForm checks that a file is one of this program's. isNew reports that nothing is in it yet.
-func checkForm(tx *bolt.Tx) (isNew bool, err error) {
+// checkFormat checks that this program can read the file. isNew reports that the file is empty.
+func checkFormat(tx *bolt.Tx) (isNew bool, err error) {
 	if k, _ := tx.Cursor().First(); k == nil {
 		return true, nil
 	}
 	for _, name := range buckets {
 		if tx.Bucket(name) == nil {
-			return false, fmt.Errorf("%w: it lacks %s", ErrDamaged, name)
+			return false, fmt.Errorf("%w: bucket %s is missing", ErrDamaged, name)
 		}
 	}
 	version, err := readNumber(tx, versionKey)
@@ -145,7 +145,7 @@
 		return false, err
 	case version > replicaVersion:
 		return false, fmt.Errorf("%w: %d, this program reads %d", ErrNewer, version, replicaVersion)
-	case version < singleVersion:
+	case version < standaloneVersion:
 		return false, fmt.Errorf("%w: version %d", ErrDamaged, version)
 	}
 	return false, nil
--- a/internal/controlplane/store/overlay.go
+++ b/internal/controlplane/store/overlay.go
@@ -1,9 +1,9 @@
 package store
 
-// overlay is what was written on top of the file, newest first. It is not changed once others may
-// see it.
+// overlay is a list of writes that are not in the file yet, newest first. It is immutable once it is
+// published to other goroutines.
 type overlay struct {
-	puts map[string][]byte // by bucket, 0 and key; nil: deleted
+	puts map[string][]byte // by bucket, a 0 byte and key; nil: deleted
 	next *overlay
 }
 
@@ -11,7 +11,8 @@
 
 func (o *overlay) set(p put) { o.puts[overlayKey(p.bucket, p.key)] = p.value }
 
-// find returns a value; isSet is false if the file's value is valid.
+// find returns the newest value of a key; isSet is false if no overlay sets it and the file's value
+// applies.
 func (o *overlay) find(bucket, key []byte) (value []byte, isSet bool) {
 	if o == nil {
 		return nil, false
--- a/internal/controlplane/store/raft_log.go
+++ b/internal/controlplane/store/raft_log.go
@@ -8,7 +8,7 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// PersistedState reads the replica's part of the file, for the start of its driver.
+// PersistedState reads the replica's raft state and log from the file, to start its driver.
 func (s *Store) PersistedState() (p PersistedState, err error) {
 	p.Identity = *s.identity.Load()
 	p.Applied = s.replica.applied
@@ -26,7 +26,7 @@
 	if err != nil {
 		return p, err
 	}
-	// A write that failed at its last sync may be in the file all the same.
+	// A write whose final sync failed may be in the file nevertheless.
 	s.replica.lastIndex = p.Compacted.Index
 	if n := len(p.Entries); n > 0 {
 		s.replica.lastIndex = p.Entries[n-1].Index
@@ -34,8 +34,8 @@
 	return p, nil
 }
 
-// readEntries reads the entries after an index; those before it were compacted, and not deleted
-// yet.
+// readEntries returns the entries after an index. Entries up to the index were compacted, but may not
+// have been deleted yet.
 func readEntries(tx *bolt.Tx, after uint64) (entries []Entry, err error) {
 	c := tx.Bucket(logBucket).Cursor()
 	for k, _ := c.First(); k != nil; k, _ = c.Next() {
@@ -52,25 +52,24 @@
 	return entries, nil
 }
 
-// HasUnpersisted reports whether anything was applied that is not in the file: a batch, or only a
-// position.
+// HasUnpersisted reports whether applied state, a batch or only a position, is not in the file yet.
 func (s *Store) HasUnpersisted() bool {
 	return s.replica.appliedChanged || len(s.replica.unpersisted) > 0
 }
 
-// CompactLog has the entries up to a position deleted with the next Persist.
+// CompactLog schedules the entries up to a position for deletion by the next Persist.
 func (s *Store) CompactLog(compacted Position) {
 	raw, err := cbor.Marshal(compacted)
 	if err != nil {
-		panic(err) // two numbers can always be encoded
+		panic(err) // encoding two numbers never fails
 	}
 	s.replica.compactedToDrop = compacted.Index
 	s.replica.unpersisted = append(s.replica.unpersisted, put{bucket: replicaBucket, key: compactedKey, value: raw})
 }
 
-// Persist makes entries and the hard state durable, with all that was applied before, in one
-// transaction. Entries replace those from the index of the first one on. A nil hardState leaves the
-// stored one as it is.
+// Persist makes entries, the hard state and all previously applied state durable in one transaction.
+// The entries replace the stored ones from the index of the first entry on. A nil hardState leaves
+// the stored one unchanged.
 func (s *Store) Persist(entries []Entry, hardState *HardState) error {
 	err := s.db.Update(func(tx *bolt.Tx) error {
 		if err := s.writeApplied(tx); err != nil {
@@ -105,7 +104,7 @@
 	return nil
 }
 
-// writeApplied writes what was applied and is not in the file.
+// writeApplied writes the applied state that is not in the file yet.
 func (s *Store) writeApplied(tx *bolt.Tx) error {
 	for _, p := range s.replica.unpersisted {
 		if err := p.write(tx); err != nil {
@@ -115,7 +114,7 @@
 	return writeReplicaValue(tx, appliedKey, s.replica.applied)
 }
 
-// writeEntries replaces the end of the log.
+// writeEntries replaces the stored log entries from the index of the first given entry on.
 func (s *Store) writeEntries(tx *bolt.Tx, entries []Entry) error {
 	if len(entries) == 0 {
 		return nil
--- a/internal/controlplane/store/raft_log_test.go
+++ b/internal/controlplane/store/raft_log_test.go
@@ -5,15 +5,15 @@
 	"testing"
 )
 
-// Guards against entries that are in the file although their write failed at its last sync: they
-// must not follow on later, shorter ones.
-func TestLogEndsWhereTheFileDoes(t *testing.T) {
+// Guards against stale log entries. A write whose final sync failed may be in the file nevertheless;
+// its entries must not remain after a later write of fewer entries.
+func TestFailedWriteLeavesNoStaleLogEntries(t *testing.T) {
 	s, err := Open(filepath.Join(t.TempDir(), "s"), Options{IsReplica: true})
 	check(t, err)
 	defer closeStore(t, s)
 	check(t, s.BecomeReplica(Identity{Group: 7, Disk: 1, Name: "a"}, &AppliedState{At: Position{Index: 1, Term: 1}}))
 	check(t, s.Persist([]Entry{{2, []byte("2")}, {3, []byte("3")}, {4, []byte("4")}}, &HardState{Term: 1}))
-	s.replica.lastIndex = 1 // as after an error that the file does not show
+	s.replica.lastIndex = 1 // as after a failed write that reached the file
 	_, err = s.PersistedState()
 	check(t, err)
 	check(t, s.Persist([]Entry{{2, []byte("other")}}, &HardState{Term: 2}))
--- a/internal/controlplane/store/replica.go
+++ b/internal/controlplane/store/replica.go
@@ -12,17 +12,17 @@
 
 // Errors of a replica's store.
 var (
-	ErrNotLeader      = errors.New("this copy does not lead")
-	ErrOutcomeUnknown = errors.New("nobody knows whether it was written: the leader changed meanwhile; repeat it under the same id")
+	ErrNotLeader      = errors.New("this replica is not the leader")
+	ErrOutcomeUnknown = errors.New("outcome of the write unknown: the leader changed during the write; retry it with the same id")
 	ErrClonedStore    = errors.New("the store is a copy of another disk's: it is not what it was when this disk last wrote it")
-	ErrInGroup        = errors.New("the store belongs to a group of copies")
-	errHasHistory     = errors.New("the store holds a history of its own")
+	ErrInGroup        = errors.New("the store belongs to a group of replicas")
+	errHasEvents      = errors.New("the store has an event log of its own")
 )
 
-// Identity is what a disk is. Inode and BornNS identify the file that it was made in: a copy of the
-// file has others.
+// Identity identifies a disk. Inode and BornNS identify the file in which the identity was created;
+// they differ in a copy of the file.
 type Identity struct {
-	Group  uint64 `cbor:"Group"` // 0: the disk waits to be admitted
+	Group  uint64 `cbor:"Group"` // 0: the disk is waiting for admission
 	Disk   uint64 `cbor:"Disk"`
 	Name   string `cbor:"Name"`
 	Inode  uint64 `cbor:"Inode"`
@@ -35,8 +35,8 @@
 	Term  uint64 `cbor:"Term"`
 }
 
-// AppliedState is what the log has led to: a position, and the members there, encoded by the
-// caller.
+// AppliedState is the position of the last applied entry, and the configuration and members at that
+// position, encoded by the caller.
 type AppliedState struct {
 	At        Position `cbor:"At"`
 	ConfState []byte   `cbor:"Conf"`
@@ -56,20 +56,20 @@
 	Data  []byte
 }
 
-// PersistedState is all that a replica's part of the file holds.
+// PersistedState is the complete state of a replica that is stored in the file.
 type PersistedState struct {
 	Identity
 	HardState
 	Applied   AppliedState
-	Compacted Position // of the last entry that was dropped from the log
-	Entries   []Entry  // those after Compacted
+	Compacted Position // last entry that was deleted from the log
+	Entries   []Entry  // the entries after Compacted
 }
 
-// replicaState is what a replica has in memory beside the file.
+// replicaState is the in-memory state of a replica that is not, or not yet, in the file.
 type replicaState struct {
 	applied         AppliedState
-	appliedChanged  bool   // applied is not what the file holds
-	unpersisted     []put  // applied and not in the file
+	appliedChanged  bool   // applied differs from the state in the file
+	unpersisted     []put  // puts that are applied but not in the file yet
 	lastIndex       uint64 // of the last entry in the file
 	compactedToDrop uint64 // entries up to this index are deleted with the next Persist
 }
@@ -82,7 +82,7 @@
 	compactedKey = []byte("before")
 )
 
-// loadReplica reads what the replica is.
+// loadReplica loads the identity and the applied state of the replica.
 func (s *Store) loadReplica(tx *bolt.Tx) error {
 	var identity Identity
 	isReplica, err := readReplicaValue(tx, identityKey, &identity)
@@ -100,12 +100,12 @@
 	if err != nil {
 		return err
 	}
-	isOtherBirth := identity.BornNS != 0 && bornNS != 0 && identity.BornNS != bornNS
-	s.isCloned.Store(identity.Inode != inode || isOtherBirth)
+	birthTimeDiffers := identity.BornNS != 0 && bornNS != 0 && identity.BornNS != bornNS
+	s.isCloned.Store(identity.Inode != inode || birthTimeDiffers)
 	return nil
 }
 
-// readReplicaValue reads a value of the replica's bucket; false if there is none.
+// readReplicaValue decodes a value of the replica bucket into value, and reports whether it exists.
 func readReplicaValue(tx *bolt.Tx, key []byte, value any) (bool, error) {
 	raw, err := get(tx, replicaBucket, key)
 	if err != nil || raw == nil {
@@ -122,11 +122,12 @@
 	return write(tx, replicaBucket, key, raw)
 }
 
-// fileIdentity returns what differs between a file and a copy of it.
+// fileIdentity returns the properties by which a file can be told from a copy of it. bornNS is 0 if
+// the file system has no birth times.
 func fileIdentity(path string) (inode uint64, bornNS int64, err error) {
 	var st unix.Statx_t
 	if err := unix.Statx(unix.AT_FDCWD, path, 0, unix.STATX_INO|unix.STATX_BTIME, &st); err != nil {
-		return 0, 0, fmt.Errorf("store: look at %s: %w", path, err)
+		return 0, 0, fmt.Errorf("store: stat %s: %w", path, err)
 	}
 	if st.Mask&unix.STATX_BTIME != 0 {
 		bornNS = st.Btime.Sec*1e9 + int64(st.Btime.Nsec)
@@ -134,14 +135,14 @@
 	return st.Ino, bornNS, nil
 }
 
-// Identity returns what the disk is; the zero Identity for a store that never was a replica's.
-// isCloned reports that the file is not the one that the disk's program made.
+// Identity returns the identity of the disk; the zero Identity if the store was never a replica's.
+// isCloned reports that the file is a copy of the one in which the identity was created.
 func (s *Store) Identity() (identity Identity, isCloned bool) {
 	return *s.identity.Load(), s.isCloned.Load()
 }
 
-// FileMissing reports that the file is no longer at its path, or is another one: what is written
-// then is lost with the process.
+// FileMissing reports whether the file at the store's path was removed or replaced. Writes are then
+// lost when the process ends.
 func (s *Store) FileMissing() bool {
 	identity := s.identity.Load()
 	if identity.Disk == 0 {
@@ -154,15 +155,15 @@
 	return inode != identity.Inode
 }
 
-// BecomeReplica makes the store a replica's: the first of a group, with the events that the store
-// has, if first is not nil, or else that of a disk which waits to be admitted. The error wraps
-// ErrInGroup if the store was a replica's before.
+// BecomeReplica converts the store to a replica's store. If first is not nil, the replica becomes the
+// first of a new group, with the events in the store; otherwise the disk waits for admission. The
+// error wraps ErrInGroup if the store already belongs to a replica.
 func (s *Store) BecomeReplica(identity Identity, first *AppliedState) (err error) {
 	if own := s.identity.Load(); own.Disk != 0 {
 		return fmt.Errorf("%w already: disk %x", ErrInGroup, own.Disk)
 	}
 	if revision := s.Fleet().Revision; first == nil && revision > 0 {
-		return fmt.Errorf("%w, up to event %d: found a group with it, or give another path", errHasHistory, revision)
+		return fmt.Errorf("%w, up to event %d: found a group with it, or give another path", errHasEvents, revision)
 	}
 	if identity.Inode, identity.BornNS, err = fileIdentity(s.path); err != nil {
 		return err
@@ -188,7 +189,8 @@
 	return nil
 }
 
-// writeFirstState writes the state of a group's first replica, whose log begins after it.
+// writeFirstState writes the initial state of a group's first replica. Its log starts after the
+// position of that state.
 func writeFirstState(tx *bolt.Tx, first AppliedState) error {
 	if err := writeReplicaValue(tx, appliedKey, first); err != nil {
 		return err
@@ -199,15 +201,15 @@
 	return writeReplicaValue(tx, hardStateKey, HardState{Term: first.At.Term, Commit: first.At.Index})
 }
 
-// JoinGroup stores the group that admitted the disk.
+// JoinGroup records the group that admitted the disk.
 func (s *Store) JoinGroup(group uint64) error {
 	identity := *s.identity.Load()
 	identity.Group = group
 	return s.writeIdentity(identity)
 }
 
-// ChangeDiskID gives the disk another number: its file is a copy of another disk's, and is to go on
-// as one of its own.
+// ChangeDiskID assigns a new number to the disk, so that a file that was copied from another disk can
+// be used as a disk of its own.
 func (s *Store) ChangeDiskID(disk uint64) (err error) {
 	identity := *s.identity.Load()
 	identity.Disk = disk
@@ -229,8 +231,8 @@
 	return nil
 }
 
-// StartNewGroup makes a replica of a group whose majority is lost the first of a new group, with
-// what it has.
+// StartNewGroup makes this replica the first of a new group, with the state that it has, after its
+// previous group lost its majority.
 func (s *Store) StartNewGroup(group uint64, first AppliedState) error {
 	identity := *s.identity.Load()
 	identity.Group = group
@@ -241,7 +243,7 @@
 		if err := writeReplicaValue(tx, identityKey, identity); err != nil {
 			return err
 		}
-		return emptyLog(tx)
+		return clearLog(tx)
 	})
 	if err != nil {
 		return err
@@ -252,7 +254,7 @@
 	return nil
 }
 
-func emptyLog(tx *bolt.Tx) error {
+func clearLog(tx *bolt.Tx) error {
 	if err := tx.DeleteBucket(logBucket); err != nil {
 		return err
 	}
--- a/internal/controlplane/store/snapshot.go
+++ b/internal/controlplane/store/snapshot.go
@@ -6,14 +6,14 @@
 	"stairvane.org/stairvane/internal/fleet"
 )
 
-// snapshot is a fleet as it is stored.
+// snapshot is the stored form of the fleet's state.
 type snapshot struct {
 	Fleet fleet.Dump `cbor:"Fleet"`
 	Chain []byte     `cbor:"Chain"`
 }
 
-// snapshotIfDue takes a snapshot if enough events have come since the last one. If it fails, the
-// events stay, and it is tried again after the next change.
+// snapshotIfDue takes a snapshot if at least SnapshotEvery events were appended since the last one.
+// If that fails, the events are kept, and it is retried after the next change.
 func (s *Store) snapshotIfDue() {
 	if s.Fleet().Revision-s.snapshotRevision < int64(s.options.SnapshotEvery) {
 		return
@@ -27,8 +27,8 @@
 	s.options.KillPoint(AfterSnapshot)
 }
 
-// writeSnapshot writes the state, and drops the events that only watchers need which were away for
-// long.
+// writeSnapshot writes the state, and deletes all but the last KeepEvents events. Only watchers that
+// were disconnected for long would need the deleted ones.
 func (s *Store) writeSnapshot(tx *bolt.Tx, st *state) error {
 	raw, err := fleet.Encode(snapshot{Fleet: st.fleet.Dump(), Chain: st.chain[:]})
 	if err != nil {
--- a/internal/controlplane/store/snapshot_test.go
+++ b/internal/controlplane/store/snapshot_test.go
@@ -8,9 +8,9 @@
 	"stairvane.org/stairvane/internal/fleet"
 )
 
-// Guards against a snapshot with more purges than the library's default bound of elements, which
-// was read as damage.
-func TestSnapshotOfManyPurges(t *testing.T) {
+// Guards against reporting a snapshot as damaged because it contains more purges than the CBOR
+// library's default limit of elements.
+func TestSnapshotWithManyPurgesIsRead(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	const many = 135_000
 	s, err := Open(path, Options{NoSync: true, SnapshotEvery: many, Clock: func() int64 { return 1_000_000 }})
--- a/internal/controlplane/store/store.go
+++ b/internal/controlplane/store/store.go
@@ -11,7 +11,7 @@
 	"stairvane.org/stairvane/internal/fleet"
 )
 
-// Errors of Open and of a closed store. What went wrong in detail is wrapped around them.
+// Errors of Open and of a closed store. Returned errors wrap them and add details.
 var (
 	ErrDamaged = errors.New("the store is damaged")
 	ErrLocked  = errors.New("the store is held by another process")
@@ -19,27 +19,27 @@
 	ErrClosed  = errors.New("the store is closed")
 )
 
-// Points at which a test may kill the process, in their order.
+// Points at which a test may kill the process, in the order in which a change reaches them.
 const (
 	BeforeCommit   = "before-commit"
-	AfterCommit    = "after-commit" // durable, and nobody notified
+	AfterCommit    = "after-commit" // durable, but watchers not notified yet
 	AfterNotice    = "after-notice"
 	BeforeSnapshot = "before-snapshot"
 	AfterSnapshot  = "after-snapshot"
 )
 
-// Options of a store. Zero values stand for what is in brackets.
+// Options configures a store. Zero values select the defaults given in brackets.
 type Options struct {
-	SnapshotEvery  int                 // events from one snapshot to the next (10,000)
-	KeepEvents     int                 // events that a snapshot leaves in the file, for watchers that were away (0)
-	Batch          int                 // changes in one transaction, at most (256)
-	AcceptOlder    bool                // go on from the older of two file headers if the newer can't be read
+	SnapshotEvery  int                 // events between two snapshots (10,000)
+	KeepEvents     int                 // events that a snapshot leaves in the file, for watchers that reconnect (0)
+	Batch          int                 // maximum number of changes in one transaction (256)
+	AcceptOlder    bool                // continue from the older of two file headers if the newer can't be read
 	NoSync         bool                // for tests and measurements only
 	Clock          func() int64        // Unix milliseconds (the system's)
 	Committed      func([]fleet.Event) // called with durable events, in order, before their changes return; must not call the store
 	KillPoint      func(point string)  // called at each point at which a test may kill the process
-	IsReplica      bool                // the store of a replica: nothing is written but what the group has committed
-	RememberWrites time.Duration       // how long outcomes are remembered for repeated writes (10 min)
+	IsReplica      bool                // the store belongs to a replica: only changes committed by the group are written
+	RememberWrites time.Duration       // how long outcomes of writes are kept for repeated writes (10 min)
 }
 
 func (o *Options) setDefaults() {
@@ -76,27 +76,27 @@
 	stopped  chan struct{} // closed when the writer has ended
 
 	state    atomic.Pointer[state]
-	overlay  atomic.Pointer[overlay] // what the group has committed and the file does not hold yet
+	overlay  atomic.Pointer[overlay] // committed by the group but not in the file yet
 	identity atomic.Pointer[Identity]
 	isCloned atomic.Bool // the file is a copy of another disk's
 
 	replica          replicaState // owned by the goroutine that drives the replica
-	receiving        sync.Mutex   // locked while a snapshot is received
+	receiving        sync.Mutex   // held while a snapshot is received
 	snapshotRevision int64        // of the last snapshot; owned by the writer
 
 	firstEvent int64         // number of the first event in the file; revision + 1 if there is none
-	tail       []fleet.Event // events as they were found in the file at Open, until Tail
+	tail       []fleet.Event // events found in the file at Open; nil once Tail was called
 }
 
-// state is what all committed transactions have led to. It is not changed once it is published.
+// state is the result of all committed transactions. It is immutable once it is published.
 type state struct {
 	fleet fleet.Fleet
 	chain [32]byte // hash of the event log
-	atMS  int64    // time of the last event; the next one is no earlier, whatever the clock says
+	atMS  int64    // Unix milliseconds of the last event; the next one is never earlier, even if the clock goes back
 }
 
-// Tail returns the events in the file, as they were found at Open, and the number of the first one.
-// It may be called once.
+// Tail returns the events that were in the file at Open, and the number of the first one. It may be
+// called only once.
 func (s *Store) Tail() (first int64, events []fleet.Event) {
 	events = s.tail
 	s.tail = nil
@@ -109,7 +109,7 @@
 // Chain returns the hash of the event log.
 func (s *Store) Chain() [32]byte { return s.state.Load().chain }
 
-// View runs a reader on what is committed.
+// View runs read on a consistent view of the committed state.
 func (s *Store) View(read func(*View) error) error {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -120,7 +120,7 @@
 			return err
 		}
 		if s.overlay.Load() != over { // the overlay must not be older than the file
-			_ = tx.Rollback() // of a read transaction
+			_ = tx.Rollback() // fails only if the transaction is closed
 			continue
 		}
 		err = read(&View{tx: tx, overlay: over})
@@ -128,7 +128,7 @@
 	}
 }
 
-// Close ends the store; changes that have not begun fail with ErrClosed.
+// Close closes the store. Changes that have not started fail with ErrClosed.
 func (s *Store) Close() error {
 	close(s.stop)
 	<-s.stopped
--- a/internal/controlplane/store/store_test.go
+++ b/internal/controlplane/store/store_test.go
@@ -50,7 +50,7 @@
 	})
 }
 
-// fill makes an event log with hosts, purges and an apply.
+// fill writes n events, of hosts and purges, and an apply.
 func fill(t testing.TB, s *Store, n int) {
 	t.Helper()
 	for i := range n {
@@ -71,7 +71,7 @@
 	}))
 }
 
-// storeContent is all that can be read from a store.
+// storeContent is the content of a store that tests compare.
 type storeContent struct {
 	Dump    fleet.Dump
 	Chain   [32]byte
@@ -91,8 +91,8 @@
 	return c, err
 }
 
-// Guards against a failed change that leaves something behind, and against an event log or hash
-// that differs after a restart, with and without snapshots.
+// Guards against side effects of a failed change, and against an event log or hash that differs
+// after a restart, with and without snapshots.
 func TestEventLogSurvivesRestart(t *testing.T) {
 	var chain [32]byte
 	for _, every := range []int{1, 3, 1000} {
--- a/internal/controlplane/store/transfer.go
+++ b/internal/controlplane/store/transfer.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	receivedInfix      = ".incoming-" // between a store's path and a random end: a snapshot that is received
-	receivedBytesASync = 16 << 20     // bytes from one sync to the next: that of a large file would hold up all who write to the disk
+	receivedInfix        = ".incoming-" // between a store's path and a random suffix: file of a snapshot that is received
+	receivedBytesPerSync = 16 << 20     // bytes between two syncs; a single sync of a large file would block all other writers to the disk
 )
 
 var errReceiving = errors.New("store: another snapshot is being received")
 
-// ExportSnapshot passes on the complete store as it is at this moment, while writes go on: its
-// applied state, its length in bytes, and a function that writes it.
+// ExportSnapshot calls export with a consistent snapshot of the complete store: its applied state, its
+// length in bytes, and a function that writes it. Writes to the store continue during the call.
 func (s *Store) ExportSnapshot(export func(applied AppliedState, length int64, write func(io.Writer) error) error) error {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -38,21 +38,22 @@
 	})
 }
 
-// ReceivedSnapshot is a complete store of another replica that was received and verified. It must
-// be installed or discarded.
+// ReceivedSnapshot is the complete store of another replica, received and verified. It must be
+// installed or discarded.
 type ReceivedSnapshot struct {
 	store   *Store
 	Applied AppliedState
 }
 
-// ReceiveSnapshot stores a snapshot beside this store and verifies every value of it.
+// ReceiveSnapshot writes a snapshot to a file next to this store's and verifies all its values. It
+// returns an error if another snapshot is being received.
 func (s *Store) ReceiveSnapshot(r io.Reader) (*ReceivedSnapshot, error) {
 	if !s.receiving.TryLock() {
 		return nil, errReceiving
 	}
 	defer s.receiving.Unlock()
-	// Each snapshot has a file of its own: a discarded one is removed in the background, which may
-	// take a disk long.
+	// Each snapshot has a file of its own, because a discarded one is removed in the background, which
+	// can take long on a slow disk.
 	f, err := os.CreateTemp(filepath.Dir(s.path), filepath.Base(s.path)+receivedInfix+"*")
 	if err != nil {
 		return nil, fmt.Errorf("store: receive snapshot: %w", err)
@@ -80,10 +81,10 @@
 	return &ReceivedSnapshot{store: received, Applied: received.replica.applied}, nil
 }
 
-// copySynced copies into a file in pieces, each of which it syncs.
+// copySynced copies r to a file and syncs the file after every receivedBytesPerSync bytes.
 func copySynced(f *os.File, r io.Reader) error {
 	for {
-		if _, err := io.CopyN(f, r, receivedBytesASync); err != nil {
+		if _, err := io.CopyN(f, r, receivedBytesPerSync); err != nil {
 			if errors.Is(err, io.EOF) {
 				return nil
 			}
@@ -95,15 +96,15 @@
 	}
 }
 
-// Discard gives up a received snapshot.
+// Discard closes a received snapshot and removes its file in the background.
 func (r *ReceivedSnapshot) Discard() {
-	_ = r.store.Close() // its file is removed
+	_ = r.store.Close() // its file is removed anyway
 	removeInBackground(r.store.path)
 }
 
-// removeReceivedSnapshots removes what an earlier start of the program has received and not
-// installed.
-func removeReceivedSnapshots(path string) {
+// removeLeftoverSnapshots removes, in the background, snapshots that an earlier run of the program
+// received but did not install.
+func removeLeftoverSnapshots(path string) {
 	paths, _ := filepath.Glob(path + receivedInfix + "*") // the pattern is valid
 	go func() {
 		for _, p := range paths {
@@ -116,8 +117,8 @@
 	go func() { _ = os.Remove(path) }() // the next start tries again
 }
 
-// InstallSnapshot puts a received snapshot in this store's place, under this disk's identity and
-// hard state. After an error the store is what it was.
+// InstallSnapshot replaces this store by a received snapshot, with this disk's identity and the given
+// hard state. On an error the store is unchanged.
 func (s *Store) InstallSnapshot(r *ReceivedSnapshot, hardState HardState) error {
 	received := r.store
 	identity := *s.identity.Load()
@@ -126,7 +127,7 @@
 		return err
 	}
 	err = received.db.Update(func(tx *bolt.Tx) error {
-		if err := emptyLog(tx); err != nil {
+		if err := clearLog(tx); err != nil {
 			return err
 		}
 		if err := writeReplicaValue(tx, compactedKey, received.replica.applied.At); err != nil {
@@ -146,12 +147,12 @@
 	if err != nil {
 		return fmt.Errorf("store: install snapshot: %w", err)
 	}
-	s.replaceBy(received, identity)
+	s.replaceWith(received, identity)
 	return nil
 }
 
-// replaceBy goes on with the file of a received store.
-func (s *Store) replaceBy(received *Store, identity Identity) {
+// replaceWith switches this store to the file of a received store.
+func (s *Store) replaceWith(received *Store, identity Identity) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old := s.db
@@ -164,7 +165,7 @@
 	s.identity.Store(&identity)
 	s.overlay.Store(nil)
 	s.state.Store(received.state.Load())
-	go func() { _ = old.Close() }() // a disk may take long to free the replaced file
+	go func() { _ = old.Close() }() // freeing the replaced file can take long
 }
 
 func syncFolder(path string) error {
--- a/internal/controlplane/store/transfer_test.go
+++ b/internal/controlplane/store/transfer_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Guards against a discarded snapshot that takes another one with it, and against files that
-// earlier starts have left: a received snapshot can be installed after another one was discarded.
-func TestReceivedSnapshotsAreSeparate(t *testing.T) {
+// Guards against removing one received snapshot when another one is discarded, and against snapshot
+// files left by earlier runs: a received snapshot can be installed after another one was discarded.
+func TestReceivedSnapshotsAreIndependent(t *testing.T) {
 	folder := t.TempDir()
 	from, err := Open(filepath.Join(folder, "from"), Options{IsReplica: true})
 	check(t, err)
--- a/internal/controlplane/store/tx.go
+++ b/internal/controlplane/store/tx.go
@@ -9,13 +9,13 @@
 	"stairvane.org/stairvane/internal/fleet"
 )
 
-// View reads what is committed.
+// View provides read access to the committed state.
 type View struct {
 	tx      *bolt.Tx
 	overlay *overlay
 }
 
-// get reads a value, which is valid until the transaction ends; nil if there is none.
+// get returns the value of a key; nil if there is none. It is valid until the transaction ends.
 func (v *View) get(bucket, key []byte) ([]byte, error) {
 	if value, isSet := v.overlay.find(bucket, key); isSet {
 		return value, nil
@@ -23,24 +23,25 @@
 	return get(v.tx, bucket, key)
 }
 
-// number reads a number of the meta bucket; 0 if there is none.
+// number returns a number from the meta bucket; 0 if there is none.
 func (v *View) number(key string) (int64, error) {
 	raw, err := v.get(metaBucket, []byte(key))
-	return asNumber(raw, err, key)
+	return parseNumber(raw, err, key)
 }
 
-// Tx is a change. It reads what was committed before it, and not what it writes itself.
+// Tx is the transaction of a change. Its reads return the state before the change, without the
+// change's own writes.
 type Tx struct {
 	View
-	NowMS    int64 // Unix milliseconds
-	remember time.Duration
-	state    state
-	events   []fleet.Event
-	puts     []put
+	NowMS          int64 // Unix milliseconds
+	rememberWrites time.Duration
+	state          state
+	events         []fleet.Event
+	puts           []put
 }
 
 func (s *Store) newTx(view View, st state) *Tx {
-	return &Tx{View: view, NowMS: s.options.Clock(), remember: s.options.RememberWrites, state: st}
+	return &Tx{View: view, NowMS: s.options.Clock(), rememberWrites: s.options.RememberWrites, state: st}
 }
 
 func (t *Tx) put(bucket, key, value []byte) {
@@ -49,7 +50,7 @@
 
 func (t *Tx) putNumber(key string, n int64) { t.put(metaBucket, []byte(key), encodeNumber(n)) }
 
-// putEncoded encodes and puts a value.
+// putEncoded encodes a value and adds it to the puts.
 func (t *Tx) putEncoded(bucket, key []byte, value any) error {
 	raw, err := fleet.Encode(value)
 	if err != nil {
@@ -59,16 +60,17 @@
 	return nil
 }
 
-// Fleet returns the state that the change builds on, with the events that it has appended.
+// Fleet returns the fleet's state including the events that the change has appended so far.
 func (t *Tx) Fleet() fleet.Fleet { return t.state.fleet }
 
-// chainedEvent is an event as it is stored.
+// chainedEvent is the stored form of an event.
 type chainedEvent struct {
 	Event []byte `cbor:"Event"`
-	Chain []byte `cbor:"Chain"` // hash of the log up to and with the event
+	Chain []byte `cbor:"Chain"` // hash of the event log up to and including the event
 }
 
-// Append appends an event to the log; its number and time are set here.
+// Append appends an event to the event log, and returns the number that it was given. It sets the
+// number and the time of the event.
 func (t *Tx) Append(event fleet.Event) (number int64, err error) {
 	event.No = t.state.fleet.Revision + 1
 	event.AtMS = max(t.NowMS, t.state.atMS)
@@ -92,7 +94,7 @@
 	return event.No, nil
 }
 
-// readEvent decodes an event as it is stored.
+// readEvent decodes a stored event.
 func readEvent(raw []byte) (event fleet.Event, stored chainedEvent, err error) {
 	if err = decode(raw, &stored); err == nil {
 		err = decode(stored.Event, &event)
@@ -100,7 +102,7 @@
 	return event, stored, err
 }
 
-// Events returns the events in the store after a number, at most so many.
+// Events returns the events with numbers greater than after, at most most of them.
 func (v *View) Events(after int64, most int) (events []fleet.Event, err error) {
 	c := v.tx.Bucket(eventBucket).Cursor()
 	for k, _ := c.Seek(encodeNumber(after + 1)); k != nil && len(events) < most; k, _ = c.Next() {
@@ -117,7 +119,7 @@
 	return v.appendOverlaidEvents(events, after, most)
 }
 
-// appendOverlaidEvents appends the events that follow on those in the file and are not written yet.
+// appendOverlaidEvents appends the following events that are committed but not in the file yet.
 func (v *View) appendOverlaidEvents(events []fleet.Event, after int64, most int) ([]fleet.Event, error) {
 	last := after
 	if len(events) > 0 {
--- a/internal/controlplane/store/writer.go
+++ b/internal/controlplane/store/writer.go
@@ -8,14 +8,14 @@
 	"stairvane.org/stairvane/internal/fleet"
 )
 
-// request is a change that waits to be written.
+// request is a change that is waiting to be written.
 type request struct {
 	change func(*Tx) error
 	done   chan error // buffered
 }
 
-// Do runs a change and returns once it is durable. Changes run one after the other; what one has
-// written is dropped if it returns an error, which Do returns.
+// Do runs a change and returns once it is durable. Changes run one at a time. If a change returns an
+// error, its writes are discarded and Do returns that error.
 func (s *Store) Do(change func(*Tx) error) error {
 	r := &request{change: change, done: make(chan error, 1)}
 	select {
@@ -35,7 +35,7 @@
 	case err := <-r.done:
 		return err
 	case <-s.stopped:
-		select { // the writer may have answered before it ended
+		select { // the writer may have answered before it stopped
 		case err := <-r.done:
 			return err
 		default:
@@ -44,8 +44,8 @@
 	}
 }
 
-// runWriter writes changes until the store is closed. It is the only writer of a store without a
-// group.
+// runWriter writes changes until the store is closed. It is the only writer of a store that does not
+// belong to a replica.
 func (s *Store) runWriter() {
 	defer close(s.stopped)
 	for {
@@ -59,7 +59,7 @@
 	}
 }
 
-// collectBatch returns a request and those that wait behind it, up to the size of a batch.
+// collectBatch returns a request together with the requests queued after it, up to Options.Batch.
 func (s *Store) collectBatch(first *request) []*request {
 	batch := []*request{first}
 	for len(batch) < s.options.Batch {
@@ -73,7 +73,8 @@
 	return batch
 }
 
-// commit runs changes in one transaction, notifies of their events, and answers them.
+// commit runs changes in one transaction, reports their events to Options.Committed, and answers the
+// requests.
 func (s *Store) commit(batch []*request) {
 	next := *s.state.Load()
 	var events []fleet.Event
--- a/internal/controlplane/store/writes.go
+++ b/internal/controlplane/store/writes.go
@@ -8,30 +8,31 @@
 	"stairvane.org/stairvane/internal/fleet"
 )
 
-// maxForgottenWrites is how many old outcomes a write deletes at most, so that no write takes long.
-const maxForgottenWrites = 4
+// maxExpiredPerWrite limits how many expired outcomes one write deletes, which bounds the time of a
+// write.
+const maxExpiredPerWrite = 4
 
-// ErrReused is the error of a write under an id that another write had.
+// ErrReused is returned for a write whose id was used for a different write.
 var ErrReused = errors.New("this id was used for another write")
 
-// Write is a caller's write: an idempotency key, under which it may be repeated, and what it asks
-// for. Without an id nothing is remembered.
+// Write identifies a caller's write: ID is an idempotency key with which the write may be repeated,
+// and Body is the request. If ID is empty, no outcome is stored.
 type Write struct {
 	ID   string
 	Body []byte
 }
 
-// checksum identifies what a write asks for.
+// checksum returns a checksum of the write's ID and body.
 func (w Write) checksum() []byte { return checksum(writeBucket, []byte(w.ID), w.Body) }
 
-// outcome is what a write led to.
+// outcome is the stored result of a write.
 type outcome struct {
-	Of    []byte `cbor:"Of"` // checksum of the write
-	Value []byte `cbor:"Value"`
+	WriteChecksum []byte `cbor:"Of"` // checksum of the write
+	Value         []byte `cbor:"Value"`
 }
 
-// RepeatedWrite reads the outcome of a write into out if it was made before. The error wraps
-// ErrReused if its id was used for another write.
+// RepeatedWrite decodes the stored outcome of a write into out, and reports whether there was one.
+// The error wraps ErrReused if the id was used for a different write.
 func (v *View) RepeatedWrite(w Write, out any) (isRepeated bool, err error) {
 	if w.ID == "" {
 		return false, nil
@@ -44,14 +45,14 @@
 	if err := decode(raw, &o); err != nil {
 		return false, err
 	}
-	if !bytes.Equal(o.Of, w.checksum()) {
+	if !bytes.Equal(o.WriteChecksum, w.checksum()) {
 		return false, fmt.Errorf("%w: %q", ErrReused, w.ID)
 	}
 	return true, decode(o.Value, out)
 }
 
-// RememberWrite stores the outcome of a write for Options.RememberWrites, and deletes some that are
-// older.
+// RememberWrite stores the outcome of a write for Options.RememberWrites, and deletes some expired
+// outcomes.
 func (t *Tx) RememberWrite(w Write, value any) error {
 	if w.ID == "" {
 		return nil
@@ -60,19 +61,19 @@
 	if err != nil {
 		return fmt.Errorf("store: encode outcome of write %q: %w", w.ID, err)
 	}
-	if err := t.putEncoded(writeBucket, []byte(w.ID), outcome{Of: w.checksum(), Value: raw}); err != nil {
+	if err := t.putEncoded(writeBucket, []byte(w.ID), outcome{WriteChecksum: w.checksum(), Value: raw}); err != nil {
 		return err
 	}
 	t.put(writeAtBucket, append(encodeNumber(t.NowMS), w.ID...), []byte{})
-	t.forgetOldWrites()
+	t.deleteExpiredOutcomes()
 	return nil
 }
 
-func (t *Tx) forgetOldWrites() {
-	oldest := t.NowMS - t.remember.Milliseconds()
+func (t *Tx) deleteExpiredOutcomes() {
+	oldest := t.NowMS - t.rememberWrites.Milliseconds()
 	c := t.tx.Bucket(writeAtBucket).Cursor()
 	k, _ := c.First()
-	for range maxForgottenWrites {
+	for range maxExpiredPerWrite {
 		if len(k) <= numberLength || decodeNumber(k) > oldest {
 			return
 		}
