--- a/internal/controlplane/replica/admission.go
+++ b/internal/controlplane/replica/admission.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// Admit decides on a disk that asks to join under a name. Without an operator's order a disk is
-// admitted only if its name never had another one, or if it is a standby and a replica was silent
-// for replaceAfter; 0 forbids that. silence is how long nothing came from each other disk. A nil
-// change without an error means that the disk is a member already. An error is a *RejectedError.
+// Admit decides whether a disk may join the group under a replica name without an operator's order.
+// It may if no other disk ever had the name, or if the name is that of a standby and a voter has
+// been silent for at least replaceAfter; a replaceAfter of 0 disables replacement by standbys.
+// silence is the time since the last message from each other disk. A nil change with a nil error
+// means that the disk is already a member. A non-nil error is a *RejectedError.
 func (v View) Admit(name string, disk uint64, silence map[uint64]time.Duration, replaceAfter time.Duration) (*Change, error) {
 	if err := v.rejectRemoved(disk); err != nil {
 		return nil, err
@@ -19,7 +20,7 @@
 		}
 		return nil, nil
 	}
-	p := v.place(name)
+	p := v.configuredReplica(name)
 	if p == nil {
 		return nil, rejectf("the leader's file lists no copy %s", name)
 	}
@@ -36,11 +37,11 @@
 				name, d, name)
 		}
 	}
-	return joinAsLearner(*p, disk, 0), nil
+	return addLearnerChange(*p, disk, 0), nil
 }
 
-// admitStandby lets a standby replace the voter that was silent for longest, if that is long
-// enough.
+// admitStandby returns the change by which a standby replaces the voter that has been silent for
+// longest, if that voter has been silent for at least replaceAfter.
 func (v View) admitStandby(
 	p ConfiguredReplica, disk uint64, silence map[uint64]time.Duration, replaceAfter time.Duration,
 ) (*Change, error) {
@@ -61,56 +62,57 @@
 	if lost == 0 {
 		return nil, rejectf("copy %s is a spare, and no copy is gone for %d ms", p.Name, replaceAfter.Milliseconds())
 	}
-	return v.replace(p, disk, lost)
+	return v.replaceMember(p, disk, lost)
 }
 
-// Add decides on an operator's order that a waiting disk joins beside the present members. disk is
-// 0 if none waits under the name. An error is a *RejectedError.
+// Add returns the change for an operator's order to add a waiting disk to the group. disk is 0 if no
+// disk waits to join under the name. A non-nil error is a *RejectedError.
 func (v View) Add(name string, disk uint64) (*Change, error) {
-	p := v.place(name)
+	p := v.configuredReplica(name)
 	switch {
 	case p == nil:
-		return nil, rejectf("the leader's file lists no copy %s", name)
+		return nil, rejectf("the leader's configuration lists no replica %s", name)
 	case v.Disk(name) != 0:
-		return nil, rejectf("copy %s is in the group already; a new disk takes its place with: stairvane copies replace %s", name, name)
+		return nil, rejectf("replica %s is in the group already; to replace its disk: stairvane copies replace %s", name, name)
 	case disk == 0:
-		return nil, rejectf("no disk waits to be let in as copy %s: start it there first", name)
+		return nil, rejectf("no disk waits to join as replica %s: start it there first", name)
 	}
 	if err := v.rejectRemoved(disk); err != nil {
 		return nil, err
 	}
 	for _, m := range v.Members {
 		if !m.Left && m.Machine == p.Machine {
-			return nil, rejectf("copy %s is on machine %s as copy %s is", p.Name, p.Machine, m.Name)
+			return nil, rejectf("replica %s is on machine %s, where replica %s runs already", p.Name, p.Machine, m.Name)
 		}
 	}
-	return joinAsLearner(*p, disk, 0), nil
+	return addLearnerChange(*p, disk, 0), nil
 }
 
-// Replace decides on an operator's order that a waiting disk takes the place of a replica. disk is
-// 0 if none waits under the name of the replacement. A nil change without an error means that it
-// was ordered before. An error is a *RejectedError.
+// Replace returns the change for an operator's order to replace a replica with a waiting disk. disk
+// is 0 if no disk waits to join under the name of the replacement. A nil change with a nil error
+// means that the replacement was ordered before. A non-nil error is a *RejectedError.
 func (v View) Replace(name, replacement string, disk uint64) (*Change, error) {
 	old := v.Disk(name)
 	if old == 0 {
-		return nil, rejectf("the group has no copy %s", name)
+		return nil, rejectf("the group has no replica %s", name)
 	}
-	p := v.place(replacement)
+	p := v.configuredReplica(replacement)
 	if p == nil {
-		return nil, rejectf("the leader's file lists no copy %s", replacement)
+		return nil, rejectf("the leader's configuration lists no replica %s", replacement)
 	}
 	if disk == 0 {
-		return nil, rejectf("no disk waits to be let in as copy %s: start it there first", replacement)
+		return nil, rejectf("no disk waits to join as replica %s: start it there first", replacement)
 	}
 	if other := v.Disk(replacement); other != 0 && other != old {
-		return nil, rejectf("copy %s is in the group already", replacement)
+		return nil, rejectf("replica %s is in the group already", replacement)
 	}
-	return v.replace(*p, disk, old)
+	return v.replaceMember(*p, disk, old)
 }
 
-// replace lets a disk join as a learner which takes the old one's place once it is promoted; nil if
-// it joined already. Its machine must differ from those of all other members.
-func (v View) replace(p ConfiguredReplica, disk, old uint64) (*Change, error) {
+// replaceMember returns the change that adds a disk as a learner, which replaces the old disk when
+// it is promoted; nil if the disk is already a member. Its machine must differ from the machines of
+// all other members.
+func (v View) replaceMember(p ConfiguredReplica, disk, old uint64) (*Change, error) {
 	if err := v.rejectRemoved(disk); err != nil {
 		return nil, err
 	}
@@ -121,22 +123,22 @@
 	for d, m := range v.Members {
 		switch {
 		case d == old || m.Left:
-		case m.Name == p.Name && slices.Contains(v.Learners, d): // an earlier replacement, which was lost before it was promoted
+		case m.Name == p.Name && slices.Contains(v.Learners, d): // an earlier replacement that was lost before its promotion
 			steps = append(steps, Step{Kind: RemoveMember, Disk: d})
 		case m.Machine == p.Machine:
 			return nil, rejectf("copy %s is on machine %s as copy %s is", p.Name, p.Machine, m.Name)
 		}
 	}
 	replaced := old
-	if !slices.Contains(v.Voters, old) { // a learner does not count for the majority: it is removed at once
+	if !slices.Contains(v.Voters, old) { // a learner does not count towards the majority, so it is removed at once
 		steps = append(steps, Step{Kind: RemoveMember, Disk: old})
 		replaced = 0
 	}
-	join := joinAsLearner(p, disk, replaced)
+	join := addLearnerChange(p, disk, replaced)
 	return &Change{append(steps, join.Steps...)}, nil
 }
 
-func joinAsLearner(p ConfiguredReplica, disk, replaces uint64) *Change {
+func addLearnerChange(p ConfiguredReplica, disk, replaces uint64) *Change {
 	member := Member{Name: p.Name, Machine: p.Machine, Site: p.Site, Replaces: replaces}
 	return &Change{[]Step{{Kind: AddLearner, Disk: disk, Member: member}}}
 }
--- a/internal/controlplane/replica/cluster_test.go
+++ b/internal/controlplane/replica/cluster_test.go
@@ -9,14 +9,14 @@
 )
 
 // cluster is a simulated group of drivers with their disks, and the messages in flight between
-// them. Everything that may happen next is a choice, so that a list of choices is a run.
+// them. Every possible next event is a numbered choice, so that a list of choices defines a run.
 type cluster struct {
-	replicas        []*simulatedReplica
-	inFlight        []*pb.Message
-	accepted        map[uint64]string // batches that were answered as accepted, by index
-	choicesMade     int
-	fault           string
-	disabledPersist string // "vote" or "entries", which are then not persisted; empty: all is
+	replicas       []*simulatedReplica
+	inFlight       []*pb.Message
+	accepted       map[uint64]string // committed batches whose proposer learned of the commit, by index
+	choicesMade    int
+	fault          string
+	skippedPersist string // "vote" or "entries", which is then not persisted; empty: everything is persisted
 }
 
 // simulatedReplica is a driver with its disk.
@@ -24,15 +24,15 @@
 	disk      uint64
 	driver    *Driver
 	durable   PersistedState
-	applied   map[uint64]string // what it has applied since its first start, by index
-	proposals map[uint64]string // those under way, by tag
+	applied   map[uint64]string // entries that it has applied since its first start, by index
+	proposals map[uint64]string // proposals whose outcome is pending, by tag
 }
 
-// Points at which a replica can die while it serves a Ready.
+// Points at which a replica can crash while it processes a Ready.
 const (
-	diesBeforePersist = iota
-	diesAfterPersist  // nothing that rests on what was persisted is sent
-	survives
+	crashBeforePersist = iota
+	crashAfterPersist  // messages that depend on the persisted state are not sent
+	noCrash
 )
 
 func newCluster(n int) *cluster {
@@ -66,15 +66,15 @@
 	clear(r.proposals)
 }
 
-// serve does what a Ready asks for, until the replica dies. It reports whether the replica
-// survives.
-func (c *cluster) serve(r *simulatedReplica, rd *Ready, dies int) bool {
+// processReady does the work of a Ready up to the given crash point. It reports whether the replica
+// is still running.
+func (c *cluster) processReady(r *simulatedReplica, rd *Ready, crashPoint int) bool {
 	c.inFlight = append(c.inFlight, rd.EarlyMessages...)
-	if dies == diesBeforePersist {
+	if crashPoint == crashBeforePersist {
 		return false
 	}
 	c.persist(r, rd)
-	if dies == diesAfterPersist {
+	if crashPoint == crashAfterPersist {
 		return false
 	}
 	if err := r.driver.Persisted(rd); err != nil {
@@ -97,17 +97,17 @@
 }
 
 func (c *cluster) persist(r *simulatedReplica, rd *Ready) {
-	if at := rd.Snapshot; at != nil { // the log begins anew after the snapshot
+	if at := rd.Snapshot; at != nil { // the log restarts after the snapshot
 		r.durable.Compacted = Position{Index: at.GetIndex(), Term: at.GetTerm()}
 		r.durable.Entries = nil
 		r.durable.Applied = r.durable.Compacted
 		r.durable.ConfState = at.GetConfState()
 	}
-	votePersisted := c.disabledPersist != "vote" || len(rd.Entries) > 0
+	votePersisted := c.skippedPersist != "vote" || len(rd.Entries) > 0
 	if len(rd.Entries) == 0 && (!rd.MustSync || !votePersisted) {
 		return
 	}
-	if len(rd.Entries) > 0 && c.disabledPersist != "entries" {
+	if len(rd.Entries) > 0 && c.skippedPersist != "entries" {
 		unchanged := rd.Entries[0].GetIndex() - r.durable.Compacted.Index - 1
 		r.durable.Entries = append(slices.Clone(r.durable.Entries[:unchanged]), rd.Entries...)
 	}
@@ -117,7 +117,8 @@
 	r.durable.Commit = min(hardState.Commit, r.durable.Compacted.Index+uint64(len(r.durable.Entries)))
 }
 
-// apply records an applied entry, and compares it with what others applied at its index.
+// apply records an applied entry, and compares it with the entries that other replicas applied at the
+// same index.
 func (c *cluster) apply(r *simulatedReplica, entry CommittedEntry) {
 	index := entry.At.Index
 	text := fmt.Sprintf("%d:%s", entry.At.Term, entry.Data)
@@ -133,53 +134,54 @@
 	}
 }
 
-// settle serves a replica until it has nothing to do.
-func (c *cluster) settle(r *simulatedReplica) {
+// processAllReady processes the Ready values of a replica until it returns none.
+func (c *cluster) processAllReady(r *simulatedReplica) {
 	for c.fault == "" {
 		rd := r.driver.Ready()
-		if rd == nil || !c.serve(r, rd, survives) {
+		if rd == nil || !c.processReady(r, rd, noCrash) {
 			return
 		}
 	}
 }
 
-// choicesOfReplica are: campaign, propose, restart, die before persisting, die after it.
-const choicesOfReplica = 5
+// choicesPerReplica counts: campaign, propose, restart, crash before persisting, crash after
+// persisting.
+const choicesPerReplica = 5
 
-// choices returns how many things may happen next: each message is delivered or lost, and each
-// replica has its own choices.
-func (c *cluster) choices() int { return 2*len(c.inFlight) + choicesOfReplica*len(c.replicas) }
+// choices returns the number of choices: each message in flight is delivered or lost, and each
+// replica has choicesPerReplica choices of its own.
+func (c *cluster) choices() int { return 2*len(c.inFlight) + choicesPerReplica*len(c.replicas) }
 
-// do makes one of them happen, and describes it.
-func (c *cluster) do(choice int) string {
+// perform performs a choice and returns its description.
+func (c *cluster) perform(choice int) string {
 	c.choicesMade++
 	if choice < 2*len(c.inFlight) {
 		return c.deliver(choice/2, choice%2 == 1)
 	}
 	choice -= 2 * len(c.inFlight)
-	r := c.replicas[choice/choicesOfReplica]
-	switch choice %= choicesOfReplica; choice {
+	r := c.replicas[choice/choicesPerReplica]
+	switch choice %= choicesPerReplica; choice {
 	case 0:
 		r.driver.Campaign()
-		c.settle(r)
+		c.processAllReady(r)
 		return fmt.Sprintf("%d campaigns", r.disk)
 	case 1:
 		if tag, err := r.driver.Propose(fmt.Appendf(nil, "b%d", c.choicesMade)); err == nil {
 			r.proposals[tag] = "x"
 		}
-		c.settle(r)
+		c.processAllReady(r)
 		return fmt.Sprintf("%d proposes", r.disk)
 	case 2:
 		c.start(r)
-		c.settle(r)
+		c.processAllReady(r)
 		return fmt.Sprintf("%d restarts", r.disk)
 	default:
 		r.driver.Campaign()
 		if rd := r.driver.Ready(); rd != nil {
-			c.serve(r, rd, choice-3)
+			c.processReady(r, rd, choice-3)
 		}
 		c.start(r)
-		c.settle(r)
+		c.processAllReady(r)
 		return fmt.Sprintf("%d campaigns and dies at point %d", r.disk, choice-3)
 	}
 }
@@ -194,11 +196,11 @@
 	if err := r.driver.Step(proto.Clone(m).(*pb.Message)); err != nil {
 		c.fault = err.Error()
 	}
-	c.settle(r)
+	c.processAllReady(r)
 	return fmt.Sprintf("%v %d to %d, term %d, index %d", m.GetType(), m.GetFrom(), m.GetTo(), m.GetTerm(), m.GetIndex())
 }
 
-// check returns which invariant does not hold at this moment; empty if all do.
+// check returns a description of a violated invariant; empty if all hold.
 func (c *cluster) check() string {
 	if c.fault != "" {
 		return c.fault
@@ -215,15 +217,15 @@
 		leaders[s.Term] = r.disk
 	}
 	for index, text := range c.accepted {
-		if n := c.disksWith(index, text); 2*n <= len(c.replicas) {
+		if n := c.countDisksWith(index, text); 2*n <= len(c.replicas) {
 			return fmt.Sprintf("%q at %d was accepted and is on %d of %d disks", text, index, n, len(c.replicas))
 		}
 	}
 	return ""
 }
 
-// disksWith counts the disks that hold a batch, in the log or in a snapshot.
-func (c *cluster) disksWith(index uint64, text string) (n int) {
+// countDisksWith returns the number of disks that hold a batch, in the log or in a snapshot.
+func (c *cluster) countDisksWith(index uint64, text string) (n int) {
 	for _, r := range c.replicas {
 		i := int(index) - int(r.durable.Compacted.Index) - 1
 		if i < 0 { // it is in the snapshot
--- a/internal/controlplane/replica/contact.go
+++ b/internal/controlplane/replica/contact.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// ContactTracker counts how long a leader has received nothing from each other disk, in ticks of
-// the leader's own loop. Ticks that the loop missed, as while its own disk stalled, are not made up
-// for: the leader sent no heartbeat meanwhile, and what others sent waits unread, so that their
-// silence proves nothing. It is not safe for concurrent use.
+// ContactTracker measures how long a leader has received nothing from each other disk, in ticks of
+// the leader's own loop. Ticks that the loop missed, for example while its own disk stalled, are
+// not counted: during that time the leader sent no heartbeats and read no messages, so the silence
+// of the others proves nothing. It is not safe for concurrent use.
 type ContactTracker struct {
 	tick        time.Duration
-	now         time.Duration // sum of the ticks so far
+	now         time.Duration // total time of the ticks so far
 	lastContact map[uint64]time.Duration
 }
 
-// NewContactTracker makes a tracker for a loop with a time from one tick to the next.
+// NewContactTracker returns a tracker for a loop with the given tick interval.
 func NewContactTracker(tick time.Duration) *ContactTracker {
 	return &ContactTracker{tick: tick, lastContact: map[uint64]time.Duration{}}
 }
 
-// Tick lets one tick pass.
+// Tick advances the tracker's time by one tick interval.
 func (t *ContactTracker) Tick() { t.now += t.tick }
 
-// Received records that something came from a disk.
+// Received records that a message arrived from a disk.
 func (t *ContactTracker) Received(disk uint64) { t.lastContact[disk] = t.now }
 
-// Reset forgets all contacts. A new leader calls it: followers send each other next to nothing, so
-// that their silence towards it before its election proves nothing.
+// Reset clears all recorded contacts. A new leader calls it: followers send each other almost no
+// messages, so their silence before its election proves nothing.
 func (t *ContactTracker) Reset() { clear(t.lastContact) }
 
-// Silence returns how long nothing came from a disk. For a disk without a contact it counts from
-// the first call.
+// Silence returns the time since the last message from a disk. For a disk that has sent none, it
+// returns the time since Silence was first called for the disk.
 func (t *ContactTracker) Silence(disk uint64) time.Duration {
 	at, known := t.lastContact[disk]
 	if !known {
--- a/internal/controlplane/replica/doc.go
+++ b/internal/controlplane/replica/doc.go
@@ -1,15 +1,15 @@
-// Package replica is the consensus driver of one control-plane replica. It decides on the
-// replicated log, on the membership of the group, on read leases, and on whether a disk may take
-// part. It is pure: it opens no file and no socket, and it reads no clock. Ticks, messages and
-// reports come in; what is to be persisted, sent and applied goes out.
+// Package replica implements the consensus driver of one control-plane replica: the replicated log,
+// the membership of the group, read leases, and the check whether a disk may take part. It does no
+// I/O and reads no clock. The caller passes in ticks, messages and reports, and gets back what it
+// has to persist, send and apply.
 //
-// The consensus algorithm is raft, by go.etcd.io/raft. A raft node is a disk: its number is made
-// together with the store and is never used again, so that a replaced disk is a new member under an
-// old name.
+// The consensus algorithm is Raft, as implemented by go.etcd.io/raft. A Raft node is a disk: its
+// number is generated when its store is created and is never reused, so that a replacement disk is
+// a new member under an existing name.
 //
 // # Driver
 //
-// The caller owns a Driver and serves it in a loop, as with etcd's raft:
+// The caller owns a Driver and processes its Ready values in a loop, as with etcd's raft:
 //
 //	for rd := driver.Ready(); rd != nil; rd = driver.Ready() {
 //		send(rd.EarlyMessages)
@@ -23,11 +23,11 @@
 //		driver.Advance(rd)
 //	}
 //
-// Messages rest on what Ready asked the caller to persist: sending them earlier can make two
-// leaders of one term.
+// Messages depend on the state that the same Ready asks the caller to persist: sending them before
+// that state is durable can lead to two leaders in one term.
 //
 // # Concurrency
 //
-// Nothing in this package is safe for concurrent use. Each value has one owner, or the caller
-// guards it by a mutex.
+// Nothing in this package is safe for concurrent use. Each value must be owned by one goroutine or
+// guarded by a mutex of the caller.
 package replica
--- a/internal/controlplane/replica/driver.go
+++ b/internal/controlplane/replica/driver.go
@@ -14,28 +14,28 @@
 
 // Errors of a Driver.
 var (
-	ErrNotLeader = errors.New("replica: this copy does not lead")
-	ErrBusy      = errors.New("replica: a proposal or a change of members is under way")
+	ErrNotLeader = errors.New("replica: this replica is not the leader")
+	ErrBusy      = errors.New("replica: a proposal or membership change is in progress")
 )
 
-// Bounds of raft's messages, in bytes, and of the messages that are in flight to one follower.
+// Limits on raft's messages, in bytes, and on the number of messages in flight to one follower.
 const (
 	maxBytesPerMessage     = 1 << 20
-	maxCommittedBytes      = 4 << 20 // in one Ready
+	maxCommittedBytes      = 4 << 20 // per Ready
 	maxUncommittedBytes    = 64 << 20
 	maxMessagesPerFollower = 64
-	tagLength              = 8 // bytes of a tag in front of a proposal's data
+	tagLength              = 8 // bytes; the tag precedes a proposal's data
 )
 
 // Config configures a Driver.
 type Config struct {
-	Disk           uint64 // this replica's number in the group; never 0
-	ElectionTicks  int    // a follower campaigns after one to two times as many ticks without a leader
-	HeartbeatTicks int    // ticks from one heartbeat of a leader to the next
-	Seed           uint64 // the tags of proposals follow on it; it must differ at each start
+	Disk           uint64 // the number of this replica's disk in the group; never 0
+	ElectionTicks  int    // a follower campaigns after one to two times this many ticks without a leader
+	HeartbeatTicks int    // ticks between two heartbeats of a leader
+	Seed           uint64 // proposals are tagged with the numbers after it; must differ at each start
 }
 
-// Driver is one replica's part in the consensus. It is not safe for concurrent use.
+// Driver runs the consensus algorithm for one replica. It is not safe for concurrent use.
 type Driver struct {
 	config         Config
 	node           *raft.RawNode
@@ -43,13 +43,13 @@
 	hardState      HardState
 	members        map[uint64]Member
 	lastTag        uint64
-	inFlight       uint64 // tag of the proposal that is not decided yet; 0: none
-	changePending  bool   // a change of members was proposed and is not applied
-	appliedOwnTerm uint64 // the term in which this replica leads and has applied an entry of its own; 0: none
-	readyPending   bool   // a Ready was handed out and not advanced
+	inFlight       uint64 // tag of the proposal whose outcome is pending; 0: none
+	changePending  bool   // a membership change was proposed and is not applied yet
+	appliedOwnTerm uint64 // last term in which this replica, as leader, applied an entry of that term; 0: none
+	readyPending   bool   // Ready returned a value for which Advance was not called yet
 }
 
-// New makes a driver from what is on disk.
+// New returns a driver that starts from the persisted state.
 func New(config Config, persisted PersistedState) (*Driver, error) {
 	d := &Driver{
 		config:    config,
@@ -81,19 +81,19 @@
 		Logger:                    raftLogger{},
 	})
 	if err != nil {
-		return nil, fmt.Errorf("replica: make raft node: %w", err)
+		return nil, fmt.Errorf("replica: create raft node: %w", err)
 	}
 	return d, nil
 }
 
-// Tick lets one tick pass.
+// Tick advances raft's logical clock by one tick.
 func (d *Driver) Tick() { d.node.Tick() }
 
-// Step takes in a message of another replica. A message that raft has no use for is dropped without
-// an error.
+// Step processes a message from another replica. A proposal that raft drops, and a response from an
+// unknown node, are ignored without an error.
 func (d *Driver) Step(m *pb.Message) error {
 	if m.GetTo() != d.config.Disk || raft.IsLocalMsg(m.GetType()) {
-		return fmt.Errorf("replica: a message of kind %v to %x came to %x", m.GetType(), m.GetTo(), d.config.Disk)
+		return fmt.Errorf("replica: message of type %v for disk %x arrived at disk %x", m.GetType(), m.GetTo(), d.config.Disk)
 	}
 	err := d.node.Step(m)
 	if err != nil && !errors.Is(err, raft.ErrProposalDropped) && !errors.Is(err, raft.ErrStepPeerNotFound) {
@@ -102,9 +102,9 @@
 	return nil
 }
 
-// StepSnapshot takes in the message of a snapshot that was received. The leader may have changed
-// during the transfer. A snapshot holds committed entries only, which every later leader has too,
-// so it counts as the present leader's and need not be resent.
+// StepSnapshot processes the message of a received snapshot. The leader may have changed during the
+// transfer. A snapshot contains only committed entries, which every later leader has too, so it is
+// treated as sent by the current leader and need not be resent.
 func (d *Driver) StepSnapshot(m *pb.Message) error {
 	if s := d.node.BasicStatus(); s.GetTerm() > m.GetTerm() && s.Lead != 0 {
 		m.Term = proto.Uint64(s.GetTerm())
@@ -113,18 +113,18 @@
 	return d.Step(m)
 }
 
-// Campaign starts an election at once, which may be lost.
+// Campaign starts an election at once.
 func (d *Driver) Campaign() {
-	_ = d.node.Campaign() // a replica that may not campaign waits for a leader instead
+	_ = d.node.Campaign() // a replica that cannot campaign waits for a leader instead
 }
 
-// TransferLeadership asks another replica to take over as leader.
+// TransferLeadership starts a transfer of the leadership to another disk.
 func (d *Driver) TransferLeadership(to uint64) { d.node.TransferLeader(to) }
 
-// ReportUnreachable reports that a message to a replica was lost.
+// ReportUnreachable reports that a message to a disk could not be delivered.
 func (d *Driver) ReportUnreachable(disk uint64) { d.node.ReportUnreachable(disk) }
 
-// ReportSnapshot reports whether a snapshot arrived at a replica.
+// ReportSnapshot reports whether a snapshot arrived at a disk.
 func (d *Driver) ReportSnapshot(disk uint64, arrived bool) {
 	status := raft.SnapshotFinish
 	if !arrived {
@@ -133,16 +133,16 @@
 	d.node.ReportSnapshot(disk, status)
 }
 
-// CanPropose reports whether this replica leads and has applied everything that earlier leaders
-// committed. Only then a batch can be evaluated on its state.
+// CanPropose reports whether this replica is the leader and has applied all entries that earlier
+// leaders committed. Only then can a batch be evaluated on its state.
 func (d *Driver) CanPropose() bool {
 	s := d.node.BasicStatus()
 	return s.RaftState == raft.StateLeader && d.appliedOwnTerm == s.GetTerm()
 }
 
-// Propose proposes a batch. A batch is evaluated on the state that the one before it leads to, so
-// only one can be in flight. The tag identifies it among the committed entries. The error is
-// ErrNotLeader, ErrBusy, or wraps one of raft's.
+// Propose proposes a batch. Each batch is evaluated on the state that results from the batch before
+// it, so only one can be in flight. The tag identifies the batch among the committed entries. The
+// error is ErrNotLeader or ErrBusy, or wraps an error of raft.
 func (d *Driver) Propose(data []byte) (tag uint64, err error) {
 	if !d.CanPropose() {
 		return 0, ErrNotLeader
@@ -151,7 +151,7 @@
 		return 0, ErrBusy
 	}
 	d.lastTag++
-	if d.lastTag == 0 { // 0 stands for no tag
+	if d.lastTag == 0 { // 0 means no tag
 		d.lastTag++
 	}
 	if err := d.node.Propose(append(encodeTag(d.lastTag), data...)); err != nil {
@@ -161,8 +161,8 @@
 	return d.lastTag, nil
 }
 
-// InFlight returns the tag of the batch that was proposed and is not decided. It is 0 if there is
-// none, and also once this replica no longer leads, for then the outcome is unknown.
+// InFlight returns the tag of the proposed batch whose outcome is pending. It returns 0 if there is
+// none, and also if this replica is no longer the leader, because the outcome is then unknown.
 func (d *Driver) InFlight() uint64 {
 	if d.inFlight != 0 && d.node.BasicStatus().RaftState != raft.StateLeader {
 		d.inFlight = 0
@@ -170,8 +170,8 @@
 	return d.inFlight
 }
 
-// ReadIndex asks the group for a proof that this replica leads at this moment. The proof comes as a
-// ReadState with the tag. The error is ErrNotLeader while CanPropose is false.
+// ReadIndex asks the group to confirm that this replica is the leader now. The confirmation arrives
+// as a ReadState with the returned tag. The error is ErrNotLeader if CanPropose is false.
 func (d *Driver) ReadIndex() (tag uint64, err error) {
 	if !d.CanPropose() {
 		return 0, ErrNotLeader
@@ -181,8 +181,8 @@
 	return d.lastTag, nil
 }
 
-// ProposeChange proposes a change of members, one at a time. The error is ErrNotLeader, ErrBusy, or
-// wraps one of raft's.
+// ProposeChange proposes a membership change. Only one can be in progress. The error is
+// ErrNotLeader or ErrBusy, or wraps an error of raft.
 func (d *Driver) ProposeChange(c Change) error {
 	if !d.CanPropose() {
 		return ErrNotLeader
@@ -198,23 +198,23 @@
 		})
 	}
 	var err error
-	if confChange.Context, err = cbor.Marshal(change{Members: c.apply(d.members)}); err != nil {
+	if confChange.Context, err = cbor.Marshal(confChangeContext{Members: c.membersAfter(d.members)}); err != nil {
 		return fmt.Errorf("replica: encode members: %w", err)
 	}
 	if err := d.node.ProposeConfChange(confChange); err != nil {
-		return fmt.Errorf("replica: propose change of members: %w", err)
+		return fmt.Errorf("replica: propose membership change: %w", err)
 	}
 	d.changePending = true
 	return nil
 }
 
-// change is the context of a change of members in the log. Its form is stored.
-type change struct {
-	Members map[uint64]Member `cbor:"Members"` // as they are after the change
+// confChangeContext is the context of a membership change in the log. Its encoding is stored.
+type confChangeContext struct {
+	Members map[uint64]Member `cbor:"Members"` // after the change
 }
 
-// apply returns the members after a change.
-func (c Change) apply(members map[uint64]Member) map[uint64]Member {
+// membersAfter returns the members that result from applying the change.
+func (c Change) membersAfter(members map[uint64]Member) map[uint64]Member {
 	after := make(map[uint64]Member, len(members)+len(c.Steps))
 	maps.Copy(after, members)
 	for _, step := range c.Steps {
@@ -222,8 +222,8 @@
 			after[step.Disk] = step.Member
 			continue
 		}
-		// The member is remembered as removed: neither the disk nor another one of its name joins
-		// again by itself.
+		// The member stays on record as removed, so that neither this disk nor another one under its
+		// name can rejoin without an operator's order.
 		removed := after[step.Disk]
 		removed.Left = true
 		removed.Replaces = 0
@@ -241,7 +241,7 @@
 	case RemoveMember:
 		return pb.ConfChangeRemoveNode
 	}
-	panic(fmt.Sprintf("replica: unknown kind of step %d", k))
+	panic(fmt.Sprintf("replica: unknown step kind %d", k))
 }
 
 func encodeTag(tag uint64) []byte { return binary.BigEndian.AppendUint64(nil, tag) }
--- a/internal/controlplane/replica/driver_test.go
+++ b/internal/controlplane/replica/driver_test.go
@@ -7,11 +7,12 @@
 	"testing"
 )
 
-// run plays a seed: most messages are delivered, in any order, and replicas die at any point.
-func run(replicas int, seed uint64, steps int, disabledPersist string) (fault string, accepted int, trace []string) {
+// runSeed simulates a cluster with choices drawn from a seed. Most messages are delivered, in any
+// order, and replicas crash at any point.
+func runSeed(replicas int, seed uint64, steps int, skippedPersist string) (fault string, accepted int, trace []string) {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	c := newCluster(replicas)
-	c.disabledPersist = disabledPersist
+	c.skippedPersist = skippedPersist
 	for range steps {
 		var choice int
 		if n := len(c.inFlight); n > 0 && rng.IntN(10) < 8 {
@@ -21,9 +22,9 @@
 			}
 		} else {
 			kind := []int{0, 0, 1, 1, 1, 1, 1, 2, 3, 4}[rng.IntN(10)]
-			choice = 2*len(c.inFlight) + choicesOfReplica*rng.IntN(len(c.replicas)) + kind
+			choice = 2*len(c.inFlight) + choicesPerReplica*rng.IntN(len(c.replicas)) + kind
 		}
-		trace = append(trace, c.do(choice))
+		trace = append(trace, c.perform(choice))
 		if fault := c.check(); fault != "" {
 			return fault, len(c.accepted), trace
 		}
@@ -31,23 +32,24 @@
 	return "", len(c.accepted), trace
 }
 
-func fromEnv(name string, otherwise int) int {
+func intFromEnv(name string, otherwise int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return n
 	}
 	return otherwise
 }
 
-// Random orders of delivery, loss, death at each point of persisting, and restart, from printed
-// seeds. STAIRVANE_SEEDS sets how many.
-func TestDriversAgreeInAnyOrder(t *testing.T) {
-	first := uint64(fromEnv("STAIRVANE_SEED", 1))
-	n := fromEnv("STAIRVANE_SEEDS", 300)
+// Checks the invariants of the cluster under random orders of delivery, message loss, crashes before
+// and after persisting, and restarts. The first seed is logged; STAIRVANE_SEED sets it, and
+// STAIRVANE_SEEDS sets the number of seeds.
+func TestDriversAgreeInRandomOrders(t *testing.T) {
+	first := uint64(intFromEnv("STAIRVANE_SEED", 1))
+	n := intFromEnv("STAIRVANE_SEEDS", 300)
 	t.Logf("seeds from %d on", first)
 	accepted := 0
 	for i := range n {
 		replicas := []int{3, 3, 2, 5}[i%4]
-		fault, acceptedInRun, trace := run(replicas, first+uint64(i), 250, "")
+		fault, acceptedInRun, trace := runSeed(replicas, first+uint64(i), 250, "")
 		accepted += acceptedInRun
 		if fault != "" {
 			t.Fatalf("seed %d, %d replicas: %s\n%v", first+uint64(i), replicas, fault, trace)
@@ -59,25 +61,25 @@
 	t.Logf("%d batches were accepted in %d runs", accepted, n)
 }
 
-// Every list of STAIRVANE_DEPTH choices, for two replicas and for three, from the moment at which
-// the first one campaigns.
-func TestDriversAgreeInEveryOrder(t *testing.T) {
-	depth := fromEnv("STAIRVANE_DEPTH", 3)
+// Checks the invariants of the cluster after every sequence of up to STAIRVANE_DEPTH choices, with
+// two and with three replicas, starting once the first replica has campaigned and proposed a batch.
+func TestDriversAgreeInAllOrders(t *testing.T) {
+	depth := intFromEnv("STAIRVANE_DEPTH", 3)
 	for _, replicas := range []int{2, 3} {
 		runs := 0
 		var walk func(path []int)
 		walk = func(path []int) {
 			c := newCluster(replicas)
 			c.replicas[0].driver.Campaign()
-			c.settle(c.replicas[0])
-			for range 5 * replicas { // until the first leader is there
+			c.processAllReady(c.replicas[0])
+			for range 5 * replicas { // until the first leader is elected
 				if len(c.inFlight) > 0 {
-					c.do(0)
+					c.perform(0)
 				}
 			}
-			c.do(2*len(c.inFlight) + 1) // a batch is under way
+			c.perform(2*len(c.inFlight) + 1) // a batch is in flight
 			for _, choice := range path {
-				c.do(choice)
+				c.perform(choice)
 			}
 			runs++
 			if fault := c.check(); fault != "" {
@@ -95,12 +97,12 @@
 	}
 }
 
-// Guards the tests above: without what a driver asks to persist, some seed must fail.
-func TestAgreementNeedsPersistence(t *testing.T) {
+// Guards the tests above: if votes or entries are not persisted, some seed must fail.
+func TestSimulationDetectsSkippedPersistence(t *testing.T) {
 	for _, disabled := range []string{"vote", "entries"} {
 		found := false
 		for seed := uint64(1); seed <= 3000 && !found; seed++ {
-			if fault, _, _ := run(3, seed, 250, disabled); fault != "" {
+			if fault, _, _ := runSeed(3, seed, 250, disabled); fault != "" {
 				t.Logf("without persisting the %s seed %d fails: %s", disabled, seed, fault)
 				found = true
 			}
--- a/internal/controlplane/replica/logger.go
+++ b/internal/controlplane/replica/logger.go
@@ -5,9 +5,9 @@
 	"log/slog"
 )
 
-// raftLogger passes raft's log to slog, a level lower than raft has it: its warnings report
-// ordinary elections. What raft calls fatal is a broken invariant, on which the program must not go
-// on.
+// raftLogger forwards raft's log to slog at a lower level, because raft's warnings report ordinary
+// elections. It panics on raft's fatal messages: they report a broken invariant, after which the
+// program must not continue.
 type raftLogger struct{}
 
 const raftEvent = "replica.raft"
--- a/internal/controlplane/replica/membership_test.go
+++ b/internal/controlplane/replica/membership_test.go
@@ -11,9 +11,9 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against accepting places of which one machine, or one of three sites, takes the majority
-// away.
-func TestValidPlacesSurviveTheLossOfAnyOne(t *testing.T) {
+// Guards against accepting a configuration in which the loss of one machine, or of one of three or
+// more sites, costs the majority.
+func TestValidConfigurationKeepsMajorityAfterOneFault(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 9).Draw(t, "copies")
 		var places []ConfiguredReplica
@@ -38,7 +38,7 @@
 		}
 		for m, n := range machines {
 			if n > 1 {
-				t.Fatalf("machine %s has %d copies", m, n)
+				t.Fatalf("machine %s has %d replicas", m, n)
 			}
 		}
 		for s, n := range sites {
@@ -47,12 +47,12 @@
 			}
 		}
 		if serving%2 == 0 {
-			t.Fatalf("%d copies", serving)
+			t.Fatalf("%d voting replicas", serving)
 		}
 	})
 }
 
-func TestInvalidPlacesAreReported(t *testing.T) {
+func TestInvalidConfigurationIsReported(t *testing.T) {
 	for want, places := range map[string][]ConfiguredReplica{
 		"both on machine m1": {
 			{Name: "a", Machine: "m1", Site: "x"},
@@ -64,12 +64,12 @@
 			{Name: "a", Machine: "m2", Site: "y"},
 			{Name: "c", Machine: "m3", Site: "z"},
 		},
-		"2 copies besides spares": {
+		"2 replicas besides standbys": {
 			{Name: "a", Machine: "m1", Site: "x"},
 			{Name: "b", Machine: "m2", Site: "y"},
 			{Name: "c", Machine: "m3", Site: "z", IsStandby: true},
 		},
-		"3 of 5 copies are in site": {
+		"3 of 5 replicas are in site": {
 			{Name: "a", Machine: "m1", Site: "x"},
 			{Name: "b", Machine: "m2", Site: "x"},
 			{Name: "c", Machine: "m3", Site: "x"},
@@ -83,7 +83,7 @@
 	}
 }
 
-// groupOfThree returns the view of the leader a of three replicas with a standby d.
+// groupOfThree returns the view of leader a in a group of the replicas a, b and c with a standby d.
 func groupOfThree() View {
 	v := View{
 		Members: map[uint64]Member{},
@@ -105,7 +105,7 @@
 	return v
 }
 
-// Guards the rules by which a disk is admitted, replaced and removed, and the reasons of a
+// Guards the rules for admitting, replacing and removing a disk, and the reasons given for a
 // rejection.
 func TestMembershipChanges(t *testing.T) {
 	rejected := func(what string, err error, why string) {
@@ -117,7 +117,7 @@
 	}
 	v := groupOfThree()
 	if c, err := v.Admit("a", 1, nil, 0); c != nil || err != nil {
-		t.Error("a member asks again:", c, err)
+		t.Error("a member that asks again:", c, err)
 	}
 	_, err := v.Admit("b", 9, nil, 0)
 	rejected("a machine with an empty disk under its old name", err, "copies replace b")
@@ -126,30 +126,30 @@
 	_, err = v.Admit("c", 2, nil, 0)
 	rejected("a disk under another name", err, "not c")
 	_, err = v.Admit("d", 9, map[uint64]time.Duration{2: 50 * time.Millisecond}, 100*time.Millisecond)
-	rejected("a spare while all are there", err, "no copy is gone")
+	rejected("a standby while all replicas are alive", err, "no copy is gone")
 	_, err = v.Admit("d", 9, map[uint64]time.Duration{1: 5000 * time.Millisecond}, 100*time.Millisecond)
-	rejected("a spare for the leader, who does not hear itself", err, "no copy is gone")
+	rejected("a standby for the leader, which receives no messages from itself", err, "no copy is gone")
 	_, err = v.Admit("d", 9, map[uint64]time.Duration{2: 500 * time.Millisecond}, 0)
-	rejected("a spare without leave", err, "by hand")
+	rejected("a standby while replacement by standbys is disabled", err, "by hand")
 	c, err := v.Admit("d", 9, map[uint64]time.Duration{2: 500 * time.Millisecond, 3: 200 * time.Millisecond}, 100*time.Millisecond)
 	if err != nil || len(c.Steps) != 1 || c.Steps[0].Kind != AddLearner || c.Steps[0].Member.Replaces != 2 {
-		t.Errorf("a spare for the copy that is gone longest: %+v %v", c, err)
+		t.Errorf("a standby for the replica that has been silent for longest: %+v %v", c, err)
 	}
 	withRemoved := groupOfThree()
 	withRemoved.Members[2] = Member{Name: "b", Machine: "mb", Site: "sb", Left: true}
 	_, err = withRemoved.Admit("b", 2, nil, 0)
-	rejected("a disk that was taken out", err, "--new-disk")
+	rejected("a removed disk", err, "--new-disk")
 	_, err = withRemoved.Admit("b", 9, nil, 0)
-	rejected("another disk of a name whose disk was taken out", err, "copies add b")
+	rejected("another disk under the name of a removed one", err, "copies add b")
 	_, err = withRemoved.Add("b", 2)
-	rejected("a disk that was taken out, by hand", err, "--new-disk")
+	rejected("a removed disk, by an operator's order", err, "--new-disk")
 	_, err = withRemoved.Replace("c", "b", 2)
-	rejected("a disk that was taken out in another's place, by hand", err, "--new-disk")
+	rejected("a removed disk as a replacement, by an operator's order", err, "--new-disk")
 	if c, err := withRemoved.Add("b", 9); err != nil || c.Steps[0].Disk != 9 {
 		t.Error(c, err)
 	}
 	_, err = v.Remove("b", false)
-	rejected("fewer", err, "bear the loss of 1; without b they bear 0")
+	rejected("a removal that lowers the tolerated failures", err, "bear the loss of 1; without b they bear 0")
 	if c, err = v.Remove("b", true); err != nil || len(c.Steps) != 1 {
 		t.Error(c, err)
 	}
@@ -161,12 +161,12 @@
 	_, err = v.Replace("b", "b", 0)
 	rejected("no disk waits", err, "start it there first")
 	_, err = v.Replace("b", "c", 9)
-	rejected("a place that is taken", err, "in the group already")
+	rejected("a replacement that is already a member", err, "in the group already")
 	if _, err = v.Add("b", 9); err == nil {
 		t.Error("a name is added twice")
 	}
 	if to, err := v.Successor(""); to != 2 || err != nil {
-		t.Error("the lead goes to", to, err)
+		t.Error("the successor is", to, err)
 	}
 }
 
@@ -180,15 +180,15 @@
 	for _, p := range []Progress{{}, {Match: 10, IsActive: true}, {Match: 1000}, {Match: 1000, IsActive: true, InSnapshot: true}} {
 		v.Progress[9] = p
 		if c := v.Promote(100); c != nil {
-			t.Errorf("%+v votes: %+v", p, c)
+			t.Errorf("a learner with progress %+v is promoted: %+v", p, c)
 		}
 	}
 	if c, err := v.Replace("b", "b", 9); c != nil || err != nil {
-		t.Errorf("said again: %+v %v", c, err)
+		t.Errorf("the same order again: %+v %v", c, err)
 	}
 	removeFirst := Step{Kind: RemoveMember, Disk: 9}
 	if c, err := v.Replace("b", "b", 11); err != nil || len(c.Steps) != 2 || c.Steps[0] != removeFirst || c.Steps[1].Member.Replaces != 2 {
-		t.Errorf("another disk, for the first one is gone too: %+v %v", c, err)
+		t.Errorf("another replacement after the first one was lost: %+v %v", c, err)
 	}
 	v.Progress[9] = Progress{Match: 950, IsActive: true}
 	c := v.Promote(100)
@@ -198,11 +198,11 @@
 	}
 	v.IsJoint = true
 	if v.Promote(100) != nil {
-		t.Error("two changes at once")
+		t.Error("a second change was started while one is in progress")
 	}
 }
 
-// Guards against a disk that comes back in an older state than it has shown.
+// Guards against accepting a disk that returns in an older state than was observed of it.
 func TestRollbackDetector(t *testing.T) {
 	detector := NewRollbackDetector()
 	detector.Observe(5, 3, 40, 0)
@@ -226,6 +226,6 @@
 		t.Error("only the incarnation that introduced itself may send messages")
 	}
 	if detector.Introduce(5, 7, ObservedDisk{Term: 1}); !detector.AcceptIncarnation(5, 1) {
-		t.Error("a disk in an older state took the right over")
+		t.Error("an incarnation with an older disk state took over the right to send messages")
 	}
 }
--- a/internal/controlplane/replica/ready.go
+++ b/internal/controlplane/replica/ready.go
@@ -10,37 +10,38 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Ready is what the caller has to do next, in this order: send EarlyMessages; install Snapshot,
-// persist Entries and HardState and call Persisted; send Messages; apply CommittedEntries, each
-// after ApplyEntry; call Advance.
+// Ready lists the work that the caller has to do next, in this order: send EarlyMessages; install
+// Snapshot, persist Entries and HardState, and call Persisted; send Messages; apply
+// CommittedEntries, calling ApplyEntry before each one; call Advance.
 type Ready struct {
-	EarlyMessages    []*pb.Message        // a leader's, which need not wait for its own disk
-	Entries          []*pb.Entry          // they replace the log from the index of the first one on
-	HardState        *HardState           // nil: as it was
+	EarlyMessages    []*pb.Message        // of a leader; need not wait for its own disk
+	Entries          []*pb.Entry          // replace the log from the index of the first one on
+	HardState        *HardState           // nil: unchanged
 	MustSync         bool                 // Entries and HardState must be durable before Messages are sent
-	Messages         []*pb.Message        // they rest on what was persisted
-	Snapshot         *pb.SnapshotMetadata // nil: none; else of the snapshot that was passed to StepSnapshot
+	Messages         []*pb.Message        // must be sent only after the state above is persisted
+	Snapshot         *pb.SnapshotMetadata // of the snapshot passed to StepSnapshot; nil: none
 	CommittedEntries []CommittedEntry
 	ReadStates       []ReadState
 	ready            raft.Ready
 }
 
-// CommittedEntry is a committed batch, or a committed change of members, which has neither data nor
-// tag.
+// CommittedEntry is a committed batch, or a committed membership change, which has neither data nor
+// a tag.
 type CommittedEntry struct {
 	At   Position
 	Tag  uint64 // of the proposal; 0: none
-	Data []byte // nil for an entry that changes nothing but the position
+	Data []byte // nil if the entry holds no batch
 }
 
-// ReadState answers a ReadIndex: this replica's state is current once Index is applied.
+// ReadState is the result of a ReadIndex call: this replica's state is current once Index is
+// applied.
 type ReadState struct {
 	Tag   uint64
 	Index uint64
 }
 
-// Ready returns what is to be done next; nil if there is nothing, or if the one before was not
-// advanced.
+// Ready returns the work that has to be done next. It returns nil if there is none, or if Advance
+// was not called for the previous Ready.
 func (d *Driver) Ready() *Ready {
 	if d.readyPending || !d.node.HasReady() {
 		return nil
@@ -68,8 +69,9 @@
 	return rd
 }
 
-// splitMessages sorts messages by whether they must wait for the disk. A leader's appends and
-// heartbeats need not: it counts its own log only once that is durable.
+// splitMessages assigns messages to rd.EarlyMessages or, if they must wait for the disk, to
+// rd.Messages. A leader's appends and heartbeats need not wait, because a leader counts its own log
+// towards the majority only once that log is durable.
 func (d *Driver) splitMessages(rd *Ready, messages []*pb.Message) {
 	isLeader := d.node.BasicStatus().RaftState == raft.StateLeader
 	for _, m := range messages {
@@ -81,16 +83,16 @@
 	}
 }
 
-// Persisted reports that what a Ready asked to persist is durable.
+// Persisted reports that the snapshot, hard state and entries of a Ready are durable.
 func (d *Driver) Persisted(rd *Ready) error {
 	if rd.Snapshot != nil {
 		if err := d.storage.ApplySnapshot(&pb.Snapshot{Metadata: rd.Snapshot}); err != nil {
-			return fmt.Errorf("replica: restart log at a snapshot: %w", err)
+			return fmt.Errorf("replica: reset log to a snapshot: %w", err)
 		}
 		d.storage.confState = rd.Snapshot.GetConfState()
 	}
 	if rd.HardState != nil {
-		_ = d.storage.SetHardState(rd.HardState.encode()) // it never fails in memory
+		_ = d.storage.SetHardState(rd.HardState.encode()) // in memory it never fails
 	}
 	if err := d.storage.Append(rd.Entries); err != nil {
 		return fmt.Errorf("replica: append to log: %w", err)
@@ -98,8 +100,8 @@
 	return nil
 }
 
-// ApplyEntry follows the committed entry with index i in a Ready, and reports whether it changed
-// the members.
+// ApplyEntry applies rd.CommittedEntries[i] to the driver's own state, and reports whether the entry
+// changed the members.
 func (d *Driver) ApplyEntry(rd *Ready, i int) (membersChanged bool, err error) {
 	entry := rd.ready.CommittedEntries[i]
 	d.storage.applied = positionOf(entry)
@@ -112,8 +114,8 @@
 	switch entry.GetType() {
 	case pb.EntryNormal:
 		return false, nil
-	case pb.EntryConfChange: // this program proposes none; a damaged or foreign store may hold one
-		return false, fmt.Errorf("replica: entry %d is a change of members in a form that is not used", entry.GetIndex())
+	case pb.EntryConfChange: // never proposed by this program; a damaged or foreign store may contain one
+		return false, fmt.Errorf("replica: entry %d is a membership change of an unsupported type", entry.GetIndex())
 	}
 	if err := d.applyConfChange(entry.GetData()); err != nil {
 		return false, fmt.Errorf("replica: entry %d: %w", entry.GetIndex(), err)
@@ -124,14 +126,14 @@
 func (d *Driver) applyConfChange(data []byte) error {
 	var confChange pb.ConfChangeV2
 	if err := proto.Unmarshal(data, &confChange); err != nil {
-		return fmt.Errorf("decode change of members: %w", err)
+		return fmt.Errorf("decode membership change: %w", err)
 	}
 	d.storage.confState = d.node.ApplyConfChange(&confChange)
 	d.changePending = false
-	if len(confChange.GetContext()) == 0 { // raft's own step out of a joint configuration
+	if len(confChange.GetContext()) == 0 { // raft leaves a joint configuration by itself
 		return nil
 	}
-	var c change
+	var c confChangeContext
 	if err := cbor.Unmarshal(confChange.GetContext(), &c); err != nil {
 		return fmt.Errorf("decode members: %w", err)
 	}
@@ -139,20 +141,19 @@
 	return nil
 }
 
-// SnapshotInstalled follows the installation of a snapshot, with the position and the members that
-// it holds.
+// SnapshotInstalled reports that a snapshot was installed, with its position and its members.
 func (d *Driver) SnapshotInstalled(at Position, members map[uint64]Member) {
 	d.storage.applied = at
 	d.members = members
 }
 
-// Advance ends a Ready.
+// Advance reports that all work of a Ready is done.
 func (d *Driver) Advance(rd *Ready) {
 	d.readyPending = false
 	d.node.Advance(rd.ready)
 }
 
-// DecodeEntry reads an entry as it is stored. data is nil if the entry holds no batch.
+// DecodeEntry decodes a stored entry. data is nil if the entry holds no batch.
 func DecodeEntry(raw []byte) (at Position, data []byte, err error) {
 	entry := &pb.Entry{}
 	if err := proto.Unmarshal(raw, entry); err != nil {
--- a/internal/controlplane/replica/rollback.go
+++ b/internal/controlplane/replica/rollback.go
@@ -2,21 +2,21 @@
 
 import "fmt"
 
-// RollbackDetector remembers the newest state that other disks have shown, so that a disk which
-// comes back in an older state, as from a backup, is excluded: it may have voted or acknowledged
-// what it no longer knows. The memory lasts as long as the process. It is not safe for concurrent
-// use.
+// RollbackDetector records the newest state that was observed of each other disk. A disk that
+// returns in an older state, for example after a restore from a backup, is excluded, because it may
+// have cast votes or acknowledged entries that it no longer knows of. The records are kept only in
+// memory. It is not safe for concurrent use.
 type RollbackDetector struct{ observed map[uint64]*ObservedDisk }
 
-// ObservedDisk is the newest state that a disk has shown.
+// ObservedDisk is the newest state that was observed of a disk.
 type ObservedDisk struct {
-	Term        uint64 `json:"term"` // of its messages
-	LastIndex   uint64 `json:"last"` // the index up to which it acknowledged the log in that term
-	Vote        uint64 `json:"vote"` // the disk that it voted for in that term; 0: not known
-	Incarnation uint64 `json:"run"`  // the start of the program that may send messages for it
+	Term        uint64 `json:"term"` // highest term in its messages
+	LastIndex   uint64 `json:"last"` // index up to which it acknowledged the log in that term
+	Vote        uint64 `json:"vote"` // disk that it voted for in that term; 0: unknown
+	Incarnation uint64 `json:"run"`  // start of the program that may send messages for it
 }
 
-// NewRollbackDetector makes a detector that has seen no disk.
+// NewRollbackDetector returns a detector without any observations.
 func NewRollbackDetector() *RollbackDetector {
 	return &RollbackDetector{observed: map[uint64]*ObservedDisk{}}
 }
@@ -31,7 +31,7 @@
 }
 
 // AcceptIncarnation reports whether an incarnation of the program may send messages for a disk. It
-// may not once another incarnation has introduced itself for the same disk.
+// may not if another incarnation was accepted first or was introduced later.
 func (r *RollbackDetector) AcceptIncarnation(disk, incarnation uint64) bool {
 	o := r.disk(disk)
 	if o.Incarnation == 0 {
@@ -41,7 +41,8 @@
 }
 
 // Observe records the term of a disk's message, the index up to which the message acknowledges the
-// log, and the disk that it votes for; 0 if the message says nothing of that.
+// log, and the disk that it votes for. lastIndex and vote are 0 if the message does not contain
+// them.
 func (r *RollbackDetector) Observe(disk, term, lastIndex, vote uint64) {
 	o := r.disk(disk)
 	if term > o.Term {
@@ -56,9 +57,9 @@
 	}
 }
 
-// Introduce records a new incarnation with the state that it says its disk is in, and returns what
-// was observed of the disk before. An incarnation whose disk is older than that does not get the
-// right to send messages.
+// Introduce records a new incarnation of the program that reports the given state of its disk, and
+// returns the state that was observed of the disk before. If the reported state is older than the
+// observed one, the incarnation may not send messages.
 func (r *RollbackDetector) Introduce(disk, incarnation uint64, state ObservedDisk) ObservedDisk {
 	o := r.disk(disk)
 	before := *o
@@ -68,7 +69,7 @@
 	return before
 }
 
-// CheckNotOlder returns an error if a disk's own state is older than what was observed of it.
+// CheckNotOlder returns an error if a disk's own state is older than the state observed of it.
 func (o ObservedDisk) CheckNotOlder(observed ObservedDisk) error {
 	switch {
 	case o.Term < observed.Term:
--- a/internal/controlplane/replica/status.go
+++ b/internal/controlplane/replica/status.go
@@ -7,27 +7,27 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// Status is what a driver knows of the group.
+// Status is the state of the group as one driver sees it.
 type Status struct {
 	Disk     uint64 // of this replica
-	Leader   uint64 // 0: none is known
+	Leader   uint64 // 0: unknown
 	IsLeader bool
 	HardState
 	Applied  uint64 // index
 	Voters   []uint64
 	Learners []uint64
-	IsJoint  bool                // a change of members is half way
-	Progress map[uint64]Progress // at the leader only
+	IsJoint  bool                // a membership change is in progress: the configuration is joint
+	Progress map[uint64]Progress // nil unless this replica is the leader
 }
 
-// Progress is how far another replica is, as the leader knows.
+// Progress is the leader's knowledge of a replica's replication state.
 type Progress struct {
 	Match      uint64 // index up to which its log is known to match
-	IsActive   bool   // it answered within the last election timeout
-	InSnapshot bool   // it is being sent a snapshot
+	IsActive   bool   // responded within the last election timeout
+	InSnapshot bool   // a snapshot is being sent to it
 }
 
-// Status returns the present state of the group.
+// Status returns the current state of the group.
 func (d *Driver) Status() Status {
 	raftStatus := d.node.Status()
 	s := Status{
@@ -54,19 +54,20 @@
 	return s
 }
 
-// ConfState returns who votes and who learns, at the applied position.
+// ConfState returns the voters and learners at the applied position.
 func (d *Driver) ConfState() *pb.ConfState { return d.storage.confState }
 
-// Members returns the members by disk, and those that were removed. The map must not be changed.
+// Members returns the current and the removed members by disk. The map must not be modified.
 func (d *Driver) Members() map[uint64]Member { return d.members }
 
-// IsRemoved reports whether a disk was removed from the group, which is final. While the change
-// that removes it is half way, the disk's votes still count, and it is not removed.
+// IsRemoved reports whether a disk was removed from the group. A removal is final. While the change
+// that removes the disk is in its joint configuration, the disk's votes still count, and IsRemoved
+// returns false.
 func (d *Driver) IsRemoved(disk uint64) bool {
 	return d.members[disk].Left && !slices.Contains(d.storage.confState.GetVotersOutgoing(), disk)
 }
 
-// HardState returns the last state that Ready handed out to be persisted.
+// HardState returns the latest hard state that Ready returned to be persisted.
 func (d *Driver) HardState() HardState { return d.hardState }
 
 // Applied returns the position of the last applied entry.
--- a/internal/controlplane/replica/storage.go
+++ b/internal/controlplane/replica/storage.go
@@ -8,41 +8,41 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Position is a position in the log.
+// Position identifies an entry of the log.
 type Position struct{ Index, Term uint64 }
 
-// HardState is what must be durable before a message that rests on it is sent.
+// HardState is the state that must be durable before messages that depend on it are sent.
 type HardState struct{ Term, Vote, Commit uint64 }
 
 func (h HardState) encode() *pb.HardState {
 	return &pb.HardState{Term: proto.Uint64(h.Term), Vote: proto.Uint64(h.Vote), Commit: proto.Uint64(h.Commit)}
 }
 
-// PersistedState is what was on disk when the driver was made.
+// PersistedState is the state on disk from which a driver starts.
 type PersistedState struct {
 	Term, Vote, Commit uint64
-	Applied            Position          // up to which the store has applied the log
+	Applied            Position          // last entry that the store has applied
 	ConfState          *pb.ConfState     // at Applied
 	Members            map[uint64]Member // at Applied
-	Compacted          Position          // of the last entry that was dropped from the log
-	Entries            []*pb.Entry       // those after Compacted
+	Compacted          Position          // last entry that was deleted from the log
+	Entries            []*pb.Entry       // the entries after Compacted
 }
 
-// check returns what is inconsistent in a state.
-func (p PersistedState) check() error {
+// validate returns an error if the state is inconsistent.
+func (p PersistedState) validate() error {
 	for i, entry := range p.Entries {
 		if want := p.Compacted.Index + 1 + uint64(i); entry.GetIndex() != want {
-			return fmt.Errorf("replica: entry %d stands where %d is wanted", entry.GetIndex(), want)
+			return fmt.Errorf("replica: log has entry %d where entry %d is expected", entry.GetIndex(), want)
 		}
 	}
 	last := p.Compacted.Index + uint64(len(p.Entries))
 	if p.Applied.Index > p.Commit || p.Commit > last || p.Applied.Index < p.Compacted.Index {
-		return fmt.Errorf("replica: applied up to %d, committed up to %d, the log ends at %d", p.Applied.Index, p.Commit, last)
+		return fmt.Errorf("replica: inconsistent log: applied up to %d, committed up to %d, last entry %d", p.Applied.Index, p.Commit, last)
 	}
 	return nil
 }
 
-// logStorage is the log as raft reads it: the entries that the store holds, in memory.
+// logStorage implements raft.Storage. It keeps the log entries of the store in memory.
 type logStorage struct {
 	*raft.MemoryStorage
 	confState *pb.ConfState // at applied
@@ -52,7 +52,7 @@
 var _ raft.Storage = (*logStorage)(nil)
 
 func newLogStorage(p PersistedState) (*logStorage, error) {
-	if err := p.check(); err != nil {
+	if err := p.validate(); err != nil {
 		return nil, err
 	}
 	s := &logStorage{
@@ -61,9 +61,9 @@
 		applied:       p.Applied,
 	}
 	if p.Compacted.Index > 0 {
-		// MemoryStorage knows the entry before its first one as that of a snapshot.
+		// MemoryStorage records the entry before its first one as a snapshot.
 		if err := s.ApplySnapshot(snapshotAt(p.Compacted, pb.EnsureConfState(nil))); err != nil {
-			return nil, fmt.Errorf("replica: begin log at %d: %w", p.Compacted.Index, err)
+			return nil, fmt.Errorf("replica: start log at %d: %w", p.Compacted.Index, err)
 		}
 	}
 	if err := s.Append(p.Entries); err != nil {
@@ -78,7 +78,8 @@
 	return hardState, s.confState, err
 }
 
-// Snapshot implements raft.Storage. The result has no data: the sender streams the store instead.
+// Snapshot implements raft.Storage. The result contains no data: the sender streams the store
+// instead.
 func (s *logStorage) Snapshot() (*pb.Snapshot, error) {
 	if s.applied.Index == 0 {
 		return nil, raft.ErrSnapshotTemporarilyUnavailable
@@ -86,7 +87,7 @@
 	return snapshotAt(s.applied, s.confState), nil
 }
 
-// isJoint reports whether a change of members is half way, so that two majorities must agree.
+// isJoint reports whether the configuration is joint, so that two majorities must agree.
 func (s *logStorage) isJoint() bool { return len(s.confState.GetVotersOutgoing()) > 0 }
 
 func snapshotAt(at Position, confState *pb.ConfState) *pb.Snapshot {
@@ -97,9 +98,8 @@
 	}}
 }
 
-// Compact drops applied entries from the log in memory, but for the last ones, as many as keep
-// says. It returns the position of the last dropped entry, or the zero Position if none was
-// dropped.
+// Compact deletes applied entries from the log in memory, except the last keep ones. It returns the
+// position of the last deleted entry, or the zero Position if none was deleted.
 func (d *Driver) Compact(keep uint64) Position {
 	first := d.FirstIndex()
 	to := d.storage.applied.Index
@@ -119,12 +119,12 @@
 
 // FirstIndex returns the index of the first entry in the log.
 func (d *Driver) FirstIndex() uint64 {
-	index, _ := d.storage.FirstIndex() // it never fails in memory
+	index, _ := d.storage.FirstIndex() // in memory it never fails
 	return index
 }
 
 // LastIndex returns the index of the last durable entry.
 func (d *Driver) LastIndex() uint64 {
-	index, _ := d.storage.LastIndex() // it never fails in memory
+	index, _ := d.storage.LastIndex() // in memory it never fails
 	return index
 }
