--- a/internal/controlplane/api/client.go
+++ b/internal/controlplane/api/client.go
@@ -20,32 +20,33 @@
 	"stairvane.org/stairvane/internal/quota"
 )
 
-// Times of a client with several addresses.
+// Timeouts and delays of a client with several addresses.
 const (
-	callTimeout    = 10 * time.Second // for all attempts of a call
+	callTimeout    = 10 * time.Second // for all attempts of one call
 	attemptTimeout = 2 * time.Second
-	roundPause     = 30 * time.Millisecond // once each server has been tried
+	roundBackoff   = 30 * time.Millisecond // after each server has been tried once
 )
 
 const unixConnectTimeout = 5 * time.Second
 
-// Client calls the write side of a control plane. With the addresses of several replicas it finds the leader, and repeats calls
-// that were not answered. Its methods may be called by one goroutine at a time.
+// Client calls the write side of a control plane. With the addresses of several replicas it finds the leader and retries calls that
+// were not answered. It is not safe for concurrent use.
 type Client struct {
-	servers  []server
-	current  int // index of the server that answered last
-	who      string
-	unixPath string
+	servers    []server
+	current    int // index of the server that calls try first
+	who        string
+	socketPath string
 }
 
-// server is one replica's write side.
+// server is the write side of one replica.
 type server struct {
 	http *http.Client
-	base string // of its URLs
+	base string // base URL
 }
 
-// NewClient makes a client of a control plane at unix:PATH, or at HOST:PORT with or without credentials. The addresses of several
-// replicas are separated by commas. who is the name that the caller gives itself; it may be empty.
+// NewClient returns a client for the control plane at addresses, a comma-separated list with one address per replica. An address is
+// unix:PATH or HOST:PORT. TLS is used for HOST:PORT if c has a certificate. who is the name that the caller claims for itself; it may
+// be empty.
 func NewClient(addresses, who string, c Credentials) (*Client, error) {
 	client := &Client{who: who}
 	for _, address := range strings.Split(addresses, ",") {
@@ -55,7 +56,7 @@
 		}
 		client.servers = append(client.servers, s)
 		if path, isUnix := strings.CutPrefix(address, unixPrefix); isUnix {
-			client.unixPath = path
+			client.socketPath = path
 		}
 	}
 	return client, nil
@@ -69,7 +70,7 @@
 	path, isUnix := strings.CutPrefix(address, unixPrefix)
 	switch {
 	case isUnix:
-		s.base = "http://board" // any host: the connection goes to the socket
+		s.base = "http://board" // the host is not used: the connection goes to the socket
 		transport.DialContext = func(ctx context.Context, _, _ string) (net.Conn, error) {
 			return (&net.Dialer{Timeout: unixConnectTimeout}).DialContext(ctx, "unix", path)
 		}
@@ -86,15 +87,15 @@
 	return s, nil
 }
 
-// Path is the Unix socket that the client calls; empty for one that calls over TCP.
-func (c *Client) Path() string { return c.unixPath }
+// Path returns the path of the Unix socket that the client uses, or an empty string if it uses TCP.
+func (c *Client) Path() string { return c.socketPath }
 
-// request is one call. A write carries an ID, so that it is made once however often it is attempted.
+// request is one call. A write has an ID, so that the server executes it only once regardless of the number of attempts.
 type request struct {
 	method  string
 	path    string
 	body    []byte
-	writeID string // empty: a read
+	writeID string // empty for a read
 }
 
 func (c *Client) get(path string, out any) error {
@@ -105,7 +106,8 @@
 	return c.call(request{method: http.MethodPost, path: path, body: body, writeID: rand.Text()}, out)
 }
 
-// call makes a call and decodes the answer into out. An answer that is no success is an *Error.
+// call sends a request and decodes the response into out. With several servers it retries until callTimeout. The error is an *Error if
+// the server reported one.
 func (c *Client) call(r request, out any) error {
 	if len(c.servers) == 1 {
 		return c.attempt(context.Background(), c.servers[0], r, out)
@@ -119,17 +121,17 @@
 			return err
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("no copy carries it out: %w", err)
+			return fmt.Errorf("no replica served the request: %w", err)
 		}
 		c.current = (c.current + 1) % len(c.servers)
 		if attempts%len(c.servers) == 0 {
-			time.Sleep(roundPause)
+			time.Sleep(roundBackoff)
 		}
 	}
 }
 
-// isRetryable tells whether another replica may serve a call that ended with an error: it was not answered, or the one that
-// answered does not lead or does not know the outcome.
+// isRetryable reports whether a call that failed with err should be tried at another replica. That is the case if there was no answer,
+// or if the replica that answered is not the leader or does not know the outcome of the write.
 func isRetryable(err error) bool {
 	var answered *Error
 	if errors.As(err, &answered) {
@@ -138,22 +140,22 @@
 	return err != nil
 }
 
-// attempt makes a call to one server.
+// attempt sends a request to one server and decodes the response into out.
 func (c *Client) attempt(ctx context.Context, s server, r request, out any) error {
 	res, body, err := c.send(ctx, s, r)
 	if err != nil {
-		return fmt.Errorf("board: %w", err)
+		return fmt.Errorf("control plane: %w", err)
 	}
 	if res.StatusCode != http.StatusOK {
 		return decodeError(res.Status, body)
 	}
 	if err := json.Unmarshal(body, out); err != nil {
-		return fmt.Errorf("board: %w", err)
+		return fmt.Errorf("control plane: %w", err)
 	}
 	return nil
 }
 
-// send sends a request and reads the answer, whose body is closed then.
+// send sends a request, reads the whole response body and closes it.
 func (c *Client) send(ctx context.Context, s server, r request) (*http.Response, []byte, error) {
 	req, err := http.NewRequestWithContext(ctx, r.method, s.base+r.path, bytes.NewReader(r.body))
 	if err != nil {
@@ -169,65 +171,66 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	defer func() { _ = res.Body.Close() }() // it was read to its end
+	defer func() { _ = res.Body.Close() }() // the body was read to the end
 	body, err := io.ReadAll(res.Body)
 	return res, body, err
 }
 
-// decodeError is the *Error in an answer that is no success. An answer that was not sent by a control plane becomes one, too.
+// decodeError returns the *Error in an unsuccessful response. A response that doesn't come from a control plane is converted to an
+// *Error of kind Failed.
 func decodeError(status string, body []byte) error {
 	e := &Error{}
 	if json.Unmarshal(body, e) != nil || e.Message == "" {
-		e = &Error{Kind: Failed, Message: fmt.Sprintf("board: %s: %.200s", status, body)}
+		e = &Error{Kind: Failed, Message: fmt.Sprintf("control plane: %s: %.200s", status, body)}
 	}
 	if e.Kind == NotLeader && e.Leader != "" {
-		e.Message += "; copy " + e.Leader + " does"
+		e.Message += "; replica " + e.Leader + " is the leader"
 	}
 	return e
 }
 
-// State asks for the fleet's state.
+// State returns the declared and the observed state of the fleet.
 func (c *Client) State() (s State, err error) { return s, c.get("/v1/world", &s) }
 
-// Members asks which directors and relays there are.
+// Members returns the directors that are members, and the relays.
 func (c *Client) Members() (m Members, err error) { return m, c.get("/v1/roll", &m) }
 
-// Quotas asks which quotas are in force, and whose they are.
+// Quotas returns the quota allocations in force, with their holders.
 func (c *Client) Quotas() (allocations []quota.Allocation, err error) {
 	return allocations, c.get("/v1/turns", &allocations)
 }
 
-// Health asks for what directors have reported of caches.
+// Health returns the health of the caches as reported by directors.
 func (c *Client) Health() (caches []health.CacheStatus, err error) {
 	return caches, c.get("/v1/signals", &caches)
 }
 
-// Adoption asks when each director applied an event.
+// Adoption returns when each director applied the event at a revision.
 func (c *Client) Adoption(revision int64) (e adoption.Event, err error) {
 	return e, c.get(fmt.Sprintf("/v1/adoption?event=%d", revision), &e)
 }
 
-// History asks for the events after a revision, at most HistoryPage of them.
+// History returns the events after a revision, at most HistoryPage of them.
 func (c *Client) History(after int64) (h History, err error) {
 	return h, c.get(fmt.Sprintf("/v1/history?after=%d", after), &h)
 }
 
-// Submit has a plan file applied.
+// Submit starts an apply of a plan file.
 func (c *Client) Submit(file []byte) (a Accepted, err error) {
 	return a, c.post("/v1/applies", file, &a)
 }
 
-// Applies lists all applies.
+// Applies returns all applies.
 func (c *Client) Applies() (all []apply.Record, err error) {
 	return all, c.get("/v1/applies", &all)
 }
 
-// Apply asks for one apply with its steps.
+// Apply returns one apply with its steps.
 func (c *Client) Apply(id int64) (a Apply, err error) {
 	return a, c.get(fmt.Sprintf("/v1/applies/%d", id), &a)
 }
 
-// Before asks for the desired state that an apply replaced.
+// Before returns the desired state that an apply replaced.
 func (c *Client) Before(id int64) (d fleet.DesiredState, err error) {
 	return d, c.get(fmt.Sprintf("/v1/applies/%d/before", id), &d)
 }
@@ -246,7 +249,7 @@
 	return out, c.post("/v1/purges", body, &out)
 }
 
-// EachReplica asks each replica what it knows of the group, in the order of the addresses.
+// EachReplica requests the group status of each replica, in the order of the addresses, and calls f with each result.
 func (c *Client) EachReplica(f func(address string, known GroupStatus, err error)) {
 	for _, s := range c.servers {
 		var known GroupStatus
@@ -257,7 +260,7 @@
 	}
 }
 
-// ChangeReplicas has the leader change the members of the group.
+// ChangeReplicas requests that the leader change the members of the group.
 func (c *Client) ChangeReplicas(change ReplicaChange) (known GroupStatus, err error) {
 	body, err := json.Marshal(change)
 	if err != nil {
--- a/internal/controlplane/api/compatibility_test.go
+++ b/internal/controlplane/api/compatibility_test.go
@@ -7,7 +7,8 @@
 	"stairvane.org/stairvane/internal/tools/golden"
 )
 
-// TestLandedForms guards the write side's answers and what replicas tell the leader: an older version must read it.
+// TestLandedForms guards the encoding of the write side's answers and of the reports that replicas send to the leader, which an older
+// version must be able to decode.
 func TestLandedForms(t *testing.T) {
 	golden.JSON[Error](t, "error")
 	golden.JSON[State](t, "state")
--- a/internal/controlplane/api/errors.go
+++ b/internal/controlplane/api/errors.go
@@ -5,29 +5,29 @@
 	"stairvane.org/stairvane/internal/fleet/plan"
 )
 
-// Kinds of errors. They are part of the protocol: callers decide by them.
+// Error kinds. They are part of the protocol, because callers branch on them.
 const (
-	Stale          = "stale"       // the fleet has changed since the plan was made, see Error.Moved
-	Busy           = "busy"        // another apply has the lease, see Error.LeaseHolder; or there is no capacity for a relay
-	Damaged        = "damaged"     // the plan file can't be read
-	Newer          = "newer"       // the plan file is of a newer version
-	NotFound       = "not-found"   // there is no such apply, event or order
+	Stale          = "stale"       // the fleet has changed since the plan was made; see Error.Moved
+	Busy           = "busy"        // another apply holds the apply lock (see Error.RunningApply), or there is no capacity for another relay
+	Damaged        = "damaged"     // the plan file can't be decoded
+	Newer          = "newer"       // the plan file has a newer format version
+	NotFound       = "not-found"   // no such apply, event or order exists
 	WrongState     = "wrong-state" // the apply's status does not allow the order
-	NotAllowed     = "not-allowed" // the caller may not call
+	NotAllowed     = "not-allowed" // the caller is not authorized
 	BadRequest     = "bad-request" // the request is malformed
-	Failed         = "failed"      // a fault of the server
-	NotLeader      = "not-leading" // another replica leads, see Error.Leader
-	OutcomeUnknown = "unknown"     // it is not known whether the write was made: it may be repeated under the same ID
-	Rejected       = "refused"     // a change of the replicas that is not made
+	Failed         = "failed"      // internal error of the server
+	NotLeader      = "not-leading" // another replica is the leader; see Error.Leader
+	OutcomeUnknown = "unknown"     // the write may or may not have been committed; it can be retried under the same ID
+	Rejected       = "refused"     // the membership change of the group was rejected
 )
 
-// Error is the answer to a request that was not served.
+// Error is the response body of a request that failed.
 type Error struct {
 	Kind         string           `json:"error"`   // one of the constants above
-	Message      string           `json:"message"` // for people
+	Message      string           `json:"message"` // human-readable
 	Moved        []plan.StaleRead `json:"moved,omitempty"`
 	RunningApply *apply.Record    `json:"holder,omitempty"`
-	Leader       string           `json:"leader,omitempty"` // the replica that leads; empty if it is not known
+	Leader       string           `json:"leader,omitempty"` // name of the leader; empty if unknown
 }
 
 func (e *Error) Error() string { return e.Message }
--- a/internal/controlplane/api/tls.go
+++ b/internal/controlplane/api/tls.go
@@ -7,11 +7,11 @@
 	"os"
 )
 
-// Credentials are the paths of files in PEM: the own certificate and its key, and the authority that signs the other side's
-// certificates.
+// Credentials contains the paths of PEM files: the caller's own certificate and its key, and the certificate authority that signs the
+// peer's certificates.
 type Credentials struct{ Certificate, Key, Authority string }
 
-// ClientTLS reads the files with which a write side that asks for TLS is called.
+// ClientTLS loads the credentials for calling a write side over TLS.
 func ClientTLS(c Credentials) (*tls.Config, error) {
 	own, authority, err := c.load()
 	if err != nil {
@@ -20,7 +20,8 @@
 	return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{own}, RootCAs: authority}, nil
 }
 
-// ServerTLS reads the files with which a write side serves TLS. Each caller must have a certificate of the authority.
+// ServerTLS loads the credentials for serving the write side over TLS. Each caller must present a certificate that the authority has
+// signed.
 func ServerTLS(c Credentials) (*tls.Config, error) {
 	own, authority, err := c.load()
 	if err != nil {
@@ -34,7 +35,7 @@
 	}, nil
 }
 
-// load reads the own certificate and the authority's.
+// load reads the certificate with its key, and the authority's certificates.
 func (c Credentials) load() (own tls.Certificate, authority *x509.CertPool, err error) {
 	if own, err = tls.LoadX509KeyPair(c.Certificate, c.Key); err != nil {
 		return own, nil, err
@@ -45,7 +46,7 @@
 	}
 	authority = x509.NewCertPool()
 	if !authority.AppendCertsFromPEM(pem) {
-		return own, nil, fmt.Errorf("%s holds no certificate", c.Authority)
+		return own, nil, fmt.Errorf("%s contains no certificate", c.Authority)
 	}
 	return own, authority, nil
 }
--- a/internal/controlplane/eventlog/encode.go
+++ b/internal/controlplane/eventlog/encode.go
@@ -5,8 +5,8 @@
 	"stairvane.org/stairvane/internal/protocol/discovery"
 )
 
-// DiscoveryEvent is an event as directors are sent it, without a change of the membership. An event that concerns the control plane
-// alone is an endpoint list without a change, so that revisions have no gap.
+// DiscoveryEvent converts an event to the form that is sent to directors, without any membership change. An event that concerns only
+// the control plane becomes an endpoint list without endpoints, so that the revisions have no gap.
 func DiscoveryEvent(e fleet.Event) discovery.Event {
 	switch {
 	case e.Purge != nil:
@@ -40,7 +40,7 @@
 	}
 }
 
-// membershipChange is the change of the membership in an event. The epoch of a shard is the revision that assigns it.
+// membershipChange converts the membership change of an event. The epoch of a shard is the revision of the event that assigned it.
 func membershipChange(e fleet.Event) *discovery.Membership {
 	change := &discovery.Membership{Left: e.Membership.Left}
 	for _, director := range e.Membership.Joined {
--- a/internal/controlplane/eventlog/log.go
+++ b/internal/controlplane/eventlog/log.go
@@ -9,66 +9,67 @@
 )
 
 const (
-	// MaxAnswer bounds an answer of events, in bytes. A watcher gets the events beyond it with its next request. A director accepts
-	// 4 MB at most. A snapshot can't be divided: 4 MB is about 20,000 hosts.
+	// MaxAnswer is the maximum size, in bytes, of an answer that consists of events. The events that don't fit are sent in the answer
+	// to the watcher's next request. A director accepts at most 4 MB. A snapshot can't be split; 4 MB holds about 20,000 hosts.
 	MaxAnswer = 1 << 20
 
-	minSurplus = 1000 // events beyond those to keep, before the log is trimmed
-	maxParts   = 16   // of an answer; one write takes few
+	minTrim  = 1000 // with half of minEvents, the number of surplus events at which the log is trimmed
+	maxParts = 16   // per answer, because a single write takes only a few buffers
 )
 
-// Log has the last events of a fleet, encoded for watchers.
+// Log holds the most recent events of a fleet, encoded for watchers.
 type Log struct {
-	first              int64 // revision of events[0]
-	events             [][]byte
-	membershipChanges  map[int64][]byte // by revision: events with their change of the membership, for those who announce themselves
-	fleet              fleet.Fleet      // after the last event
-	keep               int
-	answersSinceChange map[question]answer
+	first             int64 // revision of events[0]
+	events            [][]byte
+	membershipChanges map[int64][]byte // by revision: events with their membership change, for directors that announce themselves
+	fleet             fleet.Fleet      // state after the last event
+	minEvents         int
+	cachedAnswers     map[answerKey]answer
 }
 
-// question is what a watcher asks for: the events after a revision, with or without the membership.
-type question struct {
+// answerKey identifies an answer: it covers the events after a revision, with or without the membership.
+type answerKey struct {
 	after      int64
 	membership bool
 }
 
-// answer is the body of an answer, in parts.
+// answer is the body of a response to a watch request, split into parts.
 type answer struct {
 	parts [][]byte
-	size  int // of all parts, in bytes
+	size  int // total size of the parts in bytes
 }
 
-// New makes a log of events that begin with revision first and lead to a fleet. The log keeps at least so many events.
-func New(first int64, events []fleet.Event, f fleet.Fleet, keep int) (*Log, error) {
+// New returns a log of consecutive events that start at revision first and result in fleet f. The log retains at least the last
+// minEvents events. It returns an error if the revisions have a gap or an event can't be encoded.
+func New(first int64, events []fleet.Event, f fleet.Fleet, minEvents int) (*Log, error) {
 	l := &Log{
-		first:              first,
-		fleet:              f,
-		keep:               keep,
-		membershipChanges:  map[int64][]byte{},
-		answersSinceChange: map[question]answer{},
+		first:             first,
+		fleet:             f,
+		minEvents:         minEvents,
+		membershipChanges: map[int64][]byte{},
+		cachedAnswers:     map[answerKey]answer{},
 	}
 	return l, l.append(events)
 }
 
-// Last is the revision of the last event.
+// Last returns the revision of the last event.
 func (l *Log) Last() int64 { return l.fleet.Revision }
 
-// HasMembership tells whether there was ever a member.
+// HasMembership reports whether the fleet has ever had a member.
 func (l *Log) HasMembership() bool { return l.fleet.Membership() != nil }
 
-// Add appends events, which lead to a fleet. Their revisions must follow on the last one without a gap; after an error the log can't be
-// used.
+// Add appends events that result in fleet f. Their revisions must continue from Last without a gap. The log must not be used after an
+// error.
 func (l *Log) Add(events []fleet.Event, f fleet.Fleet) error {
 	l.fleet = f
-	clear(l.answersSinceChange)
+	clear(l.cachedAnswers)
 	return l.append(events)
 }
 
 func (l *Log) append(events []fleet.Event) error {
 	for _, e := range events {
 		if next := l.first + int64(len(l.events)); e.No != next {
-			return fmt.Errorf("append event %d to the event log: the next one is %d", e.No, next)
+			return fmt.Errorf("append event %d to the event log: expected event %d", e.No, next)
 		}
 		if err := l.appendEvent(e); err != nil {
 			return fmt.Errorf("append event %d to the event log: %w", e.No, err)
@@ -93,10 +94,11 @@
 	return err
 }
 
-// trim drops the oldest events. It does so seldom, so that the cost for each event is small.
+// trim drops the oldest events once the surplus over minEvents exceeds half of minEvents plus minTrim. Trimming many events at a time
+// keeps the amortized cost per event low.
 func (l *Log) trim() {
-	surplus := len(l.events) - l.keep
-	if surplus <= l.keep/2+minSurplus {
+	surplus := len(l.events) - l.minEvents
+	if surplus <= l.minEvents/2+minTrim {
 		return
 	}
 	l.events = append([][]byte(nil), l.events[surplus:]...)
@@ -108,14 +110,15 @@
 	}
 }
 
-// Answer is the body for a watcher that has the events up to a revision, in parts that must not be changed, and its size in bytes. It
-// is nil if there is nothing newer. Watchers that announce themselves get the membership, too.
+// Answer returns the response body for a watcher that has all events up to revision after, and the size of the body in bytes. The
+// parts of the body are shared and must not be modified; they are nil if there is no newer event. With announced, the body includes
+// the membership.
 func (l *Log) Answer(after int64, announced bool) (parts [][]byte, size int, err error) {
 	if after >= l.Last() {
 		return nil, 0, nil
 	}
-	q := question{after: after, membership: announced}
-	if a, found := l.answersSinceChange[q]; found {
+	q := answerKey{after: after, membership: announced}
+	if a, found := l.cachedAnswers[q]; found {
 		return a.parts, a.size, nil
 	}
 	var events [][]byte
@@ -128,14 +131,15 @@
 		events, last = l.eventsAfter(after, announced)
 	}
 	a := newAnswer(events, last)
-	l.answersSinceChange[q] = a
+	l.cachedAnswers[q] = a
 	return a.parts, a.size, nil
 }
 
-// needsSnapshot tells whether a watcher has no endpoint list yet, or lacks events that the log does not have any more.
+// needsSnapshot reports whether a watcher at revision after has no endpoint list yet or lacks events that were already trimmed.
 func (l *Log) needsSnapshot(after int64) bool { return after == 0 || after+1 < l.first }
 
-// eventsAfter are the events after a revision, as many as an answer may have and at least one, and the revision that they lead to.
+// eventsAfter returns the encoded events after a revision, and the revision of the last one returned. It returns at least one event and
+// no more than fit into MaxAnswer.
 func (l *Log) eventsAfter(after int64, announced bool) (events [][]byte, last int64) {
 	events = l.events[after+1-l.first:]
 	if announced && len(l.membershipChanges) > 0 {
@@ -148,7 +152,7 @@
 	}
 	size := 0
 	for i, event := range events {
-		size += len(event) + 1 // with a comma
+		size += len(event) + 1 // plus a comma
 		if size > MaxAnswer && i > 0 {
 			return events[:i], after + int64(i)
 		}
@@ -156,7 +160,7 @@
 	return events, l.Last()
 }
 
-// newAnswer makes the body of an answer that brings a watcher to a revision.
+// newAnswer builds the body of an answer that brings a watcher to revision last. More than maxParts parts are joined into one.
 func newAnswer(events [][]byte, last int64) answer {
 	parts := make([][]byte, 0, 2*len(events)+2)
 	parts = append(parts, discovery.ResponseStart(last))
--- a/internal/controlplane/eventlog/log_test.go
+++ b/internal/controlplane/eventlog/log_test.go
@@ -14,14 +14,14 @@
 
 func TestMain(m *testing.M) { fleettest.Main(m) }
 
-// watcher takes answers in as a director does: events by rising revisions, changes of the endpoint list and snapshots.
+// watcher applies answers like a director: events in ascending order of revision, changes of the endpoint list and snapshots.
 type watcher struct {
 	last   int64
 	hosts  map[string]discovery.Endpoint
 	purges []string
 }
 
-func (w *watcher) take(t interface{ Fatalf(string, ...any) }, parts [][]byte) {
+func (w *watcher) apply(t interface{ Fatalf(string, ...any) }, parts [][]byte) {
 	var body []byte
 	for _, p := range parts {
 		body = append(body, p...)
@@ -51,8 +51,8 @@
 	w.last = max(w.last, response.LastRevision)
 }
 
-// Whenever watchers ask, and however many events were dropped from the log meanwhile, each ends with the fleet's endpoint list and has
-// got every purge once.
+// TestWatchersCatchUp checks that every watcher ends with the fleet's endpoint list and has received every purge exactly once,
+// regardless of when it polls and how many events the log has dropped in between.
 func TestWatchersCatchUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var f fleet.Fleet
@@ -83,7 +83,7 @@
 			if err := l.Add([]fleet.Event{e}, f); err != nil {
 				t.Fatal(err)
 			}
-			if keep := rapid.IntRange(0, 5).Draw(t, "compact"); len(l.events) > keep { // as trim does when there are many
+			if keep := rapid.IntRange(0, 5).Draw(t, "compact"); len(l.events) > keep { // as trim does when there are many events
 				l.first += int64(len(l.events) - keep)
 				l.events = l.events[len(l.events)-keep:]
 			}
@@ -91,7 +91,7 @@
 				if parts, _, err := l.Answer(w.last, false); err != nil {
 					t.Fatal(err)
 				} else if parts != nil {
-					w.take(t, parts)
+					w.apply(t, parts)
 				}
 			}
 		}
@@ -99,7 +99,7 @@
 			if parts, _, err := l.Answer(w.last, false); err != nil {
 				t.Fatal(err)
 			} else if parts != nil {
-				w.take(t, parts)
+				w.apply(t, parts)
 			}
 			if w.last != f.Revision || len(w.hosts) != f.Len() || len(w.purges) != purges {
 				t.Fatalf("at %d of %d with %d hosts of %d, %v", w.last, f.Revision, len(w.hosts), f.Len(), w.purges)
@@ -113,7 +113,7 @@
 	})
 }
 
-// Many events are sent in answers of bounded size that follow on each other.
+// TestAnswersAreBounded checks that many events are sent in consecutive answers of bounded size.
 func TestAnswersAreBounded(t *testing.T) {
 	var f fleet.Fleet
 	l, err := New(1, nil, f, 100_000)
@@ -135,7 +135,7 @@
 		if err != nil || size > MaxAnswer+100 {
 			t.Fatal(err, size)
 		}
-		w.take(t, parts)
+		w.apply(t, parts)
 		answers++
 	}
 	if len(w.purges) != 19_999 || answers < 2 {
--- a/internal/controlplane/eventlog/snapshot.go
+++ b/internal/controlplane/eventlog/snapshot.go
@@ -2,11 +2,12 @@
 
 import "stairvane.org/stairvane/internal/protocol/discovery"
 
-// snapshot is the endpoint list as it is now, under the revision of its last change, among the purges after a revision, which keep
-// theirs. The revisions rise, for a watcher ignores an event with a lower revision than the one before.
+// snapshot returns the current endpoint list as one event, together with the purges after a revision. The endpoint list has the
+// revision of its last change, and each purge keeps its own revision. The events are in ascending order of revision, because a watcher
+// ignores an event whose revision is lower than that of the event before. The endpoint list is omitted if the watcher already has it.
 func (l *Log) snapshot(after int64, announced bool) ([][]byte, error) {
 	var events [][]byte
-	listed := l.fleet.EndpointRevision <= after // the watcher has the list
+	listed := l.fleet.EndpointRevision <= after // the watcher already has the list
 	for _, purge := range l.fleet.PurgesAfter(after) {
 		if !listed && purge.No > l.fleet.EndpointRevision {
 			list, err := l.endpointList(announced)
@@ -29,7 +30,7 @@
 	return append(events, list), err
 }
 
-// endpointList is the complete endpoint list as an event, with the complete membership for watchers that announce themselves.
+// endpointList encodes the complete endpoint list as an event. With announced, the event also contains the complete membership.
 func (l *Log) endpointList(announced bool) ([]byte, error) {
 	list := &discovery.EndpointList{Sequence: l.fleet.EndpointRevision, Snapshot: true}
 	for host := range l.fleet.Hosts() {
@@ -42,7 +43,7 @@
 	return discovery.EncodeEvent(event)
 }
 
-// membership is the complete membership; nil if there was never a member.
+// membership returns the complete membership, or nil if the fleet has never had a member.
 func (l *Log) membership() *discovery.Membership {
 	dump := l.fleet.Membership()
 	if dump == nil {
