--- a/internal/controlplane/adoption.go
+++ b/internal/controlplane/adoption.go
@@ -10,49 +10,50 @@
 	"stairvane.org/stairvane/internal/controlplane/store"
 )
 
-// adoptionKept is how many of the last events are recorded.
-const adoptionKept = 2000
+// maxAdoptionEvents is the number of most recent events that are recorded.
+const maxAdoptionEvents = 2000
 
-// adoptionService owns the record of when each director applied each of the last events. mu guards it.
+// adoptionService owns the record of when each director applied each of the most recent events. mu guards it.
 //
-// A record begins when this replica begins to lead and is dropped when it ceases to. Calls without a record change nothing.
+// The record is created when this replica becomes the leader and dropped when it stops being the leader. Without a record, calls have
+// no effect.
 type adoptionService struct {
-	mu      sync.Mutex
-	current *adoption.Record // nil: this replica does not lead
+	mu     sync.Mutex
+	record *adoption.Record // nil if this replica is not the leader
 }
 
-// lead begins a record after an event.
-func (s *adoptionService) lead(revision int64) {
+// startLeading creates a record that starts with the event after a revision.
+func (s *adoptionService) startLeading(revision int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.current = adoption.New(adoptionKept, revision)
+	s.record = adoption.New(maxAdoptionEvents, revision)
 }
 
-func (s *adoptionService) cease() {
+func (s *adoptionService) stopLeading() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.current = nil
+	s.record = nil
 }
 
-// committed records that all events up to last are durable.
-func (s *adoptionService) committed(last int64, now time.Duration) {
+// eventsCommitted records that all events up to last are durable.
+func (s *adoptionService) eventsCommitted(last int64, now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.current != nil {
-		s.current.RecordCommitted(last, now)
+	if s.record != nil {
+		s.record.RecordCommitted(last, now)
 	}
 }
 
-// record records that a director has applied all events up to one, at a moment.
-func (s *adoptionService) record(id string, applied int64, at time.Duration) {
+// recordApplied records that a director had applied all events up to a revision at the given time.
+func (s *adoptionService) recordApplied(id string, applied int64, at time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.current != nil {
-		s.current.RecordApplied(id, applied, at)
+	if s.record != nil {
+		s.record.RecordApplied(id, applied, at)
 	}
 }
 
-// recordRelay records which events the directors of a relay have applied.
+// recordRelay records the events that the directors of a relay have applied, according to an update of the relay's session.
 func (s *adoptionService) recordRelay(u membership.Update, now time.Duration) {
 	if u.Directors == 0 {
 		return
@@ -64,37 +65,39 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.current == nil {
+	if s.record == nil {
 		return
 	}
-	s.current.RecordApplied(reporter, u.Current, now)
-	s.current.SetStale(reporter, stale)
+	s.record.RecordApplied(reporter, u.Current, now)
+	s.record.SetStale(reporter, stale)
 }
 
-// sweep forgets directors that relays serve now, and marks those that are gone.
-func (s *adoptionService) sweep(members memberLookup, now time.Duration) {
+// removeExpired removes the directors that are now served by relays, and marks the reporters that are no longer members.
+func (s *adoptionService) removeExpired(members memberLookup, now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.current == nil {
+	if s.record == nil {
 		return
 	}
-	s.current.ForgetServed(members.ServedByRelay)
-	s.current.MarkGone(func(reporter string) bool {
+	s.record.RemoveServedByRelay(members.ServedByRelay)
+	s.record.MarkGone(func(reporter string) bool {
 		_, known := members.LastContact(reporter)
 		return known || members.HasRelaySession(adoption.RelayOf(reporter))
 	}, now)
 }
 
-// event returns who has applied an event and when. The error is store.ErrNotLeader, or names the events that are recorded.
+// event returns which reporters have applied the event at a revision, and when. The error is store.ErrNotLeader, or states which events
+// are recorded.
 func (s *adoptionService) event(revision int64, now time.Duration) (adoption.Event, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.current == nil {
+	if s.record == nil {
 		return adoption.Event{}, store.ErrNotLeader
 	}
-	e, from, to, recorded := s.current.Event(revision, now)
+	e, from, to, recorded := s.record.Event(revision, now)
 	if !recorded {
-		return e, fmt.Errorf("event %d is not recorded: this board has led since event %d, and the history is at %d", revision, from-1, to)
+		return e, fmt.Errorf("event %d is not recorded: this replica has led since event %d, and the last event is %d",
+			revision, from-1, to)
 	}
 	return e, nil
 }
--- a/internal/controlplane/adoption/doc.go
+++ b/internal/controlplane/adoption/doc.go
@@ -1,8 +1,8 @@
-// Package adoption records when each director applied each of the last events, and reports for one event how long that took over
-// the fleet.
+// Package adoption records when each director applied each of the most recent events, and reports how long one event took to reach
+// the whole fleet.
 //
-// The leader keeps the record. Directors report what they have applied with their calls, a relay for all of its directors. What
-// happened before the record began is not known and not reported.
+// The leader keeps the record. Each director reports its applied revision with every call, and a relay reports on behalf of all of its
+// directors. Nothing is known or reported about the time before the record was created.
 //
-// The package does no I/O and reads no clock: times are passed in.
+// The package does no I/O and reads no clock; the caller passes in the time.
 package adoption
--- a/internal/controlplane/adoption/event.go
+++ b/internal/controlplane/adoption/event.go
@@ -7,40 +7,40 @@
 	"time"
 )
 
-// AppliedBy is a reporter that has applied an event.
+// AppliedBy states when a reporter applied an event.
 type AppliedBy struct {
-	Director string `json:"director"` // or a relay, by the name that it reports by
+	Director string `json:"director"` // director ID, or the reporter name of a relay (see RelayReporter)
 	AfterMS  int64  `json:"after_ms"` // since the event was committed
 }
 
-// Event is what is recorded of one event.
+// Event is the adoption of one event across the fleet.
 type Event struct {
 	No           int64       `json:"no"`
 	AgeMS        int64       `json:"age_ms"` // since it was committed
 	Applied      []AppliedBy `json:"taken,omitempty"`
-	Missing      []string    `json:"missing,omitempty"` // members that have not applied it
-	Lost         []string    `json:"lost,omitempty"`    // members no more, and had not applied it
-	HadInitially int         `json:"had"`               // reporters that had it with their first report
+	Missing      []string    `json:"missing,omitempty"` // current members that have not applied it
+	Lost         []string    `json:"lost,omitempty"`    // former members that had not applied it
+	HadInitially int         `json:"had"`               // reporters whose first report already included it
 	P50MS        int64       `json:"p50_ms"`
 	P99MS        int64       `json:"p99_ms"`
 	LastMS       int64       `json:"last_ms"`
 }
 
-// Event returns what is recorded of an event. It also returns the first and the last event of the record; without the event,
-// found is false.
-func (r *Record) Event(no int64, now time.Duration) (e Event, first, last int64, found bool) {
-	committedAt, found := r.committedAt[no]
+// Event returns the adoption of the event at a revision, and the revisions of the first and last recorded events. found is false if
+// the event is not recorded.
+func (r *Record) Event(revision int64, now time.Duration) (e Event, first, last int64, found bool) {
+	committedAt, found := r.committedAt[revision]
 	if !found {
 		return e, r.first, r.last, false
 	}
-	e = Event{No: no, AgeMS: (now - committedAt).Milliseconds()}
-	for reporter, appliedAt := range r.appliedAt[no] {
+	e = Event{No: revision, AgeMS: (now - committedAt).Milliseconds()}
+	for reporter, appliedAt := range r.appliedAt[revision] {
 		e.Applied = append(e.Applied, AppliedBy{Director: reporter, AfterMS: (appliedAt - committedAt).Milliseconds()})
 	}
 	slices.SortFunc(e.Applied, func(a, b AppliedBy) int {
 		return cmp.Or(cmp.Compare(a.AfterMS, b.AfterMS), cmp.Compare(a.Director, b.Director))
 	})
-	r.addOthers(&e)
+	r.addUnapplied(&e)
 	if n := len(e.Applied); n > 0 {
 		e.P50MS = e.Applied[n/2].AfterMS
 		e.P99MS = e.Applied[n*99/100].AfterMS
@@ -49,8 +49,9 @@
 	return e, r.first, r.last, true
 }
 
-// addOthers adds who has not applied an event, and who had it from the beginning.
-func (r *Record) addOthers(e *Event) {
+// addUnapplied adds the reporters that are not in e.Applied: those that have not applied the event, and the number of those whose first
+// report already included it.
+func (r *Record) addUnapplied(e *Event) {
 	for _, reporter := range slices.Sorted(maps.Keys(r.applied)) {
 		_, applied := r.appliedAt[e.No][reporter]
 		switch {
--- a/internal/controlplane/adoption/record.go
+++ b/internal/controlplane/adoption/record.go
@@ -7,30 +7,30 @@
 )
 
 const (
-	// goneExpiry is the time for which a director that is no member any more stays recorded: it may only be paused or cut off.
+	// goneExpiry is how long a reporter that is no longer a member is kept, because it may only be paused or partitioned.
 	goneExpiry = 10 * time.Minute
-	// relayPrefix tells relays from directors.
+	// relayPrefix distinguishes relays from directors in reporter names.
 	relayPrefix = "relay:"
 )
 
-// Record is a leader's record, since it began to lead. Its reporters are directors by their IDs, and relays by names of
-// their own. It is not safe for concurrent use.
+// Record is the adoption record of one leader since the start of its leadership. Directors report under their IDs, and relays under the
+// names that RelayReporter returns. A Record is not safe for concurrent use.
 type Record struct {
-	keep        int64                              // how many of the last events it has
-	first       int64                              // the first event that it has
-	last        int64                              // the last event
-	committedAt map[int64]time.Duration            // by event
-	appliedAt   map[int64]map[string]time.Duration // by event and reporter
-	applied     map[string]int64                   // the last event that each reporter has applied
-	initial     map[string]int64                   // the same with its first report
-	goneSince   map[string]time.Duration           // of reporters that are no members any more
-	stale       map[string][]Stale                 // directors behind a relay that lag, by the relay's name
+	maxEvents   int64                              // number of most recent events that are recorded
+	first       int64                              // revision of the first recorded event
+	last        int64                              // revision of the last recorded event
+	committedAt map[int64]time.Duration            // by revision
+	appliedAt   map[int64]map[string]time.Duration // by revision and reporter
+	applied     map[string]int64                   // last revision that each reporter has applied
+	initial     map[string]int64                   // revision in each reporter's first report
+	goneSince   map[string]time.Duration           // reporters that are no longer members
+	stale       map[string][]Stale                 // stale directors behind each relay, by the relay's reporter name
 }
 
-// New makes a record of the last events that begins after one of them.
-func New(keep, after int64) *Record {
+// New returns a record that starts with the event following revision after and retains the last maxEvents events.
+func New(maxEvents, after int64) *Record {
 	return &Record{
-		keep:        keep,
+		maxEvents:   maxEvents,
 		first:       after + 1,
 		last:        after,
 		committedAt: map[int64]time.Duration{},
@@ -42,18 +42,18 @@
 	}
 }
 
-// RecordCommitted records that all events up to last are committed. It is to be called before any director gets them.
+// RecordCommitted records that all events up to last are committed at time now. It must be called before any director receives them.
 func (r *Record) RecordCommitted(last int64, now time.Duration) {
 	for ; r.last < last; r.last++ {
 		r.committedAt[r.last+1] = now
-		delete(r.committedAt, r.last+1-r.keep)
-		delete(r.appliedAt, r.last+1-r.keep)
+		delete(r.committedAt, r.last+1-r.maxEvents)
+		delete(r.appliedAt, r.last+1-r.maxEvents)
 	}
-	r.first = max(r.first, r.last-r.keep+1)
+	r.first = max(r.first, r.last-r.maxEvents+1)
 }
 
-// RecordApplied records that a reporter has applied all events up to one, at a moment. A report of more than is committed is ignored: it
-// is of another event log.
+// RecordApplied records that a reporter had applied all events up to a revision at the given time. A revision beyond the last committed
+// event is ignored, because it belongs to a different event log.
 func (r *Record) RecordApplied(reporter string, applied int64, at time.Duration) {
 	previous, known := r.applied[reporter]
 	if !known {
@@ -74,11 +74,12 @@
 	}
 }
 
-// RelayReporter returns the name by which a relay reports. A relay has applied an event when all of its directors have that are not
-// stale. So the size of the record grows with relays, and not with the directors behind them.
+// RelayReporter returns the reporter name of a relay. A relay counts as having applied an event once all of its directors have applied
+// it, except for the stale ones. The size of the record therefore grows with the number of relays and not with the number of directors
+// behind them.
 func RelayReporter(relayID string) string { return relayPrefix + relayID }
 
-// RelayOf returns the ID of the relay that reports by a name; empty if the reporter is a director.
+// RelayOf returns the ID of the relay with the given reporter name, or an empty string if the reporter is a director.
 func RelayOf(reporter string) string {
 	if id, isRelay := strings.CutPrefix(reporter, relayPrefix); isRelay {
 		return id
@@ -89,7 +90,7 @@
 // Stale is a director that has acknowledged less than the relay that reports for it.
 type Stale struct {
 	Director string
-	Revision int64 // that it has acknowledged
+	Revision int64 // last revision that it has acknowledged
 }
 
 // SetStale replaces the stale directors of a relay.
@@ -101,23 +102,24 @@
 	r.stale[relay] = slices.Clone(directors)
 }
 
-// ForgetServed forgets directors that relays report for now. What they have applied stays recorded.
-func (r *Record) ForgetServed(isServed func(id string) bool) {
+// RemoveServedByRelay removes the reporters for which a relay now reports. The events that they have applied stay recorded.
+func (r *Record) RemoveServedByRelay(isServed func(id string) bool) {
 	for reporter := range r.initial {
 		if isServed(reporter) {
-			r.forget(reporter)
+			r.remove(reporter)
 		}
 	}
 }
 
-func (r *Record) forget(reporter string) {
+func (r *Record) remove(reporter string) {
 	delete(r.applied, reporter)
 	delete(r.initial, reporter)
 	delete(r.goneSince, reporter)
 	delete(r.stale, reporter)
 }
 
-// MarkGone marks the reporters that are no members any more, and forgets them after a while. What they have applied stays recorded.
+// MarkGone marks the reporters that are no longer members, and removes them once goneExpiry has passed. The events that they have
+// applied stay recorded.
 func (r *Record) MarkGone(isMember func(reporter string) bool, now time.Duration) {
 	for reporter := range r.initial {
 		since, isGone := r.goneSince[reporter]
@@ -127,7 +129,7 @@
 		case !isGone:
 			r.goneSince[reporter] = now
 		case now-since > goneExpiry:
-			r.forget(reporter)
+			r.remove(reporter)
 		}
 	}
 }
--- a/internal/controlplane/adoption/record_test.go
+++ b/internal/controlplane/adoption/record_test.go
@@ -10,8 +10,8 @@
 
 const ms = time.Millisecond
 
-// In whatever order commits and reports come, a director has applied an event exactly if it reported that event or a later one, and
-// never before the commit. Events that are not recorded are not found.
+// TestRecord checks that, for any order of commits and reports, a director counts as having applied an event exactly if it reported
+// that event or a later one, and never at a time before the commit. Events that are not recorded must not be found.
 func TestRecord(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const keep = 8
@@ -38,16 +38,16 @@
 			}
 		}
 		for no := int64(1); no <= last+1; no++ {
-			e, from, to, is := r.Event(no, now)
-			if is != (no > begin && no > last-keep && no <= last) || is && (no < from || no > to) {
-				t.Fatalf("event %d of %d after %d: recorded %v, from %d to %d", no, last, begin, is, from, to)
+			e, from, to, recorded := r.Event(no, now)
+			if recorded != (no > begin && no > last-keep && no <= last) || recorded && (no < from || no > to) {
+				t.Fatalf("event %d of %d after %d: recorded %v, from %d to %d", no, last, begin, recorded, from, to)
 			}
 			for _, x := range e.Applied {
 				if x.AfterMS < 0 || applied[x.Director] < no || joined[x.Director] >= no {
 					t.Fatalf("event %d: %+v, it has applied %d and began at %d", no, x, applied[x.Director], joined[x.Director])
 				}
 			}
-			if is && e.HadInitially+len(e.Applied)+len(e.Missing)+len(e.Lost) != len(r.applied) {
+			if recorded && e.HadInitially+len(e.Applied)+len(e.Missing)+len(e.Lost) != len(r.applied) {
 				t.Fatalf("event %d: %+v of %d directors", no, e, len(r.applied))
 			}
 			for _, id := range append(e.Missing, e.Lost...) {
@@ -62,19 +62,20 @@
 	})
 }
 
-// A relay is one reporter for all of its directors. Those that it names as stale are missing, those that it serves are no reporters
-// any more, and a relay that ends is lost with what it has not applied.
+// TestRelayIsReporter checks that a relay is one reporter for all of its directors: the directors that it reports as stale are missing,
+// the directors that it serves are no longer reporters, and a relay that is gone is listed as lost for the events that it has not
+// applied.
 func TestRelayIsReporter(t *testing.T) {
 	r := New(10, 0)
-	taker, gone := RelayReporter("r1/1"), RelayReporter("r2/1")
-	for _, id := range []string{taker, gone, "d1/1", "d2/1"} {
+	relay, gone := RelayReporter("r1/1"), RelayReporter("r2/1")
+	for _, id := range []string{relay, gone, "d1/1", "d2/1"} {
 		r.RecordApplied(id, 0, 0)
 	}
 	r.RecordCommitted(3, 10*ms)
-	r.RecordApplied(taker, 3, 50*ms)
+	r.RecordApplied(relay, 3, 50*ms)
 	r.RecordApplied("d2/1", 2, 30*ms)
-	r.SetStale(taker, []Stale{{"d3/1", 2}, {"d4/1", 0}})
-	r.ForgetServed(func(id string) bool { return id == "d1/1" })
+	r.SetStale(relay, []Stale{{"d3/1", 2}, {"d4/1", 0}})
+	r.RemoveServedByRelay(func(id string) bool { return id == "d1/1" })
 	r.MarkGone(func(id string) bool { return id != gone }, 60*ms)
 	e, _, _, _ := r.Event(3, 70*ms)
 	if fmt.Sprint(e.Applied, e.Missing, e.Lost) != "[{relay:r1/1 40}] [d2/1 d3/1 d4/1] [relay:r2/1]" {
@@ -83,13 +84,13 @@
 	if e, _, _, _ = r.Event(2, 70*ms); fmt.Sprint(e.Missing) != "[d4/1]" || len(e.Applied) != 2 {
 		t.Fatalf("%+v", e)
 	}
-	r.SetStale(taker, nil)
+	r.SetStale(relay, nil)
 	r.MarkGone(func(id string) bool { return false }, 80*ms)
 	r.MarkGone(func(id string) bool { return false }, 80*ms+goneExpiry+1)
 	if len(r.applied)+len(r.initial)+len(r.goneSince)+len(r.stale) != 0 {
 		t.Fatalf("%v, %v", r.applied, r.stale)
 	}
-	if RelayOf(taker) != "r1/1" || RelayOf("d1/1") != "" {
-		t.Fatal(RelayOf(taker), RelayOf("d1/1"))
+	if RelayOf(relay) != "r1/1" || RelayOf("d1/1") != "" {
+		t.Fatal(RelayOf(relay), RelayOf("d1/1"))
 	}
 }
--- a/internal/controlplane/apply_test.go
+++ b/internal/controlplane/apply_test.go
@@ -17,7 +17,7 @@
 	"stairvane.org/stairvane/internal/tools/fakes"
 )
 
-// directorSettings are the settings of a director that runs as in production.
+// directorSettings are settings of a director as used in production.
 const directorSettings = `{"Areas":["hub","west"],"Zone":"west","Models":["std","parent","origin"],
 "Balancers":1,"SlotNo":0,"Weights":"nominal",
 "FamilyInfo":{"ParentKind":-1,"SourceKind":2,"CountByZone":[0,1],"OneFlowKbPerS":5000,"Tells":"hit","Joins":true,
@@ -27,7 +27,7 @@
  "MaxRetryAfter":2000,"MostHeld":20000,"Multiplex":32,"RetryAfter":true},
 "Rules":{"DrainGrace":500,"GraceToAnswer":8,"Cold":500,"ColdFrom":0.5,"Fall":3000,"TipMultiple":4}}`
 
-// startDirector runs a real director that watches a control plane, and gives its address.
+// startDirector runs a real director that watches a control plane, and returns the director's address.
 func startDirector(t *testing.T, controlPlane string) string {
 	c, err := config.Parse(fmt.Appendf(nil, `{"name":"n","listen":"127.0.0.1:0","seed":"1",
 "bulletin":%q,"known":{"no":0,"items":[]},"settings":%s}`, controlPlane, directorSettings), "", "")
@@ -45,9 +45,9 @@
 	return addr.String()
 }
 
-// Two directors watch the control plane under a steady load while a plan adds two caches and drains one. Each request gets one
-// final answer. Nothing is sent to the drained cache, and nothing names it as a source, later than 500 ms after the directors have
-// acknowledged the drain.
+// TestApplyUnderLoadLosesNoRequest runs two directors under a steady load while a plan adds two caches and drains one. Each request
+// must get exactly one final answer. Later than 500 ms after the directors have acknowledged the drain, no request may be sent to the
+// drained cache or name it as a source.
 func TestApplyUnderLoadLosesNoRequest(t *testing.T) {
 	var caches []*fakes.Cache
 	for range 5 {
@@ -73,7 +73,7 @@
 	for range 2 {
 		directors = append(directors, startDirector(t, addr.String()))
 	}
-	until(t, "the directors watch", func() bool { return s.watches.Count() == 2 })
+	waitUntil(t, "the directors watch", func() bool { return s.watches.Count() == 2 })
 	load := make(chan fakes.Tally, 2)
 	for _, d := range directors {
 		go func() {
@@ -84,20 +84,20 @@
 			load <- tally
 		}()
 	}
-	until(t, "load", func() bool { return len(caches[1].Attempts()) > 20 })
+	waitUntil(t, "load", func() bool { return len(caches[1].Attempts()) > 20 })
 	before := s.store.Fleet().Revision
 	done := make(chan api.Apply, 1)
 	file := planTo(t, c, desiredState(rules, spec(0, true), spec(2, true), spec(3, false), spec(4, false)))
 	go func() { done <- applyPlan(t, c, file) }()
 	drained := int64(0)
-	until(t, "the drain", func() bool {
+	waitUntil(t, "both directors acknowledge the drain", func() bool {
 		m := s.store.Fleet().Host("c-1")
 		if m != nil && m.State == fleet.Terminating && drained == 0 {
 			drained = s.store.Fleet().Revision
 		}
 		return drained > before && s.acknowledgedRevision() >= drained
 	})
-	acknowledgedAt := time.Now() // both directors have asked for the events after the drain
+	acknowledgedAt := time.Now() // both directors have requested the events after the drain
 	a := <-done
 	if a.Status != apply.Done {
 		t.Fatalf("%+v", a)
@@ -112,31 +112,31 @@
 		for _, o := range cache.Attempts() {
 			late := o.At.Sub(acknowledgedAt)
 			if i == 1 && late > 500*time.Millisecond || o.Source == "c-1" && late > 500*time.Millisecond {
-				t.Errorf("cache %d was asked %v after the drain was acknowledged", i, late)
+				t.Errorf("cache %d received a request %v after the drain was acknowledged", i, late)
 			}
 		}
 	}
 	if len(caches[3].Attempts()) == 0 || len(caches[4].Attempts()) == 0 {
-		t.Error("an added cache got nothing")
+		t.Error("an added cache received no request")
 	}
-	// The same plan again changes nothing, whoever submits it.
+	// Submitting the same plan again changes nothing, regardless of the caller.
 	again, err := client(t, s.settings, "somebody").Submit(file)
 	if err != nil || !again.Already || again.ID != a.ID || s.store.Fleet().Host("c-1") != nil {
 		t.Errorf("%+v %v", again, err)
 	}
 }
 
-// The same plan and different plans are submitted at the same moment: one apply begins, and the other callers learn who has the
-// lease. Once it has ended a plan that was made before it is stale.
+// TestConcurrentSubmissionsBeginOneApply submits identical and different plans concurrently: exactly one apply starts, and the other
+// callers are told which apply holds the lock. Once the apply has ended, a plan that was made before it is stale.
 func TestConcurrentSubmissionsBeginOneApply(t *testing.T) {
 	_, c := start(t, settingsIn(t.TempDir()))
 	rules := rulesWithoutWaits()
 	check(t, notDone(applyPlan(t, c, planTo(t, c, desiredState(rules, cacheSpec(0, true), cacheSpec(1, true))))))
 	slow := rules
 	slow.DrainSettleMS = 300
-	grow := planTo(t, c, desiredState(slow, cacheSpec(0, true), cacheSpec(2, true), cacheSpec(3, true))) // both drain, and so last
+	grow := planTo(t, c, desiredState(slow, cacheSpec(0, true), cacheSpec(2, true), cacheSpec(3, true))) // both drain, so they take time
 	swap := planTo(t, c, desiredState(slow, cacheSpec(0, true), cacheSpec(2, true)))
-	submit := func(files ...[]byte) (taken int) {
+	submit := func(files ...[]byte) (accepted int) {
 		got := make(chan error, len(files))
 		for i, file := range files {
 			go func() {
@@ -149,46 +149,46 @@
 		}
 		for range files {
 			err := <-got
-			var refused *api.Error
+			var rejected *api.Error
 			switch {
 			case err == nil:
-				taken++
-			case !errors.As(err, &refused) || refused.Kind != api.Busy || refused.RunningApply == nil ||
-				!strings.Contains(refused.Message, "says person"):
+				accepted++
+			case !errors.As(err, &rejected) || rejected.Kind != api.Busy || rejected.RunningApply == nil ||
+				!strings.Contains(rejected.Message, "says person"):
 				t.Errorf("%v", err)
 			}
 		}
-		return taken
+		return accepted
 	}
 	if n := submit(grow, swap, grow, swap); n != 1 {
-		t.Errorf("%d were taken at once", n)
+		t.Errorf("%d plans were accepted concurrently", n)
 	}
-	until(t, "the end", func() bool {
+	waitUntil(t, "all applies have ended", func() bool {
 		all, err := c.Applies()
 		check(t, err)
 		return !slices.ContainsFunc(all, func(r apply.Record) bool { return !r.Status.Ended() })
 	})
-	// One of the two plans has been carried out: it changes nothing more. The other is stale.
+	// One of the two plans has been applied, so submitting it again changes nothing. The other is stale.
 	stale, already := 0, 0
 	for _, file := range [][]byte{swap, grow} {
 		a, err := c.Submit(file)
-		var refused *api.Error
+		var rejected *api.Error
 		switch {
 		case err == nil && a.Already:
 			already++
-		case errors.As(err, &refused) && refused.Kind == api.Stale && len(refused.Moved) > 0:
+		case errors.As(err, &rejected) && rejected.Kind == api.Stale && len(rejected.Moved) > 0:
 			stale++
 		default:
 			t.Errorf("%+v %v", a, err)
 		}
 	}
 	if stale != 1 || already != 1 {
-		t.Errorf("%d stale, %d done already", stale, already)
+		t.Errorf("%d plans are stale, %d already applied", stale, already)
 	}
 }
 
-// The observer sees a cache die during an apply. The apply pauses before the step that would break the capacity floor, or plans back,
-// as the rules say.
+// TestHostLostDuringApply stops a cache during an apply. Once the observer has detected this, the apply must pause before the step that
+// would violate the capacity floor, or revert, depending on the rules.
 func TestHostLostDuringApply(t *testing.T) {
 	for _, onFault := range []string{fleet.Pause, fleet.Revert} {
 		t.Run(onFault, func(t *testing.T) {
@@ -209,16 +209,16 @@
 			rules.MaxParallelSteps = 1
 			rules.DrainSettleMS = 1500
 			check(t, notDone(applyPlan(t, c, planTo(t, c, desiredState(rules, declared...)))))
-			until(t, "all are seen", func() bool {
+			waitUntil(t, "all hosts are observed as up", func() bool {
 				observed := s.ObservedState().Observed
 				isNotUp := func(x fleet.HostSpec) bool { return observed[x.Name].Sight != fleet.Up }
 				return len(observed) == 5 && !slices.ContainsFunc(declared, isNotUp)
 			})
 			a, err := c.Submit(planTo(t, c, desiredState(rules, declared[2], declared[3]))) // drains c-0, then c-1
 			check(t, err)
-			until(t, "the first drain", func() bool { return s.store.Fleet().Host("c-0").State == fleet.Terminating })
+			waitUntil(t, "the first drain starts", func() bool { return s.store.Fleet().Host("c-0").State == fleet.Terminating })
 			caches[3].Close()
-			until(t, "it stops", func() bool {
+			waitUntil(t, "the apply stops", func() bool {
 				now, err := c.Apply(a.ID)
 				check(t, err)
 				return now.Status != apply.Running
@@ -241,7 +241,7 @@
 			if now.Status != apply.Reverted || now.RevertedBy == 0 {
 				t.Fatalf("%+v", now.Record)
 			}
-			until(t, "the way back", func() bool {
+			waitUntil(t, "the reverting apply is done", func() bool {
 				back, err := c.Apply(now.RevertedBy)
 				check(t, err)
 				return back.Status == apply.Done
--- a/internal/controlplane/bench_test.go
+++ b/internal/controlplane/bench_test.go
@@ -24,7 +24,8 @@
 	"stairvane.org/stairvane/internal/fleet"
 )
 
-// BenchmarkCommit measures durable changes a second by 64 writers: with batches of changes that share a sync, and with a sync each.
+// BenchmarkCommit measures the durable changes per second of 64 writers, with batches of changes that share a sync and with one sync
+// per change.
 func BenchmarkCommit(b *testing.B) {
 	for _, batch := range []int{256, 1} {
 		b.Run(fmt.Sprintf("batch=%d", batch), func(b *testing.B) {
@@ -46,8 +47,8 @@
 	}
 }
 
-// BenchmarkAcknowledged measures the time from a commit (when Do returns) until every watcher has asked for the events after it, over
-// loopback, with all watchers in this process.
+// BenchmarkAcknowledged measures the time from a commit (when Do returns) until every watcher has requested the events after it. All
+// watchers run in this process and connect over loopback.
 func BenchmarkAcknowledged(b *testing.B) {
 	for _, watchers := range []int{1, 100, 1000} {
 		b.Run(fmt.Sprintf("watchers=%d", watchers), func(b *testing.B) {
@@ -62,7 +63,7 @@
 				defer func() { _ = conn.Close() }() // the server may have closed it
 				go watchInLoop(conn, &acks)
 			}
-			until(b, "all watch", func() bool { return server.watches.Count() == watchers })
+			waitUntil(b, "all watchers are connected", func() bool { return server.watches.Count() == watchers })
 			took := make([]time.Duration, 0, b.N)
 			goroutines := runtime.NumGoroutine()
 			b.ResetTimer()
@@ -84,7 +85,7 @@
 	}
 }
 
-// watchInLoop asks for the next events as soon as it is answered.
+// watchInLoop requests the next events as soon as it has received an answer.
 func watchInLoop(conn net.Conn, acks *atomic.Int64) {
 	in := bufio.NewReader(conn)
 	after := int64(0)
@@ -107,8 +108,8 @@
 	}
 }
 
-// BenchmarkRecovery opens a store of 1,000,000 events whose writer was killed (-9), with a snapshot near its end and without any. It
-// takes minutes, and so it runs only with STAIRVANE_LONG.
+// BenchmarkRecovery opens a store of 1,000,000 events whose writer was killed (-9), with a snapshot near the end and without any. It
+// takes minutes and therefore runs only if STAIRVANE_LONG is set.
 func BenchmarkRecovery(b *testing.B) {
 	if os.Getenv("STAIRVANE_LONG") == "" {
 		b.Skip("set STAIRVANE_LONG=1")
@@ -177,7 +178,7 @@
 	select {}
 }
 
-// BenchmarkApply carries out a plan of some 10,000 steps that wait for nothing. Each step is two durable transactions.
+// BenchmarkApply applies a plan of about 10,000 steps without waits. Each step takes two durable transactions.
 func BenchmarkApply(b *testing.B) {
 	_, c := start(b, settingsIn(b.TempDir()))
 	rules := rulesWithoutWaits()
--- a/internal/controlplane/directors.go
+++ b/internal/controlplane/directors.go
@@ -17,35 +17,35 @@
 )
 
 const (
-	// membershipTick is the time between two looks for changes that are to be written.
-	membershipTick = 25 * time.Millisecond
+	// membershipPollInterval is the interval between checks for changes that must be written.
+	membershipPollInterval = 25 * time.Millisecond
 )
 
-// directorServices passes what directors and relays say to the services that own it, and writes the membership events of the
-// leader. It owns no state of directors itself:
+// directorServices dispatches the messages of directors and relays to the services that own the respective state, and writes the
+// membership events while this replica is the leader. It owns no state of directors itself:
 //
-//   - members: which directors there are, and the sessions of relays
-//   - quotas: the quotas that the leader grants, and the grants that wait for directors here
-//   - health: the health reports of directors, and what is aggregated from them
+//   - members: the known directors and the sessions of relays
+//   - quotas: the quotas that the leader grants, and the grants queued for directors that watch this replica
+//   - health: the health reports of directors and the health aggregated from them
 //   - shards: the claim shards whose replicas are filled
-//   - adoption: when each director applied each of the last events
+//   - adoption: when each director applied each of the most recent events
 //
-// Each of them has its own lock. A call locks one service at a time, except that adoption is swept under the lock of
-// members. Locks are taken in the order relayRequests, leadership, members, adoption; those of the group, of relay leases and of
-// the event loop come last.
+// Each service has its own lock. A call locks one service at a time, except that expired reporters are removed from adoption under the
+// lock of members. Locks are acquired in the order relayRequests, leadership, members, adoption; the locks of the group, of the relay
+// leases and of the event loop come last.
 type directorServices struct {
 	server *Server
-	stop   chan struct{} // closed by the owner to end run
-	ended  chan struct{} // closed when run has ended
+	stop   chan struct{} // closed by Server to end run
+	ended  chan struct{} // closed when run has returned
 
-	// leadership is held for writing while the services begin or cease to lead, and for reading by calls that use several of
-	// them. So a call finds all services leading, or none.
+	// leadership is write-locked while the services start or stop leading, and read-locked by calls that use several services. Such a
+	// call therefore finds either all services leading or none.
 	leadership sync.RWMutex
-	isLeader   bool // what the services know; only the goroutine of run uses it
+	isLeader   bool // the state that was last passed to the services; used only by the goroutine of run
 
-	// relayRequests has relays' requests taken one at a time. The lease that a request is answered with counts with the
-	// revision that the request acknowledged. It must not take the place of one that a later request of the session was given:
-	// a director that has joined since may lack events that the earlier request acknowledged.
+	// relayRequests serializes the requests of relays. A lease is recorded with the revision that its request acknowledged. It must
+	// not replace the lease of a later request of the same session, because a director that has joined in between may lack events that
+	// the earlier request acknowledged.
 	relayRequests sync.Mutex
 
 	members  *memberService
@@ -68,40 +68,41 @@
 	}
 }
 
-// observe takes what a director says of itself with a watch request. It is called before the request is answered.
-func (s *directorServices) observe(a discovery.Announcement, applied int64) {
+// recordAnnouncement processes the announcement in a director's watch request. It must be called before the request is answered.
+func (s *directorServices) recordAnnouncement(a discovery.Announcement, applied int64) {
 	now := replicas.Now()
 	s.leadership.RLock()
 	defer s.leadership.RUnlock()
-	s.members.observe(a, applied, now)
-	s.adoption.record(a.ID(), applied, now)
-	s.shards.take(a.ReadyShards)
-	s.health.takeReport(a, now)
+	s.members.recordAnnouncement(a, applied, now)
+	s.adoption.recordApplied(a.ID(), applied, now)
+	s.shards.recordReady(a.ReadyShards)
+	s.health.addReport(a, now)
 	s.quotas.renew(a, now)
 }
 
-// takeGrant returns the quota grant for a director, once; nil if there is none.
-func (s *directorServices) takeGrant(id string) *quota.Grant { return s.quotas.takeGrant(id) }
+// popGrant removes and returns the pending quota grant of a director, or returns nil if there is none.
+func (s *directorServices) popGrant(id string) *quota.Grant { return s.quotas.popGrant(id) }
 
-// aggregatedHealth returns what a director that sends health reports is to be notified of now; nil if nothing is new to it.
+// aggregatedHealth returns the aggregated health for a director that sends health reports, or nil if there is nothing new for it.
 func (s *directorServices) aggregatedHealth(id string) *health.AggregatedHealth {
-	return s.health.notification(id, replicas.Now())
+	return s.health.nextNotification(id, replicas.Now())
 }
 
-// Heartbeats returns what this replica reports to the leader of the directors that watch it.
+// Heartbeats returns this replica's report to the leader about the directors that watch it. It drains the queued quota renewals and
+// health reports.
 func (s *directorServices) Heartbeats() api.Heartbeats {
 	now := replicas.Now()
 	s.leadership.RLock()
 	defer s.leadership.RUnlock()
 	return api.Heartbeats{
 		Directors:     s.members.heartbeats(now),
-		QuotaRenewals: s.quotas.takeRenewals(),
-		HealthReports: s.health.takeQueuedReports(),
-		ReadyShards:   s.shards.report(),
+		QuotaRenewals: s.quotas.drainRenewals(),
+		HealthReports: s.health.drainReports(),
+		ReadyShards:   s.shards.readyPairs(),
 	}
 }
 
-// TakeHeartbeats takes, at the leader, what another replica reports of the directors that watch it.
+// TakeHeartbeats processes, at the leader, another replica's report about the directors that watch it.
 func (s *directorServices) TakeHeartbeats(h api.Heartbeats) {
 	now := replicas.Now()
 	s.leadership.RLock()
@@ -109,64 +110,72 @@
 	for _, d := range h.Directors {
 		heardAt := now - time.Duration(d.AgeMS)*time.Millisecond
 		s.members.recordHeartbeat(d, heardAt)
-		s.adoption.record(d.ID, d.AppliedRevision, heardAt)
+		s.adoption.recordApplied(d.ID, d.AppliedRevision, heardAt)
 	}
-	s.health.takeReports(h.HealthReports, now)
-	s.shards.take(h.ReadyShards)
+	s.health.addForwardedReports(h.HealthReports, now)
+	s.shards.recordReady(h.ReadyShards)
 }
 
-// Grant answers, at the leader, the renewals of directors that watch other replicas. It is called right after it was proven that
-// this replica leads. The answer is empty if the services do not know yet that it does.
+// Grant answers, at the leader, the quota renewals of directors that watch other replicas. The caller must just have confirmed that
+// this replica is the leader. The answer is empty if the services have not started leading yet.
 func (s *directorServices) Grant(renewals []quota.Renewal) api.LeaseAnswer {
 	now := replicas.Now()
 	s.leadership.RLock()
 	defer s.leadership.RUnlock()
-	grants, err := s.quotas.grant(renewals, now)
+	grants, err := s.quotas.grantRenewals(renewals, now)
 	if err != nil {
 		return api.LeaseAnswer{}
 	}
 	return api.LeaseAnswer{QuotaGrants: grants, AggregatedHealth: s.health.aggregated(now)}
 }
 
-// TakeLeaseAnswer takes, at a replica, what the leader has granted to directors that watch it, and the aggregated health of caches.
+// TakeLeaseAnswer stores, at a follower, the leader's quota grants for the directors that watch this replica, and the aggregated health
+// of caches.
 func (s *directorServices) TakeLeaseAnswer(a api.LeaseAnswer) {
 	now := replicas.Now()
 	s.leadership.RLock()
 	defer s.leadership.RUnlock()
-	s.quotas.takeGrants(a.QuotaGrants)
+	s.quotas.addGrants(a.QuotaGrants)
 	if a.AggregatedHealth != nil {
-		s.health.takeAggregated(*a.AggregatedHealth, now)
+		s.health.setAggregated(*a.AggregatedHealth, now)
 	}
 }
 
-// Members returns the members, as this replica knows them if it leads.
+// Members returns the members of the fleet. Only the leader has complete information about them.
 func (s *directorServices) Members() api.Members {
 	return s.members.status(s.server.store.Fleet(), replicas.Now())
 }
 
-// QuotaAllocations returns the quota allocations that are in force; nil if this replica does not lead.
+// QuotaAllocations returns the quota allocations in force, or nil if this replica is not the leader.
 func (s *directorServices) QuotaAllocations() []quota.Allocation {
 	return s.quotas.allocations(replicas.Now())
 }
 
-// CacheHealth returns what is known of the health of all caches; nil if this replica does not lead.
-func (s *directorServices) CacheHealth() []health.CacheStatus { return s.health.caches(replicas.Now()) }
+// CacheHealth returns the known health of all caches, or nil if this replica is not the leader.
+func (s *directorServices) CacheHealth() []health.CacheStatus {
+	return s.health.cacheStatuses(replicas.Now())
+}
 
-// Adoption returns when each director applied an event. The error is store.ErrNotLeader, or names the events that are recorded.
+// Adoption returns when each director applied the event at a revision. The error is store.ErrNotLeader, or states which events are
+// recorded.
 func (s *directorServices) Adoption(revision int64) (adoption.Event, error) {
 	return s.adoption.event(revision, replicas.Now())
 }
 
-// committed is called with the last durable event, before any director gets the event.
-func (s *directorServices) committed(last int64) { s.adoption.committed(last, replicas.Now()) }
+// eventsCommitted records that all events up to last are durable. It must be called before any director receives them.
+func (s *directorServices) eventsCommitted(last int64) {
+	s.adoption.eventsCommitted(last, replicas.Now())
+}
 
-// settled reports whether this replica leads and all leases are over that an earlier leader may have given.
-func (s *directorServices) settled() bool { return s.members.settled(replicas.Now()) }
+// earlierLeasesExpired reports whether this replica is the leader and every lease that an earlier leader may have granted has expired.
+func (s *directorServices) earlierLeasesExpired() bool {
+	return s.members.earlierLeasesExpired(replicas.Now())
+}
 
-// run follows the leadership of the server and writes changes until stop is closed.
+// run tracks the leadership of the server and writes pending changes until stop is closed.
 func (s *directorServices) run() {
 	defer close(s.ended)
-	ticker := time.NewTicker(membershipTick)
+	ticker := time.NewTicker(membershipPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -180,66 +189,67 @@
 	}
 }
 
-// writeChanges writes the changes of the members and of their claim shards, if this replica leads.
+// writeChanges writes the pending changes of the members and of the claim shards if this replica is the leader.
 func (s *directorServices) writeChanges() error {
 	isLeader := s.server.IsLeader()
 	now := replicas.Now()
 	f := s.server.store.Fleet()
-	s.followLeadership(isLeader, f, now)
-	readyShards := s.shards.pending(f)
+	s.syncLeadership(isLeader, f, now)
+	readyShards := s.shards.pendingChanges(f)
 	if !isLeader {
 		return nil
 	}
-	w := membershipWrite{base: f, members: s.members.change(f, now), readyShards: readyShards}
+	w := membershipWrite{base: f, members: s.members.nextChange(f, now), readyShards: readyShards}
 	if w.isEmpty() {
 		return nil
 	}
-	return s.write(w)
+	return s.writeMembership(w)
 }
 
-// followLeadership has all services begin or cease to lead at once. While they lead, it has them forget what is over.
-func (s *directorServices) followLeadership(isLeader bool, f fleet.Fleet, now time.Duration) {
+// syncLeadership starts or stops leading in all services together. While this replica remains the leader, it removes expired state from
+// them.
+func (s *directorServices) syncLeadership(isLeader bool, f fleet.Fleet, now time.Duration) {
 	switch {
 	case isLeader && !s.isLeader:
-		s.lead(f, now)
+		s.startLeading(f, now)
 	case !isLeader && s.isLeader:
-		s.cease()
+		s.stopLeading()
 	case isLeader:
-		s.quotas.sweep(now)
-		s.health.sweep(now)
-		s.members.withTracker(func(t memberLookup) { s.adoption.sweep(t, now) })
+		s.quotas.removeExpired(now)
+		s.health.removeExpired(now)
+		s.members.withTracker(func(t memberLookup) { s.adoption.removeExpired(t, now) })
 	}
 	s.isLeader = isLeader
 }
 
-func (s *directorServices) lead(f fleet.Fleet, now time.Duration) {
+func (s *directorServices) startLeading(f fleet.Fleet, now time.Duration) {
 	term := s.server.term()
 	settings := quotaSettings(s.server.settings.Relays)
-	// What the leader before granted is over once its own lease and the lease of what it granted are.
+	// The grants of the earlier leader expire once both its own lease and the leases of the grants have expired.
 	earlierLeaderUntil := now + s.server.settings.Replicas.Lease
 	noEarlierLeader := f.Membership() == nil
 
 	s.leadership.Lock()
 	defer s.leadership.Unlock()
-	s.members.lead(f, now)
-	s.quotas.lead(quota.NewAllocator(settings, term, earlierLeaderUntil, noEarlierLeader))
-	s.health.lead(term)
-	s.adoption.lead(f.Revision)
+	s.members.startLeading(f, now)
+	s.quotas.startLeading(quota.NewAllocator(settings, term, earlierLeaderUntil, noEarlierLeader))
+	s.health.startLeading(term)
+	s.adoption.startLeading(f.Revision)
 	s.shards.setLeader(true)
 }
 
-func (s *directorServices) cease() {
+func (s *directorServices) stopLeading() {
 	s.leadership.Lock()
 	defer s.leadership.Unlock()
-	s.members.cease()
-	s.quotas.cease()
-	s.health.cease()
-	s.adoption.cease()
+	s.members.stopLeading()
+	s.quotas.stopLeading()
+	s.health.stopLeading()
+	s.adoption.stopLeading()
 	s.shards.setLeader(false)
 }
 
-// write makes a change durable.
-func (s *directorServices) write(w membershipWrite) error {
+// writeMembership commits a membership change.
+func (s *directorServices) writeMembership(w membershipWrite) error {
 	err := s.server.store.Do(func(t *store.Tx) error {
 		change := w.change(t.Fleet(), 1+s.server.settings.ClaimReplicas)
 		if change == nil {
@@ -252,7 +262,7 @@
 		return err
 	}
 	if w.members != nil {
-		s.members.markAnnounced(replicas.Now())
+		s.members.markWritten(replicas.Now())
 		slog.Info("membership.changed", "joined", len(w.members.Joined), "gone", w.members.Left)
 	}
 	return nil
--- a/internal/controlplane/directors_test.go
+++ b/internal/controlplane/directors_test.go
@@ -17,7 +17,7 @@
 	"stairvane.org/stairvane/internal/quota"
 )
 
-// newFollower makes services of their own for a server, which do not lead and of which no goroutine runs.
+// newFollower returns a server and separate services for it, which are not leading and whose goroutine is not running.
 func newFollower(t *testing.T) (*Server, *directorServices) {
 	t.Helper()
 	server, _ := start(t, settingsIn(t.TempDir()))
@@ -32,13 +32,14 @@
 	}
 }
 
-// All services begin and cease to lead at once, and nothing of an earlier leadership is answered from.
+// TestServicesLeadTogether checks that all services start and stop leading together, and that no answer contains state of an earlier
+// leadership.
 func TestServicesLeadTogether(t *testing.T) {
 	server, s := newFollower(t)
 	f := server.store.Fleet()
 	checkFollower := func() {
 		t.Helper()
-		if _, err := s.takeRelay(relayRequest(100, 0), true); !errors.Is(err, store.ErrNotLeader) {
+		if _, err := s.handleRelayRequest(relayRequest(100, 0), true); !errors.Is(err, store.ErrNotLeader) {
 			t.Errorf("a relay's request: %v", err)
 		}
 		if _, err := s.members.updateRelay(relayRequest(100, 0).Update, replicas.Now()); !errors.Is(err, store.ErrNotLeader) {
@@ -48,43 +49,44 @@
 			t.Errorf("adoption: %v", err)
 		}
 		a := s.Grant([]quota.Renewal{{Holder: "d/1", Seq: 100}})
-		if a.QuotaGrants != nil || a.AggregatedHealth != nil || s.health.aggregated(replicas.Now()) != nil || s.settled() {
+		if a.QuotaGrants != nil || a.AggregatedHealth != nil || s.health.aggregated(replicas.Now()) != nil || s.earlierLeasesExpired() {
 			t.Errorf("answered without leading: %+v", a)
 		}
-		s.shards.take([]int64{1, 1})
+		s.shards.recordReady([]int64{1, 1})
 		if first, again := s.Heartbeats(), s.Heartbeats(); len(first.ReadyShards) != 2 || len(again.ReadyShards) != 0 {
 			t.Errorf("a ready shard is reported as %v, then as %v", first.ReadyShards, again.ReadyShards)
 		}
 	}
 	checkFollower()
-	s.followLeadership(true, f, replicas.Now())
-	first, err := s.takeRelay(relayRequest(1, 0), true)
+	s.syncLeadership(true, f, replicas.Now())
+	first, err := s.handleRelayRequest(relayRequest(1, 0), true)
 	if err != nil || !first.NeedFull || first.LeaseMS == 0 || first.Grant == nil {
 		t.Fatalf("%+v, %v", first, err)
 	}
 	if a := s.Grant([]quota.Renewal{{Holder: "d/1", Seq: 1}}); len(a.QuotaGrants) != 1 || a.AggregatedHealth == nil {
 		t.Errorf("%+v", a)
 	}
-	if second, err := s.takeRelay(relayRequest(2, first.Registration), true); err != nil || second.NeedFull {
+	if second, err := s.handleRelayRequest(relayRequest(2, first.Registration), true); err != nil || second.NeedFull {
 		t.Errorf("%+v, %v", second, err)
 	}
 	if _, err := s.Adoption(f.Revision + 1); err == nil || errors.Is(err, store.ErrNotLeader) {
 		t.Errorf("adoption of an event that is not recorded: %v", err)
 	}
-	s.shards.take([]int64{1, 1})
+	s.shards.recordReady([]int64{1, 1})
 	if first, again := s.Heartbeats(), s.Heartbeats(); len(first.ReadyShards) != 2 || len(again.ReadyShards) != 2 {
 		t.Errorf("the leader forgets a ready shard: %v, then %v", first.ReadyShards, again.ReadyShards)
 	}
-	s.followLeadership(false, f, replicas.Now())
+	s.syncLeadership(false, f, replicas.Now())
 	checkFollower()
-	s.followLeadership(true, f, replicas.Now())
-	third, err := s.takeRelay(relayRequest(3, first.Registration), true)
+	s.syncLeadership(true, f, replicas.Now())
+	third, err := s.handleRelayRequest(relayRequest(3, first.Registration), true)
 	if err != nil || !third.NeedFull || third.Registration == first.Registration {
 		t.Errorf("the session of an earlier leadership is known: %+v, %v", third, err)
 	}
 }
 
-// Calls of all kinds while leadership changes neither block each other for good nor race.
+// TestLeadershipChangesDuringCalls checks that calls of all kinds neither deadlock nor race with each other and with changes of
+// leadership.
 func TestLeadershipChangesDuringCalls(t *testing.T) {
 	server, s := newFollower(t)
 	director := discovery.Announcement{Director: discovery.Director{Name: "d", Incarnation: "1", Machine: "m", Location: "west"}}
@@ -96,28 +98,28 @@
 	director.ReadyShards = []int64{1, 1}
 	const rounds = 300
 	calls := []func(round int){
-		func(round int) { s.observe(director, int64(round)) },
+		func(round int) { s.recordAnnouncement(director, int64(round)) },
 		func(int) { s.TakeHeartbeats(s.Heartbeats()) },
 		func(round int) {
 			s.TakeLeaseAnswer(s.Grant([]quota.Renewal{{Holder: fmt.Sprint("e/", round), Seq: 1}}))
-			s.takeGrant(director.ID())
+			s.popGrant(director.ID())
 		},
 		func(round int) {
-			_, err := s.takeRelay(relayRequest(uint64(round+1), 0), true)
+			_, err := s.handleRelayRequest(relayRequest(uint64(round+1), 0), true)
 			if err != nil && !errors.Is(err, store.ErrNotLeader) {
 				t.Errorf("round %d: %v", round, err)
 			}
 		},
 		func(round int) {
-			s.committed(int64(round))
-			_, _ = s.Adoption(int64(round)) // it need not be recorded
+			s.eventsCommitted(int64(round))
+			_, _ = s.Adoption(int64(round)) // the event may not be recorded
 		},
 		func(int) {
 			_ = s.Members()
-			_, _, _ = s.QuotaAllocations(), s.CacheHealth(), s.settled()
+			_, _, _ = s.QuotaAllocations(), s.CacheHealth(), s.earlierLeasesExpired()
 			_ = s.aggregatedHealth(director.ID())
 		},
-		func(round int) { s.followLeadership(round%3 > 0, server.store.Fleet(), replicas.Now()) },
+		func(round int) { s.syncLeadership(round%3 > 0, server.store.Fleet(), replicas.Now()) },
 	}
 	var running sync.WaitGroup
 	for _, call := range calls {
@@ -128,7 +130,7 @@
 		})
 	}
 	running.Wait()
-	s.followLeadership(false, fleet.Fleet{}, replicas.Now())
+	s.syncLeadership(false, fleet.Fleet{}, replicas.Now())
 	if h := s.Heartbeats(); len(h.Directors) != 1 || h.Directors[0].ID != director.ID() {
 		t.Errorf("%+v", h)
 	}
--- a/internal/controlplane/doc.go
+++ b/internal/controlplane/doc.go
@@ -1,46 +1,49 @@
-// Package controlplane is the server process of the control plane. It owns the fleet's event log: it serves the log to directors and
-// relays, observes caches, accepts purges and plans, and carries plans out. It runs alone, or as one replica of a raft group.
+// Package controlplane implements the server process of the control plane. It owns the fleet's event log: it serves the log to
+// directors and relays, observes caches, accepts purges and plans, and executes plans. It runs standalone or as one replica of a raft
+// group.
 //
-// The decisions are made elsewhere, without I/O: internal/fleet checks and applies events, fleet/plan makes plans, fleet/apply
-// decides the next step of one, membership decides which directors are members. This package has the sockets, the clock and the
-// store around them.
+// Other packages make the decisions, without I/O: internal/fleet checks and applies events, fleet/plan makes plans, fleet/apply
+// decides the next step of an apply, and membership decides which directors are members. This package provides the sockets, the clock
+// and the store around them.
 //
 // # State and its owners
 //
-//   - The store (package store) has the fleet, the event log and the applies. It is the only state on disk. Each change is one
+//   - The store (package store) contains the fleet, the event log and the applies. It is the only state on disk. Each change is one
 //     transaction, run by Store.Do.
-//   - The loop (Server.loop, one goroutine) owns the watch server, the event log in memory and the observer. Other goroutines reach
-//     them through Server.post.
-//   - The executor's goroutine owns the machine of the running apply. Requests of operators reach it under the executor's lock.
-//   - The services of directors (directorServices: members, quotas, health, shards, adoption) have a lock each and one goroutine, which
-//     polls the leadership every membershipTick. The leases of relays have a lock of their own.
-//   - In a group, replicas.Group runs raft in goroutines of its own. It reports a change of the leader to the executor by
-//     executor.setLeader, and an installed snapshot by Server.snapshotInstalled.
-//   - The write side is an http.Server: each request has its goroutine. It has few callers, who are people, their tools, relays and
-//     the other replicas.
+//   - The event loop (Server.loop, one goroutine) owns the watch server, the in-memory event log and the observer. Other goroutines
+//     access them through Server.post.
+//   - The executor's goroutine owns the state machine of the running apply. Operator requests access it under the executor's lock.
+//   - The director services (directorServices: members, quotas, health, shards, adoption) have a lock each and share one goroutine,
+//     which polls the leadership every membershipPollInterval. The relay leases have a lock of their own.
+//   - In a group, replicas.Group runs raft in its own goroutines. It calls executor.leadershipChanged when this replica gains or loses
+//     leadership, and Server.snapshotInstalled when a snapshot was installed.
+//   - The write side is an http.Server with one goroutine per request. It has few callers: operators, their tools, relays and the
+//     other replicas.
 //
 // # Leases
 //
-// Several leases keep a process from acting on stale state; each counts by its holder's clock from before it asked, and by its
-// grantor's clock from after it answered, with a margin for drift.
+// Several leases keep a process from acting on stale state. The holder counts a lease from before it sent the request, and the grantor
+// from after it sent the answer, each by its own clock and with a margin for clock drift.
 //
-//   - Watch lease, 200 ms: the leader lets a replica or a relay serve watches. Without it all watches are closed.
-//   - Membership lease, 400 ms: an answered poll lets a director act as a member.
-//   - Quota lease, 400 ms (1 s for a relay): a share of a limit. A new leader grants none until all older ones are over.
-//   - The apply lock is no timed lease: one apply runs at a time, and its epoch fences off an executor that led before.
+//   - Watch lease, 200 ms: the leader permits a replica or a relay to serve watches. Without the lease all watches are closed.
+//   - Membership lease, 400 ms: an answered poll permits a director to act as a member.
+//   - Quota lease, 400 ms (1 s for a relay): a share of a limit. A new leader grants none until all earlier quota leases have expired.
+//   - The apply lock is not time-limited: one apply runs at a time, and its epoch fences off the executor of an earlier leader.
 //
-// A leader that was paused finds its watch lease over: it closes its watches, proves nothing by a round of its group, commits
-// nothing, and steps down once it hears a higher term. What it granted before has run out by then, or does at its holders.
+// After a pause, a leader finds that its watch lease has expired: it closes its watches, can neither pass a barrier nor commit, and
+// steps down once it receives a message with a higher term. The leases that it granted before the pause have expired by then, or
+// expire at their holders.
 //
-// # What is durable when
+// # Durability
 //
-// A purge, a plan and an order are durable before they are answered: alone by a synced transaction of the store, in a group by the
-// synced raft log of a majority of replicas, from which each replica's store follows within milliseconds. Events reach watchers
-// after they are durable. A step of an apply appends its event and its state in one transaction, so that after a crash the step is
-// neither lost nor repeated. Observations, leases and health reports are in memory only and are gathered anew after a start.
+// A purge, a plan or an order is durable before it is acknowledged. In a standalone process a synced store transaction makes it
+// durable. In a group it is in the synced raft log of a majority of replicas, and each replica's store applies it within
+// milliseconds. Events are sent to watchers only once they are durable. A step of an apply writes its event and its state in one
+// transaction, so that a crash neither loses nor repeats the step. Observations, leases and health reports are kept in memory only and
+// are collected again after a restart.
 //
 // # Use
 //
-// New opens the store and the sockets. Run serves until Stop and then releases everything. Stop may be called from any goroutine,
-// also before Run.
+// New opens the store and the sockets. Run serves until Stop is called and then releases everything. Stop may be called from any
+// goroutine, including before Run.
 package controlplane
--- a/internal/controlplane/executor.go
+++ b/internal/controlplane/executor.go
@@ -11,28 +11,28 @@
 )
 
 const (
-	executorPollInterval  = 50 * time.Millisecond // while a step waits for an observation or an acknowledgement
+	executorPollInterval  = 50 * time.Millisecond // while a step is waiting for an observation or an acknowledgement
 	executorRetryInterval = 500 * time.Millisecond
-	executorIdleInterval  = time.Hour // it is woken when there is something to do
+	executorIdleInterval  = time.Hour // wake interrupts it when there is work
 )
 
-// executor carries out the apply that has the lease. It is the I/O around apply.Machine: it makes each decision durable in one
-// transaction and then marks it in the machine. Only the leader of a group executes.
+// executor executes the apply that holds the apply lock. It performs the I/O for apply.Machine: it commits each decision in one
+// transaction and then records it in the machine. In a group only the leader executes.
 type executor struct {
 	server   *Server
-	wakeups  chan struct{} // buffers one
+	wakeups  chan struct{} // has a buffer of one
 	stopping chan struct{}
 	stopped  chan struct{}
 
-	mu              sync.Mutex     // also locked while a decision is made durable
-	machine         *apply.Machine // of the apply that has the lease; nil if there is none
-	recoveredPeriod int64          // the period of leadership in which the running apply was recovered
+	mu              sync.Mutex     // also held while a decision is committed
+	machine         *apply.Machine // state of the apply that holds the apply lock; nil if there is none
+	recoveredPeriod int64          // the leadership period in which the running apply was recovered
 
-	writeFailed bool // owned by run: the last decision could not be made durable
+	writeFailed bool // used only by run: the last decision could not be committed
 
-	// In a group, the number of the current period of leadership; 0 while the replica does not lead.
-	currentPeriod atomic.Int64
-	periods       atomic.Int64 // begun so far
+	// In a group, the number of the current leadership period; 0 while this replica is not the leader.
+	leadershipPeriod atomic.Int64
+	periodCount      atomic.Int64 // number of leadership periods started so far
 }
 
 func newExecutor(s *Server) *executor {
@@ -44,7 +44,7 @@
 	}
 }
 
-// wake has the executor decide again. It does not block.
+// wake makes the executor check for work immediately. It does not block.
 func (x *executor) wake() {
 	select {
 	case x.wakeups <- struct{}{}:
@@ -52,27 +52,27 @@
 	}
 }
 
-// setLeader is called when the replica begins or ceases to lead. It does not block.
-func (x *executor) setLeader(isLeader bool) {
+// leadershipChanged is called when this replica becomes the leader or stops being the leader. It does not block.
+func (x *executor) leadershipChanged(isLeader bool) {
 	if isLeader {
-		x.currentPeriod.Store(x.periods.Add(1))
+		x.leadershipPeriod.Store(x.periodCount.Add(1))
 	} else {
-		x.currentPeriod.Store(0)
+		x.leadershipPeriod.Store(0)
 	}
 	x.wake()
 }
 
-// stop ends run and waits for its end.
+// stop ends run and waits until it has returned.
 func (x *executor) stop() {
 	close(x.stopping)
 	<-x.stopped
 }
 
-// run carries out decisions until stop.
+// run executes decisions until stop is called.
 func (x *executor) run() {
 	defer close(x.stopped)
 	for {
-		pause := x.work()
+		pause := x.executePending()
 		timer := time.NewTimer(pause)
 		select {
 		case <-x.stopping:
@@ -85,34 +85,34 @@
 	}
 }
 
-// work carries out decisions until there is nothing to do, and gives the time until it is to be called again.
-func (x *executor) work() time.Duration {
+// executePending executes decisions until none is left, and returns the time after which it should be called again.
+func (x *executor) executePending() time.Duration {
 	for {
 		select {
 		case <-x.stopping:
 			return 0
 		default:
 		}
-		if !x.followLeadership() {
+		if !x.syncLeadership() {
 			return executorIdleInterval
 		}
-		if pause := x.step(); pause > 0 {
+		if pause := x.executeNext(); pause > 0 {
 			return pause
 		}
 	}
 }
 
-// step carries out one decision. A pause above 0 tells that nothing more is to be done before it is over.
-func (x *executor) step() (pause time.Duration) {
+// executeNext executes one decision. It returns 0 if there may be another decision, and otherwise the time until the next check.
+func (x *executor) executeNext() (pause time.Duration) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	m := x.machine
 	if m == nil {
 		return executorIdleInterval
 	}
-	decision := m.Next(x.input())
+	decision := m.Next(x.machineInput())
 	if decision.Kind == apply.Wait {
-		return x.pauseUntil(decision.UntilMS)
+		return x.pollDelay(decision.UntilMS)
 	}
 	if err := x.execute(m, decision); err != nil {
 		if !x.writeFailed {
@@ -125,9 +125,9 @@
 	return 0
 }
 
-// pauseUntil is how long the executor pauses when nothing is to be done before a time; 0 is no time at all. The pause is short, for
-// what a step waits for may come earlier.
-func (x *executor) pauseUntil(untilMS int64) time.Duration {
+// pollDelay returns how long the executor sleeps if it has no work before untilMS; an untilMS of 0 means that there is no such time.
+// The delay is at most executorPollInterval, because the event that a step is waiting for may occur earlier.
+func (x *executor) pollDelay(untilMS int64) time.Duration {
 	if untilMS == 0 {
 		return executorIdleInterval
 	}
@@ -135,8 +135,8 @@
 	return min(executorPollInterval, max(time.Millisecond, remaining))
 }
 
-// input is what the machine decides by.
-func (x *executor) input() apply.Input {
+// machineInput returns the input for the machine's next decision.
+func (x *executor) machineInput() apply.Input {
 	acknowledged := x.server.acknowledgedRevision()
 	return apply.Input{
 		State:        x.server.ObservedState(),
@@ -145,13 +145,13 @@
 	}
 }
 
-// followLeadership recovers the running apply when the replica has begun to lead, and drops it when the replica has ceased to.
-// It tells whether the executor may go on.
-func (x *executor) followLeadership() bool {
+// syncLeadership recovers the running apply when this replica has become the leader, and drops the machine when it is no longer the
+// leader. It reports whether the executor may continue.
+func (x *executor) syncLeadership() bool {
 	if x.server.group == nil {
 		return true
 	}
-	period := x.currentPeriod.Load()
+	period := x.leadershipPeriod.Load()
 	x.mu.Lock()
 	unchanged := x.recoveredPeriod == period
 	if !unchanged {
@@ -162,7 +162,7 @@
 		return period != 0
 	}
 	if err := x.recover(); err != nil {
-		if x.currentPeriod.Load() == period {
+		if x.leadershipPeriod.Load() == period {
 			slog.Warn("apply.recovery_failed", "err", err)
 		}
 		time.AfterFunc(executorPollInterval, x.wake)
@@ -174,7 +174,7 @@
 	return true
 }
 
-// recover goes on with the apply that an executor before this one was carrying out, under a new epoch.
+// recover takes over the running apply of an earlier executor, under a new epoch.
 func (x *executor) recover() error {
 	var m *apply.Machine
 	err := x.server.store.Do(func(t *store.Tx) error {
--- a/internal/controlplane/executor_decisions.go
+++ b/internal/controlplane/executor_decisions.go
@@ -11,9 +11,9 @@
 	"stairvane.org/stairvane/internal/fleet/plan"
 )
 
-// The methods in this file are called with executor.mu locked.
+// The caller of the methods in this file must hold executor.mu.
 
-// execute makes one decision durable and marks it in the machine.
+// execute commits one decision and records it in the machine.
 func (x *executor) execute(m *apply.Machine, d apply.Decision) error {
 	switch d.Kind {
 	case apply.BeginStep:
@@ -32,11 +32,11 @@
 	return fmt.Errorf("apply %d: unknown decision %q", m.Record.ID, d.Kind)
 }
 
-// beginStep appends the step's event and sets the step's state in one transaction. The transaction gives the event its number and
-// time, for another event may have been appended since the decision.
+// beginStep appends the step's event and sets the step's state in one transaction. The transaction assigns the number and the time of
+// the event, because another event may have been appended since the decision was made.
 func (x *executor) beginStep(m *apply.Machine, step int) error {
 	var revision, atMS int64
-	err := x.fenced(m.Record, func(t *store.Tx) (err error) {
+	err := x.doFenced(m.Record, func(t *store.Tx) (err error) {
 		event := m.Plan.Steps[step-1].Event(0, t.NowMS, m.Record.Who, m.Record.ID)
 		if revision, err = t.Append(event); err != nil {
 			return err
@@ -53,13 +53,13 @@
 	return nil
 }
 
-// completeStep ends a step whose wait is over.
+// completeStep marks a step as completed once its wait condition is met.
 func (x *executor) completeStep(m *apply.Machine, step int) error {
 	nowMS := x.server.clock()
 	state := m.Step(step)
 	state.Phase = apply.Completed
 	state.DoneMS = nowMS
-	if err := x.fenced(m.Record, func(t *store.Tx) error { return t.SetStep(m.Record.ID, step, state) }); err != nil {
+	if err := x.doFenced(m.Record, func(t *store.Tx) error { return t.SetStep(m.Record.ID, step, state) }); err != nil {
 		return err
 	}
 	m.MarkCompleted(step, nowMS)
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// fenced runs a transaction of an apply, unless another has the lease by now.
-func (x *executor) fenced(r apply.Record, f func(*store.Tx) error) error {
+// doFenced runs f in a transaction. It returns an error without running f if the apply no longer holds the apply lock under its epoch.
+func (x *executor) doFenced(r apply.Record, f func(*store.Tx) error) error {
 	return x.server.store.Do(func(t *store.Tx) error {
 		if err := t.Fence(r); err != nil {
 			return err
@@ -77,7 +77,7 @@
 	})
 }
 
-// setStatus gives an apply another status. One that has ended gives the lease back.
+// setStatus changes the status of an apply. An apply that has ended releases the apply lock.
 func (x *executor) setStatus(m *apply.Machine, status apply.Status, reason string) error {
 	r := m.Record
 	r.Status = status
@@ -85,7 +85,7 @@
 	if status.Ended() {
 		r.EndedMS = x.server.clock()
 	}
-	if err := x.fenced(m.Record, func(t *store.Tx) error { return t.SetRecord(r) }); err != nil {
+	if err := x.doFenced(m.Record, func(t *store.Tx) error { return t.SetRecord(r) }); err != nil {
 		return err
 	}
 	m.Record = r
@@ -96,13 +96,13 @@
 	return nil
 }
 
-// revert ends an apply after a fault and begins one that leads back to the state before it, in one transaction. If there is no plan
-// back the apply pauses.
+// revert ends an apply after a fault and starts another one that restores the previous state, in one transaction. If no such plan is
+// possible, it pauses the apply instead.
 func (x *executor) revert(m *apply.Machine, reason string) error {
 	var next *apply.Machine
 	reverted := m.Record
-	err := x.fenced(m.Record, func(t *store.Tx) error {
-		p, state, err := x.planBack(t, m.Record.ID)
+	err := x.doFenced(m.Record, func(t *store.Tx) error {
+		p, state, err := x.planRevert(t, m.Record.ID)
 		if err != nil {
 			return err
 		}
@@ -114,7 +114,7 @@
 		reverted.Reason = reason
 		reverted.EndedMS = t.NowMS
 		reverted.RevertedBy = record.ID
-		// The ended apply gives the lease back, and so its record is set before the new apply takes the lease.
+		// SetRecord releases the apply lock of the ended apply, so it must precede the acquisition of the lock by the new apply.
 		if err := t.SetRecord(reverted); err != nil {
 			return err
 		}
@@ -135,13 +135,13 @@
 	return nil
 }
 
-// planBack makes the plan that leads back to the state before an apply, and gives the state that it was made against.
-func (x *executor) planBack(t *store.Tx, applyID int64) (*plan.Plan, fleet.ObservedState, error) {
+// planRevert makes the plan that restores the state before an apply. It also returns the state against which the plan was made.
+func (x *executor) planRevert(t *store.Tx, applyID int64) (*plan.Plan, fleet.ObservedState, error) {
 	before, err := t.DesiredBefore(applyID)
 	if err != nil {
 		return nil, fleet.ObservedState{}, err
 	}
-	state := x.stateIn(t)
+	state := x.stateInTx(t)
 	p, err := plan.Make(state, before, "")
 	if err != nil {
 		return nil, state, err
@@ -150,14 +150,14 @@
 	return p, state, nil
 }
 
-// stateIn is the observed state with the fleet as a transaction sees it.
-func (x *executor) stateIn(t *store.Tx) fleet.ObservedState {
+// stateInTx returns the observed state with the fleet as seen by a transaction.
+func (x *executor) stateInTx(t *store.Tx) fleet.ObservedState {
 	state := x.server.ObservedState()
 	state.Fleet = t.Fleet()
 	return state
 }
 
-// createApply stores a new apply of a plan that was made against a state.
+// createApply stores a new apply of a plan that was made against state, and returns its record.
 func createApply(t *store.Tx, p *plan.Plan, who string, state fleet.ObservedState) (apply.Record, error) {
 	file, err := plan.Encode(p)
 	if err != nil {
--- a/internal/controlplane/executor_requests.go
+++ b/internal/controlplane/executor_requests.go
@@ -12,14 +12,15 @@
 
 var errNoApply = errors.New("there is no such apply")
 
-// submission is what became of a submitted plan.
+// submission is the outcome of submitting a plan.
 type submission struct {
 	record         apply.Record
-	alreadyApplied bool           // record is of an apply that has carried out the same plan
-	machine        *apply.Machine // of a new apply; nil if none was begun
+	alreadyApplied bool           // record belongs to an earlier apply that has carried out the same plan
+	machine        *apply.Machine // state machine of the new apply; nil if none was started
 }
 
-// submit begins an apply of a plan, or gives the reason why not. A write that repeats an earlier one gets that one's answer.
+// submit starts an apply of a plan, or returns an error with the reason why it can't. A repeated write returns the answer of the
+// original write.
 func (x *executor) submit(p *plan.Plan, who string, write store.Write) (submission, error) {
 	sum, err := plan.Sum(p)
 	if err != nil {
@@ -34,7 +35,7 @@
 		if repeated || err != nil {
 			return err
 		}
-		out, err = x.submitIn(t, p, sum, who)
+		out, err = x.submitInTx(t, p, sum, who)
 		if err != nil || out.alreadyApplied {
 			return err
 		}
@@ -49,8 +50,8 @@
 	return out, nil
 }
 
-// submitIn decides about a plan in a transaction, and stores its apply. It is called with executor.mu locked.
-func (x *executor) submitIn(t *store.Tx, p *plan.Plan, sum, who string) (submission, error) {
+// submitInTx checks in a transaction whether a plan can be applied, and stores its apply. The caller must hold executor.mu.
+func (x *executor) submitInTx(t *store.Tx, p *plan.Plan, sum, who string) (submission, error) {
 	earlier, err := t.LastApplyOfPlan(sum)
 	if err != nil {
 		return submission{}, err
@@ -60,9 +61,9 @@
 		return submission{}, err
 	}
 	if holder != nil && x.machine != nil {
-		holder.StepsDone = x.machine.Record.StepsDone // the stored count is that of the last change of status
+		holder.StepsDone = x.machine.Record.StepsDone // the stored count dates from the last status change
 	}
-	state := x.stateIn(t)
+	state := x.stateInTx(t)
 	answer, err := apply.Submit(p, state, earlier, holder)
 	if err != nil {
 		return submission{}, err
@@ -78,8 +79,9 @@
 	return submission{record: record, machine: machine}, err
 }
 
-// obey carries out an operator's order to an apply, and gives the apply's record after it.
-func (x *executor) obey(id int64, order apply.Order, who string, write store.Write) (apply.Record, error) {
+// handleOrder executes an operator's order to an apply and returns the resulting record. A repeated write returns the answer of the
+// original write.
+func (x *executor) handleOrder(id int64, order apply.Order, who string, write store.Write) (apply.Record, error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	var r apply.Record
@@ -88,7 +90,7 @@
 		if repeated, err = t.RepeatedWrite(write, &r); repeated || err != nil {
 			return err
 		}
-		if r, err = x.obeyIn(t, id, order, who); err != nil {
+		if r, err = x.handleOrderInTx(t, id, order, who); err != nil {
 			return err
 		}
 		return t.RememberWrite(write, r)
@@ -97,7 +99,7 @@
 		return r, err
 	}
 	m := x.machine
-	if m == nil { // the apply was begun under an earlier leader, and has yet to be recovered here
+	if m == nil { // the apply was started under an earlier leader and has not been recovered here yet
 		x.recoveredPeriod = 0
 		x.wake()
 		return r, nil
@@ -111,8 +113,8 @@
 	return r, nil
 }
 
-// obeyIn stores the status that an order leads to. It is called with executor.mu locked.
-func (x *executor) obeyIn(t *store.Tx, id int64, order apply.Order, who string) (apply.Record, error) {
+// handleOrderInTx stores the status that results from an order. The caller must hold executor.mu.
+func (x *executor) handleOrderInTx(t *store.Tx, id int64, order apply.Order, who string) (apply.Record, error) {
 	stored, err := t.Record(id)
 	if err != nil {
 		return apply.Record{}, err
@@ -150,10 +152,11 @@
 	steps  []apply.StepState
 }
 
-// lookUp is an apply as it is now: from the machine if it runs here, and from the store otherwise.
-func (x *executor) lookUp(id int64) (applyState, error) {
-	if running, found := x.running(id); found {
-		return running, nil
+// findApply returns the current state of an apply, from the machine if the apply is running here and otherwise from the store. The
+// error is errNoApply if there is no such apply.
+func (x *executor) findApply(id int64) (applyState, error) {
+	if runningApply, found := x.runningApply(id); found {
+		return runningApply, nil
 	}
 	var out applyState
 	err := x.server.store.View(func(v *store.View) error {
@@ -174,8 +177,8 @@
 	return out, err
 }
 
-// running is the state of an apply that runs here.
-func (x *executor) running(id int64) (state applyState, found bool) {
+// runningApply returns the state of an apply if it is running here.
+func (x *executor) runningApply(id int64) (state applyState, found bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	m := x.machine
--- a/internal/controlplane/group.go
+++ b/internal/controlplane/group.go
@@ -16,20 +16,21 @@
 )
 
 const (
-	peerConnectTimeout  = 300 * time.Millisecond // for connections to other replicas
+	peerConnectTimeout  = 300 * time.Millisecond // for connecting to another replica
 	peerIdleTimeout     = time.Minute
-	peerIdleConnections = 4 // to each other replica
+	peerIdleConnections = 4 // per replica
 )
 
-// prepareGroup rejects options that speak of a group where the file has none, and sets aside a store that is given up.
+// prepareGroup rejects options that require a group if the configuration has none. With Options.NewDisk it sets the existing store
+// aside.
 func (s *Server) prepareGroup(options Options) error {
 	if s.settings.Replicas.Self == "" {
 		if options.FoundGroup || options.NewDisk {
-			return errors.New("the file lists no copies: (copies ...) is missing in (board ...)")
+			return errors.New("the configuration lists no replicas: (copies ...) is missing in (board ...)")
 		}
 		return nil
 	}
-	// A write beyond a limit of the file's size is to fail, as on a full disk. The signal would end the process.
+	// A write beyond the file size limit must fail, as it does on a full disk. By default SIGXFSZ would end the process.
 	signal.Ignore(syscall.SIGXFSZ)
 	if !options.NewDisk {
 		return nil
@@ -37,7 +38,7 @@
 	return s.setStoreAside()
 }
 
-// setStoreAside renames the store, if there is one.
+// setStoreAside renames the store file if it exists.
 func (s *Server) setStoreAside() error {
 	aside := fmt.Sprintf("%s.old-%d", s.settings.Store, s.clock())
 	err := os.Rename(s.settings.Store, aside)
@@ -51,7 +52,7 @@
 	return nil
 }
 
-// joinGroup makes the process a replica of its group.
+// joinGroup creates the raft group of which this process is a replica.
 func (s *Server) joinGroup(options Options) (*replicas.Group, error) {
 	transport := &http.Transport{
 		MaxIdleConnsPerHost: peerIdleConnections,
@@ -62,7 +63,7 @@
 	if keys := s.settings.Write.TLS; keys != nil {
 		config, err := api.ClientTLS(api.Credentials{Certificate: keys.Certificate, Key: keys.Key, Authority: keys.Clients})
 		if err != nil {
-			return nil, fmt.Errorf("keys for calls to other replicas: %w", err)
+			return nil, fmt.Errorf("load TLS credentials for calls to other replicas: %w", err)
 		}
 		transport.TLSClientConfig = config
 		scheme = "https"
@@ -73,7 +74,7 @@
 		FoundGroup:        options.FoundGroup,
 		Client:            &http.Client{Transport: transport},
 		Scheme:            scheme,
-		LeadershipChanged: s.executor.setLeader,
+		LeadershipChanged: s.executor.leadershipChanged,
 		SnapshotInstalled: s.snapshotInstalled,
 		Acknowledged:      s.watches.Acknowledged,
 		Heartbeats:        s.directors.Heartbeats,
@@ -86,12 +87,13 @@
 	})
 }
 
-// snapshotInstalled has watchers and the observer go on from a store that was replaced by another replica's snapshot.
+// snapshotInstalled switches the watch server and the observer to the contents of the store after it was replaced by another replica's
+// snapshot.
 func (s *Server) snapshotInstalled() {
 	first, tail := s.store.Tail()
 	f := s.store.Fleet()
 	s.post(func() {
-		log, err := s.newEventLog(first, tail, f)
+		log, err := s.newWatchLog(first, tail, f)
 		if err != nil {
 			slog.Error("eventlog.invalid", "err", err)
 			s.Stop()
@@ -102,13 +104,13 @@
 	})
 }
 
-// term numbers the periods of leadership. It rises with each new leader, on any replica.
+// term returns the number of the current leadership period. It increases with each new leader, on whichever replica.
 func (s *Server) term() int64 {
 	if s.group == nil {
-		return s.clock() // a process that runs alone leads from its start, and a later start has a later time
+		return s.clock() // a standalone process leads from its start, and a later start has a later time
 	}
 	return int64(s.group.Status().Term)
 }
 
-// IsLeader tells whether this process carries changes out. One that runs alone always does.
+// IsLeader reports whether this process executes changes. A standalone process always does.
 func (s *Server) IsLeader() bool { return s.group == nil || s.group.IsLeader() }
--- a/internal/controlplane/harness_test.go
+++ b/internal/controlplane/harness_test.go
@@ -19,7 +19,7 @@
 	"stairvane.org/stairvane/internal/operatorconfig"
 )
 
-// testTimeout bounds each wait of a test, in a slow run too.
+// testTimeout is the timeout of each wait in a test. It is long enough for slow test runs.
 const testTimeout = 20 * time.Second
 
 func TestMain(m *testing.M) {
@@ -37,19 +37,19 @@
 	}
 }
 
-// until waits until a condition holds, and fails the test if it never does.
-func until(t testing.TB, what string, is func() bool) {
+// waitUntil waits until a condition holds, and fails the test if it does not within testTimeout.
+func waitUntil(t testing.TB, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(testTimeout); !is(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s: never", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
 func loopback() netip.AddrPort { return netip.MustParseAddrPort("127.0.0.1:0") }
 
-func anywhere() netip.AddrPort { return netip.MustParseAddrPort("192.0.2.1:0") }
+func nonLoopback() netip.AddrPort { return netip.MustParseAddrPort("192.0.2.1:0") }
 
 func prefixes(all ...string) *bart.Lite {
 	t := &bart.Lite{}
@@ -59,7 +59,7 @@
 	return t
 }
 
-// settingsIn are the settings of a server that runs alone, with its store and its socket in a folder.
+// settingsIn returns the settings of a standalone server that has its store and its socket in a folder.
 func settingsIn(folder string) operatorconfig.ControlPlane {
 	return operatorconfig.ControlPlane{
 		Listen:        loopback(),
@@ -72,7 +72,7 @@
 	}
 }
 
-// start runs a server until the test ends, and gives a client of it.
+// start runs a server until the test ends, and returns it with a client.
 func start(t testing.TB, set operatorconfig.ControlPlane) (*Server, *api.Client) {
 	t.Helper()
 	return startServer(t, set), client(t, set, "")
@@ -84,11 +84,11 @@
 	s, err := New(set, Options{})
 	check(t, err)
 	run(t, s)
-	until(t, "the server runs", func() bool { return s.started.Load() })
+	waitUntil(t, "the server runs", func() bool { return s.started.Load() })
 	return s
 }
 
-// client makes a client that gives itself a name, over the server's socket.
+// client returns a client that claims a name and uses the server's Unix socket.
 func client(t testing.TB, set operatorconfig.ControlPlane, who string) *api.Client {
 	t.Helper()
 	c, err := api.NewClient("unix:"+set.Write.Unix, who, api.Credentials{})
@@ -112,7 +112,7 @@
 	})
 }
 
-// rulesWithoutWaits are rules under which no step of an apply waits.
+// rulesWithoutWaits returns rules under which no step of an apply waits.
 func rulesWithoutWaits() fleet.Rules {
 	r := fleet.DefaultRules()
 	r.Cache.WarmUpMS = 0
@@ -122,7 +122,7 @@
 	return r
 }
 
-// desiredState is a fleet of some caches in one location, with an origin.
+// desiredState returns a fleet with an origin and the given caches in one location.
 func desiredState(rules fleet.Rules, caches ...fleet.HostSpec) fleet.DesiredState {
 	origin := fleet.HostSpec{Name: "store", Role: fleet.Origin, Address: "127.0.0.1:9", Site: "hub", Class: "origin", Share: 40}
 	desired := fleet.DesiredState{Rules: rules, Hosts: []fleet.HostSpec{origin}}
@@ -138,12 +138,12 @@
 	return desired
 }
 
-// cacheSpec is a cache at an address where nobody listens.
+// cacheSpec returns a cache with an address at which no process listens.
 func cacheSpec(n int, running bool) fleet.HostSpec {
 	return fleet.HostSpec{Name: fmt.Sprintf("c-%d", n), Address: fmt.Sprintf("127.0.0.1:%d", 10+n), Running: running}
 }
 
-// planTo makes the plan file that leads from the present state to a desired one.
+// planTo returns the plan file that leads from the current state to a desired state.
 func planTo(t testing.TB, c *api.Client, desired fleet.DesiredState) []byte {
 	t.Helper()
 	file, err := makePlan(c, desired)
@@ -151,7 +151,7 @@
 	return file
 }
 
-// makePlan is planTo for a process that runs no test.
+// makePlan is planTo for a process that doesn't run a test.
 func makePlan(c *api.Client, desired fleet.DesiredState) ([]byte, error) {
 	known, err := c.State()
 	if err != nil {
@@ -168,13 +168,13 @@
 	return plan.Encode(p)
 }
 
-// applyPlan submits a plan and waits until its apply no longer runs.
+// applyPlan submits a plan and waits until its apply is no longer running.
 func applyPlan(t testing.TB, c *api.Client, file []byte) api.Apply {
 	t.Helper()
 	a, err := c.Submit(file)
 	check(t, err)
 	var now api.Apply
-	until(t, "the apply stops", func() bool {
+	waitUntil(t, "the apply stops", func() bool {
 		now, err = c.Apply(a.ID)
 		check(t, err)
 		return now.Status != apply.Running
@@ -182,7 +182,7 @@
 	return now
 }
 
-// notDone is an error for an apply that was not carried out.
+// notDone returns an error unless an apply has the status Done.
 func notDone(a api.Apply) error {
 	if a.Status != apply.Done {
 		return fmt.Errorf("apply %d is %s: %s", a.ID, a.Status, a.Reason)
--- a/internal/controlplane/health.go
+++ b/internal/controlplane/health.go
@@ -11,20 +11,20 @@
 	"stairvane.org/stairvane/internal/protocol/discovery"
 )
 
-// maxQueuedReports bounds the health reports that wait for the leader; further ones are dropped.
+// maxQueuedReports is the maximum number of health reports queued for the leader. Further reports are dropped.
 const maxQueuedReports = 1024
 
-// healthService owns what directors report of caches' health: the reports that wait for the leader, the aggregation while this
-// replica leads, and which directors were notified of the result. mu guards all of it.
+// healthService owns the directors' reports on the health of caches: the reports queued for the leader, the aggregator while this
+// replica is the leader, and the notifier, which tracks the directors that were notified of the result. mu guards all of it.
 //
-// When this replica begins to lead, it gets an empty aggregator of a new epoch. When it ceases to lead, the aggregator is
-// dropped. The last result stays with the notifier until a leader's answer replaces it.
+// When this replica becomes the leader, it creates an empty aggregator with a new epoch. When it stops being the leader, the aggregator
+// is dropped. The notifier keeps the last result until an answer of the new leader replaces it.
 type healthService struct {
-	publish func() // answers directors that wait, and send health reports, at once
+	publish func() // immediately answers the waiting directors that send health reports
 
 	mu         sync.Mutex
-	reports    []api.HealthReport // for the leader
-	aggregator *health.Aggregator // nil: this replica does not lead
+	reports    []api.HealthReport // queued for the leader
+	aggregator *health.Aggregator // nil if this replica is not the leader
 	notifier   *health.Notifier
 }
 
@@ -32,20 +32,21 @@
 	return &healthService{publish: publish, notifier: health.NewNotifier()}
 }
 
-func (s *healthService) lead(epoch int64) {
+func (s *healthService) startLeading(epoch int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.aggregator = health.NewAggregator(health.DefaultSettings, epoch)
 }
 
-func (s *healthService) cease() {
+func (s *healthService) stopLeading() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.aggregator = nil
 }
 
-// takeReport takes the health report in a director's announcement.
-func (s *healthService) takeReport(a discovery.Announcement, now time.Duration) {
+// addReport adds the health report in a director's announcement to the aggregator, or queues it for the leader. Malformed reports are
+// ignored.
+func (s *healthService) addReport(a discovery.Announcement, now time.Duration) {
 	var r health.Report
 	if len(a.HealthReport) == 0 || json.Unmarshal(a.HealthReport, &r) != nil || r.Holder != a.ID() {
 		return
@@ -56,14 +57,15 @@
 	switch {
 	case s.aggregator != nil:
 		s.aggregator.Take(r, place, now)
-		s.notify(s.aggregator.Aggregated(now), now)
+		s.publishIfChanged(s.aggregator.Aggregated(now), now)
 	case len(s.reports) < maxQueuedReports:
 		s.reports = append(s.reports, api.HealthReport{Report: r, ReporterLocation: place})
 	}
 }
 
-// takeReports takes, at the leader, the reports that another replica has queued.
-func (s *healthService) takeReports(reports []api.HealthReport, now time.Duration) {
+// addForwardedReports adds the reports that another replica has queued to the aggregator. It does nothing if this replica is not the
+// leader.
+func (s *healthService) addForwardedReports(reports []api.HealthReport, now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.aggregator == nil {
@@ -72,12 +74,12 @@
 	for _, r := range reports {
 		s.aggregator.Take(r.Report, r.ReporterLocation, now)
 	}
-	s.notify(s.aggregator.Aggregated(now), now)
+	s.publishIfChanged(s.aggregator.Aggregated(now), now)
 }
 
-// takeRelayReports takes, at the leader, the reports in a relay's request. It returns the aggregated health if the relay lacks it or
-// there is any to renew; else nil.
-func (s *healthService) takeRelayReports(r relaysession.Request, now time.Duration) *health.AggregatedHealth {
+// addRelayReports adds the reports in a relay's request to the aggregator. It returns the aggregated health if the relay lacks it or if
+// it contains caches, whose entries must be renewed. Otherwise, and if this replica is not the leader, it returns nil.
+func (s *healthService) addRelayReports(r relaysession.Request, now time.Duration) *health.AggregatedHealth {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.aggregator == nil {
@@ -88,7 +90,7 @@
 	}
 	h := s.aggregator.Aggregated(now)
 	if len(r.Reports) > 0 {
-		s.notify(h, now)
+		s.publishIfChanged(h, now)
 	}
 	if len(h.Caches) == 0 && r.HealthEpoch == h.Epoch && r.HealthSeq == h.Seq {
 		return nil
@@ -96,8 +98,8 @@
 	return &h
 }
 
-// takeQueuedReports returns the reports that wait for the leader, once.
-func (s *healthService) takeQueuedReports() []api.HealthReport {
+// drainReports returns the reports queued for the leader and empties the queue.
+func (s *healthService) drainReports() []api.HealthReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	reports := s.reports
@@ -105,7 +107,7 @@
 	return reports
 }
 
-// aggregated returns the aggregated health; nil if this replica does not lead.
+// aggregated returns the aggregated health, or nil if this replica is not the leader.
 func (s *healthService) aggregated(now time.Duration) *health.AggregatedHealth {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,26 +118,27 @@
 	return &h
 }
 
-// takeAggregated takes the aggregated health from the leader.
-func (s *healthService) takeAggregated(h health.AggregatedHealth, now time.Duration) {
+// setAggregated stores the aggregated health received from the leader.
+func (s *healthService) setAggregated(h health.AggregatedHealth, now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.notify(h, now)
+	s.publishIfChanged(h, now)
 }
 
-// notify has waiting directors answered at once if the aggregated health has changed. The caller holds mu.
-func (s *healthService) notify(h health.AggregatedHealth, now time.Duration) {
+// publishIfChanged passes the aggregated health to the notifier and, if it has changed, immediately answers waiting directors. The
+// caller must hold mu.
+func (s *healthService) publishIfChanged(h health.AggregatedHealth, now time.Duration) {
 	if s.notifier.Take(h, now) {
 		s.publish()
 	}
 }
 
-// notification returns what a director is to be notified of; nil if nothing is new to it.
-func (s *healthService) notification(id string, now time.Duration) *health.AggregatedHealth {
+// nextNotification returns the aggregated health for a director, or nil if there is nothing new for it.
+func (s *healthService) nextNotification(id string, now time.Duration) *health.AggregatedHealth {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.aggregator != nil {
-		_ = s.notifier.Take(s.aggregator.Aggregated(now), now) // the caller answers a director already
+		_ = s.notifier.Take(s.aggregator.Aggregated(now), now) // no publish: the caller is already answering a director
 	}
 	h, isNew := s.notifier.For(id, now)
 	if !isNew {
@@ -144,8 +147,8 @@
 	return &h
 }
 
-// caches returns what is known of all caches; nil if this replica does not lead.
-func (s *healthService) caches(now time.Duration) []health.CacheStatus {
+// cacheStatuses returns the known health of all caches, or nil if this replica is not the leader.
+func (s *healthService) cacheStatuses(now time.Duration) []health.CacheStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.aggregator == nil {
@@ -154,8 +157,8 @@
 	return s.aggregator.Caches(now)
 }
 
-// sweep forgets reports that count no more.
-func (s *healthService) sweep(now time.Duration) {
+// removeExpired removes expired reports from the aggregator.
+func (s *healthService) removeExpired(now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.aggregator != nil {
--- a/internal/controlplane/linearizable_test.go
+++ b/internal/controlplane/linearizable_test.go
@@ -19,14 +19,14 @@
 // purgeOp is the input of a call: a purge, or a read of the revision.
 type purgeOp struct{ isRead bool }
 
-// purgeResult is the outcome of a call: a revision, or that it is unknown whether the purge was made.
+// purgeResult is the outcome of a call: a revision, or unknown if the purge may or may not have been committed.
 type purgeResult struct {
 	revision int64
 	unknown  bool
 }
 
-// Writers and readers call a server that is killed and started again: their calls are linearizable. A purge whose call broke off may
-// have been made at any time until the end, or never.
+// TestLinearizableAcrossKills checks that the calls of concurrent writers and readers are linearizable while the server is repeatedly
+// killed and restarted. A purge whose call failed may have been committed at any time until the end, or never.
 func TestLinearizableAcrossKills(t *testing.T) {
 	seed := uint64(1)
 	t.Logf("seed %d", seed)
@@ -63,7 +63,7 @@
 					if err != nil {
 						time.Sleep(5 * time.Millisecond)
 						if errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, os.ErrNotExist) {
-							continue // it was not sent
+							continue // the request was not sent
 						}
 						r.unknown = true
 					}
@@ -80,11 +80,11 @@
 		cmd := childProcess(t, "serve", folder, 0)
 		check(t, cmd.Start())
 		c := client(t, set, "")
-		until(t, "the server answers", func() bool { _, err := c.State(); return err == nil })
+		waitUntil(t, "the server answers", func() bool { _, err := c.State(); return err == nil })
 		mu.Lock()
 		want := len(ops) + 40 + rng.IntN(60)
 		mu.Unlock()
-		until(t, "work", func() bool { mu.Lock(); defer mu.Unlock(); return len(ops) >= want })
+		waitUntil(t, "work", func() bool { mu.Lock(); defer mu.Unlock(); return len(ops) >= want })
 		check(t, cmd.Process.Kill())
 		_ = cmd.Wait()
 	}
@@ -119,11 +119,11 @@
 	}
 	switch porcupine.CheckOperationsTimeout(model.ToModel(), ops, 30*time.Second) {
 	case porcupine.Illegal:
-		t.Errorf("not linearizable: %d calls, %d broke off", certain, unknown)
+		t.Errorf("not linearizable: %d calls, %d with unknown outcome", certain, unknown)
 	case porcupine.Unknown:
-		t.Errorf("not decided in time: %d calls, %d broke off", certain, unknown)
+		t.Errorf("linearizability check timed out: %d calls, %d with unknown outcome", certain, unknown)
 	}
-	t.Logf("%d calls, %d broke off", certain, unknown)
+	t.Logf("%d calls, %d with unknown outcome", certain, unknown)
 	s, err := store.Open(set.Store, store.Options{})
 	check(t, err)
 	check(t, s.Close())
--- a/internal/controlplane/members.go
+++ b/internal/controlplane/members.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	// membershipGather is the time from one event that changes the members to the next, at least.
-	membershipGather = 150 * time.Millisecond
-	// describeInterval is the time after which a replica describes a director to the leader again.
+	// minMembershipInterval is the minimum interval between two events that change the members.
+	minMembershipInterval = 150 * time.Millisecond
+	// describeInterval is the interval after which a replica sends the leader the full description of a director again.
 	describeInterval = 2 * time.Second
-	// watcherExpiry is the time after its last call for which a replica reports a director to the leader.
+	// watcherExpiry is how long after its last request a replica keeps reporting a director to the leader.
 	watcherExpiry = 10 * discovery.MembershipLease
 )
 
-// memberService owns what is known of directors and of relays' sessions: the tracker that decides who is a member, and the
+// memberService owns the state of directors and of relay sessions: the tracker, which decides which directors are members, and the
 // directors that watch this replica. mu guards all of it.
 //
-// The tracker is fed at each replica, but only the leader's decides. When this replica begins to lead, the tracker begins anew
-// with the members of the event log, and relays are asked for all of their directors. When it ceases to lead, the tracker stays
-// and its decisions are not used.
+// Every replica passes heartbeats to its tracker, but only the leader's decisions are used. When this replica becomes the leader, the
+// tracker is reset to the members in the event log, and relays are asked for all of their directors. When it stops being the leader,
+// the tracker is kept but its decisions are ignored.
 type memberService struct {
 	mu       sync.Mutex
 	isLeader bool
@@ -37,14 +37,14 @@
 // watchingDirector is a director that watches this replica.
 type watchingDirector struct {
 	fleet.Director
-	called    time.Duration // when it called last
-	applied   int64         // the last revision that it has applied
-	config    string
-	leaving   bool
-	described time.Duration // when the leader was sent its description; 0: it is to be sent at once
+	lastSeen        time.Duration // time of its last watch request
+	appliedRevision int64         // last revision that it has applied
+	config          string
+	leaving         bool
+	lastDescribed   time.Duration // when its description was last sent to the leader; 0 to send it with the next report
 }
 
-// memberLookup answers which directors and relays are known.
+// memberLookup gives read access to the directors and relay sessions known to the tracker.
 type memberLookup interface {
 	LastContact(id string) (at time.Duration, known bool)
 	ServedByRelay(id string) bool
@@ -55,31 +55,31 @@
 	return &memberService{
 		watchers: map[string]*watchingDirector{},
 		tracker: membership.New(membership.Settings{
-			// A replica that is cut off goes on answering directors until its own lease ends; their leases count from then.
+			// A partitioned replica keeps answering directors until its own lease expires, and their leases start at its last answer.
 			Lease:         discovery.MembershipLease + replicaLease,
 			Drift:         discovery.ClockDrift,
-			Gather:        membershipGather,
+			Gather:        minMembershipInterval,
 			DirectorLease: discovery.MembershipLease,
 			RelayLease:    relayLease,
 		}),
 	}
 }
 
-func (s *memberService) lead(f fleet.Fleet, now time.Duration) {
+func (s *memberService) startLeading(f fleet.Fleet, now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.tracker.Begin(f, now)
 	s.isLeader = true
 }
 
-func (s *memberService) cease() {
+func (s *memberService) stopLeading() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.isLeader = false
 }
 
-// observe takes a watch request of a director.
-func (s *memberService) observe(a discovery.Announcement, applied int64, now time.Duration) {
+// recordAnnouncement records a watch request of a director that watches this replica.
+func (s *memberService) recordAnnouncement(a discovery.Announcement, appliedRevision int64, now time.Duration) {
 	d := fleet.Director(a.Director)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,47 +89,48 @@
 		s.watchers[d.ID()] = w
 	}
 	if w.Director != d || w.leaving != a.Leaving {
-		w.described = 0
+		w.lastDescribed = 0
 	}
 	w.Director = d
-	w.called = now
+	w.lastSeen = now
 	w.leaving = a.Leaving
-	w.applied = applied
+	w.appliedRevision = appliedRevision
 	w.config = a.Config
 	s.tracker.RecordHeartbeat(membership.Heartbeat{
 		ID:       d.ID(),
 		Director: &d,
 		Leaving:  a.Leaving,
 		At:       now,
-		Applied:  applied,
+		Applied:  appliedRevision,
 		Config:   a.Config,
 	})
 }
 
-// heartbeats returns what the leader is to know of the directors that watch this replica, and forgets those that are silent.
+// heartbeats returns the heartbeats of the directors that watch this replica, for the leader. It removes directors that have been
+// silent for longer than watcherExpiry.
 func (s *memberService) heartbeats(now time.Duration) []api.Heartbeat {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var all []api.Heartbeat
 	for id, w := range s.watchers {
-		age := now - w.called
+		age := now - w.lastSeen
 		if age > watcherExpiry {
 			delete(s.watchers, id)
 			continue
 		}
-		h := api.Heartbeat{ID: id, AgeMS: age.Milliseconds(), Leaving: w.leaving, AppliedRevision: w.applied}
-		if w.described == 0 || now-w.described > describeInterval {
+		h := api.Heartbeat{ID: id, AgeMS: age.Milliseconds(), Leaving: w.leaving, AppliedRevision: w.appliedRevision}
+		if w.lastDescribed == 0 || now-w.lastDescribed > describeInterval {
 			d := w.Director
 			h.Director = &d
 			h.Config = w.config
-			w.described = now
+			w.lastDescribed = now
 		}
 		all = append(all, h)
 	}
 	return all
 }
 
-// recordHeartbeat takes, at the leader, that another replica was called by a director at a moment.
+// recordHeartbeat records, at the leader, that a director sent a request to another replica at the given time.
 func (s *memberService) recordHeartbeat(h api.Heartbeat, at time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -143,7 +144,7 @@
 	})
 }
 
-// updateRelay takes an update of a relay's session. The error is store.ErrNotLeader or one of membership.Tracker.Update.
+// updateRelay applies an update to a relay's session. The error is store.ErrNotLeader or an error of membership.Tracker.Update.
 func (s *memberService) updateRelay(u membership.Update, now time.Duration) (membership.UpdateResult, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -153,8 +154,8 @@
 	return s.tracker.Update(u, rand.Uint64(), now)
 }
 
-// change returns how the members in f are to be changed now; nil if not at all.
-func (s *memberService) change(f fleet.Fleet, now time.Duration) *fleet.MembershipChange {
+// nextChange returns the change to make to the members in f now, or nil if there is none.
+func (s *memberService) nextChange(f fleet.Fleet, now time.Duration) *fleet.MembershipChange {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.tracker.Change(f, now)
@@ -162,28 +163,28 @@
 	return c
 }
 
-// markAnnounced records that a change was written.
-func (s *memberService) markAnnounced(now time.Duration) {
+// markWritten records that a membership change was written.
+func (s *memberService) markWritten(now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.tracker.MarkWritten(now)
 }
 
-// settled reports whether this replica leads and all leases are over that an earlier leader may have given.
-func (s *memberService) settled(now time.Duration) bool {
+// earlierLeasesExpired reports whether this replica is the leader and every lease that an earlier leader may have granted has expired.
+func (s *memberService) earlierLeasesExpired(now time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.isLeader && s.tracker.Settled(now)
 }
 
-// withTracker runs f under the lock of the service. f must not keep the lookup.
+// withTracker runs f while holding mu. f must not retain the lookup.
 func (s *memberService) withTracker(f func(memberLookup)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s.tracker)
 }
 
-// status lists the members, the directors that were lost lately and the sessions of relays.
+// status returns the members, the recently lost directors and the relay sessions.
 func (s *memberService) status(f fleet.Fleet, now time.Duration) api.Members {
 	primaries, moving := countShards(f)
 	out := api.Members{Revision: f.Revision, Moving: moving}
@@ -218,7 +219,7 @@
 	return out
 }
 
-// countShards returns how many claim shards each director is the primary of, and how many are being moved.
+// countShards returns the number of claim shards of which each director is the primary, and the number of shards being moved.
 func countShards(f fleet.Fleet) (primaries map[string]int, moving int) {
 	primaries = map[string]int{}
 	for i := range fleet.ShardCount {
@@ -233,7 +234,7 @@
 	return primaries, moving
 }
 
-// relayStatuses lists the sessions of relays for the operator.
+// relayStatuses converts the relay sessions for the write side.
 func relayStatuses(sessions []membership.Session) []api.RelayStatus {
 	var all []api.RelayStatus
 	for _, s := range sessions {
--- a/internal/controlplane/membership_write.go
+++ b/internal/controlplane/membership_write.go
@@ -5,17 +5,17 @@
 	"stairvane.org/stairvane/internal/fleet"
 )
 
-// membershipWrite is what the next membership event is to change, as it was decided on one state of the fleet.
+// membershipWrite contains the changes for the next membership event, as decided on the fleet state base.
 type membershipWrite struct {
 	base        fleet.Fleet
-	members     *fleet.MembershipChange // nil: the members stay as they are
-	readyShards []fleet.ShardChange     // whose replicas are filled
+	members     *fleet.MembershipChange // nil if the members don't change
+	readyShards []fleet.ShardChange     // shards whose replicas are filled
 }
 
 func (w membershipWrite) isEmpty() bool { return w.members == nil && len(w.readyShards) == 0 }
 
-// change returns the event's change for the state in which it is written, which may be later than base. claimReplicas is how many
-// directors hold each claim shard. It returns nil if another process has written the first membership since.
+// change returns the event's change for fleet state f, in which the event is written and which may be later than base. claimReplicas is
+// the number of directors that hold each claim shard. It returns nil if another process has written the first membership since base.
 func (w membershipWrite) change(f fleet.Fleet, claimReplicas int) *fleet.MembershipChange {
 	if f.Revision != w.base.Revision && f.Membership() != nil && w.base.Membership() == nil {
 		return nil
@@ -29,9 +29,9 @@
 	return change
 }
 
-// reassignShards returns which claim shards get other replicas once a change of the members is made.
+// reassignShards returns the claim shards whose replicas change as a result of a change of the members.
 func reassignShards(f fleet.Fleet, change fleet.MembershipChange, claimReplicas int) []fleet.ShardChange {
-	places := claimPlaces(membersAfter(f, change))
+	places := claimCandidates(membersAfter(f, change))
 	shards := make([]claims.ShardState, fleet.ShardCount)
 	inUse := len(places) > 0
 	for i := range shards {
@@ -49,7 +49,7 @@
 	return changes
 }
 
-// membersAfter returns the members by ID once a change is made.
+// membersAfter returns the members by ID after a change.
 func membersAfter(f fleet.Fleet, change fleet.MembershipChange) map[string]fleet.Director {
 	members := map[string]fleet.Director{}
 	for d := range f.Directors() {
@@ -64,8 +64,8 @@
 	return members
 }
 
-// claimPlaces returns the members that hold claims.
-func claimPlaces(members map[string]fleet.Director) []claims.ShardCandidate {
+// claimCandidates returns the members that can hold claims.
+func claimCandidates(members map[string]fleet.Director) []claims.ShardCandidate {
 	var places []claims.ShardCandidate
 	for id, d := range members {
 		if d.Claims != "" {
--- a/internal/controlplane/observer.go
+++ b/internal/controlplane/observer.go
@@ -17,14 +17,14 @@
 const (
 	minObserverTick      = 20 * time.Millisecond
 	ticksPerPing         = 20
-	observerPublishDelay = 50 * time.Millisecond // changes that come within it are published together
+	observerPublishDelay = 50 * time.Millisecond // changes within this delay are published together
 )
 
-// observer is the I/O around observe.Monitor: it connects to the hosts of the fleet and pings them. All of it runs on the server's
-// loop. It does nothing while the operator's file switches it off.
+// observer performs the I/O for observe.Monitor: it connects to the hosts of the fleet and pings them. It runs on the server's event
+// loop only, except for enabled. It does nothing if observation is disabled in the operator configuration.
 type observer struct {
 	server       *Server
-	monitor      *observe.Monitor // nil: switched off
+	monitor      *observe.Monitor // nil if disabled
 	conns        map[string]*hostConn
 	tickTimer    transport.Timer
 	publishTimer transport.Timer
@@ -43,10 +43,10 @@
 	return o
 }
 
-// enabled tells whether hosts are observed. It may be called from any goroutine.
+// enabled reports whether hosts are observed. It is safe for concurrent use.
 func (o *observer) enabled() bool { return o.monitor != nil }
 
-// start begins to observe the hosts of the store's fleet, before the loop runs.
+// start starts to observe the hosts in the store. It must be called before the event loop runs.
 func (o *observer) start() {
 	if !o.enabled() {
 		return
@@ -54,14 +54,14 @@
 	for host := range o.server.store.Fleet().Hosts() {
 		o.monitor.Declare(host.Name, host.Address, false, o.server.clock())
 	}
-	o.tickTimer.Fire = o.tick
+	o.tickTimer.Fire = o.runMonitor
 	o.publishTimer.Fire = o.publish
 	o.server.loop.Set(&o.tickTimer, o.server.loop.Now())
 	o.server.loop.Set(&o.publishTimer, o.server.loop.Now())
 }
 
-// apply follows the hosts that events add, change or remove.
-func (o *observer) apply(events []fleet.Event) {
+// applyEvents updates the observed hosts according to events.
+func (o *observer) applyEvents(events []fleet.Event) {
 	if !o.enabled() {
 		return
 	}
@@ -73,8 +73,8 @@
 	o.publish()
 }
 
-// applyHost follows one host that an event has set. A host that was born with the event has restarted: it is pinged over a new
-// connection.
+// applyHost updates the observation of one host that an event has set. A host whose start time is the time of the event has restarted,
+// so it is pinged over a new connection.
 func (o *observer) applyHost(host *fleet.Host, atMS int64) {
 	restarted := host.BornMS == atMS && host.State == fleet.InService
 	removed := host.State == fleet.Terminated
@@ -88,7 +88,7 @@
 	o.monitor.Declare(host.Name, host.Address, restarted, o.server.clock())
 }
 
-// replaceFleet observes the hosts of another fleet from now on.
+// replaceFleet replaces the observed hosts by the hosts in f.
 func (o *observer) replaceFleet(f fleet.Fleet) {
 	if !o.enabled() {
 		return
@@ -104,17 +104,17 @@
 	o.publish()
 }
 
-// tick does what is due. In a group only the leader observes.
-func (o *observer) tick() {
+// runMonitor performs the actions that are due and reschedules itself. In a group only the leader observes hosts.
+func (o *observer) runMonitor() {
 	if o.server.IsLeader() {
-		o.perform(o.monitor.Tick(o.server.clock()))
+		o.performActions(o.monitor.Tick(o.server.clock()))
 		o.schedulePublish()
 	}
 	o.server.loop.Set(&o.tickTimer, o.server.loop.Now()+max(minObserverTick, o.server.settings.Observer.Every/ticksPerPing))
 }
 
-// perform connects and pings as the monitor has decided.
-func (o *observer) perform(actions []observe.Action) {
+// performActions opens the connections and sends the pings that the monitor requests.
+func (o *observer) performActions(actions []observe.Action) {
 	for _, action := range actions {
 		if action.Address != "" {
 			o.connect(action)
@@ -139,14 +139,14 @@
 	o.monitor.Disconnected(action.Host, errors.Is(err, unix.ECONNREFUSED), o.server.clock())
 }
 
-// schedulePublish has the observations published soon.
+// schedulePublish schedules publish after observerPublishDelay unless it is already scheduled.
 func (o *observer) schedulePublish() {
 	if !o.publishTimer.Active() {
 		o.server.loop.Set(&o.publishTimer, o.server.loop.Now()+observerPublishDelay)
 	}
 }
 
-// publish makes the observations visible to other goroutines, and wakes the executor if any has changed.
+// publish makes the observations visible to other goroutines. It wakes the executor if any observation has changed.
 func (o *observer) publish() {
 	o.publishTimer.Stop()
 	previous := *o.server.observed.Load()
@@ -165,7 +165,7 @@
 	}
 }
 
-// logObservation logs a host that is seen otherwise than before. The first observation of a host is not logged.
+// logObservation logs a change in the observation of a host. The first observation of a host is not logged.
 func logObservation(host string, before, now fleet.Observation) {
 	restarted := before.RestartedMS != now.RestartedMS
 	if before.Sight != now.Sight && before.Sight != "" || restarted {
@@ -178,10 +178,10 @@
 	observer *observer
 	conn     *transport.Conn
 	host     string
-	words    resp.Words // of the last answer; its memory is reused
+	words    resp.Words // of the last answer; the memory is reused
 }
 
-// ping sends a ping with a tag that the answer repeats.
+// ping sends a ping with a tag, which the answer repeats.
 func (c *hostConn) ping(tag string) {
 	o := c.observer
 	o.buf = resp.AppendHead(o.buf[:0], 2)
@@ -190,7 +190,7 @@
 	c.conn.Write(o.buf)
 }
 
-// close ends the connection without reporting it to the monitor.
+// close closes the connection without reporting this to the monitor.
 func (c *hostConn) close() {
 	c.conn.Close()
 	if c.observer.conns[c.host] == c {
@@ -200,7 +200,7 @@
 
 // Opened implements transport.Handler.
 func (c *hostConn) Opened() {
-	c.observer.perform(c.observer.monitor.Connected(c.host, c.observer.server.clock()))
+	c.observer.performActions(c.observer.monitor.Connected(c.host, c.observer.server.clock()))
 }
 
 // Flushed implements transport.Handler.
@@ -217,7 +217,7 @@
 	o.schedulePublish()
 }
 
-// Data implements transport.Handler. An answer to a ping is the ping's tag and UP.
+// Data implements transport.Handler. The answer to a ping consists of the tag of the ping and UP.
 func (c *hostConn) Data(b []byte) (used, need int, err error) {
 	o := c.observer
 	for {
--- a/internal/controlplane/quotas.go
+++ b/internal/controlplane/quotas.go
@@ -11,47 +11,47 @@
 	"stairvane.org/stairvane/internal/quota"
 )
 
-// quotaSettings returns the settings of the allocator. They must match those of directors and relays.
+// quotaSettings returns the settings of the quota allocator. They must match those of directors and relays.
 func quotaSettings(relays bool) quota.Settings {
 	settings := relaysession.QuotaSettings
 	if !relays {
-		settings.NodeLease = 0 // there are no nodes whose leases a new allocator would have to wait for
+		settings.NodeLease = 0 // there are no nodes whose leases a new allocator must wait for
 	}
 	return settings
 }
 
-// quotaService owns the allocator of quotas, while this replica leads, and the renewals and grants of the directors that watch
-// this replica. mu guards all of it.
+// quotaService owns the quota allocator while this replica is the leader, and the renewals and grants of the directors that watch this
+// replica. mu guards all of it.
 //
-// When this replica begins to lead, it gets a new allocator, which grants nothing until the grants of the leader before are over.
-// When it ceases to lead, the allocator is dropped, and renewals wait for the next message to the new leader.
+// When this replica becomes the leader, it creates a new allocator, which grants nothing until the grants of the earlier leader have
+// expired. When it stops being the leader, the allocator is dropped, and renewals are queued for the next message to the new leader.
 type quotaService struct {
 	hasLease func() bool // reports whether this replica's lease to serve watches is in force
 
 	mu        sync.Mutex
-	allocator *quota.Allocator         // nil: this replica does not lead
-	renewals  map[string]quota.Renewal // for the leader, by director
-	grants    map[string]quota.Grant   // for the directors' next answers, by director
+	allocator *quota.Allocator         // nil if this replica is not the leader
+	renewals  map[string]quota.Renewal // queued for the leader, by director
+	grants    map[string]quota.Grant   // to be sent with the next answer, by director
 }
 
 func newQuotaService(hasLease func() bool) *quotaService {
 	return &quotaService{hasLease: hasLease, renewals: map[string]quota.Renewal{}, grants: map[string]quota.Grant{}}
 }
 
-func (s *quotaService) lead(a *quota.Allocator) {
+func (s *quotaService) startLeading(a *quota.Allocator) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.allocator = a
 }
 
-func (s *quotaService) cease() {
+func (s *quotaService) stopLeading() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.allocator = nil
 }
 
-// renew takes the renewal in a director's announcement. Without a lease it is not granted here: another replica may have granted
-// quotas since this one led.
+// renew handles the renewal in a director's announcement. Malformed renewals are ignored. Without the watch lease the renewal is queued
+// instead of granted, because another replica may have become the leader and granted quotas.
 func (s *quotaService) renew(a discovery.Announcement, now time.Duration) {
 	var r quota.Renewal
 	if len(a.QuotaRenewal) == 0 || json.Unmarshal(a.QuotaRenewal, &r) != nil || r.Holder != a.ID() {
@@ -66,8 +66,8 @@
 	}
 }
 
-// takeGrant returns the grant for a director, once.
-func (s *quotaService) takeGrant(id string) *quota.Grant {
+// popGrant removes and returns the pending grant of a director, or returns nil if there is none.
+func (s *quotaService) popGrant(id string) *quota.Grant {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	g, found := s.grants[id]
@@ -78,8 +78,8 @@
 	return &g
 }
 
-// takeRenewals returns the renewals that wait for the leader, once.
-func (s *quotaService) takeRenewals() []quota.Renewal {
+// drainRenewals returns the renewals queued for the leader and empties the queue.
+func (s *quotaService) drainRenewals() []quota.Renewal {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var all []quota.Renewal
@@ -90,8 +90,8 @@
 	return all
 }
 
-// grant answers renewals at the leader, by holder; else the error is store.ErrNotLeader.
-func (s *quotaService) grant(renewals []quota.Renewal, now time.Duration) (map[string]quota.Grant, error) {
+// grantRenewals returns the grants for renewals, by holder. The error is store.ErrNotLeader if this replica is not the leader.
+func (s *quotaService) grantRenewals(renewals []quota.Renewal, now time.Duration) (map[string]quota.Grant, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.allocator == nil {
@@ -104,7 +104,8 @@
 	return grants, nil
 }
 
-// renewRelay answers the renewal in a relay's request at the leader; nil if there is none. The error is store.ErrNotLeader.
+// renewRelay returns the grant for the renewal in a relay's request, or nil if the request has no valid one. The error is
+// store.ErrNotLeader if this replica is not the leader.
 func (s *quotaService) renewRelay(r relaysession.Request, now time.Duration) (*quota.Grant, error) {
 	if r.Quota == nil || r.Quota.Holder != r.Relay.ID() {
 		return nil, nil
@@ -118,8 +119,8 @@
 	return &g, nil
 }
 
-// takeGrants takes what the leader has granted to directors that watch this replica.
-func (s *quotaService) takeGrants(grants map[string]quota.Grant) {
+// addGrants stores the leader's grants for directors that watch this replica.
+func (s *quotaService) addGrants(grants map[string]quota.Grant) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, g := range grants {
@@ -127,7 +128,7 @@
 	}
 }
 
-// allocations returns what is in force; nil if this replica does not lead.
+// allocations returns the quota allocations in force, or nil if this replica is not the leader.
 func (s *quotaService) allocations(now time.Duration) []quota.Allocation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -137,8 +138,8 @@
 	return s.allocator.Allocations(now)
 }
 
-// sweep forgets limits that nobody holds or wants any more.
-func (s *quotaService) sweep(now time.Duration) {
+// removeExpired removes the limits that no holder holds or requests any more.
+func (s *quotaService) removeExpired(now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.allocator != nil {
--- a/internal/controlplane/recovery_test.go
+++ b/internal/controlplane/recovery_test.go
@@ -19,14 +19,14 @@
 	"stairvane.org/stairvane/internal/fleet/apply"
 )
 
-// The environment of a child process: what it does, in which folder, and at which passing of a kill point it dies.
+// Environment variables of a child process: its mode, its folder, and the number of the kill point at which it kills itself.
 const (
 	childMode      = "STAIRVANE_TEST_CHILD"
 	childFolder    = "STAIRVANE_TEST_FOLDER"
 	childKillPoint = "STAIRVANE_TEST_KILL"
 )
 
-// runChildProcess is what a child does instead of the tests. It gives the exit status.
+// runChildProcess runs a child process instead of the tests, and returns the exit status.
 func runChildProcess(mode string) int {
 	folder := os.Getenv(childFolder)
 	kill, _ := strconv.Atoi(os.Getenv(childKillPoint))
@@ -44,7 +44,7 @@
 	var s *Server
 	if mode == "apply" {
 		set.SnapshotEvery, set.KeepEvents = 3, 2
-		// The time is a function of the revision, so that the event logs of two runs can be compared byte for byte.
+		// The clock depends only on the revision, so that the event logs of two runs can be compared byte for byte.
 		options.Clock = func() int64 {
 			if s == nil {
 				return 1_000_000
@@ -74,7 +74,7 @@
 	return 0
 }
 
-// applyInChild has two plans carried out, one after the other. A plan that was submitted before the kill is not submitted again.
+// applyInChild applies two plans in sequence. A plan that was submitted before the kill is not submitted again.
 func applyInChild(s *Server, folder string) error {
 	c, err := api.NewClient("unix:"+filepath.Join(folder, "s"), "", api.Credentials{})
 	if err != nil {
@@ -105,7 +105,8 @@
 	return nil
 }
 
-// waitUntilDone gives an error for an apply that stops otherwise, or not in time.
+// waitUntilDone waits until an apply is done. It returns an error if the apply stops with another status or does not stop within
+// testTimeout.
 func waitUntilDone(c *api.Client, id int64) error {
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		a, err := c.Apply(id)
@@ -118,7 +119,7 @@
 	}
 }
 
-// childProcess makes a child that ends with the test.
+// childProcess returns the command for a child process that is killed when the test ends.
 func childProcess(t *testing.T, mode, folder string, kill int) *exec.Cmd {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*testTimeout)
 	t.Cleanup(cancel)
@@ -127,8 +128,8 @@
 	return cmd
 }
 
-// The server is killed at each point where it writes, or has written and answered nobody. After a restart it ends with the same event
-// log, byte for byte: no event is there twice, and none is missing.
+// TestRecoveryAfterKillAtEveryWrite kills the server at each point where it is about to write, or has written and not yet answered.
+// After a restart it must end with the same event log, byte for byte: no event is duplicated and none is missing.
 func TestRecoveryAfterKillAtEveryWrite(t *testing.T) {
 	run := func(folder string, kill int) (out []byte, killed bool) {
 		t.Helper()
@@ -159,12 +160,12 @@
 					t.Error(err)
 					return
 				}
-				defer func() { _ = os.RemoveAll(folder) }() // what is left is in the system's temporary folder
+				defer func() { _ = os.RemoveAll(folder) }() // leftovers are in the system's temporary folder
 				got, killed := run(folder, kill)
 				if !killed {
 					once.Do(func() { close(over) })
 				} else if got, killed = run(folder, 0); killed {
-					t.Error("killed without a kill")
+					t.Error("the process was killed without a kill point")
 				}
 				if !bytes.Equal(got, want) {
 					t.Errorf("killed at point %d: %s, not %s", kill, got, want)
@@ -183,7 +184,7 @@
 	}
 	close(next)
 	wg.Wait()
-	t.Logf("%d kill points, history %s", kills, want)
+	t.Logf("%d kill points, event log %s", kills, want)
 	if kills < 60 {
 		t.Errorf("only %d kill points", kills)
 	}
--- a/internal/controlplane/relay_leases.go
+++ b/internal/controlplane/relay_leases.go
@@ -10,22 +10,22 @@
 	"stairvane.org/stairvane/internal/protocol/discovery"
 )
 
-// relayLease returns the time for which a relay may serve after a request that was answered.
+// relayLease returns the duration of the lease that an answered request grants to a relay.
 func (s *Server) relayLease() time.Duration {
 	if group := s.settings.Replicas.Lease; s.settings.Replicas.Self != "" {
-		return min(relaysession.Lease, group) // the group counts no lease for longer
+		return min(relaysession.Lease, group) // the group records no lease for longer than its own
 	}
 	return relaysession.Lease
 }
 
-// relayLeases is the leader's record of the leases that sessions of relays have, with the revision that each acknowledged. In a
-// group, the group owns the record beside the leases of the replicas, and begins it anew when this replica begins to lead. A
-// control plane without a group always leads and owns the record itself; mu guards it.
+// relayLeases is the leader's record of the leases of relay sessions, with the revision that each session has acknowledged. In a group,
+// replicas.Group owns the record together with the leases of the replicas, and resets it when this replica becomes the leader. A
+// standalone control plane is always the leader and owns the record itself; mu guards it.
 type relayLeases struct {
 	server *Server
 
 	mu     sync.Mutex
-	lessor *replica.Lessor // of a control plane without a group
+	lessor *replica.Lessor // used only by a standalone control plane
 }
 
 func newRelayLeases(s *Server) *relayLeases {
@@ -34,8 +34,8 @@
 	return &relayLeases{server: s, lessor: lessor}
 }
 
-// give records a lease before it is sent to the relay.
-func (l *relayLeases) give(session uint64, acknowledged int64) {
+// grant records a lease. It must be called before the lease is sent to the relay.
+func (l *relayLeases) grant(session uint64, acknowledged int64) {
 	if l.server.group != nil {
 		l.server.group.GrantSession(session, acknowledged)
 		return
@@ -45,20 +45,20 @@
 	l.lessor.Grant(session, acknowledged, replicas.Now())
 }
 
-// acknowledged returns, without a group, the lowest revision that all watchers have acknowledged, given that of the server's own.
-// Those of a relay that fell silent count as notified after within.
+// acknowledged returns the lowest revision that all watchers of a standalone control plane have acknowledged. own is the revision
+// acknowledged by the watchers of the server itself. Watchers of a relay that has fallen silent count as notified after within.
 func (l *relayLeases) acknowledged(own int64, within time.Duration) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.lessor.Acknowledged(own, replicas.Now(), within)
 }
 
-// acknowledgedRevision returns the revision up to which every director has all events, those behind relays included. It is 0 for a
-// moment after a change of the leader, while there may be directors that are not known.
+// acknowledgedRevision returns the revision up to which every director has received all events, including the directors behind relays.
+// It is 0 for a short time after a change of leader, while some directors may still be unknown.
 func (s *Server) acknowledgedRevision() int64 {
 	own := s.watchedRevision()
 	within := time.Duration(s.store.Fleet().Rules().NotifiedWithinMS) * time.Millisecond
-	if s.settings.Relays && within > 0 && !s.directors.settled() {
+	if s.settings.Relays && within > 0 && !s.directors.earlierLeasesExpired() {
 		return 0
 	}
 	if s.group != nil {
--- a/internal/controlplane/relay_requests.go
+++ b/internal/controlplane/relay_requests.go
@@ -17,19 +17,20 @@
 
 const (
 	maxRelayRequest = 4 << 20 // bytes
-	// maxAnswerWeight bounds the events of an answer: an event weighs 1, and each director or shard that it names 1 more.
+	// maxAnswerWeight is the maximum total weight of the events in an answer. An event has a weight of 1, plus 1 for each director or
+	// shard in it.
 	maxAnswerWeight = 6000
 )
 
-// postRelayLease answers the request of a relay's session, if it is proven that this replica leads.
+// postRelayLease handles a request of a relay session, after a barrier has confirmed that this replica is the leader.
 func (s *Server) postRelayLease(w http.ResponseWriter, r *http.Request) {
 	var request relaysession.Request
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRelayRequest)).Decode(&request); err != nil {
-		fail(w, http.StatusBadRequest, api.Error{Kind: api.BadRequest, Message: "relay: " + err.Error()})
+		sendError(w, http.StatusBadRequest, api.Error{Kind: api.BadRequest, Message: "relay: " + err.Error()})
 		return
 	}
 	if request.Session == 0 || request.Relay.Name == "" || request.Relay.Incarnation == "" {
-		fail(w, http.StatusBadRequest, api.Error{Kind: api.BadRequest, Message: "relay: a name, an incarnation and a session are wanted"})
+		sendError(w, http.StatusBadRequest, api.Error{Kind: api.BadRequest, Message: "relay: name, incarnation and session are required"})
 		return
 	}
 	if s.group != nil {
@@ -45,9 +46,9 @@
 		s.writeError(w, err)
 		return
 	}
-	answer, err := s.directors.takeRelay(request, missing.complete)
+	answer, err := s.directors.handleRelayRequest(request, missing.complete)
 	if err != nil {
-		s.rejectRelay(w, request, err)
+		s.writeRelayError(w, request, err)
 		return
 	}
 	answer.Revision = missing.revision
@@ -56,35 +57,35 @@
 	writeJSON(w, answer)
 }
 
-// rejectRelay answers a request that was not taken.
-func (s *Server) rejectRelay(w http.ResponseWriter, request relaysession.Request, err error) {
+// writeRelayError sends the error response for a relay request that was rejected.
+func (s *Server) writeRelayError(w http.ResponseWriter, request relaysession.Request, err error) {
 	e := api.Error{Kind: api.BadRequest, Message: err.Error()}
 	switch {
 	case errors.Is(err, membership.ErrOldUpdate):
 		e.Kind = api.Stale
-		fail(w, http.StatusConflict, e)
+		sendError(w, http.StatusConflict, e)
 	case errors.Is(err, membership.ErrTooManySessions):
 		e.Kind = api.Busy
 		slog.Warn("relay.rejected", "relay", request.Relay.ID(), "err", err)
-		fail(w, http.StatusServiceUnavailable, e)
+		sendError(w, http.StatusServiceUnavailable, e)
 	case errors.Is(err, membership.ErrUpdateTooLarge):
 		slog.Warn("relay.rejected", "relay", request.Relay.ID(), "err", err)
-		fail(w, http.StatusBadRequest, e)
+		sendError(w, http.StatusBadRequest, e)
 	default:
 		s.writeError(w, err)
 	}
 }
 
-// missingEvents is what brings a relay up to date.
+// missingEvents contains the events, or the snapshot, that a relay lacks.
 type missingEvents struct {
-	revision int64 // of the last event of the log
+	revision int64 // of the last event in the log
 	events   []fleet.Event
 	snapshot *fleet.Dump
-	complete bool // the relay has all events once it has taken these
+	complete bool // the relay has all events once it has applied these
 }
 
-// missingEvents returns what a relay lacks that has all events up to a revision: events, or a snapshot if the log does not reach
-// back to them or the relay is new.
+// missingEvents returns what a relay lacks that has all events up to revision after. It returns a snapshot instead of events if the
+// relay is new or the log no longer contains the events.
 func (s *Server) missingEvents(after int64) (missingEvents, error) {
 	f := s.store.Fleet()
 	if after == f.Revision {
@@ -100,7 +101,7 @@
 			return missingEvents{}, err
 		}
 		if len(events) > 0 && events[0].No == after+1 {
-			events = events[:fittingEvents(events)]
+			events = events[:countFittingEvents(events)]
 			return missingEvents{revision: f.Revision, events: events, complete: events[len(events)-1].No >= f.Revision}, nil
 		}
 	}
@@ -108,8 +109,8 @@
 	return missingEvents{revision: f.Revision, snapshot: &dump}, nil
 }
 
-// fittingEvents returns how many events one answer holds; the first always fits.
-func fittingEvents(events []fleet.Event) int {
+// countFittingEvents returns the number of leading events that fit into one answer. The first event always fits.
+func countFittingEvents(events []fleet.Event) int {
 	weight := 0
 	for i, e := range events {
 		weight++
@@ -123,9 +124,10 @@
 	return len(events)
 }
 
-// takeRelay takes a relay's request, right after it was proven that this replica leads. With complete the relay gets a lease; without,
-// it must first take the events that it lacks. The error is store.ErrNotLeader or one of membership.Tracker.Update.
-func (s *directorServices) takeRelay(request relaysession.Request, complete bool) (relaysession.Answer, error) {
+// handleRelayRequest processes a relay's request. The caller must just have confirmed that this replica is the leader. The relay is
+// granted a lease only if complete is set; otherwise it must first apply the events that it lacks. The error is store.ErrNotLeader or
+// an error of membership.Tracker.Update.
+func (s *directorServices) handleRelayRequest(request relaysession.Request, complete bool) (relaysession.Answer, error) {
 	s.relayRequests.Lock()
 	defer s.relayRequests.Unlock()
 	s.leadership.RLock()
@@ -136,18 +138,18 @@
 		return relaysession.Answer{}, err
 	}
 	s.adoption.recordRelay(request.Update, now)
-	s.shards.take(request.ReadyShards)
+	s.shards.recordReady(request.ReadyShards)
 	answer := relaysession.Answer{
 		Sequence:         request.Sequence,
 		NeedFull:         registered.NeedFull,
 		Registration:     registered.Registration,
-		AggregatedHealth: s.health.takeRelayReports(request, now),
+		AggregatedHealth: s.health.addRelayReports(request, now),
 	}
 	if answer.Grant, err = s.quotas.renewRelay(request, now); err != nil {
 		return relaysession.Answer{}, err
 	}
 	if complete {
-		s.server.relayLeases.give(request.Session, request.Acknowledged)
+		s.server.relayLeases.grant(request.Session, request.Acknowledged)
 		answer.LeaseMS = s.server.relayLease().Milliseconds()
 	}
 	return answer, nil
--- a/internal/controlplane/relay_requests_test.go
+++ b/internal/controlplane/relay_requests_test.go
@@ -19,20 +19,21 @@
 	"stairvane.org/stairvane/internal/protocol/discovery"
 )
 
-// testRelay is a relay whose directors call it whenever it calls the leader, and have all events that it has.
+// testRelay is a relay whose directors send a request whenever the relay calls the leader. They have acknowledged all events that the
+// relay has, except for those in behind.
 type testRelay struct {
 	t         testing.TB
 	server    *Server
 	session   *relaysession.Session
 	revision  int64
 	directors []discovery.Announcement
-	behind    map[string]int64 // directors that acknowledge no more than this, by name
+	behind    map[string]int64 // by director name: the highest revision that the director acknowledges
 	last      relaysession.Request
 	leased    int
 }
 
-func newTestRelay(t testing.TB, b *Server, name string, number uint64, directors int) *testRelay {
-	r := &testRelay{t: t, server: b, behind: map[string]int64{}}
+func newTestRelay(t testing.TB, s *Server, name string, number uint64, directors int) *testRelay {
+	r := &testRelay{t: t, server: s, behind: map[string]int64{}}
 	r.session = relaysession.New(relaysession.Settings{
 		Relay: membership.Relay{Name: name, Incarnation: fmt.Sprint(number), Region: "north"}, Number: number,
 		DirectorLease: discovery.MembershipLease, Drift: discovery.ClockDrift,
@@ -47,14 +48,14 @@
 	return r
 }
 
-func post(t testing.TB, b *Server, body []byte) *httptest.ResponseRecorder {
+func post(t testing.TB, s *Server, body []byte) *httptest.ResponseRecorder {
 	t.Helper()
 	w := httptest.NewRecorder()
-	b.postRelayLease(w, httptest.NewRequest(http.MethodPost, relaysession.Path, bytes.NewReader(body)))
+	s.postRelayLease(w, httptest.NewRequest(http.MethodPost, relaysession.Path, bytes.NewReader(body)))
 	return w
 }
 
-// call makes one request and takes its answer.
+// call sends one request and applies the answer.
 func (r *testRelay) call() relaysession.Answer {
 	r.t.Helper()
 	now := replicas.Now()
@@ -90,33 +91,34 @@
 	return a
 }
 
-// calls makes requests until a condition holds.
-func (r *testRelay) calls(what string, is func() bool) {
+// callUntil sends requests until a condition holds.
+func (r *testRelay) callUntil(what string, condition func() bool) {
 	r.t.Helper()
-	until(r.t, what, func() bool {
+	waitUntil(r.t, what, func() bool {
 		r.call()
-		return is()
+		return condition()
 	})
 }
 
-// A relay is sent a snapshot and then events, gets a lease once it has all, and its directors become members with one request;
-// they are listed with the relay, and lost after both leases once it is silent.
+// TestRelaySession checks that a relay receives a snapshot first and events afterwards, and is granted a lease once it has all of them.
+// Its directors become members with one request and are listed with the relay. Once the relay is silent, they are lost after both
+// leases have expired.
 func TestRelaySession(t *testing.T) {
-	b, c := start(t, settingsIn(t.TempDir()))
+	s, c := start(t, settingsIn(t.TempDir()))
 	for i := range 3 {
 		_, err := c.Purge(fleet.Purge{Object: fmt.Sprintf("%016x", i)})
 		check(t, err)
 	}
-	until(t, "the membership begins", b.directors.settled)
-	r := newTestRelay(t, b, "r1", 7, 40)
+	waitUntil(t, "the membership begins", s.directors.earlierLeasesExpired)
+	r := newTestRelay(t, s, "r1", 7, 40)
 	if a := r.call(); a.Snapshot == nil || a.LeaseMS != 0 || !a.NeedFull {
 		t.Fatalf("%+v", a)
 	}
 	if a := r.call(); a.Snapshot != nil || a.LeaseMS != relaysession.Lease.Milliseconds() || a.NeedFull || len(r.last.Joined) != 40 {
 		t.Fatalf("%+v after %+v", a, r.last)
 	}
-	members := func() api.Members { return b.directors.Members() }
-	r.calls("all are members", func() bool { return len(members().Directors) == 40 })
+	members := func() api.Members { return s.directors.Members() }
+	r.callUntil("all are members", func() bool { return len(members().Directors) == 40 })
 	m := members()
 	if len(m.Relays) != 1 || m.Relays[0].Directors != 40 || m.Relays[0].Name != "r1" || !m.Relays[0].Complete ||
 		m.Directors[0].Relay != "r1/7" || m.Directors[0].Config != "mark" {
@@ -124,54 +126,56 @@
 	}
 	purged, err := c.Purge(fleet.Purge{Object: "00000000000000ff"})
 	check(t, err)
-	r.calls("the relay has the purge", func() bool { return r.revision >= purged.Revision })
-	r.calls("the relay is recorded to have taken it", func() bool {
-		e, err := b.directors.Adoption(purged.Revision)
+	r.callUntil("the relay has the purge", func() bool { return r.revision >= purged.Revision })
+	r.callUntil("the purge is recorded as applied by the relay", func() bool {
+		e, err := s.directors.Adoption(purged.Revision)
 		return err == nil && len(e.Applied) == 1 && e.Applied[0].Director == "relay:r1/7" && len(e.Missing) == 0
 	})
 	silent := replicas.Now()
-	until(t, "the directors are gone", func() bool { return len(members().Directors) == 0 })
+	waitUntil(t, "the directors are gone", func() bool { return len(members().Directors) == 0 })
 	if after := replicas.Now() - silent; after < 600*time.Millisecond || len(members().Lost) != 40 || len(members().Relays) != 0 {
 		t.Fatalf("after %v: %+v", after, members())
 	}
 }
 
-// A purge counts as acknowledged everywhere only when the directors behind relays have it, and the one that lags is named.
+// TestAcknowledgedWaitsForRelays checks that a purge counts as acknowledged only once the directors behind relays have it, and that a
+// director that lags is reported.
 func TestAcknowledgedWaitsForRelays(t *testing.T) {
-	b, c := start(t, settingsIn(t.TempDir()))
-	until(t, "the membership begins", b.directors.settled)
-	r := newTestRelay(t, b, "r1", 7, 3)
-	r.calls("all are members", func() bool { return len(b.directors.Members().Directors) == 3 })
+	s, c := start(t, settingsIn(t.TempDir()))
+	waitUntil(t, "the membership begins", s.directors.earlierLeasesExpired)
+	r := newTestRelay(t, s, "r1", 7, 3)
+	r.callUntil("all are members", func() bool { return len(s.directors.Members().Directors) == 3 })
 	r.behind["d-1"] = r.revision
 	r.call()
 	purged, err := c.Purge(fleet.Purge{Object: "00000000000000ff"})
 	check(t, err)
-	r.calls("the director that lags is named", func() bool { return len(r.last.Stale) == 1 })
-	if r.last.Stale[0].ID != r.directors[1].ID() || r.last.Current < purged.Revision || b.acknowledgedRevision() != r.behind["d-1"] {
-		t.Fatalf("acknowledged %d of %d: %+v", b.acknowledgedRevision(), purged.Revision, r.last)
+	r.callUntil("the director that lags is named", func() bool { return len(r.last.Stale) == 1 })
+	if r.last.Stale[0].ID != r.directors[1].ID() || r.last.Current < purged.Revision || s.acknowledgedRevision() != r.behind["d-1"] {
+		t.Fatalf("acknowledged %d of %d: %+v", s.acknowledgedRevision(), purged.Revision, r.last)
 	}
-	e, err := b.directors.Adoption(purged.Revision)
+	e, err := s.directors.Adoption(purged.Revision)
 	check(t, err)
 	if len(e.Applied) != 1 || !slices.Equal(e.Missing, []string{r.directors[1].ID()}) {
 		t.Fatalf("%+v", e)
 	}
-	for _, d := range b.directors.Members().Directors {
+	for _, d := range s.directors.Members().Directors {
 		if lags := d.Name == "d-1"; lags != (d.AppliedRevision < purged.Revision) || lags != (d.BehindMS > 0) {
 			t.Fatalf("%+v", d)
 		}
 	}
 	delete(r.behind, "d-1")
-	r.calls("all have the purge", func() bool { return b.acknowledgedRevision() >= purged.Revision })
+	r.callUntil("all have the purge", func() bool { return s.acknowledgedRevision() >= purged.Revision })
 }
 
-// Requests that come late, twice or malformed, and too many sessions, are rejected; health reports are aggregated and answered.
+// TestRelayRequestsRejected checks that late, repeated and malformed requests and surplus sessions are rejected, and that health
+// reports are aggregated and answered.
 func TestRelayRequestsRejected(t *testing.T) {
-	b, _ := start(t, settingsIn(t.TempDir()))
-	until(t, "the membership begins", b.directors.settled)
-	r := newTestRelay(t, b, "r1", 7, 1)
+	s, _ := start(t, settingsIn(t.TempDir()))
+	waitUntil(t, "the membership begins", s.directors.earlierLeasesExpired)
+	r := newTestRelay(t, s, "r1", 7, 1)
 	r.call()
 	kind := func(body []byte, code int) string {
-		w := post(t, b, body)
+		w := post(t, s, body)
 		var e api.Error
 		if err := json.Unmarshal(w.Body.Bytes(), &e); err != nil || w.Code != code {
 			t.Fatalf("%d: %s", w.Code, w.Body)
@@ -198,7 +202,7 @@
 		t.Fatal(k)
 	}
 	for i := range membership.MaxSessions - 1 {
-		newTestRelay(t, b, fmt.Sprint("x", i), uint64(100+i), 0).call()
+		newTestRelay(t, s, fmt.Sprint("x", i), uint64(100+i), 0).call()
 	}
 	full := relaysession.Request{Update: membership.Update{Relay: membership.Relay{Name: "y", Incarnation: "1"}, Session: 9, Sequence: 1}}
 	body, err = json.Marshal(full)
@@ -217,20 +221,20 @@
 		r.directors[i+1].HealthReport, err = json.Marshal(report)
 		check(t, err)
 	}
-	r.calls("the relay is sent the health of the cache", func() bool {
+	r.callUntil("the relay is sent the health of the cache", func() bool {
 		a := r.call()
 		return a.AggregatedHealth != nil && len(a.AggregatedHealth.Caches) == 1 && a.AggregatedHealth.Caches[0].Cache == "c-1"
 	})
 }
 
-// BenchmarkRelayRequest measures the cost of a request in steady state to the leader, with its JSON, by directors of the relay.
+// BenchmarkRelayRequest measures the leader's cost of a relay request in steady state, including JSON, by number of directors.
 func BenchmarkRelayRequest(b *testing.B) {
 	for _, directors := range []int{50, 100, 200, 400, 800} {
 		b.Run(fmt.Sprint(directors), func(b *testing.B) {
 			s, _ := start(b, settingsIn(b.TempDir()))
-			until(b, "the membership begins", s.directors.settled)
+			waitUntil(b, "the membership begins", s.directors.earlierLeasesExpired)
 			r := newTestRelay(b, s, "r1", 7, directors)
-			r.calls("all are members", func() bool { return len(s.directors.Members().Directors) == directors })
+			r.callUntil("all are members", func() bool { return len(s.directors.Members().Directors) == directors })
 			size := 0
 			for b.Loop() {
 				b.StopTimer()
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -19,19 +19,19 @@
 	"stairvane.org/stairvane/internal/transport"
 )
 
-// minKeptEvents is how many events the log for watchers has at least, whatever the operator's file says.
+// minKeptEvents is the minimum number of events that the log for watchers retains, regardless of the operator configuration.
 const minKeptEvents = 1000
 
-// Options are what one start is given beside the operator's file.
+// Options are the settings of one start that are not in the operator configuration.
 type Options struct {
-	Clock       func() int64       // milliseconds since the Unix epoch; nil: the system's clock
-	KillPoint   func(point string) // called where a test may end the process, see store.Options; nil: nothing
+	Clock       func() int64       // milliseconds since the Unix epoch; nil for the system clock
+	KillPoint   func(point string) // called at each point where a test may kill the process; see store.Options; may be nil
 	AcceptOlder bool               // see store.Options
-	FoundGroup  bool               // found a group with this store as its first replica
-	NewDisk     bool               // set the store aside and begin as a new disk, which waits to be admitted to the group
+	FoundGroup  bool               // start a new group with this store as its first replica
+	NewDisk     bool               // rename the existing store and start with a new disk that waits for admission to the group
 }
 
-// Server is one process of the control plane: the only one, or a replica of a group.
+// Server is one process of the control plane, either standalone or a replica of a group.
 type Server struct {
 	settings      operatorconfig.ControlPlane
 	store         *store.Store
@@ -43,17 +43,17 @@
 	relayLeases   *relayLeases
 	writeListener net.Listener
 	writeServer   *http.Server
-	observed      atomic.Pointer[map[string]fleet.Observation] // by host name; the map is replaced and never changed
-	group         *replicas.Group                              // nil: the process runs alone
+	observed      atomic.Pointer[map[string]fleet.Observation] // by host name; the map is replaced, never modified
+	group         *replicas.Group                              // nil for a standalone process
 	clock         func() int64                                 // milliseconds since the Unix epoch
-	started       atomic.Bool                                  // the loop runs, or ran
+	started       atomic.Bool                                  // whether the loop has been started
 	stopping      atomic.Bool
-	failed        chan error // why the write side ended
+	failures      chan error // errors that ended the write side
 }
 
-// New opens the store and listens. Nothing is served before Run. Errors of the store wrap those of its package.
+// New opens the store and starts to listen, but serves nothing before Run. Errors of the store wrap the errors of package store.
 func New(set operatorconfig.ControlPlane, options Options) (*Server, error) {
-	s := &Server{settings: set, clock: options.Clock, failed: make(chan error, 2)}
+	s := &Server{settings: set, clock: options.Clock, failures: make(chan error, 2)}
 	if s.clock == nil {
 		s.clock = func() int64 { return time.Now().UnixMilli() }
 	}
@@ -65,10 +65,10 @@
 	return s, nil
 }
 
-// open makes the parts of the server. What was opened before an error is closed by release.
+// open creates the components of the server. After an error the caller must call release to close those that were opened.
 func (s *Server) open(options Options) (err error) {
 	if s.loop, err = transport.NewLoop(); err != nil {
-		return fmt.Errorf("make event loop: %w", err)
+		return fmt.Errorf("create event loop: %w", err)
 	}
 	if err = s.prepareGroup(options); err != nil {
 		return err
@@ -79,7 +79,7 @@
 	s.directors = newDirectorServices(s)
 	s.relayLeases = newRelayLeases(s)
 	first, tail := s.store.Tail()
-	log, err := s.newEventLog(first, tail, s.store.Fleet())
+	log, err := s.newWatchLog(first, tail, s.store.Fleet())
 	if err != nil {
 		return err
 	}
@@ -102,7 +102,7 @@
 		KeepEvents:     s.settings.KeepEvents,
 		Batch:          s.settings.Batch,
 		Clock:          s.clock,
-		Committed:      s.committed,
+		Committed:      s.eventsCommitted,
 		KillPoint:      options.KillPoint,
 		AcceptOlder:    options.AcceptOlder,
 		IsReplica:      s.settings.Replicas.Self != "",
@@ -112,45 +112,45 @@
 		return err
 	}
 	if identity, _ := s.store.Identity(); identity.Disk != 0 && s.settings.Replicas.Self == "" {
-		return fmt.Errorf("%s: %w, as copy %s, and the file lists no copies", s.settings.Store, store.ErrInGroup, identity.Name)
+		return fmt.Errorf("%s: %w, as replica %s, and (copies ...) is missing", s.settings.Store, store.ErrInGroup, identity.Name)
 	}
 	return nil
 }
 
-// newEventLog makes the log that watchers are answered from. tail are the events from number first on that led to the fleet.
-func (s *Server) newEventLog(first int64, tail []fleet.Event, f fleet.Fleet) (*eventlog.Log, error) {
+// newWatchLog returns the log from which watchers are served. tail contains the events from revision first on, which result in fleet f.
+func (s *Server) newWatchLog(first int64, tail []fleet.Event, f fleet.Fleet) (*eventlog.Log, error) {
 	return eventlog.New(first, tail, f, max(s.settings.KeepEvents, minKeptEvents))
 }
 
-// Addr is where directors watch.
+// Addr returns the address at which directors watch.
 func (s *Server) Addr() (netip.AddrPort, error) { return s.watches.Addr() }
 
-// WriteAddr is where the write side listens.
+// WriteAddr returns the address at which the write side listens.
 func (s *Server) WriteAddr() net.Addr { return s.writeListener.Addr() }
 
-// ObservedState is the fleet as it is declared now, with the last observations of its hosts. It may be called from any goroutine.
+// ObservedState returns the current declared fleet with the latest observations of its hosts. It is safe for concurrent use.
 func (s *Server) ObservedState() fleet.ObservedState {
 	return fleet.ObservedState{Fleet: s.store.Fleet(), Observed: *s.observed.Load(), NowMS: s.clock()}
 }
 
-// committed is called by the store when events have become durable.
-func (s *Server) committed(events []fleet.Event) {
+// eventsCommitted publishes events. The store calls it once they are durable.
+func (s *Server) eventsCommitted(events []fleet.Event) {
 	f := s.store.Fleet()
-	s.directors.committed(f.Revision)
+	s.directors.eventsCommitted(f.Revision)
 	s.post(func() {
 		s.watches.Publish(events, f)
-		s.observer.apply(events)
+		s.observer.applyEvents(events)
 	})
 }
 
-// post runs f on the loop, unless the loop has not begun.
+// post runs f on the event loop. It does nothing if the loop has not been started.
 func (s *Server) post(f func()) {
 	if s.started.Load() {
 		s.loop.Post(f)
 	}
 }
 
-// Run serves until Stop and then closes everything that New has opened. It may be called once.
+// Run serves until Stop is called and then closes everything that New has opened. It must be called only once.
 func (s *Server) Run() error {
 	addr, err := s.Addr()
 	if err != nil {
@@ -164,7 +164,7 @@
 		s.release()
 		return fmt.Errorf("recover apply: %w", err)
 	}
-	if s.stopping.Load() { // Stop came before the loop could be reached
+	if s.stopping.Load() { // Stop was called before the loop was started
 		s.post(s.loop.Stop)
 	}
 	s.observer.start()
@@ -185,36 +185,37 @@
 // serveWrites serves the write side until it is closed.
 func (s *Server) serveWrites() {
 	if err := s.writeServer.Serve(s.writeListener); !errors.Is(err, http.ErrServerClosed) {
-		s.failed <- fmt.Errorf("write side: %w", err)
+		s.failures <- fmt.Errorf("write side: %w", err)
 		s.Stop()
 	}
 }
 
-// shutDown ends the goroutines once the loop has ended, and closes the store last. It gives the failure that stopped the server, too.
+// shutDown ends the remaining goroutines after the loop has ended, and finally closes the store. The returned error includes the
+// failure that stopped the server, if there was one.
 func (s *Server) shutDown() error {
 	s.executor.stop()
 	close(s.directors.stop)
 	<-s.directors.ended
-	_ = s.writeServer.Close() // its listener is given up in any case
+	_ = s.writeServer.Close() // the listener is no longer needed in any case
 	if s.group != nil {
 		s.group.Stop()
 	}
 	err := s.store.Close()
 	select {
-	case failure := <-s.failed:
+	case failure := <-s.failures:
 		err = errors.Join(err, failure)
 	default:
 	}
 	return err
 }
 
-// Stop ends Run. An apply that is under way goes on at the next start, or at the next leader.
+// Stop ends Run. A running apply is resumed at the next start or by the next leader. It is safe for concurrent use.
 func (s *Server) Stop() {
 	s.stopping.Store(true)
 	s.post(s.loop.Stop)
 }
 
-// release closes what open has opened, for a server that does not run.
+// release closes everything that open has opened, for a server that does not run.
 func (s *Server) release() {
 	if s.writeListener != nil {
 		_ = s.writeListener.Close() // the error that led here is reported
--- a/internal/controlplane/shards.go
+++ b/internal/controlplane/shards.go
@@ -6,16 +6,15 @@
 	"stairvane.org/stairvane/internal/fleet"
 )
 
-// shardService owns which claim shards directors have reported as ready, that is with all replicas filled, until the event log
-// has it. mu guards all of it.
+// shardService owns the reports of directors that claim shards are ready, which means that all replicas of the shard are filled. mu
+// guards all of it.
 //
-// At the leader a report stays until the event log shows the shard as ready, or a later epoch of it. Other replicas pass each
-// report on once, since directors repeat it until the event log has it. What was reported stays when leadership is gained
-// or lost.
+// The leader keeps a report until the event log contains it or a later epoch of the shard. Other replicas forward each report once,
+// because directors repeat it until the event log contains it. Reports are kept when leadership is gained or lost.
 type shardService struct {
 	mu       sync.Mutex
 	isLeader bool
-	ready    map[int]int64 // epoch by shard
+	ready    map[int]int64 // ready epoch by shard
 }
 
 func newShardService() *shardService { return &shardService{ready: map[int]int64{}} }
@@ -26,8 +25,8 @@
 	s.isLeader = isLeader
 }
 
-// take takes reports, which are pairs of shard and epoch. Pairs that can't be are passed over.
-func (s *shardService) take(pairs []int64) {
+// recordReady records reports in the form of alternating shards and epochs. Invalid shards are ignored.
+func (s *shardService) recordReady(pairs []int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := 0; i+1 < len(pairs); i += 2 {
@@ -38,8 +37,8 @@
 	}
 }
 
-// report returns the pairs for the leader.
-func (s *shardService) report() []int64 {
+// readyPairs returns the reports for the leader as alternating shards and epochs. A replica that is not the leader then drops them.
+func (s *shardService) readyPairs() []int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var pairs []int64
@@ -52,8 +51,9 @@
 	return pairs
 }
 
-// pending returns which shards are ready and not shown as such in f, and forgets those that f shows or that are of an older epoch.
-func (s *shardService) pending(f fleet.Fleet) []fleet.ShardChange {
+// pendingChanges returns the changes that mark the reported shards as ready in f. It removes reports that f already contains or that
+// belong to an older epoch.
+func (s *shardService) pendingChanges(f fleet.Fleet) []fleet.ShardChange {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var changes []fleet.ShardChange
--- a/internal/controlplane/tls_test.go
+++ b/internal/controlplane/tls_test.go
@@ -26,7 +26,7 @@
 	"stairvane.org/stairvane/internal/operatorconfig"
 )
 
-// authority signs certificates into a folder.
+// authority is a certificate authority that writes its certificates to a folder.
 type authority struct {
 	t    *testing.T
 	dir  string
@@ -40,7 +40,7 @@
 	return a
 }
 
-// issue writes the files NAME.crt and NAME.key. Without a parent the certificate is the authority's own.
+// issue writes the files NAME.crt and NAME.key. Without a parent it issues the authority's own self-signed certificate.
 func (a *authority) issue(name string, parent *x509.Certificate, signer *ecdsa.PrivateKey) (*x509.Certificate, *ecdsa.PrivateKey) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	check(a.t, err)
@@ -71,7 +71,8 @@
 
 func (a *authority) file(name string) string { return filepath.Join(a.dir, name) }
 
-// startOverTLS runs a server with the certificate "board" of an authority, whose write side wants certificates of the same.
+// startOverTLS runs a server with the certificate "board" of an authority. Its write side requires client certificates of the same
+// authority.
 func startOverTLS(t *testing.T, a *authority) *Server {
 	t.Helper()
 	set := settingsIn(t.TempDir())
@@ -83,8 +84,8 @@
 	return startServer(t, set)
 }
 
-// Over TLS the write side accepts only callers with a certificate of its authority, and only TLS 1.3. It records the name in the
-// certificate.
+// TestWriteSideOverTLS checks that the write side accepts only callers with a certificate of its authority, and only TLS 1.3, and that
+// it records the name in the certificate.
 func TestWriteSideOverTLS(t *testing.T) {
 	own := newAuthority(t, "ca")
 	other := newAuthority(t, "ca")
@@ -105,7 +106,7 @@
 	}
 	check(t, purge(own, "anna"))
 	if err := purge(other, "mallory"); err == nil {
-		t.Error("a strange certificate was taken")
+		t.Error("a certificate of another authority was accepted")
 	}
 	pool := x509.NewCertPool()
 	pool.AddCert(own.cert)
@@ -118,7 +119,7 @@
 		c := http.Client{Transport: &http.Transport{TLSClientConfig: config}}
 		if res, err := c.Get("https://" + s.WriteAddr().String() + "/v1/world"); err == nil {
 			check(t, res.Body.Close())
-			t.Errorf("%s was taken", name)
+			t.Errorf("%s was accepted", name)
 		}
 	}
 	var who []string
@@ -134,7 +135,8 @@
 	}
 }
 
-// A relay with a certificate of the control plane's authority gets a lease and serves. One with another certificate never does.
+// TestRelayOverTLS checks that a relay with a certificate of the control plane's authority is granted a lease and serves, and that a
+// relay with a certificate of another authority never does.
 func TestRelayOverTLS(t *testing.T) {
 	own := newAuthority(t, "ca")
 	other := newAuthority(t, "ca")
@@ -164,8 +166,8 @@
 		status, _, err := d.Poll(0)
 		return err == nil && status == http.StatusOK && d.Revision == 1
 	}
-	until(t, "the relay serves", func() bool { return serves(known) })
+	waitUntil(t, "the relay serves", func() bool { return serves(known) })
 	if serves(strange) || len(s.directors.Members().Relays) != 1 {
-		t.Errorf("a strange certificate was taken: %+v", s.directors.Members().Relays)
+		t.Errorf("a certificate of another authority was accepted: %+v", s.directors.Members().Relays)
 	}
 }
--- a/internal/controlplane/watches_test.go
+++ b/internal/controlplane/watches_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// A malformed watch request costs only its own connection.
+// TestMalformedWatchRequestsCloseTheirConnection checks that a malformed watch request closes only its own connection.
 func TestMalformedWatchRequestsCloseTheirConnection(t *testing.T) {
 	s, _ := start(t, settingsIn(t.TempDir()))
 	addr, err := s.Addr()
@@ -35,5 +35,5 @@
 		}
 		check(t, conn.Close())
 	}
-	until(t, "all are gone", func() bool { return s.watches.Count() == 0 })
+	waitUntil(t, "all watchers are disconnected", func() bool { return s.watches.Count() == 0 })
 }
--- a/internal/controlplane/watchowner.go
+++ b/internal/controlplane/watchowner.go
@@ -10,9 +10,9 @@
 	"stairvane.org/stairvane/internal/quota"
 )
 
-const maxWatchers = 8192 // connections of directors at one time
+const maxWatchers = 8192 // maximum number of concurrent director connections
 
-// watchOwner is the server as its watch server sees it. It implements watch.Owner.
+// watchOwner implements watch.Owner for the server.
 type watchOwner struct{ server *Server }
 
 func newWatchServer(s *Server, log *eventlog.Log) (*watch.Server, error) {
@@ -20,12 +20,12 @@
 	return watch.New(s.loop, set, watchOwner{s}, log, s.store.Fleet().Rules().NotifiedWithinMS)
 }
 
-// hasLease tells whether the process may have watchers. A replica may only under its lease, for it may be cut off from the others
-// and not know of it.
+// hasLease reports whether the process may serve watchers. A replica may do so only while it holds its lease, because it may be
+// partitioned from the other replicas without knowing it.
 func (s *Server) hasLease() bool { return s.group == nil || s.group.HasLease() }
 
-// watchedRevision is the revision up to which every director has all events, those that watch other replicas included. Directors
-// behind relays are not included, see acknowledgedRevision.
+// watchedRevision returns the revision up to which every director has received all events, including directors that watch other
+// replicas. In a standalone process it excludes directors behind relays; see acknowledgedRevision.
 func (s *Server) watchedRevision() int64 {
 	if s.group != nil {
 		return s.group.Acknowledged()
@@ -36,15 +36,15 @@
 // MayServe implements watch.Owner.
 func (o watchOwner) MayServe() bool { return o.server.hasLease() }
 
-// ObserveDirector implements watch.Owner. There is always capacity for a director: the number of watchers is bounded by maxWatchers.
+// ObserveDirector implements watch.Owner. It always admits the director, because maxWatchers already limits the number of watchers.
 func (o watchOwner) ObserveDirector(announcement discovery.Announcement, acknowledged int64) bool {
-	o.server.directors.observe(announcement, acknowledged)
+	o.server.directors.recordAnnouncement(announcement, acknowledged)
 	return true
 }
 
 // TakeQuotaGrant implements watch.Owner.
 func (o watchOwner) TakeQuotaGrant(directorID string) *quota.Grant {
-	return o.server.directors.takeGrant(directorID)
+	return o.server.directors.popGrant(directorID)
 }
 
 // Health implements watch.Owner.
@@ -52,7 +52,7 @@
 	return o.server.directors.aggregatedHealth(directorID)
 }
 
-// AcknowledgedChanged implements watch.Owner. A step of an apply may wait for it.
+// AcknowledgedChanged implements watch.Owner. It wakes the executor, because a step of an apply may be waiting for the change.
 func (o watchOwner) AcknowledgedChanged() { o.server.executor.wake() }
 
 // ClockMS implements watch.Owner.
--- a/internal/controlplane/writeside.go
+++ b/internal/controlplane/writeside.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	maxRequestBody    = 1 << 16 // bytes, of a purge or a change of replicas
+	maxRequestBody    = 1 << 16 // bytes, for a purge or a replica change
 	barrierTimeout    = 2 * time.Second
 	readHeaderTimeout = 10 * time.Second
 	writeIdleTimeout  = time.Minute
 )
 
-// listenWrite opens the write side.
+// listenWrite opens the listener of the write side and creates its HTTP server.
 func (s *Server) listenWrite() error {
 	var err error
 	if s.settings.Write.Unix != "" {
@@ -44,11 +44,11 @@
 	return nil
 }
 
-// listenUnix opens a Unix socket that only the user of the process may write to. The socket of a killed process is in the way and is
-// removed: the store's lock shows that no other process lives.
+// listenUnix opens a Unix socket that only the user of the process may write to. It first removes the stale socket of a killed process;
+// the store's lock ensures that no other process is using it.
 func (s *Server) listenUnix(path string) (err error) {
 	if info, err := os.Lstat(path); err == nil && info.Mode()&os.ModeSocket != 0 {
-		_ = os.Remove(path) // Listen reports it if the socket is still there
+		_ = os.Remove(path) // if the socket still exists, Listen reports it
 	}
 	if s.writeListener, err = net.Listen("unix", path); err != nil {
 		return err
@@ -56,11 +56,11 @@
 	return os.Chmod(path, 0o600)
 }
 
-// listenTCP opens a TCP port. Beyond loopback it takes only callers with a client certificate.
+// listenTCP opens a TCP port. An address other than loopback requires TLS with client certificates.
 func (s *Server) listenTCP() (err error) {
 	set := s.settings.Write
 	if set.TLS == nil && !set.TCP.Addr().IsLoopback() {
-		return fmt.Errorf("%v is not loopback, and there is no TLS", set.TCP)
+		return fmt.Errorf("%v is not loopback and TLS is not configured", set.TCP)
 	}
 	if s.writeListener, err = net.Listen("tcp", set.TCP.String()); err != nil || set.TLS == nil {
 		return err
@@ -76,29 +76,29 @@
 // routes maps the paths of the write side to their handlers.
 func (s *Server) routes() *http.ServeMux {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/world", s.current(answer(s, s.getState)))
-	mux.HandleFunc("GET /v1/roll", s.current(answer(s, s.getMembers)))
-	mux.HandleFunc("GET /v1/turns", s.current(answer(s, s.getQuotas)))
-	mux.HandleFunc("GET /v1/signals", s.current(answer(s, s.getHealth)))
-	mux.HandleFunc("GET /v1/adoption", s.current(answer(s, s.getAdoption)))
-	mux.HandleFunc("GET /v1/history", s.current(answer(s, s.getHistory)))
-	mux.HandleFunc("GET /v1/applies", s.current(answer(s, s.getApplies)))
-	mux.HandleFunc("GET /v1/applies/{id}", s.current(answer(s, s.getApply)))
-	mux.HandleFunc("GET /v1/applies/{id}/before", s.current(answer(s, s.getDesiredBefore)))
-	mux.HandleFunc("POST /v1/applies", limitBody(plan.MaxBytes, answer(s, s.postPlan)))
-	mux.HandleFunc("POST /v1/applies/{id}/{order}", answer(s, s.postOrder))
-	mux.HandleFunc("POST /v1/purges", limitBody(maxRequestBody, answer(s, s.postPurge)))
-	mux.HandleFunc("POST "+relaysession.Path, s.withRelays(s.postRelayLease))
+	mux.HandleFunc("GET /v1/world", s.linearizable(jsonHandler(s, s.getState)))
+	mux.HandleFunc("GET /v1/roll", s.linearizable(jsonHandler(s, s.getMembers)))
+	mux.HandleFunc("GET /v1/turns", s.linearizable(jsonHandler(s, s.getQuotas)))
+	mux.HandleFunc("GET /v1/signals", s.linearizable(jsonHandler(s, s.getHealth)))
+	mux.HandleFunc("GET /v1/adoption", s.linearizable(jsonHandler(s, s.getAdoption)))
+	mux.HandleFunc("GET /v1/history", s.linearizable(jsonHandler(s, s.getHistory)))
+	mux.HandleFunc("GET /v1/applies", s.linearizable(jsonHandler(s, s.getApplies)))
+	mux.HandleFunc("GET /v1/applies/{id}", s.linearizable(jsonHandler(s, s.getApply)))
+	mux.HandleFunc("GET /v1/applies/{id}/before", s.linearizable(jsonHandler(s, s.getDesiredBefore)))
+	mux.HandleFunc("POST /v1/applies", limitBody(plan.MaxBytes, jsonHandler(s, s.postPlan)))
+	mux.HandleFunc("POST /v1/applies/{id}/{order}", jsonHandler(s, s.postOrder))
+	mux.HandleFunc("POST /v1/purges", limitBody(maxRequestBody, jsonHandler(s, s.postPurge)))
+	mux.HandleFunc("POST "+relaysession.Path, s.requireRelays(s.postRelayLease))
 	if s.group != nil {
 		s.group.Mount(mux)
-		mux.HandleFunc("GET /v1/copies", answer(s, s.getReplicas))
-		mux.HandleFunc("POST /v1/copies", limitBody(maxRequestBody, answer(s, s.postReplicaChange)))
+		mux.HandleFunc("GET /v1/copies", jsonHandler(s, s.getReplicas))
+		mux.HandleFunc("POST /v1/copies", limitBody(maxRequestBody, jsonHandler(s, s.postReplicaChange)))
 	}
 	return mux
 }
 
-// answer makes a handler that sends what a function returns, or its error.
-func answer[T any](s *Server, f func(*http.Request) (T, error)) http.HandlerFunc {
+// jsonHandler returns a handler that sends the result of f as JSON, or its error.
+func jsonHandler[T any](s *Server, f func(*http.Request) (T, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		out, err := f(r)
 		if err != nil {
@@ -109,9 +109,9 @@
 	}
 }
 
-// current makes a read linearizable: it answers with everything that was accepted before the call. In a group only the leader can,
-// and it first proves that it leads. With ?local=1 any replica answers with what it has.
-func (s *Server) current(next http.HandlerFunc) http.HandlerFunc {
+// linearizable makes a read linearizable: the answer includes every change that was accepted before the call. In a group only the
+// leader can serve such a read, after a barrier has confirmed its leadership. With ?local=1 any replica answers from its local state.
+func (s *Server) linearizable(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if s.group != nil && r.URL.Query().Get("local") == "" {
 			ctx, cancel := context.WithTimeout(r.Context(), barrierTimeout)
@@ -125,12 +125,12 @@
 	}
 }
 
-// withRelays rejects requests of relays where the operator's file does not allow them.
-func (s *Server) withRelays(next http.HandlerFunc) http.HandlerFunc {
+// requireRelays rejects the requests of relays unless the operator configuration allows relays.
+func (s *Server) requireRelays(next http.HandlerFunc) http.HandlerFunc {
 	if s.settings.Relays {
 		return next
 	}
 	return func(w http.ResponseWriter, _ *http.Request) {
-		s.writeError(w, rejectRequest(api.NotAllowed, "no relays are let in: (relays) is missing in (board ...)"))
+		s.writeError(w, newRequestError(api.NotAllowed, "relays are not allowed: (relays) is missing in (board ...)"))
 	}
 }
--- a/internal/controlplane/writeside_callers.go
+++ b/internal/controlplane/writeside_callers.go
@@ -25,13 +25,14 @@
 	callerKey struct{} // the name of the caller, a string
 )
 
-// authorize rejects who may not call, and identifies who does. What a caller says of itself is recorded beside that, and marked.
+// authorize rejects callers that are not allowed and identifies all others. The name that a caller claims for itself is appended to the
+// identity and marked as claimed.
 func (s *Server) authorize(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		name, err := s.identify(r)
 		if err != nil {
 			slog.Warn("write.forbidden", "err", err)
-			s.writeError(w, rejectRequest(api.NotAllowed, "%v", err))
+			s.writeError(w, newRequestError(api.NotAllowed, "%v", err))
 			return
 		}
 		if claimed := r.Header.Get(api.WhoHeader); isPrintableName(claimed) {
@@ -41,18 +42,18 @@
 	})
 }
 
-// isPrintableName tells whether a name that a caller gives itself can be recorded.
+// isPrintableName reports whether a claimed name can be recorded: it must consist of 1 to maxClaimedName printable ASCII characters.
 func isPrintableName(name string) bool {
 	notPrintable := func(c rune) bool { return c < ' ' || c > '~' }
 	return name != "" && len(name) <= maxClaimedName && !strings.ContainsFunc(name, notPrintable)
 }
 
-// identify gives the name of a caller: the user behind a Unix socket, the name in the client's certificate, or else the address.
-// The error tells that the caller may not call.
+// identify returns the name of a caller: the user behind a Unix socket, the common name in the client certificate, or otherwise the
+// address. It returns an error if the caller is not allowed.
 func (s *Server) identify(r *http.Request) (string, error) {
 	conn, _ := r.Context().Value(connKey{}).(net.Conn)
 	if u, ok := conn.(*net.UnixConn); ok {
-		return unixPeer(u)
+		return unixPeerName(u)
 	}
 	if r.TLS != nil && len(r.TLS.PeerCertificates) > 0 {
 		return r.TLS.PeerCertificates[0].Subject.CommonName, s.checkAddress(r.RemoteAddr)
@@ -60,7 +61,7 @@
 	return r.RemoteAddr, s.checkAddress(r.RemoteAddr)
 }
 
-// checkAddress gives an error for an address that may not call.
+// checkAddress returns an error if the remote address is not allowed to call the write side.
 func (s *Server) checkAddress(remote string) error {
 	addr, err := netip.ParseAddrPort(remote)
 	if err != nil {
@@ -68,12 +69,12 @@
 	}
 	ip := addr.Addr().Unmap()
 	if !s.allowsAddress(ip) {
-		return fmt.Errorf("%v may not write here", ip)
+		return fmt.Errorf("%v is not allowed to call the write side", ip)
 	}
 	return nil
 }
 
-// allowsAddress tells whether an address may call. Without a list of writers, and without certificates, only loopback may.
+// allowsAddress reports whether an address may call the write side. Without a list of writers and without TLS, only loopback may.
 func (s *Server) allowsAddress(ip netip.Addr) bool {
 	set := s.settings.Write
 	if set.Writers != nil {
@@ -82,8 +83,8 @@
 	return set.TLS != nil || ip.IsLoopback()
 }
 
-// unixPeer is the name of the user behind a Unix socket.
-func unixPeer(c *net.UnixConn) (string, error) {
+// unixPeerName returns the name of the user at the other end of a Unix socket, or the user ID if the name is unknown.
+func unixPeerName(c *net.UnixConn) (string, error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return "", err
@@ -106,13 +107,13 @@
 	return "uid " + uid, nil
 }
 
-// callerOf is the name of who sent a request.
-func callerOf(r *http.Request) string {
+// callerName returns the name of the caller that authorize has identified.
+func callerName(r *http.Request) string {
 	name, _ := r.Context().Value(callerKey{}).(string)
 	return name
 }
 
-// writeOf identifies a write by the ID under which its caller may repeat it, and by its content.
-func writeOf(r *http.Request, body []byte) store.Write {
+// writeIdentity identifies a write by the ID under which its caller may repeat it, and by its body.
+func writeIdentity(r *http.Request, body []byte) store.Write {
 	return store.Write{ID: r.Header.Get(api.WriteHeader), Body: body}
 }
--- a/internal/controlplane/writeside_errors.go
+++ b/internal/controlplane/writeside_errors.go
@@ -14,20 +14,20 @@
 	"stairvane.org/stairvane/internal/fleet/plan"
 )
 
-// requestError is a request that can't be served as it was sent.
+// requestError is the error for an invalid request.
 type requestError struct {
-	kind    string // of api.Error
+	kind    string // an error kind of package api
 	message string
 }
 
 func (e *requestError) Error() string { return e.message }
 
-// rejectRequest makes an error for a request that can't be served as it was sent.
-func rejectRequest(kind, format string, args ...any) error {
+// newRequestError returns a requestError with a formatted message.
+func newRequestError(kind, format string, args ...any) error {
 	return &requestError{kind: kind, message: fmt.Sprintf(format, args...)}
 }
 
-// errorKinds are the kinds of errors that callers decide by. The first one that matches counts.
+// errorKinds maps errors to the kinds that callers branch on. The first match applies.
 var errorKinds = []struct {
 	err  error
 	kind string
@@ -48,8 +48,8 @@
 	{apply.ErrFenced, api.WrongState},
 }
 
-// kindOf is the kind of an error; api.Failed if no caller decides by it.
-func kindOf(err error) string {
+// errorKind returns the kind of an error, which is api.Failed for an error that is not in errorKinds.
+func errorKind(err error) string {
 	var request *requestError
 	if errors.As(err, &request) {
 		return request.kind
@@ -66,8 +66,8 @@
 	return api.Failed
 }
 
-// statusOf is the HTTP status of an answer with an error of a kind.
-func statusOf(kind string) int {
+// errorStatus returns the HTTP status for an error kind.
+func errorStatus(kind string) int {
 	switch kind {
 	case api.BadRequest, api.Damaged, api.Newer:
 		return http.StatusBadRequest
@@ -87,9 +87,9 @@
 	return http.StatusInternalServerError
 }
 
-// apiError is an error as callers are sent it.
+// apiError converts an error to the form in which it is sent to callers.
 func (s *Server) apiError(err error) api.Error {
-	e := api.Error{Kind: kindOf(err), Message: err.Error()}
+	e := api.Error{Kind: errorKind(err), Message: err.Error()}
 	var rejected *apply.RejectedError
 	if errors.As(err, &rejected) {
 		e.Moved = rejected.Moved
@@ -101,20 +101,20 @@
 	return e
 }
 
-// writeError answers with an error.
+// writeError sends an error with the HTTP status of its kind.
 func (s *Server) writeError(w http.ResponseWriter, err error) {
 	e := s.apiError(err)
-	fail(w, statusOf(e.Kind), e)
+	sendError(w, errorStatus(e.Kind), e)
 }
 
-// fail answers with an error under a status.
-func fail(w http.ResponseWriter, status int, e api.Error) {
+// sendError sends an error as JSON with an HTTP status.
+func sendError(w http.ResponseWriter, status int, e api.Error) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(e) // a caller that is gone reads no error
+	_ = json.NewEncoder(w).Encode(e) // nothing can be done if the caller has disconnected
 }
 
-// writeJSON answers with a value.
+// writeJSON sends v as JSON.
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(v); err != nil {
--- a/internal/controlplane/writeside_reads.go
+++ b/internal/controlplane/writeside_reads.go
@@ -41,20 +41,20 @@
 	return s.directors.CacheHealth(), nil
 }
 
-// getAdoption answers when each director applied an event.
+// getAdoption returns when each director applied an event.
 func (s *Server) getAdoption(r *http.Request) (adoption.Event, error) {
 	revision, err := strconv.ParseInt(r.URL.Query().Get("event"), 10, 64)
 	if err != nil || revision < 1 {
-		return adoption.Event{}, rejectRequest(api.BadRequest, "event: a number from 1 on is wanted")
+		return adoption.Event{}, newRequestError(api.BadRequest, "event: must be a number of at least 1")
 	}
 	event, err := s.directors.Adoption(revision)
 	if err != nil && !errors.Is(err, store.ErrNotLeader) {
-		return event, rejectRequest(api.NotFound, "%v", err)
+		return event, newRequestError(api.NotFound, "%v", err)
 	}
 	return event, err
 }
 
-// getHistory answers with a page of events. Without a valid number to begin after, it begins with the oldest event in the store.
+// getHistory returns a page of events. Without a valid parameter "after", the page starts with the oldest event in the store.
 func (s *Server) getHistory(r *http.Request) (api.History, error) {
 	after, err := strconv.ParseInt(r.URL.Query().Get("after"), 10, 64)
 	if err != nil || after < 0 {
@@ -68,8 +68,8 @@
 	return out, err
 }
 
-// getApplies lists all applies. The count of completed steps in a stored record is that of its last change of status, and so an
-// apply that has not ended is looked up with its steps.
+// getApplies returns all applies. The number of completed steps in a stored record dates from the last status change, so applies that
+// have not ended are looked up together with their steps.
 func (s *Server) getApplies(*http.Request) ([]apply.Record, error) {
 	var out []apply.Record
 	err := s.store.View(func(v *store.View) (err error) {
@@ -83,7 +83,7 @@
 		if out[i].Status.Ended() {
 			continue
 		}
-		if now, err := s.executor.lookUp(out[i].ID); err == nil {
+		if now, err := s.executor.findApply(out[i].ID); err == nil {
 			out[i] = now.record
 		}
 	}
@@ -91,7 +91,7 @@
 }
 
 func (s *Server) getApply(r *http.Request) (api.Apply, error) {
-	state, err := s.executor.lookUp(applyID(r))
+	state, err := s.executor.findApply(applyID(r))
 	if err != nil {
 		return api.Apply{}, err
 	}
@@ -103,7 +103,7 @@
 	return out, nil
 }
 
-// getDesiredBefore answers with the desired state that an apply replaced.
+// getDesiredBefore returns the desired state that an apply replaced.
 func (s *Server) getDesiredBefore(r *http.Request) (fleet.DesiredState, error) {
 	var out fleet.DesiredState
 	err := s.store.View(func(v *store.View) error {
@@ -120,7 +120,7 @@
 	return out, err
 }
 
-// applyID is the apply that a request names; 0, which is no apply's, if it names none.
+// applyID returns the apply ID in the path of a request. If the ID is invalid, it returns 0, which no apply has.
 func applyID(r *http.Request) int64 {
 	id, err := strconv.ParseInt(r.PathValue("id"), 10, 64)
 	if err != nil {
--- a/internal/controlplane/writeside_test.go
+++ b/internal/controlplane/writeside_test.go
@@ -13,7 +13,8 @@
 	"stairvane.org/stairvane/internal/operatorconfig"
 )
 
-// Callers that may not call are rejected: by address where directors watch and at the write side, and without TLS beyond loopback.
+// TestForbiddenCallersAreRejected checks that callers are rejected by address, both at the watch port and at the write side, and that a
+// write side on an address other than loopback is rejected without TLS.
 func TestForbiddenCallersAreRejected(t *testing.T) {
 	set := settingsIn(t.TempDir())
 	set.Watchers = prefixes("10.0.0.0/8")
@@ -36,13 +37,14 @@
 		t.Error(res.Status)
 	}
 	set = settingsIn(t.TempDir())
-	set.Write = operatorconfig.Write{TCP: anywhere()}
+	set.Write = operatorconfig.Write{TCP: nonLoopback()}
 	if _, err := New(set, Options{}); err == nil || !strings.Contains(err.Error(), "not loopback") {
 		t.Error(err)
 	}
 }
 
-// Every change records who made it: the name by which the caller was identified, and beside it the name that the caller gives itself.
+// TestCallerIsRecorded checks that every change records the name by which the caller was identified, followed by the name that the
+// caller claims for itself.
 func TestCallerIsRecorded(t *testing.T) {
 	set := settingsIn(t.TempDir())
 	_, c := start(t, set)
@@ -54,11 +56,12 @@
 		t.Errorf("%+v", h.Events)
 	}
 	if _, err = c.Purge(fleet.Purge{Object: "xyz"}); err == nil {
-		t.Error("a purge of nothing was taken")
+		t.Error("an invalid purge was accepted")
 	}
 }
 
-// FuzzWriteSide sends any bodies to the write side. None may cause a fault of the server, and what is accepted must be in the event log.
+// FuzzWriteSide sends arbitrary bodies to the write side. None may cause a server error, and every accepted purge must be in the event
+// log.
 func FuzzWriteSide(f *testing.F) {
 	s := startServer(f, settingsIn(f.TempDir()))
 	f.Add("/v1/purges", []byte(`{"group":3}`))
