--- a/internal/controlplane/adoption/event.go
+++ b/internal/controlplane/adoption/event.go
@@ -10,13 +10,13 @@
 // AppliedBy states when a reporter applied an event.
 type AppliedBy struct {
 	Director string `json:"director"` // director ID, or the reporter name of a relay (see RelayReporter)
-	AfterMS  int64  `json:"after_ms"` // since the event was committed
+	AfterMS  int64  `json:"after_ms"` // time from the commit of the event to its application
 }
 
 // Event is the adoption of one event across the fleet.
 type Event struct {
 	No           int64       `json:"no"`
-	AgeMS        int64       `json:"age_ms"` // since it was committed
+	AgeMS        int64       `json:"age_ms"` // time since the event was committed
 	Applied      []AppliedBy `json:"taken,omitempty"`
 	Missing      []string    `json:"missing,omitempty"` // current members that have not applied it
 	Lost         []string    `json:"lost,omitempty"`    // former members that had not applied it
--- a/internal/controlplane/api/client.go
+++ b/internal/controlplane/api/client.go
@@ -264,7 +264,7 @@
 func (c *Client) ChangeReplicas(change ReplicaChange) (known GroupStatus, err error) {
 	body, err := json.Marshal(change)
 	if err != nil {
-		return known, fmt.Errorf("encode change of replicas: %w", err)
+		return known, fmt.Errorf("encode replica change: %w", err)
 	}
 	return known, c.post("/v1/copies", body, &known)
 }
--- a/internal/controlplane/api/messages.go
+++ b/internal/controlplane/api/messages.go
@@ -95,7 +95,7 @@
 // Heartbeat reports that a director has called its replica.
 type Heartbeat struct {
 	ID              string          `json:"id"`
-	AgeMS           int64           `json:"age_ms"` // since the call
+	AgeMS           int64           `json:"age_ms"` // time since the request
 	Leaving         bool            `json:"leaving,omitempty"`
 	AppliedRevision int64           `json:"acts"`
 	Config          string          `json:"config,omitempty"`   // fingerprint of its configuration, sent with Director
@@ -114,15 +114,15 @@
 // LostDirector is a director that has left without notice.
 type LostDirector struct {
 	fleet.Director
-	LostMS          int64 `json:"lost_ms"` // since its last heartbeat
+	LostMS          int64 `json:"lost_ms"` // time since its last heartbeat
 	AppliedRevision int64 `json:"acts"`
 }
 
 // RelayStatus is a relay that has a session with the leader.
 type RelayStatus struct {
 	membership.Relay
-	Directors    int                        `json:"directors"`    // with a lease from it
-	RenewedMS    int64                      `json:"renewed_ms"`   // since its last request
+	Directors    int                        `json:"directors"`    // number of directors that hold a lease from it
+	RenewedMS    int64                      `json:"renewed_ms"`   // time since its last request
 	Acknowledged int64                      `json:"acknowledged"` // lowest revision that its directors have acknowledged
 	Current      int64                      `json:"current"`      // the same, excluding stale directors
 	BehindMS     int64                      `json:"behind_ms"`    // how long the directors counted in Current have lacked the last event
@@ -135,7 +135,7 @@
 type MemberStatus struct {
 	fleet.Director
 	Relay           string `json:"relay,omitempty"` // name of the relay that serves it
-	LastHeardMS     int64  `json:"heard_ms"`        // since its last heartbeat
+	LastHeardMS     int64  `json:"heard_ms"`        // time since its last heartbeat
 	Suspected       bool   `json:"suspected"`       // it has missed more heartbeats than usual
 	AppliedRevision int64  `json:"acts"`
 	BehindMS        int64  `json:"behind_ms"` // how long it has lacked the last event
--- a/internal/controlplane/directors_test.go
+++ b/internal/controlplane/directors_test.go
@@ -50,7 +50,7 @@
 		}
 		a := s.Grant([]quota.Renewal{{Holder: "d/1", Seq: 100}})
 		if a.QuotaGrants != nil || a.AggregatedHealth != nil || s.health.aggregated(replicas.Now()) != nil || s.earlierLeasesExpired() {
-			t.Errorf("answered without leading: %+v", a)
+			t.Errorf("a replica that is not the leader answered: %+v", a)
 		}
 		s.shards.recordReady([]int64{1, 1})
 		if first, again := s.Heartbeats(), s.Heartbeats(); len(first.ReadyShards) != 2 || len(again.ReadyShards) != 0 {
@@ -81,7 +81,7 @@
 	s.syncLeadership(true, f, replicas.Now())
 	third, err := s.handleRelayRequest(relayRequest(3, first.Registration), true)
 	if err != nil || !third.NeedFull || third.Registration == first.Registration {
-		t.Errorf("the session of an earlier leadership is known: %+v, %v", third, err)
+		t.Errorf("the session of an earlier leadership was kept: %+v, %v", third, err)
 	}
 }
 
--- a/internal/controlplane/harness_test.go
+++ b/internal/controlplane/harness_test.go
@@ -190,7 +190,7 @@
 	return nil
 }
 
-// storePurge appends a purge of the nth object.
+// storePurge appends a purge of the object with number n.
 func storePurge(s *store.Store, n int64) error {
 	return s.Do(func(t *store.Tx) error {
 		_, err := t.Append(fleet.Event{Who: "bench", Purge: &fleet.Purge{Object: fmt.Sprintf("%016x", n), IssuedMS: t.NowMS}})
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -36,8 +36,8 @@
 	settings      operatorconfig.ControlPlane
 	store         *store.Store
 	loop          *transport.Loop
-	watches       *watch.Server // owned by the loop
-	observer      *observer     // owned by the loop
+	watches       *watch.Server // owned by the event loop
+	observer      *observer     // owned by the event loop
 	executor      *executor
 	directors     *directorServices
 	relayLeases   *relayLeases
@@ -218,12 +218,12 @@
 // release closes everything that open has opened, for a server that does not run.
 func (s *Server) release() {
 	if s.writeListener != nil {
-		_ = s.writeListener.Close() // the error that led here is reported
+		_ = s.writeListener.Close() // the caller reports the original error
 	}
 	if s.loop != nil {
 		s.loop.Release()
 	}
 	if s.store != nil {
-		_ = s.store.Close() // the error that led here is reported
+		_ = s.store.Close() // the caller reports the original error
 	}
 }
--- a/internal/controlplane/tls_test.go
+++ b/internal/controlplane/tls_test.go
@@ -158,7 +158,7 @@
 		check(t, err)
 		return addr
 	}
-	strange, known := begin(other, "strange"), begin(own, "known")
+	untrusted, trusted := begin(other, "strange"), begin(own, "known")
 	serves := func(addr netip.AddrPort) bool {
 		d, err := watchtest.Dial(addr, "d", testTimeout)
 		check(t, err)
@@ -166,8 +166,8 @@
 		status, _, err := d.Poll(0)
 		return err == nil && status == http.StatusOK && d.Revision == 1
 	}
-	waitUntil(t, "the relay serves", func() bool { return serves(known) })
-	if serves(strange) || len(s.directors.Members().Relays) != 1 {
+	waitUntil(t, "the relay serves", func() bool { return serves(trusted) })
+	if serves(untrusted) || len(s.directors.Members().Relays) != 1 {
 		t.Errorf("a certificate of another authority was accepted: %+v", s.directors.Members().Relays)
 	}
 }
