--- a/internal/director/routing/attempts.go
+++ b/internal/director/routing/attempts.go
@@ -9,25 +9,25 @@
 	"stairvane.org/stairvane/internal/transport"
 )
 
-// attempt is one attempt of a request. It waits for a connection or is in flight on one, until it has ended.
+// attempt is one attempt of a request. Until it ends, it either waits for a connection or is in flight on one.
 type attempt struct {
 	request              *clientRequest
 	number               int
 	action               decision.StartAttempt
 	host                 *host
-	source               *host // that a miss is filled from; nil: none
+	source               *host // from which a miss is filled; nil: none
 	decidedAt            time.Duration
 	sentAt               time.Duration
-	conn                 *pooledConn // nil while it waits
-	fullyWritten         bool        // the system has taken all of it: from here on it may have run
+	conn                 *pooledConn // nil while it waits for a connection
+	fullyWritten         bool        // the operating system has accepted all of it, so it may have run
 	ended                bool
-	etag                 string // that was sent with it
-	pendingConfirmations int    // pongs and claims that it waits for before it may be sent
+	etag                 string // sent with the attempt
+	pendingConfirmations int    // pongs and claims that must arrive before it may be sent
 	timer                transport.Timer
 }
 
-// startAttempt makes the attempt that the module asks for. It is sent once the cancels of its predecessors are confirmed
-// and its idempotency key is claimed.
+// startAttempt creates the attempt that the module requests. The attempt is sent after the cancels of earlier attempts have
+// been confirmed and its idempotency key has been claimed.
 func (d *Director) startAttempt(action decision.StartAttempt) {
 	q := d.requests[action.Request]
 	if q == nil {
@@ -55,9 +55,9 @@
 		d.endAttempt(a, &Response{Status: decision.NotSent})
 		return
 	}
-	// It may wait for a connection, but no longer than a connection may take to come up.
+	// The attempt may wait for a connection for at most the dial timeout.
 	d.loop.Set(&a.timer, min(a.decidedAt+d.limits.DialTimeout, q.deadline))
-	d.awaitCancels(a)
+	d.awaitCancelConfirmations(a)
 	if d.requestClaim(a) {
 		return
 	}
@@ -66,9 +66,10 @@
 	}
 }
 
-// awaitCancels has an attempt wait until the caches have read the cancels of its predecessors. Two connections are read
-// in any order: sent at once, it might arrive before a cancel, and the request would run twice at a time.
-func (d *Director) awaitCancels(a *attempt) {
+// awaitCancelConfirmations delays an attempt until the caches have read the cancels of earlier attempts of its request.
+// Caches read their connections in any order: if the attempt were sent at once, it could be read before a cancel that was
+// sent on another connection, and two attempts of the request would run at the same time.
+func (d *Director) awaitCancelConfirmations(a *attempt) {
 	for _, c := range a.request.unconfirmedCancels {
 		if c.pings != nil {
 			a.pendingConfirmations++
@@ -78,16 +79,16 @@
 	a.request.unconfirmedCancels = nil
 }
 
-// confirmed counts one of the confirmations that an attempt waits for.
-func (d *Director) confirmed(a *attempt) {
+// handleConfirmation counts a confirmation that an attempt waits for, and schedules the attempt after the last one.
+func (d *Director) handleConfirmation(a *attempt) {
 	a.pendingConfirmations--
 	if a.pendingConfirmations == 0 && !a.ended {
 		d.scheduleSend(a)
 	}
 }
 
-// scheduleSend has an attempt sent at the end of the loop's round. What the round still brings may change the decision:
-// the client may cancel, the connection may close, the host may start to drain.
+// scheduleSend schedules an attempt for the end of the loop's round. Events later in the round may make the attempt
+// obsolete: the client may cancel, the connection may close, or the host may start to drain.
 func (d *Director) scheduleSend(a *attempt) {
 	d.toSend = append(d.toSend, a)
 	d.scheduleSendRound()
@@ -100,17 +101,17 @@
 	}
 }
 
-// sendRound sends the attempts that were scheduled, and waiting attempts of hosts that have a usable connection now.
+// sendRound sends the scheduled attempts, and the waiting attempts of hosts that now have a usable connection.
 func (d *Director) sendRound() {
 	if d.hooks.BeforeSend != nil {
 		d.hooks.BeforeSend()
 	}
-	// Sending an attempt, or ending one unsent, may schedule more.
-	for next := 0; next < len(d.toSend) || len(d.hostsToRetry) > 0; {
-		if n := len(d.hostsToRetry); n > 0 {
-			h := d.hostsToRetry[n-1]
-			d.hostsToRetry = d.hostsToRetry[:n-1]
-			h.retryScheduled = false
+	// Sending an attempt, or ending one without sending it, may schedule more attempts.
+	for next := 0; next < len(d.toSend) || len(d.hostsToDispatch) > 0; {
+		if n := len(d.hostsToDispatch); n > 0 {
+			h := d.hostsToDispatch[n-1]
+			d.hostsToDispatch = d.hostsToDispatch[:n-1]
+			h.dispatchScheduled = false
 			h.sendWaiting()
 			continue
 		}
@@ -134,7 +135,7 @@
 	a.host.openConns()
 }
 
-// send writes an attempt, unless a guard holds it back.
+// send writes an attempt to a connection. If a guard forbids that, the attempt ends as decision.NotSent.
 func (d *Director) send(a *attempt, c *pooledConn) {
 	now := d.loop.Now()
 	if reason := d.sendGuard(a, now); reason != "" {
@@ -154,7 +155,7 @@
 	a.fullyWritten = c.conn.IsFlushed()
 	if !a.fullyWritten {
 		c.partlyWritten = a
-		// A retry must arrive complete while caches still drop repeats.
+		// A retry must reach the cache completely while caches still drop duplicates.
 		deadline = min(deadline, d.dedupDeadline(a.request))
 	}
 	d.loop.Set(&a.timer, deadline)
@@ -183,7 +184,7 @@
 	return r
 }
 
-// attemptDeadline is until when an attempt may take that is sent now.
+// attemptDeadline returns the time at which an attempt that is sent now times out.
 func (d *Director) attemptDeadline(a *attempt, now time.Duration) time.Duration {
 	if timeout := a.action.Timeout; timeout > 0 {
 		return min(a.request.deadline, now+timeout)
@@ -191,7 +192,7 @@
 	return a.request.deadline
 }
 
-// attemptTimedOut ends an attempt whose timer has fired.
+// attemptTimedOut handles the timer of an attempt: the attempt has timed out, or got no connection in time.
 func (d *Director) attemptTimedOut(a *attempt) {
 	switch {
 	case a.ended:
@@ -211,7 +212,7 @@
 	}
 }
 
-// cancelForModule cancels an attempt that the module has given up.
+// cancelForModule performs a CancelAttempt action of the module.
 func (d *Director) cancelForModule(action decision.CancelAttempt) {
 	q := d.requests[action.Request]
 	if q == nil || action.Attempt < 0 || action.Attempt >= len(q.attempts) {
@@ -227,19 +228,19 @@
 	d.endAttempt(a, &Response{Status: decision.Cancelled})
 }
 
-// cancelOnConn sends the cache the cancel of an attempt. The cancel must be written before the request's next attempt
-// is sent. A connection that does not take it now is closed, which cancels everything on it.
+// cancelOnConn sends the cancel of an attempt to the cache. The cancel must be written before the next attempt of the
+// request is sent. If the connection cannot accept it now, the connection is closed, which cancels everything on it.
 func (d *Director) cancelOnConn(a *attempt) {
 	c := a.conn
 	d.Counters.AttemptsCancelled++
 	c.endAttempt(a, d.loop.Now())
 	if len(c.inFlight) == 0 && !c.isSilent() {
-		c.silentSince = 0 // it owes nothing any more
+		c.silentSince = 0 // no response is outstanding
 	}
 	if c.partlyWritten == a {
 		c.partlyWritten = nil
 	}
-	// Attempts share the request's ID: a response that raced the cancel must not pass for one to the next attempt.
+	// Attempts share the request's ID: a response that crosses the cancel must not be matched to the next attempt.
 	a.request.excludeConn(c)
 	a.request.unconfirmedCancels = append(a.request.unconfirmedCancels, c)
 	c.conn.Cancel(a.request.ID)
@@ -250,7 +251,8 @@
 	}
 }
 
-// endAttempt ends an attempt. A response that may be passed on answers the client; then the module gets the result.
+// endAttempt ends an attempt. It first answers the client, if the guards permit the response, and then reports the result to
+// the module.
 func (d *Director) endAttempt(a *attempt, r *Response) {
 	if a.ended {
 		return
@@ -276,7 +278,7 @@
 		}
 	}
 	if a.conn != nil && !q.answered {
-		q.excludeConn(a.conn) // some caches respond twice, the second time some milliseconds later
+		q.excludeConn(a.conn) // some caches respond twice, a few milliseconds apart
 	}
 	d.releaseIfDone(q)
 	d.handle(decision.AttemptResult{
@@ -291,7 +293,7 @@
 	})
 }
 
-// mayHaveRun reports whether an attempt that ended in a status may have run.
+// mayHaveRun reports whether an attempt that ended with status s may have been executed by the cache.
 func mayHaveRun(s decision.Status) bool {
 	switch s {
 	case decision.Full, decision.ConnectFailed, decision.NotSent, decision.Miss:
@@ -300,7 +302,7 @@
 	return true
 }
 
-// removeWaiting takes an attempt off the list of those that wait for a connection to the host.
+// removeWaiting removes an attempt from the queue of attempts that wait for a connection to the host.
 func (h *host) removeWaiting(a *attempt) {
 	h.waiting = slices.DeleteFunc(h.waiting, func(other *attempt) bool { return other == a })
 }
--- a/internal/director/routing/claims.go
+++ b/internal/director/routing/claims.go
@@ -9,53 +9,53 @@
 	"stairvane.org/stairvane/internal/decision"
 )
 
-// ClaimService reserves idempotency keys among all directors.
+// ClaimService claims idempotency keys across all directors.
 type ClaimService interface {
-	// Claim calls done once, at once or later, with the outcome.
+	// Claim requests a claim and calls done exactly once with the outcome, either before it returns or later on the loop.
 	Claim(c ClaimRequest, done func(ClaimOutcome))
-	// Release gives a claim back. Nothing of the request has run.
+	// Release releases the claim of a request that has not run.
 	Release(idempotencyKey, requestID string)
 }
 
-// ClaimRequest asks for an idempotency key, before the first attempt of a request is sent.
+// ClaimRequest requests the claim of an idempotency key before an attempt of a request is sent.
 type ClaimRequest struct {
 	IdempotencyKey string
 	RequestID      string
 	Class          string
 	Object         decision.ObjectID
-	Group          string        // the caches that would drop repeats of the request; see dedupGroup
-	Window         time.Duration // in which they drop them
-	Movable        bool          // nothing has run, so an earlier claim of the request may move to another group
-	Deadline       time.Duration // by which the outcome is needed, on the loop's clock
+	Group          string        // the caches that would drop duplicates of the request; see dedupGroup
+	Window         time.Duration // for which they drop them
+	Movable        bool          // nothing has run, so an earlier claim by the request may move to another group
+	Deadline       time.Duration // on the loop's clock, by which the outcome is needed
 }
 
-// ClaimVerdict is the result of a claim.
+// ClaimVerdict is the result of a ClaimRequest.
 type ClaimVerdict int
 
 // The verdicts.
 const (
-	ClaimGranted       ClaimVerdict = iota // the key is this request's
-	ClaimHeldElsewhere                     // the key is in use in Group since Age
-	ClaimKeyReused                         // the key was used for another object
-	ClaimUnavailable                       // no holder could be reached, and the class may not go on without a claim
-	ClaimNotRequired                       // no holder could be reached, and the class goes on without a claim
+	ClaimGranted       ClaimVerdict = iota // the request holds the key
+	ClaimHeldElsewhere                     // the key was claimed Age ago for Group
+	ClaimKeyReused                         // the key was already used for another object
+	ClaimUnavailable                       // no holder was reachable, and the class requires a claim
+	ClaimNotRequired                       // no holder was reachable, and the class proceeds without a claim
 )
 
-// ClaimOutcome answers a ClaimRequest.
+// ClaimOutcome is the answer to a ClaimRequest.
 type ClaimOutcome struct {
 	Verdict     ClaimVerdict
 	Group       string
 	Age         time.Duration
-	RequestedAt time.Duration // on the loop's clock; the claim counts from no earlier
+	RequestedAt time.Duration // on the loop's clock; the claim's window starts no earlier
 }
 
 const (
-	// ClaimSendTimeout is how long after the request for a claim its attempt may be sent: holders count the window from
-	// the request.
+	// ClaimSendTimeout is the time after requesting a claim within which the attempt must be sent: holders measure the window
+	// from the claim request.
 	ClaimSendTimeout = time.Second
-	// claimReserve is the part of a request's time that is left for its answer when no claim is granted.
+	// claimReserve is the part of a request's timeout that is reserved for answering it if no claim is granted.
 	claimReserve = 50 * time.Millisecond
-	// claimRetryAfter is the Retry-After of a request that got no claim.
+	// claimRetryAfter is the Retry-After of a request that is rejected because no holder of claims was reachable.
 	claimRetryAfter = 500 * time.Millisecond
 )
 
@@ -66,7 +66,7 @@
 	cellPrefix     = "c:"
 )
 
-// dedupGroup names the caches that drop repeats of a request that ran at a host.
+// dedupGroup returns the name of the group of caches that drop duplicates of a request that ran at a host.
 func dedupGroup(scope decision.DedupScope, h *host) string {
 	switch scope {
 	case decision.ScopeZone:
@@ -77,7 +77,7 @@
 	return allCachesGroup
 }
 
-// parseDedupGroup gives the zone or the cell that a group names, if any.
+// parseDedupGroup returns the zone or the cell that a group names, if any.
 func parseDedupGroup(group string) (zone string, cell int) {
 	if name, found := strings.CutPrefix(group, zonePrefix); found {
 		return name, 0
@@ -88,7 +88,7 @@
 	return "", cell
 }
 
-// requestClaim requests the claim that an attempt needs, and reports whether the attempt must wait for it.
+// requestClaim requests the claim that an attempt needs, if any, and reports whether the attempt must wait for it.
 func (d *Director) requestClaim(a *attempt) bool {
 	q := a.request
 	rules := d.classes[q.Class]
@@ -113,13 +113,13 @@
 		Movable:        q.firstRunAt == 0 && !hedged,
 		Deadline:       max(now, q.deadline-claimReserve),
 	}
-	d.hooks.Claims.Claim(request, func(o ClaimOutcome) { d.claimDecided(a, group, o) })
-	d.loop.Set(&a.timer, q.deadline) // its time to connect begins when it has the claim
+	d.hooks.Claims.Claim(request, func(o ClaimOutcome) { d.handleClaimOutcome(a, group, o) })
+	d.loop.Set(&a.timer, q.deadline) // the dial timeout starts when the claim is granted
 	return true
 }
 
-// claimDecided continues with an attempt whose claim is decided.
-func (d *Director) claimDecided(a *attempt, group string, o ClaimOutcome) {
+// handleClaimOutcome processes the outcome of a claim: the attempt proceeds, or the request is rejected or fails.
+func (d *Director) handleClaimOutcome(a *attempt, group string, o ClaimOutcome) {
 	q := a.request
 	now := d.loop.Now()
 	if a.ended || q.answered {
@@ -140,27 +140,28 @@
 		q.claimedAt = now
 	case ClaimHeldElsewhere:
 		d.Counters.ClaimsHeldElsewhere++
-		if !d.followClaim(a, group, o, now) {
+		if !d.applyPriorClaim(a, group, o, now) {
 			return
 		}
 	case ClaimKeyReused:
 		d.Counters.KeysReused++
 		slog.Info("request.idempotency_key_reused", "id", q.ID, "token", q.IdempotencyKey)
 		d.fail(q)
-		d.endUnclaimed(q)
+		d.endUnsentAttempts(q)
 		return
 	case ClaimUnavailable:
 		d.Counters.ClaimsUnavailable++
 		d.reject(q, claimRetryAfter)
-		d.endUnclaimed(q)
+		d.endUnsentAttempts(q)
 		return
 	}
 	d.loop.Set(&a.timer, min(now+d.limits.DialTimeout, q.deadline))
-	d.confirmed(a)
+	d.handleConfirmation(a)
 }
 
-// followClaim gives the module where a request ran under an earlier claim, and reports whether the attempt may go on.
-func (d *Director) followClaim(a *attempt, group string, o ClaimOutcome, now time.Duration) bool {
+// applyPriorClaim reports to the module where the request ran under an earlier claim, and returns whether the attempt may
+// proceed.
+func (d *Director) applyPriorClaim(a *attempt, group string, o ClaimOutcome, now time.Duration) bool {
 	q := a.request
 	q.claimGroup = o.Group
 	q.ownsClaim = false
@@ -173,14 +174,14 @@
 		return false
 	}
 	if o.Group != group {
-		d.endAttempt(a, &Response{Status: decision.NotSent}) // the module decides anew, with the earlier claim known
+		d.endAttempt(a, &Response{Status: decision.NotSent}) // the module decides again, now aware of the earlier claim
 		return false
 	}
 	return true
 }
 
-// endUnclaimed ends the attempts of a request that was answered without a claim. Nothing of it has run.
-func (d *Director) endUnclaimed(q *clientRequest) {
+// endUnsentAttempts ends the attempts of a request that was answered because it got no claim. None of them has been sent.
+func (d *Director) endUnsentAttempts(q *clientRequest) {
 	d.handle(decision.ClientGone{Request: q.key})
 	for _, a := range q.attempts {
 		if !a.ended {
--- a/internal/director/routing/conn.go
+++ b/internal/director/routing/conn.go
@@ -16,20 +16,20 @@
 	host             *host
 	conn             Conn
 	connected        bool
-	retired          bool // gets no new attempts
+	retired          bool // gets no new attempts; closed when unused
 	closed           bool
 	connectStartedAt time.Duration
 	idleSince        time.Duration
-	silentSince      time.Duration       // since when it owes a response and has sent nothing; 0: it owes none
-	lastReadAt       time.Duration       // when a response or pong came last
+	silentSince      time.Duration       // since when a response is outstanding and nothing was received; 0: none is outstanding
+	lastReadAt       time.Duration       // when the last response or pong arrived
 	inFlight         map[string]*attempt // by request ID
-	partlyWritten    *attempt            // of which the system has not taken all yet
+	partlyWritten    *attempt            // attempt of which the operating system has not accepted all bytes yet
 
-	// pings has the attempts that wait until the cache has read what was sent before, by tag; nil for a keepalive.
+	// pings maps the tag of each unanswered ping to the attempt that waits for the pong; nil for a keepalive ping.
 	pings           map[string]*attempt
 	pongTimer       transport.Timer
 	keepaliveTimer  transport.Timer
-	closeDelayTimer transport.Timer // of a lost connection
+	closeDelayTimer transport.Timer // runs after the connection was lost
 }
 
 func newPooledConn(h *host, now time.Duration) *pooledConn {
@@ -42,7 +42,7 @@
 	}
 	c.pongTimer.Fire = c.pongTimedOut
 	c.keepaliveTimer.Fire = c.keepalive
-	c.closeDelayTimer.Fire = c.endInFlight
+	c.closeDelayTimer.Fire = c.failInFlight
 	return c
 }
 
@@ -63,14 +63,15 @@
 	c.idleSince = now
 }
 
-// isSilent reports whether the machine behind the connection may be gone, which gives no sign. An attempt on such a
-// connection would be lost until its timeout, while a new connection that does not come up soon proves that nothing ran.
+// isSilent reports whether a response has been outstanding for so long that the peer's machine may be gone, which closes no
+// connection. An attempt sent there would be stuck until its timeout. A new connection is safer: if it cannot be
+// established, the attempt certainly did not run.
 func (c *pooledConn) isSilent() bool {
 	d := c.host.director
 	return c.silentSince > 0 && d.loop.Now()-c.silentSince >= d.limits.SilentTimeout
 }
 
-// isUnused reports whether nothing waits for an answer on the connection.
+// isUnused reports whether neither a response nor a pong is outstanding on the connection.
 func (c *pooledConn) isUnused() bool { return len(c.inFlight)+len(c.pings) == 0 }
 
 func (c *pooledConn) closeIfIdle() {
@@ -98,7 +99,7 @@
 // Connected implements ConnHandler.
 func (c *pooledConn) Connected() {
 	c.connected = true
-	c.host.scheduleRetry()
+	c.host.scheduleDispatch()
 }
 
 // Flushed implements ConnHandler.
@@ -109,7 +110,7 @@
 		d := c.host.director
 		d.loop.Set(&a.timer, d.attemptDeadline(a, d.loop.Now()))
 	}
-	c.host.scheduleRetry()
+	c.host.scheduleDispatch()
 }
 
 // Received implements ConnHandler.
@@ -125,14 +126,15 @@
 	c.endAttempt(a, d.loop.Now())
 	d.Counters.countStatus(r.Status)
 	d.endAttempt(a, r)
-	c.host.scheduleRetry()
+	c.host.scheduleDispatch()
 	if c.retired {
 		c.closeIfIdle()
 	}
 }
 
-// keepalive pings a connection that owes responses and has been silent. A hanging connection is found before its attempts
-// time out, so that they are retried in time and their delay is not taken for the cache's latency.
+// keepalive pings a connection on which responses are outstanding and nothing was received lately. This detects a hanging
+// connection before its attempts time out, so that they are retried in time and their delay is not counted as latency of
+// the cache.
 func (c *pooledConn) keepalive() {
 	d := c.host.director
 	now := d.loop.Now()
@@ -145,11 +147,12 @@
 	d.loop.Set(&c.keepaliveTimer, max(c.lastReadAt, now)+d.limits.KeepaliveAfter)
 }
 
-// ping has an attempt, if any, wait until the cache has read what was sent before.
+// ping sends a ping. If a is not nil, the attempt waits for the pong, which confirms that the cache has read everything sent
+// before.
 func (c *pooledConn) ping(a *attempt) {
 	d := c.host.director
 	d.pingsSent++
-	tag := "p" + strconv.FormatInt(d.pingsSent, 36) // differs from every request ID, which has hex digits only
+	tag := "p" + strconv.FormatInt(d.pingsSent, 36) // cannot equal a request ID, which has hex digits only
 	c.pings[tag] = a
 	if c.closed {
 		return
@@ -178,11 +181,11 @@
 		c.startPongTimer()
 	}
 	if a != nil {
-		c.host.director.confirmed(a)
+		c.host.director.handleConfirmation(a)
 	}
 }
 
-// pongTimedOut closes a connection that does not answer a ping.
+// pongTimedOut closes a connection whose cache has not answered a ping in time.
 func (c *pooledConn) pongTimedOut() {
 	c.host.director.Counters.ConnsDead++
 	slog.Warn("connection.ping_timed_out", "host", c.host.Name, "attempts", len(c.inFlight))
@@ -202,20 +205,20 @@
 }
 
 // handleLoss removes a lost connection from the pool. Its attempts end after the close delay, when the cache has noticed
-// the loss: connections are read in any order, and a retry at once might run beside the lost attempt.
+// the loss: caches read connections in any order, so an immediate retry could run concurrently with the lost attempt.
 func (c *pooledConn) handleLoss() {
 	c.removeFromPool()
 	c.closed = true
 	d := c.host.director
 	if d.limits.CloseDelay == 0 || c.isUnused() {
-		c.endInFlight()
+		c.failInFlight()
 		return
 	}
 	d.loop.Set(&c.closeDelayTimer, d.loop.Now()+d.limits.CloseDelay)
 }
 
-// endInFlight ends the attempts on a lost connection. Those that were fully written may have run, the others have not.
-func (c *pooledConn) endInFlight() {
+// failInFlight ends the attempts on a lost connection. Those that were fully written may have run; the others have not.
+func (c *pooledConn) failInFlight() {
 	d := c.host.director
 	attempts := slices.Collect(maps.Values(c.inFlight))
 	clear(c.inFlight)
@@ -230,11 +233,11 @@
 	}
 	pings := c.pings
 	c.pings = nil
-	for _, tag := range slices.Sorted(maps.Keys(pings)) { // the close has cancelled what the pings were to confirm
+	for _, tag := range slices.Sorted(maps.Keys(pings)) { // the close cancelled the attempts whose cancels the pings would confirm
 		if a := pings[tag]; a != nil {
-			d.confirmed(a)
+			d.handleConfirmation(a)
 		}
 	}
 	c.host.failWaitingIfUnreachable()
-	c.host.scheduleRetry()
+	c.host.scheduleDispatch()
 }
--- a/internal/director/routing/counters.go
+++ b/internal/director/routing/counters.go
@@ -2,7 +2,7 @@
 
 import "stairvane.org/stairvane/internal/decision"
 
-// Counters are totals since the start. The JSON keys are those of the operators' pages. All fields are int64.
+// Counters are totals since the start of the process. The JSON keys are documented for operators. All fields must be int64.
 type Counters struct {
 	// Requests.
 	Accepted    int64 `json:"Taken"`
@@ -10,15 +10,15 @@
 	NotModified int64 `json:"Same"`
 	Rejected    int64 `json:"Refused"`
 	Failed      int64 `json:"Failed"`
-	Cancelled   int64 `json:"Revoked"` // by their clients; not the key Cancelled, which counts attempts
-	Resubmitted int64 `json:"Repeats"` // came again under the ID of a cancelled request
+	Cancelled   int64 `json:"Revoked"` // by their clients; the key Cancelled counts attempts instead
+	Resubmitted int64 `json:"Repeats"` // submitted again with the ID of a cancelled request
 
 	// Attempts.
 	Attempts          int64 `json:"Attempts"`
-	AttemptsCancelled int64 `json:"Cancelled"`   // not requests, see Revoked
-	LateResponses     int64 `json:"LateReplies"` // came after their attempt had ended
-	AttemptsBlocked   int64 `json:"GuardStops"`  // were stopped by a guard
-	ResponsesWithheld int64 `json:"Withheld"`    // were not passed on by a guard
+	AttemptsCancelled int64 `json:"Cancelled"`   // attempts, not requests; see Revoked
+	LateResponses     int64 `json:"LateReplies"` // received after their attempt had ended
+	AttemptsBlocked   int64 `json:"GuardStops"`  // not sent because of a guard
+	ResponsesWithheld int64 `json:"Withheld"`    // not forwarded because of a guard
 
 	// Idempotency claims, and requests rejected by a stale director.
 	ClaimsGranted       int64 `json:"Claimed"`
@@ -27,7 +27,7 @@
 	KeysReused          int64 `json:"Reused"`
 	RejectedStale       int64 `json:"Behind"`
 
-	// Attempts by how they ended.
+	// Attempts by result.
 	OK            int64 `json:"OK"`
 	Miss          int64 `json:"Miss"`
 	Overloaded    int64 `json:"Full"`
--- a/internal/director/routing/director.go
+++ b/internal/director/routing/director.go
@@ -8,7 +8,7 @@
 	"stairvane.org/stairvane/internal/transport"
 )
 
-// Director drives one instance of the decision module.
+// Director runs one instance of the decision module and performs its actions.
 type Director struct {
 	Counters Counters
 
@@ -22,33 +22,33 @@
 	// isReadyCache reports whether clients can be served from an endpoint.
 	isReadyCache func(Endpoint) bool
 
-	hosts        map[decision.HostID]*host
-	byName       map[string]*host
-	conns        int           // to all hosts
-	pingsSent    int64         // makes the tags of pings unique
-	notifiedAt   time.Duration // see SetNotifiedAt
-	listVersion  int64         // of the newest endpoint list that was applied
-	purges       purgeLog
-	upkeepTimer  transport.Timer
-	freeTimers   []*moduleTimer
-	events       []decision.Event // that the module has not handled yet
-	handling     bool
-	requests     map[decision.RequestID]*clientRequest
-	inFlight     int        // requests that are owed an answer
-	toSend       []*attempt // at the end of the round
-	hostsToRetry []*host    // with waiting attempts that may get a connection now
+	hosts            map[decision.HostID]*host
+	byName           map[string]*host
+	conns            int           // to all hosts
+	pingsSent        int64         // generates unique ping tags
+	notifiedAt       time.Duration // see SetNotifiedAt
+	listVersion      int64         // version of the newest endpoint list that was applied
+	purges           purgeLog
+	maintenanceTimer transport.Timer
+	freeTimers       []*moduleTimer
+	events           []decision.Event // queued for the module
+	handling         bool
+	requests         map[decision.RequestID]*clientRequest
+	inFlight         int        // requests that have not been answered
+	toSend           []*attempt // to be sent at the end of the round
+	hostsToDispatch  []*host    // hosts whose waiting attempts may now have a usable connection
 
 	sendScheduled bool
-	sendRoundFunc func() // sendRound, allocated once
+	sendRoundFunc func() // the sendRound method value, allocated once
 
 	cancelledByID        map[decision.RequestID]*cancelledRequest
 	cancelledOldestFirst []*cancelledRequest
 }
 
-// upkeepInterval is the period in which idle connections are closed and old purges are forgotten.
-const upkeepInterval = 500 * time.Millisecond
+// maintenanceInterval is the interval at which idle connections are closed and expired state is dropped.
+const maintenanceInterval = 500 * time.Millisecond
 
-// New makes a Director. SetHooks may follow, then Start.
+// New returns a Director that has not been started. Call SetHooks, if there are hooks, and then Start.
 func New(loop *transport.Loop, s decision.Settings, seed uint64, limits Limits, dialer Dialer) *Director {
 	d := &Director{
 		loop:          loop,
@@ -66,7 +66,7 @@
 		parent := s.ParentKind >= 0 && s.ParentKind < len(s.Kinds) && e.Kind == s.Kinds[s.ParentKind]
 		return e.Readiness == decision.Ready && e.Zone == s.Zone && !parent
 	}
-	d.upkeepTimer.Fire = d.runUpkeep
+	d.maintenanceTimer.Fire = d.runMaintenance
 	d.sendRoundFunc = d.sendRound
 	return d
 }
@@ -84,13 +84,13 @@
 	for _, action := range d.module.Start(d.loop.Now()) {
 		d.perform(action)
 	}
-	d.loop.Set(&d.upkeepTimer, d.loop.Now()+upkeepInterval)
+	d.loop.Set(&d.maintenanceTimer, d.loop.Now()+maintenanceInterval)
 }
 
-// InFlight is the number of requests that are owed an answer.
+// InFlight returns the number of requests that have not been answered.
 func (d *Director) InFlight() int { return d.inFlight }
 
-// HasReadyCache reports whether clients can be served from any cache. Parent caches and the origin alone do not count.
+// HasReadyCache reports whether at least one cache in this zone can serve clients. Parent caches and the origin do not count.
 func (d *Director) HasReadyCache() bool {
 	for _, h := range d.hosts {
 		if d.isReadyCache(h.Endpoint) {
@@ -100,8 +100,8 @@
 	return false
 }
 
-// handle hands an event to the module and performs the actions that it returns. Events that these actions cause are
-// queued, so that the module never sees an event while its last actions are performed.
+// handle passes an event to the module and performs the actions that the module returns. Events that these actions cause
+// are queued, so that the module never receives an event before the actions of the previous one have been performed.
 func (d *Director) handle(event decision.Event) {
 	d.events = append(d.events, event)
 	if d.handling {
@@ -137,25 +137,25 @@
 	case decision.LogLine:
 		slog.Info("decision.logged", "line", a.Text)
 	case decision.WatchEndpoints, decision.PollEndpoints:
-		// The event stream is watched from the start to the end anyway.
+		// Nothing to do: the event stream is watched for the lifetime of the process.
 	case decision.HealthCheck:
 		slog.Error("health_check.unsupported", "host_number", a.Host)
 	}
 }
 
-// moduleTimer is a timer of the module. Timers that have fired are reused.
+// moduleTimer is a timer that the module has set. Timers that have fired are reused.
 type moduleTimer struct {
 	transport.Timer
 	timer decision.Timer
 }
 
 func (d *Director) setTimer(delay time.Duration, timer decision.Timer) {
-	t := d.takeTimer()
+	t := d.acquireTimer()
 	t.timer = timer
 	d.loop.Set(&t.Timer, d.loop.Now()+delay)
 }
 
-func (d *Director) takeTimer() *moduleTimer {
+func (d *Director) acquireTimer() *moduleTimer {
 	if n := len(d.freeTimers); n > 0 {
 		t := d.freeTimers[n-1]
 		d.freeTimers = d.freeTimers[:n-1]
@@ -170,10 +170,10 @@
 	return t
 }
 
-// runUpkeep closes idle connections and forgets hosts, cancelled requests and purges that do not matter any more.
-func (d *Director) runUpkeep() {
+// runMaintenance closes idle connections and drops hosts, cancelled requests and purges that are no longer needed.
+func (d *Director) runMaintenance() {
 	now := d.loop.Now()
-	d.loop.Set(&d.upkeepTimer, now+upkeepInterval)
+	d.loop.Set(&d.maintenanceTimer, now+maintenanceInterval)
 	for id, h := range d.hosts {
 		h.closeIdleConns(now)
 		unused := len(h.conns) == 0 && len(h.waiting) == 0
@@ -183,6 +183,6 @@
 		}
 	}
 	d.expireCancelled(now)
-	// A fill may end late, so a purge is remembered for longer than an attempt may take.
-	d.purges.forget(now - 2*d.limits.PurgeTimeout - d.limits.MaxDeadline)
+	// A fill may complete late, so a purge is kept for longer than an attempt can take.
+	d.purges.expire(now - 2*d.limits.PurgeTimeout - d.limits.MaxDeadline)
 }
--- a/internal/director/routing/endpoint_list.go
+++ b/internal/director/routing/endpoint_list.go
@@ -8,25 +8,25 @@
 	"stairvane.org/stairvane/internal/decision"
 )
 
-// endpointList is an endpoint list as it came: a snapshot, or the entries that changed.
+// endpointList is an endpoint list as received: a snapshot, or a delta that has only the changed entries.
 type endpointList struct {
 	version   int64
 	snapshot  bool
 	endpoints []Endpoint
 }
 
-// listAnomaly is something unusual in a list, with its log event.
+// listAnomaly is an irregularity in an endpoint list, with its log event.
 type listAnomaly struct {
 	level slog.Level
 	event string
 	attrs []any
 }
 
-// check decides which entries of a list are accepted; it logs and changes nothing. The last of several entries for one
-// host counts. Of a delta that is older than lastVersion only drains are accepted: a host that is gone must not return by
-// it, and a drain must be applied however late it comes. A snapshot always counts, even an empty one. readyAddresses has the
-// addresses of the ready hosts by name.
-func (l endpointList) check(lastVersion int64, readyAddresses map[string]string) (accepted []Endpoint, anomalies []listAnomaly) {
+// validate returns the entries to apply and the anomalies to log. It has no side effects. If a host is listed more than once,
+// its last entry is accepted. From a delta older than lastVersion only drains are accepted: a host that is gone must not
+// reappear, but a drain must be applied however late it arrives. A snapshot is always accepted, even an empty one.
+// readyAddresses contains the addresses of the ready hosts by name.
+func (l endpointList) validate(lastVersion int64, readyAddresses map[string]string) (accepted []Endpoint, anomalies []listAnomaly) {
 	if l.snapshot && len(l.endpoints) == 0 {
 		anomalies = append(anomalies, listAnomaly{slog.LevelError, "endpoints.empty", []any{"in_service", len(readyAddresses)}})
 	}
@@ -61,7 +61,7 @@
 	return accepted, anomalies
 }
 
-// unchangedByAddress gives the names of the ready hosts that stay as they are after the list, by address.
+// unchangedByAddress returns, by address, the names of the ready hosts that the list does not change.
 func (l endpointList) unchangedByAddress(listed map[string]int, readyAddresses map[string]string) map[string]string {
 	names := map[string]string{}
 	if l.snapshot {
--- a/internal/director/routing/endpoints.go
+++ b/internal/director/routing/endpoints.go
@@ -12,17 +12,18 @@
 	"stairvane.org/stairvane/internal/decision"
 )
 
-// host is an endpoint of the list, with the connections to it and the attempts that wait for one.
+// host is an endpoint of the endpoint list, with the connections to it and the attempts that wait for one.
 type host struct {
 	Endpoint
-	director       *Director
-	readinessSince time.Duration // when its present readiness reached the process
-	conns          []*pooledConn
-	waiting        []*attempt
-	retryScheduled bool // its waiting attempts are retried at the end of the round
+	director          *Director
+	readinessSince    time.Duration // when the current readiness reached the process
+	conns             []*pooledConn
+	waiting           []*attempt
+	dispatchScheduled bool // sendWaiting runs at the end of the round
 }
 
-// incarnationName names the very process that serves as the host, as far as its start time is known.
+// incarnationName returns a name that identifies the process behind the host: the host's name, and the process's start time if
+// it is known.
 func (h *host) incarnationName() string {
 	if h.StartedAt <= 0 {
 		return h.Name
@@ -37,17 +38,18 @@
 	}
 }
 
-// isDraining reports whether nothing new may go to the host. The second half of the grace is left for the way to it.
+// isDraining reports whether the host must get no new attempts. Half of the grace period is reserved for the network delay to
+// the host.
 func (h *host) isDraining(now, grace time.Duration) bool {
 	return h.Readiness != decision.Ready && now >= h.readinessSince+grace/2
 }
 
-// UpdateEndpoints applies an endpoint list: a snapshot, or the entries that changed.
+// UpdateEndpoints applies an endpoint list: a snapshot, or a delta that has only the changed entries.
 func (d *Director) UpdateEndpoints(version int64, snapshot bool, endpoints []Endpoint) {
 	now := d.notificationTime()
 	d.Counters.EndpointUpdates++
 	list := endpointList{version: version, snapshot: snapshot, endpoints: endpoints}
-	accepted, anomalies := list.check(d.listVersion, d.readyAddresses())
+	accepted, anomalies := list.validate(d.listVersion, d.readyAddresses())
 	for _, a := range anomalies {
 		slog.Log(context.Background(), a.level, a.event, append([]any{"version", version}, a.attrs...)...)
 	}
@@ -57,7 +59,7 @@
 	update := decision.EndpointUpdate{Kind: decision.UpdateDelta, Version: version}
 	if snapshot {
 		update.Kind = decision.UpdateSnapshot
-		d.removeUnlisted(accepted, now)
+		d.markUnlistedGone(accepted, now)
 	}
 	for _, e := range accepted {
 		update.Endpoints = append(update.Endpoints, d.applyEndpoint(e, now))
@@ -65,7 +67,7 @@
 	d.handle(update)
 }
 
-// readyAddresses gives the addresses of the ready hosts by name.
+// readyAddresses returns the addresses of the ready hosts by name.
 func (d *Director) readyAddresses() map[string]string {
 	addresses := map[string]string{}
 	for name, h := range d.byName {
@@ -76,8 +78,8 @@
 	return addresses
 }
 
-// removeUnlisted marks the hosts as gone that a snapshot does not name.
-func (d *Director) removeUnlisted(snapshot []Endpoint, now time.Duration) {
+// markUnlistedGone marks the hosts that a snapshot does not contain as gone.
+func (d *Director) markUnlistedGone(snapshot []Endpoint, now time.Duration) {
 	listed := map[string]bool{}
 	for _, e := range snapshot {
 		listed[e.Name] = true
@@ -89,7 +91,7 @@
 	}
 }
 
-// applyEndpoint updates or adds a host, and returns the endpoint as the module gets it.
+// applyEndpoint adds or updates a host and returns the endpoint to pass to the module.
 func (d *Director) applyEndpoint(e Endpoint, now time.Duration) decision.Endpoint {
 	h := d.byName[e.Name]
 	if h == nil {
@@ -108,9 +110,9 @@
 	return e.Endpoint
 }
 
-// assignHostID gives a host its number for the module. All directors must place objects on the same caches, so the number
-// depends on the name alone: the hex number that ends it, as in s-00c41f7a, or else a hash of it. The simulator calls the
-// same host by that hex number, so both place objects alike.
+// assignHostID returns the number that identifies a host in the module. All directors must place objects on the same caches,
+// so the number depends only on the name: it is the hex number that ends the name, as in s-00c41f7a, or else a hash of the
+// name. The simulator identifies the host by the same hex number, so both place objects alike.
 func (d *Director) assignHostID(name string) decision.HostID {
 	if _, digits, found := strings.Cut(name, "-"); found && len(digits) == 8 {
 		if n, err := strconv.ParseUint(digits, 16, 32); err == nil && d.hosts[decision.HostID(n)] == nil {
@@ -136,8 +138,9 @@
 	return decision.HostID(sum.Sum32())
 }
 
-// retireConns keeps new attempts off the connections to a process that has ended: all of them after a change of address,
-// else those older than the new process. The list may come late, so younger connections lead to the new process.
+// retireConns retires the connections to a process that has ended: all connections after a change of address, otherwise
+// those older than the new process. The endpoint list may arrive late, so younger connections already lead to the new
+// process.
 func (h *host) retireConns(started time.Duration, moved bool) {
 	for _, c := range slices.Clone(h.conns) {
 		if moved || c.connectStartedAt < started {
--- a/internal/director/routing/fleet.go
+++ b/internal/director/routing/fleet.go
@@ -8,8 +8,8 @@
 	"stairvane.org/stairvane/internal/decision"
 )
 
-// SetNotifiedAt sets when the endpoint lists and purges that follow reached the process, until it is called with 0. The
-// graces of the rules count from then, also on a core that was stalled meanwhile.
+// SetNotifiedAt sets the time at which the endpoint lists and purges applied next reached the process. It stays in force
+// until it is called with 0. Grace periods start at that time, even on a core that was stalled and applies them later.
 func (d *Director) SetNotifiedAt(at time.Duration) { d.notifiedAt = at }
 
 func (d *Director) notificationTime() time.Duration {
@@ -19,10 +19,11 @@
 	return d.loop.Now()
 }
 
-// ServedRate is the rate at which the module has served, now and at its recent best, in seconds of sending per second.
+// ServedRate returns the current rate at which the module has served and the best recent rate, in seconds of sending time
+// per second.
 func (d *Director) ServedRate() (now, best float64) { return d.module.ServedRate() }
 
-// SlowStartDemand calls f for each host that is warming up, with the share of its capacity that this director would use.
+// SlowStartDemand calls f for each host that is warming up, with the share of its capacity that this director demands.
 func (d *Director) SlowStartDemand(f func(host string, demand float64)) {
 	d.module.SlowStartDemand(func(id decision.HostID, demand float64) {
 		if h := d.hosts[id]; h != nil {
@@ -31,10 +32,11 @@
 	})
 }
 
-// minQuotaShare stands for a share of 0, which the module would take for an equal share.
+// minQuotaShare replaces a share of 0, which the module would interpret as an equal share.
 const minQuotaShare = 1e-9
 
-// SetQuotaShare sets this director's share of the capacity of a host that is warming up. A share below 0 is an equal share.
+// SetQuotaShare sets this director's share of the capacity of a host that is warming up. A share below 0 means an equal
+// share among directors. Unknown hosts are ignored.
 func (d *Director) SetQuotaShare(host string, share float64) {
 	h := d.byName[host]
 	if h == nil {
@@ -49,7 +51,7 @@
 }
 
 // HostOutcomes calls f for each host with the attempts, the failures and the latency overhead since the last call. The
-// incarnation is the host's name and start time: a process that was restarted under the name is another.
+// incarnation consists of the host's name and start time, and so distinguishes a restarted process from its predecessor.
 func (d *Director) HostOutcomes(f func(incarnation string, attempts, failures, overhead float64)) {
 	d.module.HostOutcomes(func(id decision.HostID, attempts, failures, overhead float64) {
 		if h := d.hosts[id]; h != nil {
@@ -58,8 +60,8 @@
 	})
 }
 
-// SetAggregatedHealth sets the share of attempts at a host that fail, as all directors together see it. A host that is
-// unknown or was restarted since is left alone.
+// SetAggregatedHealth sets the share of attempts at a host that fail, aggregated over all directors. It has no effect if the
+// host is unknown or has restarted since.
 func (d *Director) SetAggregatedHealth(incarnation string, failureShare float64) {
 	name := incarnation
 	if i := strings.LastIndexByte(incarnation, '@'); i >= 0 {
@@ -71,5 +73,5 @@
 	}
 }
 
-// SetPeerCounts sets how many directors there are now.
+// SetPeerCounts sets the current number of directors.
 func (d *Director) SetPeerCounts(counts decision.PeerCounts) { d.handle(counts) }
--- a/internal/director/routing/guards_test.go
+++ b/internal/director/routing/guards_test.go
@@ -59,11 +59,11 @@
 	p := newPurgeLog()
 	q := &clientRequest{Request: &Request{PurgeGroup: 3}}
 	p.groups[3] = []purge{{issued: 10, notifiedAt: 20}, {issued: 30, notifiedAt: 40}}
-	if !p.voids(q, 10, 25) || p.voids(q, 11, 25) || !p.voids(q, 11, 50) {
+	if !p.invalidates(q, 10, 25) || p.invalidates(q, 11, 25) || !p.invalidates(q, 11, 50) {
 		t.Error("purges are not checked one by one")
 	}
-	p.forget(30)
-	if p.voids(q, 9, 25) || len(p.groups[3]) != 1 {
+	p.expire(30)
+	if p.invalidates(q, 9, 25) || len(p.groups[3]) != 1 {
 		t.Error("an old purge is still there")
 	}
 }
--- a/internal/director/routing/interfaces.go
+++ b/internal/director/routing/interfaces.go
@@ -14,23 +14,24 @@
 	Part           int
 	PurgeGroup     int
 	SizeKB         float64
-	Timeout        time.Duration // how long the client waits, counted from Submit
+	Timeout        time.Duration // how long the client waits, measured from Submit
 	IdempotencyKey string        // empty: none
 	ETag           string        // of the object that the client has cached; empty: none
 	Body           []byte        // must not change until the final answer
 	Responder      Responder
-	SequenceNumber int32 // the Responder's own number of the request
+	SequenceNumber int32 // identifies the request to the Responder
 }
 
-// Responder gets the one final answer of each request that was submitted and not cancelled.
+// Responder receives the final answer to a request. Exactly one method is called for each request that was submitted and
+// not cancelled.
 type Responder interface {
-	Respond(r *Request, body []byte) // body is valid during the call only
-	RespondNotModified(r *Request)   // what the client has cached is current
+	Respond(r *Request, body []byte) // body is valid only during the call
+	RespondNotModified(r *Request)   // the object that the client has cached is current
 	Reject(r *Request, retryAfter time.Duration)
 	Fail(r *Request)
 }
 
-// UpstreamRequest is an attempt as a cache receives it.
+// UpstreamRequest is the message that sends an attempt to a cache.
 type UpstreamRequest struct {
 	ID             string
 	Class          string
@@ -38,55 +39,56 @@
 	Part           int
 	Timeout        time.Duration
 	IdempotencyKey string
-	Source         string // name of the host that a miss is filled from; empty: a miss is not filled
+	Source         string // name of the host from which a miss is filled; empty: a miss is not filled
 	CachePriority  int
-	MaxAge         time.Duration // 0: the class's own limit
+	MaxAge         time.Duration // 0: the limit of the class applies
 	Options        decision.FetchOptions
-	ETag           string // of the object that the client has cached
+	ETag           string // of the object that the client has cached; empty: none
 	Body           []byte
 }
 
 // Response is a cache's response to an upstream request.
 type Response struct {
 	Status      decision.Status
-	NotModified bool   // what the client has cached is current; there is no body
+	NotModified bool   // the object that the client has cached is current; there is no body
 	ETag        string // empty: unknown
 	Body        []byte
 	CacheStatus decision.CacheStatus
-	GeneratedAt time.Duration        // when the origin generated this object, in Unix time; 0: unknown
-	Load        *decision.LoadReport // nil: the response has none
+	GeneratedAt time.Duration        // when the origin generated the object, in Unix time; 0: unknown
+	Load        *decision.LoadReport // nil: the response carries none
 }
 
 // Conn is a connection to a cache.
 type Conn interface {
 	Send(r *UpstreamRequest)
 	Cancel(requestID string)
-	// Ping is answered by Pong once the cache has read everything that was sent before.
+	// Ping sends a ping. The cache answers it, reported by ConnHandler.Pong, after it has read everything sent before it.
 	Ping(tag string)
-	// IsFlushed reports whether the operating system has taken everything that was written.
+	// IsFlushed reports whether the operating system has accepted everything that was written.
 	IsFlushed() bool
-	// Close closes the connection. No callback follows.
+	// Close closes the connection. The handler is not called afterwards.
 	Close()
 }
 
-// ConnHandler gets the events of a connection. No method is called while a method of Dialer or Conn runs.
+// ConnHandler receives the events of a connection. Its methods are never called from within a method of Dialer or Conn.
 type ConnHandler interface {
 	Connected()
 	Flushed()
-	// Received gets a response. Both arguments are valid during the call only.
+	// Received delivers a response. Both arguments are valid only during the call.
 	Received(requestID []byte, r *Response)
 	Pong(tag []byte)
-	// Closed is called once, as the last event. Close does not cause it.
+	// Closed reports that the connection failed or was closed by the cache. It is called at most once, as the last event,
+	// and not after Conn.Close.
 	Closed(err error)
 }
 
 // Dialer opens connections to caches.
 type Dialer interface {
-	// Dial starts to connect. The handler's Connected or Closed gives the result.
+	// Dial starts a connection attempt. The handler's Connected or Closed method reports the result.
 	Dial(address string, timeout time.Duration, handler ConnHandler) (Conn, error)
 }
 
-// Endpoint is one entry of the endpoint list. The Director sets its Host number.
+// Endpoint is an entry of the endpoint list. The Director assigns its Host number.
 type Endpoint struct {
 	decision.Endpoint
 	Name    string
--- a/internal/director/routing/pool.go
+++ b/internal/director/routing/pool.go
@@ -8,24 +8,26 @@
 	"stairvane.org/stairvane/internal/decision"
 )
 
-// pickConn is the connection with the fewest attempts of those that can take one of a request, or nil.
+// pickConn returns the least loaded connection that is available for a request, or nil.
 func (h *host) pickConn(q *clientRequest) (best *pooledConn) {
 	for _, c := range h.conns {
-		if c.canTake(q) && (best == nil || len(c.inFlight) < len(best.inFlight)) {
+		if c.isAvailableFor(q) && (best == nil || len(c.inFlight) < len(best.inFlight)) {
 			best = c
 		}
 	}
 	return best
 }
 
-func (c *pooledConn) canTake(q *clientRequest) bool {
+// isAvailableFor reports whether an attempt of a request can be sent on the connection now.
+// isAvailableFor reports whether an attempt of a request can be sent on the connection now.
+func (c *pooledConn) isAvailableFor(q *clientRequest) bool {
 	return c.connected && !c.retired && !c.isSilent() &&
 		len(c.inFlight) < c.host.director.limits.StreamsPerConn &&
 		c.conn.IsFlushed() &&
 		!slices.Contains(q.excludedConns, c)
 }
 
-// openConns opens connections until those that are connecting can take all waiting attempts.
+// openConns opens connections until those being established have room for all waiting attempts, or a limit is reached.
 func (h *host) openConns() {
 	d := h.director
 	connecting := 0
@@ -68,8 +70,8 @@
 	return nil
 }
 
-// makeRoomForConn reports whether one more connection may be opened. Where the limit is reached, it closes the connection
-// that has been idle for longest.
+// makeRoomForConn reports whether one more connection may be opened. If the limit is reached, it closes the connection that
+// has been idle the longest; it returns false if none is idle.
 func (d *Director) makeRoomForConn() bool {
 	if d.limits.MaxConns == 0 || d.conns < d.limits.MaxConns {
 		return true
@@ -89,7 +91,8 @@
 	return true
 }
 
-// failWaitingIfUnreachable ends the waiting attempts when no connection is left that could take them. None has run.
+// failWaitingIfUnreachable ends the waiting attempts as decision.ConnectFailed if the host has no usable connection left.
+// None of them has been sent.
 func (h *host) failWaitingIfUnreachable() {
 	usable := func(c *pooledConn) bool { return !c.retired && !c.isSilent() }
 	if slices.ContainsFunc(h.conns, usable) {
@@ -101,17 +104,17 @@
 	}
 }
 
-// scheduleRetry has the waiting attempts sent at the end of the round, as far as connections can take them.
-func (h *host) scheduleRetry() {
-	if len(h.waiting) == 0 || h.retryScheduled {
+// scheduleDispatch schedules sendWaiting for the end of the round.
+func (h *host) scheduleDispatch() {
+	if len(h.waiting) == 0 || h.dispatchScheduled {
 		return
 	}
-	h.retryScheduled = true
-	h.director.hostsToRetry = append(h.director.hostsToRetry, h)
+	h.dispatchScheduled = true
+	h.director.hostsToDispatch = append(h.director.hostsToDispatch, h)
 	h.director.scheduleSendRound()
 }
 
-// sendWaiting sends the waiting attempts in order, as far as connections can take them.
+// sendWaiting sends the waiting attempts in order while connections are available, and opens connections for the rest.
 func (h *host) sendWaiting() {
 	for _, a := range slices.Clone(h.waiting) {
 		if a.ended {
@@ -127,7 +130,8 @@
 	}
 }
 
-// closeIdleConns closes connections before the cache does: what is sent while the cache closes would be lost.
+// closeIdleConns closes unused connections that are idle, retired or silent, or whose host is gone. Idle ones are closed
+// before the cache does so, because a request sent while the cache closes would be lost.
 func (h *host) closeIdleConns(now time.Duration) {
 	for _, c := range slices.Clone(h.conns) {
 		if !c.connected || !c.isUnused() {
--- a/internal/director/routing/purges.go
+++ b/internal/director/routing/purges.go
@@ -7,14 +7,14 @@
 	"stairvane.org/stairvane/internal/decision"
 )
 
-// purge voids what was generated before it was issued.
+// purge invalidates responses that were generated before it was issued.
 type purge struct {
 	issued     time.Duration // in Unix time
 	notifiedAt time.Duration // when it reached the process
-	receivedAt time.Duration // when it reached this core, which is later where the core was stalled
+	receivedAt time.Duration // when it reached this core, which is later if the core was stalled
 }
 
-// purgeLog holds the purges that may still matter, by object and by purge group.
+// purgeLog holds the purges that can still affect a response, by object and by purge group.
 type purgeLog struct {
 	objects map[decision.ObjectID][]purge
 	groups  map[int][]purge
@@ -43,29 +43,30 @@
 	return purge{issued: issued, notifiedAt: d.notificationTime(), receivedAt: d.loop.Now()}
 }
 
-func (l *purgeLog) anyOf(q *clientRequest, f func(purge) bool) bool {
+func (l *purgeLog) anyMatches(q *clientRequest, f func(purge) bool) bool {
 	return slices.ContainsFunc(l.objects[q.Object], f) || slices.ContainsFunc(l.groups[q.PurgeGroup], f)
 }
 
-// voids reports whether a purge that reached the process before a time voids what was generated at another. All purges
-// are checked: one that is too new to hold must not hide an older one. Both times are rounded to milliseconds, so what was
-// generated in the purge's own millisecond may be older than the purge.
-func (l *purgeLog) voids(q *clientRequest, generatedAt, notifiedBefore time.Duration) bool {
-	return l.anyOf(q, func(p purge) bool { return p.notifiedAt < notifiedBefore && generatedAt <= p.issued })
+// invalidates reports whether a purge that reached the process before notifiedBefore invalidates a response generated at
+// generatedAt. All purges are checked: one that is too recent to be enforced must not hide an older one. The times of the
+// purge and of the response are rounded to milliseconds, so a response generated in the same millisecond as the purge may
+// predate it.
+func (l *purgeLog) invalidates(q *clientRequest, generatedAt, notifiedBefore time.Duration) bool {
+	return l.anyMatches(q, func(p purge) bool { return p.notifiedAt < notifiedBefore && generatedAt <= p.issued })
 }
 
-// receivedSince reports whether this core received a purge of the request's object after a time.
+// receivedSince reports whether this core received a purge that covers the request after the given time.
 func (l *purgeLog) receivedSince(q *clientRequest, after time.Duration) bool {
-	return l.anyOf(q, func(p purge) bool { return p.receivedAt > after })
+	return l.anyMatches(q, func(p purge) bool { return p.receivedAt > after })
 }
 
-// forget drops the purges that reached the process before a time.
-func (l *purgeLog) forget(before time.Duration) {
-	forgetIn(l.objects, before)
-	forgetIn(l.groups, before)
+// expire removes the purges that reached the process before the given time.
+func (l *purgeLog) expire(before time.Duration) {
+	expireIn(l.objects, before)
+	expireIn(l.groups, before)
 }
 
-func forgetIn[K comparable](m map[K][]purge, before time.Duration) {
+func expireIn[K comparable](m map[K][]purge, before time.Duration) {
 	for key, list := range m {
 		list = slices.DeleteFunc(list, func(p purge) bool { return p.notifiedAt < before })
 		if len(list) == 0 {
--- a/internal/director/routing/requests.go
+++ b/internal/director/routing/requests.go
@@ -8,31 +8,31 @@
 	"stairvane.org/stairvane/internal/decision"
 )
 
-// staleRetryAfter is the Retry-After of a request that a stale director rejects.
+// staleRetryAfter is the Retry-After of requests that are rejected because the director is stale.
 const staleRetryAfter = 500 * time.Millisecond
 
-// clientRequest is a request that was accepted. It is remembered until it is answered and has no attempt in flight.
+// clientRequest is an accepted request. It is kept until it has been answered and has no attempt in flight.
 type clientRequest struct {
 	*Request
 	key        decision.RequestID
 	deadline   time.Duration
-	answered   bool // or cancelled: no answer may follow
+	answered   bool // or cancelled: no answer may be sent any more
 	clientGone bool
-	firstRunAt time.Duration // when the first attempt was sent that may have run; 0: none has
+	firstRunAt time.Duration // when the first attempt that may have run was sent; 0: nothing has run
 
-	resubmission  *resubmission // waits until this request is released
-	resubmissions int           // how often the ID was submitted before
+	resubmission  *resubmission // waits for the release of this request
+	resubmissions int           // number of earlier submissions of the ID
 
-	claimGroup string // the dedup group that the idempotency key is claimed for; empty: none
+	claimGroup string // the dedup group for which the idempotency key is claimed; empty: none
 	claimedAt  time.Duration
-	ownsClaim  bool // the claim is this request's, not an earlier one's
+	ownsClaim  bool // the claim belongs to this request, not to an earlier one
 
 	attempts         []*attempt
 	attemptsInFlight int
 
-	// excludedConns get no further attempt: a late response to an earlier attempt could be taken for the later one's.
+	// excludedConns get no further attempts: a late response to an earlier attempt could be matched to a later one.
 	excludedConns []*pooledConn
-	// unconfirmedCancels are connections on which a cancel was sent that the cache may not have read yet.
+	// unconfirmedCancels are the connections on which a cancel was sent that the cache may not have read yet.
 	unconfirmedCancels []*pooledConn
 }
 
@@ -42,7 +42,7 @@
 	}
 }
 
-// Submit takes in a request. Its Responder gets one final answer, unless it is cancelled.
+// Submit accepts a request for routing. Its Responder gets exactly one final answer, unless the request is cancelled.
 func (d *Director) Submit(r *Request) {
 	d.Counters.Accepted++
 	if first := d.requests[decision.RequestID(r.ID)]; first != nil {
@@ -53,7 +53,7 @@
 	d.accept(r, d.loop.Now()+r.Timeout)
 }
 
-// accept takes in a request whose ID no other request has, or answers it at once.
+// accept registers a request whose ID is not in use, or rejects or fails it at once.
 func (d *Director) accept(r *Request, deadline time.Duration) {
 	if d.limits.MaxRequests > 0 && d.inFlight >= d.limits.MaxRequests {
 		d.Counters.Rejected++
@@ -66,7 +66,7 @@
 		r.Responder.Reject(r, staleRetryAfter)
 		return
 	}
-	if d.hooks.AcquireID != nil && !d.hooks.AcquireID(r.ID) { // two cores could have attempts in flight
+	if d.hooks.AcquireID != nil && !d.hooks.AcquireID(r.ID) { // another core has the ID in flight
 		d.Counters.Failed++
 		r.Responder.Fail(r)
 		return
@@ -95,20 +95,20 @@
 	})
 }
 
-// Cancel ends a request whose client is gone or takes it back. No answer follows.
+// Cancel ends a request whose client disconnected or cancelled it. No answer follows.
 func (d *Director) Cancel(r *Request) {
 	q := d.requests[decision.RequestID(r.ID)]
 	switch {
 	case q == nil:
 	case q.resubmission != nil && q.resubmission.Request == r:
 		d.Counters.Cancelled++
-		d.takeResubmission(q)
+		d.removeResubmission(q)
 	case q.Request == r && !q.answered:
 		d.Counters.Cancelled++
 		q.clientGone = true
 		d.markAnswered(q)
 		d.handle(decision.ClientGone{Request: q.key})
-		// Where caches do not support cancels, the module leaves even waiting attempts alone.
+		// If caches do not support cancels, the module does not cancel any attempts, not even those that are still waiting.
 		for _, a := range q.attempts {
 			if !a.ended && a.conn == nil {
 				d.endAttempt(a, &Response{Status: decision.NotSent})
@@ -117,7 +117,7 @@
 	}
 }
 
-// unanswered is the request of an ID if it is still owed its final answer, else nil.
+// unanswered returns the request with an ID, or nil if there is none or it has been answered.
 func (d *Director) unanswered(id decision.RequestID) *clientRequest {
 	if q := d.requests[id]; q != nil && !q.answered {
 		return q
@@ -148,14 +148,15 @@
 	q.Responder.Fail(q.Request)
 }
 
-// markAnswered ensures that no second answer follows.
+// markAnswered records the final answer, so that no second one follows.
 func (d *Director) markAnswered(q *clientRequest) {
 	q.answered = true
 	d.inFlight--
 	d.releaseIfDone(q)
 }
 
-// releaseIfDone forgets a request that is answered and has no attempt in flight.
+// releaseIfDone releases a request that is answered and has no attempt in flight, and accepts the resubmission that waits for
+// it, if any.
 func (d *Director) releaseIfDone(q *clientRequest) {
 	if !q.answered || q.attemptsInFlight > 0 {
 		return
@@ -165,9 +166,9 @@
 		d.hooks.Claims.Release(q.IdempotencyKey, q.ID)
 	}
 	delete(d.requests, q.key)
-	d.rememberCancelled(q)
+	d.recordCancelled(q)
 	d.releaseID(q)
-	if next := d.takeResubmission(q); next != nil {
+	if next := d.removeResubmission(q); next != nil {
 		d.accept(next.Request, next.deadline)
 	}
 }
--- a/internal/director/routing/resubmissions.go
+++ b/internal/director/routing/resubmissions.go
@@ -8,26 +8,26 @@
 	"stairvane.org/stairvane/internal/transport"
 )
 
-// A client whose connection ended may submit its request again, with the same ID, on another connection. That is a request
-// of its own; neither answers or cancels the other. Caches know attempts by the ID alone, so the second request starts
-// only when the first has no attempt in flight, avoids the connections on which the first may still be answered, and
-// repeats only what the class allows.
+// A client whose connection ended may resubmit its request, with the same ID, on another connection. The resubmission is a
+// separate request: an answer or a cancel for one does not affect the other. Caches identify attempts by the ID alone.
+// Therefore the second request starts only after the first has no attempt in flight, avoids the connections on which a
+// response to the first may still arrive, and runs again only if the class allows it.
 
 const (
-	// maxResubmissions bounds how often one ID may come again: each time needs connections that were not used for it.
+	// maxResubmissions bounds the resubmissions of one ID: each needs connections that have not been used for the ID.
 	maxResubmissions = 2
-	// maxCancelledRequests bounds how many requests of clients that are gone are remembered.
+	// maxCancelledRequests bounds the number of cancelled requests that are remembered.
 	maxCancelledRequests = 4096
 )
 
-// resubmission is a request that waits for an earlier one of its ID to be released.
+// resubmission is a request that waits for the release of an earlier request with the same ID.
 type resubmission struct {
 	*Request
 	deadline time.Duration
 	timer    transport.Timer
 }
 
-// cancelledRequest is what a resubmission must know of a request whose client is gone.
+// cancelledRequest is the state of a cancelled request that a resubmission inherits.
 type cancelledRequest struct {
 	id                 decision.RequestID
 	excludedConns      []*pooledConn
@@ -37,8 +37,9 @@
 	expiresAt          time.Duration
 }
 
-// resubmit takes in a request whose ID another request has. The client of the first may be gone in this very round of the
-// loop: whether it is shows at the end of the round.
+// resubmit handles a request whose ID is in use by another request. The disconnect of the first client may be processed in
+// the same round of the loop, so the resubmission fails only if the first request is still unanswered at the end of the
+// round.
 func (d *Director) resubmit(first *clientRequest, r *Request) {
 	if first.resubmission != nil {
 		d.Counters.Failed++
@@ -59,8 +60,8 @@
 	}
 }
 
-// takeResubmission removes and returns the resubmission that waits for a request, or nil.
-func (d *Director) takeResubmission(first *clientRequest) *resubmission {
+// removeResubmission removes and returns the resubmission that waits for a request. It returns nil if there is none.
+func (d *Director) removeResubmission(first *clientRequest) *resubmission {
 	second := first.resubmission
 	if second != nil {
 		second.timer.Stop()
@@ -71,14 +72,14 @@
 }
 
 func (d *Director) failResubmission(first *clientRequest) {
-	if second := d.takeResubmission(first); second != nil {
+	if second := d.removeResubmission(first); second != nil {
 		d.Counters.Failed++
 		second.Responder.Fail(second.Request)
 	}
 }
 
-// rememberCancelled keeps what a resubmission must know of a request that is released, if its client is gone.
-func (d *Director) rememberCancelled(q *clientRequest) {
+// recordCancelled keeps the state of a released request for a resubmission, if its client is gone.
+func (d *Director) recordCancelled(q *clientRequest) {
 	if !q.clientGone || len(q.excludedConns) == 0 && q.firstRunAt == 0 {
 		return
 	}
@@ -91,14 +92,14 @@
 		expiresAt:          d.loop.Now() + d.limits.MaxDeadline,
 	}
 	if len(d.cancelledOldestFirst) >= maxCancelledRequests {
-		d.forgetCancelled(d.cancelledOldestFirst[:1])
+		d.evictCancelled(d.cancelledOldestFirst[:1])
 	}
 	d.cancelledByID[q.key] = c
 	d.cancelledOldestFirst = append(d.cancelledOldestFirst, c)
 }
 
-// forgetCancelled forgets the oldest cancelled requests.
-func (d *Director) forgetCancelled(oldest []*cancelledRequest) {
+// evictCancelled removes the given records, which must be the oldest ones.
+func (d *Director) evictCancelled(oldest []*cancelledRequest) {
 	for _, c := range oldest {
 		if d.cancelledByID[c.id] == c {
 			delete(d.cancelledByID, c.id)
@@ -107,17 +108,17 @@
 	d.cancelledOldestFirst = slices.Delete(d.cancelledOldestFirst, 0, len(oldest))
 }
 
-// expireCancelled forgets the cancelled requests whose clients would not wait any more.
+// expireCancelled removes the records whose retention time, the longest deadline of any class, is over.
 func (d *Director) expireCancelled(now time.Duration) {
 	n := 0
 	for n < len(d.cancelledOldestFirst) && d.cancelledOldestFirst[n].expiresAt <= now {
 		n++
 	}
-	d.forgetCancelled(d.cancelledOldestFirst[:n])
+	d.evictCancelled(d.cancelledOldestFirst[:n])
 }
 
-// inheritCancelled takes over what is known of a cancelled request of the same ID, and reports whether the request may be
-// sent at all.
+// inheritCancelled copies the state of a cancelled request with the same ID, if there is one, and reports whether the new
+// request may be sent.
 func (d *Director) inheritCancelled(q *clientRequest) bool {
 	c := d.cancelledByID[q.key]
 	if c == nil {
@@ -131,7 +132,7 @@
 	return c.resubmissions <= maxResubmissions && d.mayRunAgain(c, d.classes[q.Class])
 }
 
-// mayRunAgain reports whether a class allows to repeat a request that was cancelled.
+// mayRunAgain reports whether the rules of a class allow a cancelled request to run again.
 func (d *Director) mayRunAgain(c *cancelledRequest, rules classRules) bool {
 	if c.firstRunAt == 0 {
 		return true
