--- a/internal/director/config/config.go
+++ b/internal/director/config/config.go
@@ -1,6 +1,6 @@
-// Package config reads, checks and defaults the configuration of a director. It is the one place that knows the keys of
-// LB_CONFIG; those below settings are mapped by package simulator, which reads them from the simulator, too. Error messages
-// name the key at fault.
+// Package config reads and validates the configuration of a director and fills in defaults. It defines the keys of LB_CONFIG,
+// except for those below settings, which package simulator maps, because it also reads them from the simulator. Error
+// messages name the invalid key.
 package config
 
 import (
@@ -18,11 +18,11 @@
 	"stairvane.org/stairvane/internal/protocol/simulator"
 )
 
-// The environment variables of a director.
+// Environment variables of a director.
 const (
 	fileVar   = "LB_CONFIG" // path of the configuration file
-	nameVar   = "LB_NAME"   // overrides the file's name
-	listenVar = "LB_LISTEN" // overrides the file's listen
+	nameVar   = "LB_NAME"   // overrides the key name
+	listenVar = "LB_LISTEN" // overrides the key listen
 )
 
 // Defaults and bounds.
@@ -34,14 +34,15 @@
 	maxLimit        = 1 << 30
 )
 
-// Errors of a configuration that lacks a part.
+// Errors returned for an incomplete configuration.
 var (
-	ErrNoFile     = errors.New("LB_CONFIG is not set: it names the configuration file")
+	ErrNoFile     = errors.New("LB_CONFIG must be set to the path of the configuration file")
 	ErrNoSettings = errors.New("settings: missing")
 	ErrNoClasses  = errors.New("settings.Grades: no classes")
 )
 
-// Config is the configuration of a director. The last three fields come from the operator's file; see OperatorSettings.
+// Config is the configuration of a director. The last three fields come from the operator configuration; see
+// OperatorSettings.
 type Config struct {
 	Name          string
 	Listen        netip.AddrPort
@@ -49,17 +50,17 @@
 	Seed          uint64
 	MemoryMB      int
 	Sockets       int
-	InitialEvents discovery.WatchResponse // the events at the start
+	InitialEvents discovery.WatchResponse // events to apply at the start
 	Settings      decision.Settings
 	Connections   simulator.SocketSettings
-	Fingerprint   string // equal for files with equal settings
+	Fingerprint   string // hash of the settings in the file
 
 	ControlPlanes []netip.AddrPort // further addresses of the event stream
 	Membership    *Membership      // nil: the director does not announce itself
 	Claims        *Claims          // nil: idempotency keys are not claimed
 }
 
-// file is the configuration file with the keys of LB_CONFIG.
+// file is the JSON structure of the file that LB_CONFIG names.
 type file struct {
 	Name   string `json:"name"`
 	Listen string `json:"listen"`
@@ -73,7 +74,7 @@
 	Settings  json.RawMessage         `json:"settings"`
 }
 
-// Load reads the file that LB_CONFIG names. LB_NAME and LB_LISTEN, where set, override the file.
+// Load reads the configuration from the file that LB_CONFIG names. LB_NAME and LB_LISTEN, if set, override its values.
 func Load() (Config, error) {
 	path := os.Getenv(fileVar)
 	if path == "" {
@@ -86,7 +87,7 @@
 	return Parse(text, os.Getenv(nameVar), os.Getenv(listenVar))
 }
 
-// Parse reads a configuration file. A name or an address that is not empty overrides the file's.
+// Parse parses and validates the text of a configuration file. A non-empty name or listen overrides the value in the file.
 func Parse(text []byte, name, listen string) (Config, error) {
 	var f file
 	if err := json.Unmarshal(text, &f); err != nil {
@@ -107,7 +108,7 @@
 		return Config{}, fmt.Errorf("bulletin: %w", err)
 	}
 	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-		return Config{}, fmt.Errorf("seed: %q is not a hex number of 64 bits", f.Seed)
+		return Config{}, fmt.Errorf("seed: %q is not a 64-bit hexadecimal number", f.Seed)
 	}
 	if c.MemoryMB, err = orDefault("limits.memory_mb", f.Limits.MemoryMB, defaultMemoryMB, minMemoryMB); err != nil {
 		return Config{}, err
@@ -134,19 +135,20 @@
 	return strconv.FormatUint(sum.Sum64(), 16)
 }
 
-// orDefault gives the number of a limit, or its default where the file has none.
+// orDefault returns the value of a limit, or its default if the file has none.
 func orDefault(key string, value *float64, defaultValue, minimum int) (int, error) {
 	if value == nil {
 		return defaultValue, nil
 	}
-	if !(*value >= float64(minimum) && *value <= maxLimit) { // NaN is out of range, too
-		return 0, fmt.Errorf("%s: %v is not a number from %d up", key, *value, minimum)
+	if !(*value >= float64(minimum) && *value <= maxLimit) { // written so that NaN is out of range as well
+		return 0, fmt.Errorf("%s: %v is not a number of at least %d", key, *value, minimum)
 	}
 	return int(*value), nil
 }
 
-// Differs gives the keys in which another configuration differs so that a running director cannot apply it. The address
-// of the event stream can be applied; the seed and the events of the start are new with each start anyway.
+// Differs returns the keys in which another configuration differs and which a running director cannot change. The address of
+// the event stream is not among them, because it can be changed, nor are the seed and the initial events, which differ
+// with each start anyway.
 func (c Config) Differs(other Config) (keys []string) {
 	sameSettings := reflect.DeepEqual(c.Settings, other.Settings) && reflect.DeepEqual(c.Connections, other.Connections)
 	for _, k := range []struct {
--- a/internal/director/config/operator.go
+++ b/internal/director/config/operator.go
@@ -5,41 +5,41 @@
 	"time"
 )
 
-// The policies for requests whose idempotency key cannot be claimed because no holder is reachable. The values are those
-// of the operator's file.
+// Policies for requests whose idempotency key cannot be claimed because no holder is reachable. The values are those of the
+// operator configuration.
 const (
-	ClaimsWait    = "wait"   // wait within the request's timeout, then reject it
-	ClaimsReject  = "refuse" // reject the request soon, with a Retry-After: nothing has run
-	ClaimsProceed = "go-on"  // proceed soon without a claim, and count that
+	ClaimsWait    = "wait"   // wait for up to the timeout of the request, then reject it
+	ClaimsReject  = "refuse" // reject the request after a short wait, with a Retry-After: nothing has run
+	ClaimsProceed = "go-on"  // proceed without a claim after a short wait, and count that
 )
 
-// OperatorSettings is what the operator's file configures beyond LB_CONFIG.
+// OperatorSettings are the settings of the operator configuration that supplement LB_CONFIG.
 type OperatorSettings struct {
 	Cores         int
 	ControlPlanes []netip.AddrPort // further addresses of the event stream
 	Membership    *Membership      // nil: the director does not announce itself
-	Claims        *Claims          // nil: idempotency keys are not claimed; else Membership must be set
+	Claims        *Claims          // nil: idempotency keys are not claimed; otherwise Membership must be set
 }
 
-// Membership is how a director announces itself to the control plane.
+// Membership configures how a director announces itself to the control plane.
 type Membership struct {
-	Machine, Site string        // its failure domains
+	Machine, Site string        // failure domains of the director
 	Incarnation   string        // random, new with each start
 	Version       string        // of the program
-	MaxStaleness  time.Duration // age of its events from which it starts no attempts; 0: unlimited
-	Health        bool          // it sends health reports and gets the aggregated health
+	MaxStaleness  time.Duration // age of its events beyond which it starts no attempts; 0: unlimited
+	Health        bool          // whether it sends health reports and receives the aggregated health
 }
 
-// Claims is how a director claims idempotency keys.
+// Claims configures how a director claims idempotency keys.
 type Claims struct {
-	Listen            netip.AddrPort        // for claims of other directors
-	Allows            func(netip.Addr) bool // whether an address may connect there
-	MaxClaims         int                   // that this director stores for others
+	Listen            netip.AddrPort        // address for connections from other directors
+	Allows            func(netip.Addr) bool // reports whether an address may connect
+	MaxClaims         int                   // maximum number of claims that this director stores for others
 	UnreachablePolicy string                // ClaimsWait, ClaimsReject or ClaimsProceed
-	PolicyByClass     map[string]string     // where it differs
+	PolicyByClass     map[string]string     // overrides UnreachablePolicy by class
 }
 
-// PolicyOf is the policy for a class where no holder of claims is reachable.
+// PolicyOf returns the policy for a class when no holder of claims is reachable.
 func (c *Claims) PolicyOf(class string) string {
 	if policy, ok := c.PolicyByClass[class]; ok {
 		return policy
--- a/internal/director/config/settings.go
+++ b/internal/director/config/settings.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// flattenSettings turns nested settings into the path=value pairs of the simulator's first message, so that one parser
-// reads both.
+// flattenSettings converts nested settings to the path=value pairs used in the simulator's first message, so that one parser
+// handles both.
 func flattenSettings(raw json.RawMessage) (pairs []string, err error) {
 	if len(raw) == 0 {
 		return nil, ErrNoSettings
@@ -24,8 +24,8 @@
 	return appendPairs(nil, "", tree), nil
 }
 
-// appendPairs appends the pairs of a value. The keys of an object are joined by dots. A list of plain values is joined by
-// commas. A list of objects has its length under the key count, and its items under their indexes.
+// appendPairs appends the pairs of a value. Keys of nested objects are joined by dots, and plain values in a list by commas. For
+// a list of objects, the key count has its length, and each item has its index as key.
 func appendPairs(pairs []string, path string, value any) []string {
 	switch v := value.(type) {
 	case map[string]any:
@@ -59,7 +59,7 @@
 	return isObject
 }
 
-// separators replaces what separates values in the simulator's messages.
+// separators replaces the characters that separate values in the simulator's messages.
 var separators = strings.NewReplacer(" ", "_", ",", "_")
 
 func plainValue(value any) string {
--- a/internal/director/cores/budget/ledger.go
+++ b/internal/director/cores/budget/ledger.go
@@ -1,8 +1,9 @@
-// Package budget keeps the slow start budget of a process on several cores within what one core would spend.
+// Package budget limits the slow start budget that all cores of a process spend to the budget of a single core with the same
+// load.
 //
 // The decision module of each core derives the budget of a cache that is warming up from the best rate that the core has
-// served lately. Where load moves from core to core, each remembers its own best rate, and the sum exceeds what the process
-// ever served. The Ledger gives each core the share of its budget that it may spend.
+// served recently. If load moves from core to core, each core remembers its own best rate, and their sum exceeds any rate that
+// the process has served. The Ledger computes the share of its budget that each core may spend.
 package budget
 
 import (
@@ -11,20 +12,20 @@
 	"time"
 )
 
-// Ledger has the served rates of all cores, in seconds of sending per second. Its methods are safe for concurrent use and
-// take no lock.
+// Ledger records the served rates of all cores, in seconds of sending time per second. Its methods are safe for concurrent
+// use and lock-free.
 type Ledger struct {
 	current   []atomic.Uint64 // rate by core, as float bits
 	best      []atomic.Uint64 // rate by core, as float bits
 	bestTotal atomic.Pointer[totalRate]
-	fadeTime  time.Duration
+	decayTime time.Duration
 }
 
-// totalRateWindow is how long a total must last to count. Cores publish one after the other: for a moment, load that moves
-// is counted on the core that it left and on the one that it came to.
+// totalRateWindow is the time for which a total rate must be sustained to count as the best. Cores publish one after the other,
+// so load that moves between cores is briefly counted on both.
 const totalRateWindow = 200 * time.Millisecond
 
-// totalRate is the best total rate of the process, and the lowest total of the present window.
+// totalRate is the best total rate of the process and the lowest total in the current window.
 type totalRate struct {
 	best        float64
 	recordedAt  time.Duration // when best was computed
@@ -32,52 +33,53 @@
 	windowStart time.Duration
 }
 
-// New makes a Ledger for some cores. fadeTime is the time in which a best rate falls to 1/e, as it does in the cores.
-func New(cores int, fadeTime time.Duration) *Ledger {
+// New returns a Ledger for the given number of cores. decayTime is the time in which a best rate decays to 1/e. It must equal
+// the decay time in the decision modules of the cores.
+func New(cores int, decayTime time.Duration) *Ledger {
 	l := &Ledger{
-		current:  make([]atomic.Uint64, cores),
-		best:     make([]atomic.Uint64, cores),
-		fadeTime: fadeTime,
+		current:   make([]atomic.Uint64, cores),
+		best:      make([]atomic.Uint64, cores),
+		decayTime: decayTime,
 	}
 	l.bestTotal.Store(&totalRate{})
 	return l
 }
 
-// Publish takes in a core's present rate and its recent best.
+// Publish records the current rate of a core and its best recent rate.
 func (l *Ledger) Publish(core int, current, best float64, at time.Duration) {
 	l.current[core].Store(math.Float64bits(current))
 	l.best[core].Store(math.Float64bits(max(current, best)))
 	total := sum(l.current)
 	for {
 		old := l.bestTotal.Load()
-		if l.bestTotal.CompareAndSwap(old, l.next(old, total, at)) {
+		if l.bestTotal.CompareAndSwap(old, l.nextTotal(old, total, at)) {
 			return
 		}
 	}
 }
 
-// next is the total rate after a total was observed.
-func (l *Ledger) next(old *totalRate, total float64, at time.Duration) *totalRate {
-	faded := old.best
-	if l.fadeTime > 0 && at > old.recordedAt {
-		faded *= math.Exp(-float64(at-old.recordedAt) / float64(l.fadeTime))
+// nextTotal returns the totalRate that follows from old when a total is observed at a time.
+func (l *Ledger) nextTotal(old *totalRate, total float64, at time.Duration) *totalRate {
+	decayed := old.best
+	if l.decayTime > 0 && at > old.recordedAt {
+		decayed *= math.Exp(-float64(at-old.recordedAt) / float64(l.decayTime))
 	}
-	next := &totalRate{
-		best:        faded,
+	nextTotal := &totalRate{
+		best:        decayed,
 		recordedAt:  max(at, old.recordedAt),
 		lowest:      min(old.lowest, total),
 		windowStart: old.windowStart,
 	}
 	if at-old.windowStart >= totalRateWindow {
-		next.best = max(faded, next.lowest)
-		next.lowest = total
-		next.windowStart = at
+		nextTotal.best = max(decayed, nextTotal.lowest)
+		nextTotal.lowest = total
+		nextTotal.windowStart = at
 	}
-	return next
+	return nextTotal
 }
 
-// Share is the share of its own budget, from 0 to 1, that a core may spend, so that all cores together spend the budget of
-// the process.
+// Share returns the share of its own budget, from 0 to 1, that each core may spend so that all cores together spend the budget
+// of the process.
 func (l *Ledger) Share() float64 {
 	bests := sum(l.best)
 	total := l.bestTotal.Load().best
--- a/internal/director/cores/events/log.go
+++ b/internal/director/cores/events/log.go
@@ -1,16 +1,16 @@
-// Package events carries events from the one core that watches the event stream to all cores of a process, without a lock.
+// Package events distributes events from the core that watches the event stream to all cores of a process, without locks.
 //
-// The log is an append-only list whose nodes never change. Each core reads it with a cursor of its own. A core that was
-// stalled finds everything that it missed, in order; the garbage collector frees what all cursors have read.
+// The log is an append-only linked list of immutable values. Each core reads it with its own cursor. A core that was stalled
+// reads everything that it missed, in order. The garbage collector frees values that all cursors have read.
 package events
 
 import "sync/atomic"
 
-// Log is written by one goroutine and read by any number. Make it with New, then all cursors, then call Seal.
+// Log is written by one goroutine and read by any number of them. Create it with New, then create all cursors, then call Seal.
 type Log[T any] struct {
 	published atomic.Int64 // number of values
 	first     *node[T]     // nil once the log is sealed
-	last      *node[T]     // belongs to the writer
+	last      *node[T]     // used by the writer only
 }
 
 type node[T any] struct {
@@ -18,13 +18,13 @@
 	next  atomic.Pointer[node[T]]
 }
 
-// New makes an empty log.
+// New returns an empty log.
 func New[T any]() *Log[T] {
 	n := &node[T]{}
 	return &Log[T]{first: n, last: n}
 }
 
-// Publish appends a value, which must not be changed any more. Only one goroutine may call it.
+// Publish appends a value, which must not be modified afterwards. Only one goroutine may call it.
 func (l *Log[T]) Publish(v T) {
 	n := &node[T]{value: v}
 	l.last.next.Store(n)
@@ -32,23 +32,23 @@
 	l.published.Add(1)
 }
 
-// NewCursor makes a cursor that stands before the first value. It must be called before Seal and the first Publish.
+// NewCursor returns a cursor positioned before the first value. It must be called before Seal and the first Publish.
 func (l *Log[T]) NewCursor() *Cursor[T] { return &Cursor[T]{log: l, position: l.first} }
 
-// Seal lets the garbage collector free what all cursors have read. No cursor may be made after it.
+// Seal allows the garbage collector to free values that all cursors have read. No cursor may be created afterwards.
 func (l *Log[T]) Seal() { l.first = nil }
 
-// Cursor is one reader's position in a Log. It belongs to one goroutine.
+// Cursor is a reader's position in a Log. It must be used by one goroutine only.
 type Cursor[T any] struct {
 	log      *Log[T]
 	position *node[T]
 	read     int64 // number of values
 }
 
-// HasNext reports whether there are values that were not read. It costs one atomic load.
+// HasNext reports whether there are unread values. It costs one atomic load.
 func (c *Cursor[T]) HasNext() bool { return c.read < c.log.published.Load() }
 
-// Next reads the next value, if there is one.
+// Next returns the next value and advances the cursor. ok is false if there is none.
 func (c *Cursor[T]) Next() (v T, ok bool) {
 	n := c.position.next.Load()
 	if n == nil {
--- a/internal/director/cores/stalls/detector.go
+++ b/internal/director/cores/stalls/detector.go
@@ -1,5 +1,5 @@
-// Package stalls detects the cores of a process whose loops are stalled, from counters that the loops raise. It is pure:
-// the counters and the time are arguments.
+// Package stalls detects cores of a process whose loops are stalled, based on counters that the loops increment. It has no
+// side effects: the counters and the time are passed as arguments.
 package stalls
 
 import (
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Detector observes the heartbeats of some cores. It belongs to one goroutine.
+// Detector monitors the heartbeats of cores. It is not safe for concurrent use.
 type Detector struct {
 	timeout time.Duration
 	cores   []coreState
@@ -15,17 +15,17 @@
 
 type coreState struct {
 	heartbeats int64
-	changedAt  time.Duration // when heartbeats changed; 0: it was never observed
+	changedAt  time.Duration // when heartbeats last changed; 0: never observed
 	stalled    bool
 }
 
-// New makes a Detector. A core counts as stalled when its heartbeats have not changed for the timeout.
+// New returns a Detector. A core counts as stalled when its heartbeats have not changed for the timeout.
 func New(cores int, timeout time.Duration) *Detector {
 	return &Detector{timeout: timeout, cores: make([]coreState, cores)}
 }
 
-// Check takes in the heartbeats of all cores at a time after 0, and returns the cores that stalled or recovered since the
-// last check.
+// Check records the heartbeats of all cores and returns the cores that stalled or recovered since the last check. now must be
+// greater than 0.
 func (d *Detector) Check(heartbeats []int64, now time.Duration) (stalled, recovered []int) {
 	for i := range d.cores {
 		c := &d.cores[i]
