--- a/internal/director/apply_events.go
+++ b/internal/director/apply_events.go
@@ -10,18 +10,18 @@
 	"stairvane.org/stairvane/internal/protocol/discovery"
 )
 
-// apply applies events, each once and in order.
+// apply applies the events of a response, each exactly once and in order.
 func (w *watchClient) apply(response discovery.WatchResponse) {
 	for _, event := range response.Events {
-		isNew := event.Revision > w.applied
-		// A snapshot of the membership may come with an older revision.
+		isNew := event.Revision > w.appliedRevision
+		// A membership snapshot may carry an older revision.
 		if event.Membership != nil && w.membership != nil && (isNew || event.Membership.Snapshot) {
 			w.membership.applyChange(event.Revision, event.Membership)
 		}
 		if !isNew {
 			continue
 		}
-		w.applied = event.Revision
+		w.appliedRevision = event.Revision
 		if event.Endpoints != nil {
 			w.applyEndpoints(event.Endpoints)
 		}
@@ -30,7 +30,7 @@
 			slog.Debug("purge.applied", "no", event.Revision)
 		}
 	}
-	w.applied = max(w.applied, response.LastRevision)
+	w.appliedRevision = max(w.appliedRevision, response.LastRevision)
 }
 
 var readinessByState = map[string]decision.Readiness{
--- a/internal/director/bootclock.go
+++ b/internal/director/bootclock.go
@@ -6,11 +6,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// bootTime is the time since the machine started, suspension included: leases must expire while the machine is suspended.
+// bootTime returns the time since the machine booted, including time spent suspended: leases must expire while the machine is
+// suspended.
 func bootTime() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		panic(err) // every Linux has this clock
+		panic(err) // CLOCK_BOOTTIME exists on every supported Linux
 	}
 	return time.Duration(ts.Nano())
 }
--- a/internal/director/cache_conn.go
+++ b/internal/director/cache_conn.go
@@ -11,7 +11,7 @@
 	"stairvane.org/stairvane/internal/transport"
 )
 
-// cacheDialer opens connections to caches. It implements routing.Dialer.
+// cacheDialer opens connections to caches. It implements routing.Dialer. Its buffers are shared by all connections.
 type cacheDialer struct {
 	loop      *transport.Loop
 	loadNames loadNames
@@ -24,7 +24,7 @@
 func (d *cacheDialer) Dial(address string, timeout time.Duration, handler routing.ConnHandler) (routing.Conn, error) {
 	addr, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return nil, fmt.Errorf("parse the cache's address: %w", err)
+		return nil, fmt.Errorf("parse cache address: %w", err)
 	}
 	c := &cacheConn{dialer: d, handler: handler, address: address}
 	if c.conn, err = d.loop.Dial(addr, timeout, c); err != nil {
--- a/internal/director/cache_conn_test.go
+++ b/internal/director/cache_conn_test.go
@@ -13,7 +13,7 @@
 			c := newScriptedCache(t)
 			w := newTestDirector(t, c.host("s-1", "in_service"))
 			client, upstream := w.warmUp(c)
-			release := w.holdLoop()
+			release := w.blockLoop()
 			client.submit(requestA, objectB) // arrives first
 			waitAcknowledged(t, client.conn)
 			if how == "reset" {
--- a/internal/director/cache_protocol.go
+++ b/internal/director/cache_protocol.go
@@ -10,7 +10,7 @@
 	"stairvane.org/stairvane/internal/protocol/resp"
 )
 
-// The commands to caches, and the word that answers a ping.
+// Commands sent to caches, and the answer to a ping.
 const (
 	commandRequest = "do"
 	commandCancel  = "undo"
@@ -18,7 +18,7 @@
 	pong           = "UP"
 )
 
-// fetchOptionWords are the words of fetch options in the field do.
+// fetchOptionWords are the values of fetch options in the field "do".
 var fetchOptionWords = []struct {
 	option decision.FetchOptions
 	word   string
@@ -29,7 +29,7 @@
 	{decision.Revalidate, "revalidate"},
 }
 
-// notModifiedWord is the response that what the client has cached is current.
+// notModifiedWord is the status word of a response which confirms that the object cached by the client is current.
 const notModifiedWord = "SAME"
 
 var statusWords = map[string]decision.Status{
@@ -41,7 +41,7 @@
 	"VOID":          decision.NotSent,
 }
 
-// cacheStatusWords are the words of the field n in the order of the module's numbers, which begin with 1.
+// cacheStatusWords are the values of the field "n" in the order of decision.CacheStatus, which starts at 1.
 var cacheStatusWords = [...]string{
 	"local", "pulled", "pulled_far", "rode", "expired", "turned_away", "cut_off", "not_there",
 	"no_place", "far_fault",
@@ -55,10 +55,10 @@
 	return m
 }()
 
-// maxGeneratedAtMS bounds when an object was generated, in milliseconds of Unix time.
+// maxGeneratedAtMS bounds the time at which an object was generated, in milliseconds of Unix time.
 const maxGeneratedAtMS = 1e13
 
-// appendRequestFields appends the fields of a request, as name=value with commas between.
+// appendRequestFields appends the fields of a request as comma-separated name=value pairs.
 func appendRequestFields(b []byte, r *routing.UpstreamRequest) []byte {
 	field := func(name, value string) { b = resp.AppendField(b, 0, name, value) }
 	field("sort", r.Class)
@@ -74,7 +74,7 @@
 	if r.CachePriority > 0 {
 		field("store", strconv.Itoa(r.CachePriority))
 	}
-	if r.MaxAge > 0 { // 0 on the wire would be the class's own limit
+	if r.MaxAge > 0 { // 0 on the wire means the limit of the class
 		field("cap", atLeastOneMS(r.MaxAge))
 	}
 	if options := joinFetchOptions(r.Options); options != "" {
@@ -102,7 +102,7 @@
 	return joined
 }
 
-// parseResponse reads a response of the words ID, STATUS, FIELDS and BODY. The last two may be absent.
+// parseResponse parses a response, which consists of the words ID, STATUS, FIELDS and BODY. The last two are optional.
 func (d *cacheDialer) parseResponse(words resp.Words) (requestID []byte, r *routing.Response, err error) {
 	if len(words) < 2 || len(words) > 4 {
 		return nil, nil, fmt.Errorf("response of %d words", len(words))
--- a/internal/director/claims_conn.go
+++ b/internal/director/claims_conn.go
@@ -13,20 +13,20 @@
 
 const (
 	claimsDialTimeout = 200 * time.Millisecond
-	claimsRedialPause = 50 * time.Millisecond // between two connections to one director
-	maxClaimsQueue    = 1 << 20               // bytes that wait for a connection
-	maxClaimsBulk     = 200_000               // bytes of claims in one part of a message
+	claimsRedialPause = 50 * time.Millisecond // minimum time between two dials to the same director
+	maxClaimsQueue    = 1 << 20               // bytes queued for one director
+	maxClaimsBulk     = 200_000               // bytes of claims in one bulk string of a message
 )
 
-// The first words of messages between directors.
+// Message types between directors; the first word of each message.
 const (
-	claimsFrom    = "from"   // the sender's ID, once at the start
+	claimsFrom    = "from"   // the sender's ID, sent once as the first message
 	claimsMessage = "claims" // a claims.Message
 )
 
 var errUnknownClaimsMessage = errors.New("claims: unknown message")
 
-// listen accepts connections from other directors.
+// listen starts the listener for connections from other directors.
 func (s *claimsService) listen() error {
 	newHandler := func() transport.Handler { return &claimsReceiver{service: s} }
 	opened := func(conn *transport.Conn, h transport.Handler) {
@@ -41,7 +41,7 @@
 	return err
 }
 
-// senderTo is the connection to another director; it comes up when it is flushed.
+// senderTo returns the sender for another director. It is dialed when it is first flushed.
 func (s *claimsService) senderTo(id string) *claimsSender {
 	sender := s.senders[id]
 	if sender == nil {
@@ -51,18 +51,18 @@
 	return sender
 }
 
-// claimsSender is this director's connection to another. It only sends: the other director answers over its own. It
-// implements transport.Handler.
+// claimsSender sends messages to another director. Its connection is used in one direction only: the other director answers
+// on a connection of its own. It implements transport.Handler.
 type claimsSender struct {
 	service    *claimsService
 	to         string
 	conn       *transport.Conn
 	connected  bool
-	buffer     []byte // that waits for the connection
+	buffer     []byte // messages that have not been written
 	lastDialAt time.Duration
 }
 
-// enqueue drops the message when too many wait: the node sends it again later.
+// enqueue appends a message to the queue, or drops it if the queue is full: the node resends it later.
 func (c *claimsSender) enqueue(m claims.Message) {
 	if len(c.buffer) > maxClaimsQueue {
 		return
@@ -108,7 +108,7 @@
 	c.lastDialAt = now
 	conn, err := loop.Dial(addr, claimsDialTimeout, c)
 	if err != nil {
-		return // the next flush tries again
+		return // the next flush dials again
 	}
 	c.conn = conn
 }
@@ -134,7 +134,7 @@
 // Flushed implements transport.Handler.
 func (c *claimsSender) Flushed() { c.flush() }
 
-// Data implements transport.Handler. Nothing is expected.
+// Data implements transport.Handler. It discards all input, since none is expected.
 func (c *claimsSender) Data(b []byte) (used, need int, err error) { return len(b), 0, nil }
 
 // Closed implements transport.Handler.
@@ -145,7 +145,7 @@
 	c.buffer = c.buffer[:0]
 }
 
-// claimsReceiver is another director's connection to this one. It implements transport.Handler.
+// claimsReceiver receives messages from another director. It implements transport.Handler.
 type claimsReceiver struct {
 	service *claimsService
 	conn    *transport.Conn
@@ -164,7 +164,7 @@
 
 // Data implements transport.Handler.
 func (c *claimsReceiver) Data(b []byte) (used, need int, err error) {
-	defer c.service.process()
+	defer c.service.processNodeOutput()
 	for {
 		words, n, need, err := resp.Parse(b[used:], c.words)
 		c.words = words
--- a/internal/director/claims_service.go
+++ b/internal/director/claims_service.go
@@ -16,14 +16,14 @@
 const (
 	claimsTickInterval  = 10 * time.Millisecond
 	claimsRetryInterval = 25 * time.Millisecond
-	// claimsClockSlack is what clocks and the way of a message may add to the age of a claim.
+	// claimsClockSlack is the error in the age of a claim that clocks and network delays may cause.
 	claimsClockSlack = 200 * time.Millisecond
-	// claimsUnreachableTimeout is how long to wait for an outcome where the class does not wait for it.
+	// claimsUnreachableTimeout is how long to wait for an outcome if the policy of the class is not ClaimsWait.
 	claimsUnreachableTimeout = 300 * time.Millisecond
 	claimsShards             = 256
 )
 
-// claimsService runs a claims.Node: it has the node's connections to other directors and its clock. It implements
+// claimsService runs a claims.Node: it provides the node's clock and its connections to other directors. It implements
 // routing.ClaimService.
 type claimsService struct {
 	prog       *Program
@@ -34,7 +34,7 @@
 	senders    map[string]*claimsSender  // by director ID
 	addresses  map[string]netip.AddrPort // by director ID
 	pending    map[uint64]func(claims.Outcome)
-	lastKey    uint64 // of pending
+	lastKey    uint64 // last key used in pending
 	tickTimer  transport.Timer
 	processing bool
 }
@@ -78,7 +78,7 @@
 	return longest
 }
 
-// applyMembership takes in a change of the membership and of the shards' replicas.
+// applyMembership applies a change of the membership and of the replicas of shards.
 func (s *claimsService) applyMembership(change *discovery.Membership) {
 	if change.Snapshot {
 		clear(s.addresses)
@@ -97,7 +97,7 @@
 		}
 	}
 	s.node.ApplyMembership(joined, change.Left, change.Snapshot, shardStates(change.Shards), bootTime())
-	s.process()
+	s.processNodeOutput()
 }
 
 func shardStates(shards []discovery.Shard) []claims.ShardState {
@@ -119,7 +119,7 @@
 
 func (s *claimsService) tick() {
 	s.node.Tick(bootTime())
-	s.process()
+	s.processNodeOutput()
 	s.prog.loop.Set(&s.tickTimer, s.prog.loop.Now()+claimsTickInterval)
 }
 
@@ -149,7 +149,7 @@
 		Window:  c.Window,
 	}
 	s.node.Request(s.lastKey, claim, c.Movable, now+(deadline-loopNow), now)
-	s.process()
+	s.processNodeOutput()
 }
 
 func verdictOf(o claims.Outcome, policy string) routing.ClaimVerdict {
@@ -171,19 +171,19 @@
 // Release implements routing.ClaimService.
 func (s *claimsService) Release(idempotencyKey, requestID string) {
 	s.node.Release(idempotencyKey, requestID)
-	s.process()
+	s.processNodeOutput()
 }
 
-// process sends the node's messages and reports its outcomes, until there are none. Messages to one director go in one
-// write.
-func (s *claimsService) process() {
+// processNodeOutput sends the node's messages and reports its outcomes until there are none left. Messages to the same
+// director are combined into one write.
+func (s *claimsService) processNodeOutput() {
 	if s.processing {
 		return
 	}
 	s.processing = true
 	defer func() { s.processing = false }()
 	for {
-		messages, outcomes, _ := s.node.Take() // each poll announces the shards that are ready
+		messages, outcomes, _ := s.node.Take() // ready shards are announced with each poll instead
 		if len(messages)+len(outcomes) == 0 {
 			break
 		}
--- a/internal/director/client_conn.go
+++ b/internal/director/client_conn.go
@@ -17,18 +17,18 @@
 
 const (
 	maxClientStreams = 32      // requests in flight on one connection
-	maxClientQueue   = 4 << 20 // bytes of answers that a client may leave unread before its calls are shed
-	maxShedInARow    = 1024    // calls, after which a client is closed that only sends and never reads
+	maxClientQueue   = 4 << 20 // bytes of unread answers beyond which a client's calls are shed
+	maxShedInARow    = 1024    // calls shed in a row, after which a client that never reads is closed
 )
 
-// clientConn is a connection of a client. It implements transport.Handler and routing.Responder.
+// clientConn is a client's connection. It implements transport.Handler and routing.Responder.
 type clientConn struct {
 	frontend   *frontend
 	conn       *transport.Conn
 	openedAt   time.Duration
 	inFlight   map[int32]*routing.Request // by sequence number
 	shedInARow int
-	ended      bool          // nothing more is accepted from it
+	ended      bool          // closed by either side: no more calls are accepted
 	endedAt    time.Duration // when the frontend closed it
 }
 
@@ -43,11 +43,11 @@
 	if len(c.inFlight) > 0 && !errors.Is(err, io.EOF) && !errors.Is(err, transport.ErrLingerTimeout) {
 		slog.Info("client.disconnected", "open", len(c.inFlight), "err", err)
 	}
-	c.abandon()
+	c.remove()
 }
 
-// abandon removes a client that cannot be answered any more and cancels its requests.
-func (c *clientConn) abandon() {
+// remove unregisters a client that can no longer be answered and cancels its requests.
+func (c *clientConn) remove() {
 	c.ended = true
 	delete(c.frontend.clients, c)
 	c.frontend.lingering = slices.DeleteFunc(c.frontend.lingering, func(other *clientConn) bool { return other == c })
@@ -61,12 +61,12 @@
 }
 
 func (c *clientConn) cancel(r *routing.Request) {
-	c.forget(r)
+	c.removeRequest(r)
 	c.frontend.director.Cancel(r)
 }
 
-// closeGracefully closes the connection in order: what was written reaches the client, and for a while its input is
-// dropped.
+// closeGracefully closes the connection after everything that was written has reached the client. For up to lingerTimeout,
+// its input is read and discarded.
 func (c *clientConn) closeGracefully() {
 	if c.ended {
 		return
@@ -78,9 +78,9 @@
 	c.conn.CloseAfterFlush(lingerTimeout)
 }
 
-// closeIfUnused closes the connection and reports that it did, unless a request has come by now. Such a request is served;
-// the client sends again what comes after the close. It reads from the connection, so it must not be called while the
-// input of any connection is handled.
+// closeIfUnused gracefully closes the connection, unless a request has arrived, and reports whether it did. A request that
+// has arrived is served; a request that arrives after the close is sent again by the client. closeIfUnused reads from the
+// connection, so it must not be called while the input of any connection is being handled.
 func (c *clientConn) closeIfUnused() bool {
 	c.conn.ReadAvailable()
 	if c.ended || len(c.inFlight) > 0 || c.conn.Queued() > 0 {
@@ -94,11 +94,11 @@
 	c.frontend.Counters.Stuck++
 	slog.Warn("client.stuck", "queued_bytes", c.conn.Queued(), "open", len(c.inFlight))
 	c.conn.Close()
-	c.abandon()
+	c.remove()
 }
 
-// closeIfDrained closes the connection during the shutdown if nothing is in flight, at the end of the round: input that
-// has come by then is read before. A client that has sent a part of a request stays open for the rest of it.
+// closeIfDrained closes the connection during shutdown if nothing is in flight. It does so at the end of the round, after
+// reading the input that has arrived by then. A connection with a partially received request stays open for the rest of it.
 func (c *clientConn) closeIfDrained() {
 	if !c.frontend.closing || c.ended || len(c.inFlight) > 0 {
 		return
@@ -113,9 +113,9 @@
 	})
 }
 
-// isIdle reports whether nothing is in flight and nothing unread. A client that has had an answer may be closed at any
-// time, since it sends a request again that comes during the close. The first request of a new client must have had the
-// time to come.
+// isIdle reports whether the connection may be evicted: no request is in flight and no answer is unread. A client that has
+// been answered may be closed at any time, since it resends a request that crosses the close. A new client must first have
+// had evictAfter for its first request to arrive.
 func (c *clientConn) isIdle() bool {
 	if c.ended || len(c.inFlight) > 0 || c.conn.Queued() > 0 {
 		return false
@@ -128,7 +128,7 @@
 func (c *clientConn) Data(b []byte) (used, need int, err error) {
 	call := &c.frontend.call
 	for {
-		if c.ended { // its answer could not be written; the client sends it again
+		if c.ended { // a call could not be answered any more; the client sends it again
 			if len(b) > used {
 				c.frontend.Counters.AfterClose++
 			}
@@ -136,7 +136,7 @@
 		}
 		n, need, err := thrift.Parse(b[used:], call)
 		if err != nil {
-			c.rejectMalformed(err)
+			c.closeMalformed(err)
 			return len(b), 0, nil
 		}
 		if n == 0 {
@@ -144,14 +144,14 @@
 		}
 		used += n
 		if err := c.handle(call); err != nil {
-			c.rejectMalformed(err)
+			c.closeMalformed(err)
 			return len(b), 0, nil
 		}
 	}
 }
 
-// rejectMalformed closes a client that violates the protocol. Answers that were written before still reach it.
-func (c *clientConn) rejectMalformed(err error) {
+// closeMalformed closes the connection of a client that violates the protocol. Answers already written still reach it.
+func (c *clientConn) closeMalformed(err error) {
 	c.frontend.Counters.Malformed++
 	slog.Info("client.malformed", "err", err)
 	c.closeGracefully()
@@ -194,7 +194,7 @@
 	}
 	c.shedInARow = 0
 	f := c.frontend
-	// Too many requests, or too large ones, are rejected one by one: the connection has others in flight.
+	// Excess requests are rejected individually instead of closing the connection, which has other requests in flight.
 	if len(c.inFlight) >= maxClientStreams || f.bodyBytes+len(call.Body) > f.maxBodyBytes {
 		f.Counters.Unserved++
 		c.conn.Write(thrift.AppendRejected(nil, call.SequenceNumber))
@@ -215,8 +215,8 @@
 	return nil
 }
 
-// shed rejects a call of a client that does not read its answers. Its input is still read, or neither its cancels nor its
-// end would be seen.
+// shed rejects a call of a client that does not read its answers. The client's input is still read, because otherwise its
+// cancels and its disconnect would go unnoticed.
 func (c *clientConn) shed(call *thrift.Call) {
 	c.frontend.Counters.Shed++
 	c.shedInARow++
@@ -227,8 +227,8 @@
 	c.conn.Write(thrift.AppendRejected(nil, call.SequenceNumber))
 }
 
-// forget removes a request that gets its answer now, or is owed none.
-func (c *clientConn) forget(r *routing.Request) {
+// removeRequest removes a request that is being answered or cancelled.
+func (c *clientConn) removeRequest(r *routing.Request) {
 	delete(c.inFlight, r.SequenceNumber)
 	c.frontend.bodyBytes -= len(r.Body)
 }
@@ -242,7 +242,7 @@
 }
 
 func (c *clientConn) writeAnswer(r *routing.Request, body []byte, fields ...thrift.Pair) {
-	c.forget(r)
+	c.removeRequest(r)
 	f := c.frontend
 	f.head, f.tail = thrift.AppendAnswer(f.head[:0], f.tail[:0], thrift.Submit, r.SequenceNumber, len(body), true, fields...)
 	c.conn.Write(f.head, body, f.tail)
@@ -251,7 +251,7 @@
 
 // Reject implements routing.Responder.
 func (c *clientConn) Reject(r *routing.Request, retryAfter time.Duration) {
-	c.forget(r)
+	c.removeRequest(r)
 	var fields []thrift.Pair
 	if ms := (retryAfter + time.Millisecond - 1) / time.Millisecond; ms > 0 {
 		fields = append(fields, thrift.Pair{Name: "backoff", Value: strconv.FormatInt(int64(ms), 10)})
@@ -264,7 +264,7 @@
 
 // Fail implements routing.Responder.
 func (c *clientConn) Fail(r *routing.Request) {
-	c.forget(r)
+	c.removeRequest(r)
 	f := c.frontend
 	f.head = thrift.AppendFailed(f.head[:0], r.SequenceNumber)
 	c.conn.Write(f.head)
--- a/internal/director/client_conn_test.go
+++ b/internal/director/client_conn_test.go
@@ -76,7 +76,7 @@
 	addr, err := w.program.Addr()
 	must(t, err)
 	w.onLoop(func() { w.program.frontend.maxClients = 2 })
-	release := w.holdLoop()
+	release := w.blockLoop()
 	conn, err := net.Dial("tcp", addr.String()) // arrives first; busy has been without use for longest
 	must(t, err)
 	busy.submit(requestA, objectB)
--- a/internal/director/client_request.go
+++ b/internal/director/client_request.go
@@ -33,7 +33,7 @@
 	fieldTimeoutMS      = "budget"
 )
 
-// readRequest makes a request from a call, whose bytes are reused afterwards.
+// readRequest converts a call to a request. It copies the bytes of the call, which are reused for the next one.
 func readRequest(call *thrift.Call) (*routing.Request, error) {
 	if name := invalidText(call); name != "" {
 		return nil, fieldError(call, name)
@@ -57,7 +57,7 @@
 	return fmt.Errorf("field %s of request %q: bad value %q", name, call.Field(fieldID), call.Field(name))
 }
 
-// invalidText gives the name of the first malformed field that is text, or "".
+// invalidText returns the name of the first malformed text field, or "".
 func invalidText(call *thrift.Call) string {
 	class := call.Field(fieldClass)
 	switch {
@@ -75,7 +75,7 @@
 	return ""
 }
 
-// readNumbers sets the fields of a request that are numbers. It gives the name of the first malformed one, or "".
+// readNumbers sets the numeric fields of a request. It returns the name of the first malformed one, or "".
 func readNumbers(call *thrift.Call, r *routing.Request) string {
 	object, err := strconv.ParseUint(string(call.Field(fieldObject)), 16, 64)
 	if err != nil {
@@ -101,7 +101,7 @@
 	return ""
 }
 
-// isHex reports whether b has n hex digits and nothing else.
+// isHex reports whether b consists of exactly n hex digits.
 func isHex(b []byte, n int) bool {
 	if len(b) != n {
 		return false
@@ -114,7 +114,7 @@
 	return true
 }
 
-// isFieldValue reports whether b can be a value in the caches' protocol.
+// isFieldValue reports whether b is a valid field value in the caches' protocol.
 func isFieldValue(b []byte) bool {
 	if len(b) > maxFieldBytes {
 		return false
@@ -127,7 +127,7 @@
 	return true
 }
 
-// parseCount reads a number from 0 up. An absent one is 0.
+// parseCount parses an integer that is 0 or more. An empty b yields 0.
 func parseCount(b []byte) (int, error) {
 	if len(b) == 0 {
 		return 0, nil
@@ -136,10 +136,10 @@
 	return int(n), err
 }
 
-// parseBelow reads a number from 0 up to a bound that it does not reach.
+// parseBelow parses a number that is at least 0 and less than bound.
 func parseBelow(b []byte, bound float64) (float64, error) {
 	x, err := strconv.ParseFloat(string(b), 64)
-	if err == nil && !(x >= 0 && x < bound) { // NaN is out of range, too
+	if err == nil && !(x >= 0 && x < bound) { // written so that NaN is out of range as well
 		err = strconv.ErrRange
 	}
 	return x, err
--- a/internal/director/core.go
+++ b/internal/director/core.go
@@ -10,26 +10,27 @@
 	"stairvane.org/stairvane/internal/transport"
 )
 
-// heartbeatInterval is the period in which a core shows that its loop runs.
+// heartbeatInterval is the interval at which a core signals that its loop is running.
 const heartbeatInterval = 50 * time.Millisecond
 
-// core is one core of a Group. All but heartbeats belongs to the core's own loop.
+// core is one core of a Group. All fields except heartbeats are owned by the core's loop.
 type core struct {
 	group          *Group
 	index          int
 	prog           *Program
 	cursor         *events.Cursor[publishedEvents]
-	heartbeats     atomic.Int64 // raised by the core's loop, read by the stall check
+	heartbeats     atomic.Int64 // incremented by the core's loop, read by the stall check
 	heartbeatTimer transport.Timer
 }
 
-// publishedEvents are events as the first core received them. The graces of the rules run from receivedAt on every core.
+// publishedEvents is a response of the event stream as received by the first core. On every core, grace periods start at
+// receivedAt.
 type publishedEvents struct {
 	discovery.WatchResponse
 	receivedAt time.Duration
 }
 
-// setHooks sets the hooks that the other cores serve.
+// setHooks sets the hooks that are implemented by state shared among the cores.
 func (c *core) setHooks(p *Program, hooks *routing.Hooks) {
 	p.loop.ShareAddresses()
 	hooks.AcquireID = func(id string) bool { return c.group.owners.Acquire(id, c.index) }
@@ -41,8 +42,8 @@
 	}
 }
 
-// start begins the heartbeats.
-func (c *core) start(p *Program) {
+// startHeartbeats starts the timer that signals the stall check and publishes the served rate.
+func (c *core) startHeartbeats(p *Program) {
 	p.frontend.isHealthy = c.group.healthy.Load
 	c.heartbeatTimer.Fire = func() {
 		c.heartbeats.Add(1)
@@ -53,8 +54,8 @@
 	p.loop.Set(&c.heartbeatTimer, p.loop.Now())
 }
 
-// publish hands events to the other cores and wakes them. It waits for none: a core that was stalled applies the events
-// itself before it writes an attempt.
+// publish publishes events to the other cores and wakes them up. It does not wait for them: a core that was stalled applies
+// the events before it writes its next attempt.
 func (c *core) publish(response discovery.WatchResponse) {
 	c.group.events.Publish(publishedEvents{response, c.prog.loop.Now()})
 	for _, other := range c.group.cores {
@@ -64,7 +65,7 @@
 	}
 }
 
-// applyPublished applies the events that were published. It costs one atomic load if there are none.
+// applyPublished applies the events published since the last call. It costs one atomic load if there are none.
 func (c *core) applyPublished(p *Program) {
 	if !c.cursor.HasNext() || p.watch == nil {
 		return
--- a/internal/director/director_harness_test.go
+++ b/internal/director/director_harness_test.go
@@ -27,9 +27,9 @@
 	events  chan string // bodies of the responses; empty: the connection is closed
 }
 
-// holdLoop blocks the director's loop. What its peers send until release is handled in one round; the function given to
+// blockLoop blocks the director's loop. What its peers send until release is handled in one round; the function given to
 // release runs first.
-func (w *testDirector) holdLoop() (release func(first func())) {
+func (w *testDirector) blockLoop() (release func(first func())) {
 	w.t.Helper()
 	holding, proceed := make(chan struct{}), make(chan func(), 1)
 	w.program.Post(func() {
--- a/internal/director/frontend.go
+++ b/internal/director/frontend.go
@@ -13,70 +13,72 @@
 
 const (
 	sweepInterval = 500 * time.Millisecond
-	// evictAfter is how long a connection on which nothing was answered yet may be unused before it may be closed for a
-	// new one. A request takes less to cross the network.
+	// evictAfter is the time for which a connection without any answer yet must be unused before it may be evicted to admit
+	// a new one. A request takes less time than that to cross the network.
 	evictAfter = 300 * time.Millisecond
-	// firstAnswerTimeout is how long after connecting a client may have got no answer and wait for none. Some clients
-	// connect and send nothing, or half a message, or cancel all their requests; they are closed within 3 s.
+	// firstAnswerTimeout is the time after connecting within which a client must get a first answer or have a request in
+	// flight. Some clients connect and send nothing, or half a message, or cancel all their requests; they are closed
+	// within 3 s.
 	firstAnswerTimeout = 2 * time.Second
-	// stuckTimeout is how long a client may read nothing of its answers, or the longest deadline where that is longer.
+	// stuckTimeout is the time for which a client may leave its answers unread. The longest deadline applies if it is longer.
 	stuckTimeout = 10 * time.Second
 )
 
 const (
-	// lingerTimeout is how long a client whose connection was closed in order may take to close it too. Until then its
-	// input is read and dropped: a close with unread input would reset the connection under the last answer.
+	// lingerTimeout is the time within which a client must close its end after a graceful close. Until then its input is
+	// read and discarded: closing a socket with unread input would reset the connection and lose the last answer.
 	lingerTimeout = 500 * time.Millisecond
-	// closeCrossing is how long a request may be on its way while its connection is closed. After that the lingering
-	// connection can be ended for a new one.
-	closeCrossing = 50 * time.Millisecond
-	// lingeringDivisor: lingering connections may use the clients' descriptors divided by this, beyond those of open clients.
+	// closeRaceWindow is the time for which a request sent before the client noticed the close may still arrive. After that,
+	// the lingering connection may be closed to admit a new one.
+	closeRaceWindow = 50 * time.Millisecond
+	// lingeringDivisor: lingering connections may use the clients' descriptors divided by this, in addition to those of open
+	// clients.
 	lingeringDivisor = 8
-	// Answers that wait for slow clients may use the memory limit divided by queuedMemoryDivisor, and bodies of open requests
-	// divided by bodyMemoryDivisor: together they leave most of it to everything else.
+	// Answers queued for slow clients may use the memory limit divided by queuedMemoryDivisor, and bodies of requests in flight
+	// the limit divided by bodyMemoryDivisor. Together they leave most of the memory for everything else.
 	queuedMemoryDivisor = 6
 	bodyMemoryDivisor   = 8
 )
 
-// FrontendCounters are totals of clients' connections and calls. The JSON keys are those of the operators' pages. All
-// fields are int64.
+// FrontendCounters are totals of clients' connections and calls since the start of the process. The JSON keys are documented
+// for operators. All fields must be int64.
 type FrontendCounters struct {
 	Connections int64 `json:"Connections"`
-	Rejected    int64 `json:"Turned"` // connections beyond the limit
+	Rejected    int64 `json:"Turned"` // connections rejected at the limit
 	Evicted     int64 `json:"Evicted"`
-	Silent      int64 `json:"Mute"` // closed without an answer
+	Silent      int64 `json:"Mute"` // connections closed before their first answer
 	Malformed   int64 `json:"Malformed"`
-	Unserved    int64 `json:"Unserved"` // calls rejected by the frontend: malformed, or too many
+	Unserved    int64 `json:"Unserved"` // calls rejected by the frontend: malformed or too many
 	Heartbeats  int64 `json:"Heartbeats"`
 	Stuck       int64 `json:"Stuck"`
-	Shed        int64 `json:"Shed"`    // calls of clients that leave their answers unread
-	AfterClose  int64 `json:"Crossed"` // input that came after the connection was closed
+	Shed        int64 `json:"Shed"`    // calls rejected because the client leaves its answers unread
+	AfterClose  int64 `json:"Crossed"` // input received after the connection was closed
 }
 
-// frontend accepts clients and submits their calls as requests.
+// frontend accepts clients' connections and submits their calls as requests.
 type frontend struct {
 	Counters FrontendCounters
 
 	loop      *transport.Loop
 	director  *routing.Director
 	listener  *transport.Listener
-	clients   map[*clientConn]struct{} // lingering ones included
-	lingering []*clientConn            // in the order in which they were closed
+	clients   map[*clientConn]struct{} // including lingering ones
+	lingering []*clientConn            // in the order of their closing
 
 	maxClients         int
 	idleTimeout        time.Duration
 	stuckTimeout       time.Duration
 	firstAnswerTimeout time.Duration
-	maxQueuedBytes     int // of answers that all clients together have not read
-	maxBodyBytes       int // of requests in flight
+	maxQueuedBytes     int // limit of the unread answers of all clients together
+	maxBodyBytes       int // limit of the bodies of requests in flight
 	bodyBytes          int
 
-	draining       bool // shutting down: heartbeats say that clients should go elsewhere
-	closing        bool // no more requests are expected: connections are closed when they are idle
+	draining       bool // shutting down: heartbeats tell clients to use other directors
+	closing        bool // no more requests are expected: connections are closed once they are idle
 	listenerClosed bool
 
 	sweepTimer transport.Timer
-	isHealthy  func() bool // whether the process can serve; nil: yes
+	isHealthy  func() bool // reports whether the process can serve; nil: always
 
 	call thrift.Call // reused by each call
 	head []byte      // reused by each answer
@@ -108,8 +110,8 @@
 	return f, nil
 }
 
-// admit takes in a new connection. Clients have their part of the descriptors and no more; where it is used up, an unused
-// connection is closed.
+// admit registers a new connection. Clients may use a fixed part of the descriptors. If that is exhausted, an unused
+// connection is evicted; if there is none, the new connection is rejected.
 func (f *frontend) admit(conn *transport.Conn, c *clientConn) {
 	c.conn = conn
 	c.openedAt = f.loop.Now()
@@ -123,16 +125,16 @@
 	f.clients[c] = struct{}{}
 }
 
-// evict closes a connection for a new one and reports whether it may be admitted. It ends the connection that has lingered for
-// longest, or else closes the idle one that was unused for longest. That one lingers, so that its last answer reaches the
-// client; as many as lingeringShare allows may do so beyond maxClients.
+// evict makes room for a new connection and reports whether it may be admitted. It closes the connection that has lingered
+// the longest, or else gracefully closes the idle connection that has been unused the longest. The latter lingers, so that its
+// last answer reaches the client; lingeringDivisor limits how many connections may linger beyond maxClients.
 func (f *frontend) evict() bool {
 	maxLingering := f.maxClients/lingeringDivisor + 1
 	if n := len(f.lingering); n > 0 {
 		c := f.lingering[0]
-		if n >= maxLingering || f.loop.Now()-c.endedAt >= closeCrossing {
+		if n >= maxLingering || f.loop.Now()-c.endedAt >= closeRaceWindow {
 			c.conn.Close()
-			c.abandon()
+			c.remove()
 			if len(f.clients) < f.maxClients {
 				return true
 			}
@@ -143,7 +145,7 @@
 		if c == nil {
 			return false
 		}
-		if c.closeIfUnused() { // else its request came meanwhile, or it has gone
+		if c.closeIfUnused() { // otherwise a request has just arrived, or the client disconnected
 			f.Counters.Evicted++
 			return len(f.clients) < f.maxClients+maxLingering
 		}
@@ -151,7 +153,7 @@
 	return true
 }
 
-// longestIdle is the idle connection that was unused for longest, or nil.
+// longestIdle returns the idle connection that has been unused the longest, or nil if none is idle.
 func (f *frontend) longestIdle() (longest *clientConn) {
 	for c := range f.clients {
 		if c.isIdle() && (longest == nil || c.conn.LastUse() < longest.conn.LastUse()) {
@@ -161,7 +163,7 @@
 	return longest
 }
 
-// sweep closes connections that nobody uses.
+// sweep closes stuck, silent and idle connections.
 func (f *frontend) sweep() {
 	now := f.loop.Now()
 	f.loop.Set(&f.sweepTimer, now+sweepInterval)
@@ -175,7 +177,7 @@
 	switch {
 	case c.conn.Queued() > 0 && unused >= f.stuckTimeout:
 		c.closeStuck()
-	case c.ended: // it lingers
+	case c.ended: // lingering; the transport enforces lingerTimeout
 	case len(c.inFlight) == 0 && !c.conn.HasSent() && now-c.openedAt >= f.firstAnswerTimeout:
 		if c.closeIfUnused() {
 			f.Counters.Silent++
@@ -185,8 +187,8 @@
 	}
 }
 
-// limitQueuedBytes bounds the memory of answers that clients do not read: it closes the client that has left the most
-// unread. That client sees that its answers are incomplete, and the others are served on.
+// limitQueuedBytes bounds the memory of unread answers. While the limit is exceeded, it closes the client with the most
+// unread bytes. That client can tell that its answers are incomplete; the other clients are not affected.
 func (f *frontend) limitQueuedBytes() {
 	for f.loop.Queued() > f.maxQueuedBytes {
 		var worst *clientConn
@@ -202,7 +204,7 @@
 	}
 }
 
-// isFlushed reports whether the system has taken all answers.
+// isFlushed reports whether the operating system has accepted all answers.
 func (f *frontend) isFlushed() bool {
 	for c := range f.clients {
 		if c.conn.Queued() > 0 {
@@ -212,7 +214,7 @@
 	return true
 }
 
-// finishDraining closes the listener, and each connection when its requests are answered.
+// finishDraining closes the listener, and closes each connection once its requests have been answered.
 func (f *frontend) finishDraining() {
 	f.closing = true
 	f.listenerClosed = f.listener.Close()
--- a/internal/director/group.go
+++ b/internal/director/group.go
@@ -24,18 +24,19 @@
 const (
 	maxCores           = 256
 	stallCheckInterval = 100 * time.Millisecond
-	// stallTimeout is how long a core may show no heartbeat until it counts as stalled.
+	// stallTimeout is the time without a heartbeat after which a core counts as stalled.
 	stallTimeout = time.Second
-	// bestRateFade is the time in which the best served rate falls to 1/e, in longest deadlines, as in the decision module.
-	bestRateFade = 4
-	// seedStep spreads the seeds of the cores over all 64 bits: the golden ratio.
+	// bestRateDecayDeadlines is the time in which the best served rate decays to 1/e, as a multiple of the longest deadline. The
+	// decision module uses the same value.
+	bestRateDecayDeadlines = 4
+	// seedStep is 2^64 divided by the golden ratio. It distributes the seeds of the cores over all 64 bits.
 	seedStep   = 0x9e3779b97f4a7c15
-	stackBytes = 64 << 10 // of all goroutines, logged with a stalled core
+	stackBytes = 64 << 10 // limit of the stacks of all goroutines that are logged with a stalled core
 )
 
-// Group is a director on several cores, which are divided by connection: each core accepts clients, decides, and has its
-// own connections to caches. The cores share the events, which one of them watches, the request IDs in flight, the slow
-// start budget and their health. Limits are divided among them.
+// Group is a director that runs on one or more cores. Work is divided by connection: each core accepts clients, makes its own
+// decisions, and has its own connections to caches. The cores share the event stream, which one of them watches, the request
+// IDs in flight, the slow start budget and their health status. Limits are divided among them.
 type Group struct {
 	cores           []*core
 	events          *events.Log[publishedEvents]
@@ -44,7 +45,7 @@
 	healthy         atomic.Bool
 }
 
-// NewGroup builds a director on some cores. With one core it is the director of New.
+// NewGroup returns a director that runs on the given number of cores. With one core it is equivalent to New.
 func NewGroup(c config.Config, cores int) (*Group, error) {
 	if cores < 1 || cores > maxCores {
 		return nil, fmt.Errorf("cores: %d is not from 1 to %d", cores, maxCores)
@@ -56,7 +57,7 @@
 	g := &Group{
 		events:          events.New[publishedEvents](),
 		owners:          owners.New(),
-		slowStartBudget: budget.New(cores, bestRateFade*maxDeadline),
+		slowStartBudget: budget.New(cores, bestRateDecayDeadlines*maxDeadline),
 	}
 	g.healthy.Store(true)
 	if cores == 1 {
@@ -72,22 +73,22 @@
 
 func (g *Group) addCores(c config.Config, cores int) error {
 	c.Settings.Directors = orDefault("settings.Balancers", c.Settings.Directors, defaultDirectors)
-	share := divide(c, cores)
+	share := divideLimits(c, cores)
 	for i := range cores {
 		g.cores = append(g.cores, &core{group: g, index: i, cursor: g.events.NewCursor()})
 	}
 	g.events.Seal()
-	for _, own := range g.cores {
-		share.Seed = c.Seed + uint64(own.index)*seedStep
-		p, err := newProgram(share, own)
+	for _, owner := range g.cores {
+		share.Seed = c.Seed + uint64(owner.index)*seedStep
+		p, err := newProgram(share, owner)
 		if err != nil {
-			for _, other := range g.cores[:own.index] {
+			for _, other := range g.cores[:owner.index] {
 				other.prog.loop.Release()
 			}
 			return err
 		}
-		own.prog = p
-		// Where the port is 0, the other cores share the one that was found.
+		owner.prog = p
+		// If the configured port is 0, the other cores listen on the port chosen for the first one.
 		if share.Listen, err = p.Addr(); err != nil {
 			return err
 		}
@@ -95,8 +96,9 @@
 	return nil
 }
 
-// divide gives a core its share of the limits. Where directors divide a common limit, each core counts as a director.
-func divide(c config.Config, cores int) config.Config {
+// divideLimits returns the configuration of one core, with its share of the limits. Each core counts as a director where
+// directors divide a common limit.
+func divideLimits(c config.Config, cores int) config.Config {
 	c.MemoryMB /= cores
 	c.Sockets /= cores
 	if c.Settings.MaxOpen > 0 {
@@ -110,8 +112,8 @@
 	return c
 }
 
-// Run serves until all cores have shut down. When a core panics, the others shut down gracefully, and the panic is
-// returned as an error.
+// Run serves until all cores have shut down. If a core panics, the others shut down gracefully, and the panic is returned as
+// an error.
 func (g *Group) Run() error {
 	if len(g.cores) == 1 {
 		return g.cores[0].prog.Run()
@@ -140,7 +142,8 @@
 	return c.prog.Run()
 }
 
-// checkStalls has clients' heartbeats fail while a core is stalled. It ends when stop is closed.
+// checkStalls marks the process as unhealthy, which clients see in heartbeats, while a core is stalled. It returns when stop
+// is closed.
 func (g *Group) checkStalls(stop <-chan struct{}) {
 	detector := stalls.New(len(g.cores), stallTimeout)
 	begin := time.Now()
@@ -170,28 +173,28 @@
 	}
 }
 
-// onAllCores runs f on every core's loop, without waiting for any of them.
+// onAllCores schedules f on the loop of every core without waiting for any of them.
 func (g *Group) onAllCores(f func(*Program)) {
 	for _, c := range g.cores {
 		go c.prog.Post(func() { f(c.prog) })
 	}
 }
 
-// Addr is the address where clients connect.
+// Addr returns the address on which the director listens for clients.
 func (g *Group) Addr() (netip.AddrPort, error) { return g.cores[0].prog.Addr() }
 
-// Shutdown begins the graceful shutdown on all cores.
+// Shutdown starts the graceful shutdown on all cores.
 func (g *Group) Shutdown() { g.onAllCores((*Program).Shutdown) }
 
-// Reload applies a configuration that was read again. The first core alone watches the event stream.
+// Reload applies a reloaded configuration. Only the first core needs it, since it alone watches the event stream.
 func (g *Group) Reload(c config.Config) {
-	c = divide(c, len(g.cores))
+	c = divideLimits(c, len(g.cores))
 	first := g.cores[0].prog
 	c.Listen = first.config.Listen
 	first.Post(func() { first.Reload(c) })
 }
 
-// PrintCounts logs the counters, added up over all cores.
+// PrintCounts logs the sum of the counters of all cores.
 func (g *Group) PrintCounts() {
 	if len(g.cores) == 1 {
 		g.cores[0].prog.Post(g.cores[0].prog.PrintCounts)
@@ -213,7 +216,7 @@
 	})
 }
 
-// addCounters adds the fields of a set of counters, which are all int64, to a sum.
+// addCounters adds a struct of counters, whose fields must all be int64, to a sum.
 func addCounters[T any](sum *T, counters T) {
 	to := reflect.ValueOf(sum).Elem()
 	from := reflect.ValueOf(counters)
--- a/internal/director/group_test.go
+++ b/internal/director/group_test.go
@@ -70,7 +70,7 @@
 	c.events <- fmt.Sprintf(`{"no":2,"items":[{"no":2,"roster":{"seq":2,"whole":true,"hosts":[%s]}}]}`, silent.host("s-9", "in_service"))
 	seen := make(chan bool, 4)
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
-		c.group.onAllCores(func(p *Program) { seen <- p.watch.applied >= 2 })
+		c.group.onAllCores(func(p *Program) { seen <- p.watch.appliedRevision >= 2 })
 		all := true
 		for range 4 {
 			all = <-seen && all
@@ -164,7 +164,7 @@
 	c := config.Config{}
 	c.Settings.Directors = 3
 	c.Settings.DirectorsByZone = []int{0, 2}
-	part := divide(c, 4).Settings
+	part := divideLimits(c, 4).Settings
 	if part.Directors != 12 || !slices.Equal(part.DirectorsByZone, []int{0, 8}) {
 		t.Errorf("%d directors, by location %v", part.Directors, part.DirectorsByZone)
 	}
--- a/internal/director/health.go
+++ b/internal/director/health.go
@@ -10,10 +10,10 @@
 	"stairvane.org/stairvane/internal/transport"
 )
 
-// healthInterval is the period in which changes of the aggregated health are given to the decision module.
+// healthInterval is the interval at which changes of the aggregated health are passed to the decision module.
 const healthInterval = 100 * time.Millisecond
 
-// healthReporter sends what the decision module observed of caches to the control plane, and gives the aggregated health
+// healthReporter reports the decision module's observations of caches to the control plane, and passes the aggregated health
 // of caches to the decision module.
 type healthReporter struct {
 	prog     *Program
@@ -28,30 +28,30 @@
 		reporter: health.NewReporter(health.DefaultSettings, directorID),
 		tracker:  health.NewTracker(health.DefaultSettings, directorID),
 	}
-	h.timer.Fire = h.publish
+	h.timer.Fire = h.publishChanges
 	p.loop.Set(&h.timer, p.loop.Now()+healthInterval)
 	return h
 }
 
-// report is the health report that goes with a poll, as JSON.
+// report returns the health report to send with a poll, encoded as JSON.
 func (h *healthReporter) report(now time.Duration) json.RawMessage {
 	h.prog.director.HostOutcomes(h.reporter.Record)
 	return mustMarshal(h.reporter.Report(now))
 }
 
-// takeAggregate takes in the aggregated health from the response to a poll that was sent at a time of the boot clock.
-func (h *healthReporter) takeAggregate(raw json.RawMessage, requestedAt time.Duration) {
+// applyAggregate applies the aggregated health from the response to a poll that was sent at requestedAt on the boot clock.
+func (h *healthReporter) applyAggregate(raw json.RawMessage, requestedAt time.Duration) {
 	var aggregate health.AggregatedHealth
 	if err := json.Unmarshal(raw, &aggregate); err != nil {
 		slog.Warn("health.malformed", "err", err)
 		return
 	}
 	h.tracker.Take(aggregate, requestedAt)
-	h.publish()
+	h.publishChanges()
 }
 
-// publish gives the decision module the changes of suspected caches.
-func (h *healthReporter) publish() {
+// publishChanges logs the changes of the aggregated health and passes them to the decision module.
+func (h *healthReporter) publishChanges() {
 	h.prog.loop.Set(&h.timer, h.prog.loop.Now()+healthInterval)
 	for _, c := range h.tracker.Changes(bootTime()) {
 		switch {
--- a/internal/director/limits.go
+++ b/internal/director/limits.go
@@ -9,13 +9,13 @@
 	"stairvane.org/stairvane/internal/director/routing"
 )
 
-// The timing of connections to caches. A hanging connection is given up after both keepalive times together, sooner than
-// most attempts time out.
+// Timing of connections to caches. A hanging connection is closed after the sum of both keepalive times, before most of its
+// attempts time out.
 const (
 	keepaliveAfter   = 50 * time.Millisecond
-	keepaliveTimeout = 100 * time.Millisecond // far more than a working cache takes
-	closeDelay       = 5 * time.Millisecond   // more than a working cache takes to notice a close
-	silentTimeout    = time.Second            // longer than most transfers; being wrong costs one more connection
+	keepaliveTimeout = 100 * time.Millisecond // far more than a working cache needs to answer a ping
+	closeDelay       = 5 * time.Millisecond   // more than a working cache needs to notice a close
+	silentTimeout    = time.Second            // longer than most transfers; a false positive costs one extra connection
 )
 
 // Defaults of the settings.
@@ -26,28 +26,28 @@
 	defaultDirectors   = 1
 )
 
-// How the descriptors of the process are divided.
+// Division of the descriptors of the process.
 const (
-	reservedSockets = 32 // for the listener, the loop, the event stream, logs, and what a round has closed
+	reservedSockets = 32 // for the listener, the loop, the event stream, logs, and sockets closed in the current round
 	maxConnsPerHost = 16
 	expectedHosts   = 24
 
-	// Clients get the descriptors divided by clientSocketDivisor, and those divided by extraSocketDivisor beside them.
+	// Clients may use the number of descriptors divided by clientSocketDivisor plus that number divided by extraSocketDivisor.
 	clientSocketDivisor = 3
 	extraSocketDivisor  = 20
 )
 
-// Connections to caches are closed after this part of the idle timeout.
+// Connections to caches are closed after this fraction of the idle timeout.
 const (
 	idleNumerator   = 4
 	idleDenominator = 5
 )
 
-// programLimits are the limits of one program.
+// programLimits are the limits of one Program.
 type programLimits struct {
 	routing     routing.Limits
-	directors   int           // that divide common limits
-	idleTimeout time.Duration // of connections of clients
+	directors   int           // that share common limits
+	idleTimeout time.Duration // of clients' connections
 	maxClients  int
 }
 
@@ -65,7 +65,7 @@
 			StreamsPerConn: orDefault("settings.Limits.Multiplex", c.Connections.Streams, defaultStreams),
 			ConnsPerHost:   min(maxConnsPerHost, max(1, upstream/expectedHosts)),
 			MaxConns:       max(expectedHosts, upstream-clients/lingeringDivisor),
-			// Caches close after idleTimeout: a request sent into that close would be lost.
+			// Caches close idle connections after idleTimeout: a request that crosses that close would be lost.
 			IdleTimeout:      idleTimeout * idleNumerator / idleDenominator,
 			SilentTimeout:    silentTimeout,
 			DialTimeout:      orDefault("settings.Limits.DialTimeout", s.DialTimeout, defaultDialTimeout),
@@ -85,7 +85,7 @@
 	return limits
 }
 
-// orDefault gives the default of a setting that is absent, 0 or less, and logs that.
+// orDefault returns the value of a setting. If it is absent, 0 or less, orDefault logs that and returns the default.
 func orDefault[T int | time.Duration](key string, value, defaultValue T) T {
 	if value > 0 {
 		return value
--- a/internal/director/load_report.go
+++ b/internal/director/load_report.go
@@ -8,7 +8,7 @@
 	"stairvane.org/stairvane/internal/protocol/simulator"
 )
 
-// loadAliases are other names of load values that caches may use instead of the settings' names.
+// loadAliases maps alternative names of load values that caches may use to the names in the settings.
 var loadAliases = map[string]string{
 	"inflight":   "busy_reqs",
 	"queue":      "pending",
@@ -18,11 +18,11 @@
 	"eps":        "failed_ps",
 }
 
-// loadNames maps the names of load values in responses to those of the settings.
+// loadNames maps names of load values in responses to names in the settings.
 type loadNames map[string]string
 
-// loadNamesOf maps the names for the load values that the settings name. Both names of a value are accepted: with one
-// alone the values of caches that use the other would be missed, and an overloaded cache be taken for an idle one.
+// loadNamesOf returns the loadNames for the load values listed in the settings. Both names of a value are accepted: otherwise
+// the values of caches that use the other name would be ignored, and an overloaded cache would look idle.
 func loadNamesOf(settings []string) loadNames {
 	names := loadNames{}
 	for _, name := range settings {
@@ -36,8 +36,8 @@
 	return names
 }
 
-// parse reads name:value pairs with semicolons between, or gives nil where the settings name no load values. A load report
-// is only a hint: what is malformed or unknown is left out.
+// parse parses semicolon-separated name:value pairs. It returns nil if the settings list no load values. A load report is only
+// a hint, so malformed and unknown values are ignored.
 func (n loadNames) parse(s string) *decision.LoadReport {
 	if len(n) == 0 {
 		return nil
--- a/internal/director/membership.go
+++ b/internal/director/membership.go
@@ -13,27 +13,27 @@
 	"stairvane.org/stairvane/internal/transport"
 )
 
-// shrinkDelay is how long the membership must be smaller before limits are divided by the smaller number.
+// shrinkDelay is the time for which the membership must stay smaller before limits are divided by the smaller number.
 const shrinkDelay = 10 * time.Second
 
-// membershipClient is the director's side of the membership: it announces the director with each poll of the event stream
-// and applies the changes of the membership.
+// membershipClient announces the director to the control plane with each poll of the event stream and applies changes of the
+// membership.
 type membershipClient struct {
-	prog        *Program
-	self        discovery.Director
-	applied     int64             // revision of the last applied membership event
-	locations   map[string]string // of all members, by director ID
-	peerCounts  decision.PeerCounts
-	shrinkTimer transport.Timer
-	leaving     bool
-
-	lastRenewal  time.Duration // when the poll was sent that was answered last, on the boot clock
+	prog            *Program
+	self            discovery.Director
+	appliedRevision int64             // revision of the last applied membership event
+	locations       map[string]string // of all members, by director ID
+	peerCounts      decision.PeerCounts
+	shrinkTimer     transport.Timer
+	leaving         bool
+
+	lastRenewal  time.Duration // when the last answered poll was sent, on the boot clock
 	maxStaleness time.Duration // 0: unlimited
-	fenced       bool          // the staleness limit is exceeded, and that was logged
+	staleLogged  bool          // the director is stale, and that was logged
 
 	quota  *quotaClient
-	claims *claimsService  // nil: idempotency claims are off
-	health *healthReporter // nil: health reports are off
+	claims *claimsService  // nil: idempotency claims are disabled
+	health *healthReporter // nil: health reports are disabled
 }
 
 func newMembershipClient(p *Program, c config.Config) (*membershipClient, error) {
@@ -67,7 +67,7 @@
 	return m, nil
 }
 
-// configuredPeers are the directors to count with until the membership is known.
+// configuredPeers returns the configured numbers of directors, which apply until the membership is known.
 func configuredPeers(c config.Config) decision.PeerCounts {
 	total := max(1, c.Settings.Directors)
 	counts := decision.PeerCounts{InZone: total, Total: total}
@@ -77,7 +77,7 @@
 	return counts
 }
 
-// setHooks sets the hooks that the membership serves.
+// setHooks sets the hooks that depend on the membership.
 func (m *membershipClient) setHooks(hooks *routing.Hooks) {
 	hooks.QuotaExpired = m.quota.shareExpired
 	if m.maxStaleness > 0 {
@@ -88,11 +88,11 @@
 	}
 }
 
-// announcement is what the director announces with a poll, as JSON.
+// announcement returns the announcement to send with a poll, encoded as JSON.
 func (m *membershipClient) announcement() []byte {
 	a := discovery.Announcement{
 		Director:           m.self,
-		MembershipRevision: m.applied,
+		MembershipRevision: m.appliedRevision,
 		Leaving:            m.leaving,
 		Config:             m.prog.config.Fingerprint,
 	}
@@ -109,7 +109,8 @@
 	return mustMarshal(a)
 }
 
-// mustMarshal is the JSON of a message, which has only texts and numbers.
+// mustMarshal returns the JSON encoding of a message. It panics if the message cannot be encoded, which does not happen for
+// messages of strings and numbers.
 func mustMarshal(message any) []byte {
 	b, err := json.Marshal(message)
 	if err != nil {
@@ -118,24 +119,24 @@
 	return b
 }
 
-// acceptResponse takes in the response to a poll that was sent at a time of the boot clock. From then on the director is
-// a member for the length of the lease.
-func (m *membershipClient) acceptResponse(response discovery.WatchResponse, requestedAt time.Duration) {
+// handleResponse processes the response to a poll that was sent at requestedAt on the boot clock. The response renews the
+// membership lease, which starts at requestedAt.
+func (m *membershipClient) handleResponse(response discovery.WatchResponse, requestedAt time.Duration) {
 	m.lastRenewal = max(m.lastRenewal, requestedAt)
 	if m.claims != nil && !m.leaving {
 		m.claims.node.Lease(requestedAt + discovery.MembershipLease)
 	}
 	if len(response.QuotaGrant) > 0 {
-		m.quota.takeGrant(response.QuotaGrant)
+		m.quota.applyGrant(response.QuotaGrant)
 	}
 	if len(response.AggregatedHealth) > 0 && m.health != nil {
-		m.health.takeAggregate(response.AggregatedHealth, requestedAt)
+		m.health.applyAggregate(response.AggregatedHealth, requestedAt)
 	}
 }
 
 // applyChange applies a change of the membership.
 func (m *membershipClient) applyChange(revision int64, change *discovery.Membership) {
-	m.applied = max(m.applied, revision)
+	m.appliedRevision = max(m.appliedRevision, revision)
 	if change.Snapshot {
 		clear(m.locations)
 	}
@@ -146,16 +147,17 @@
 		m.locations[d.ID()] = d.Location
 	}
 	if len(change.Joined)+len(change.Left) > 0 || change.Snapshot {
-		m.countPeers()
+		m.updatePeerCounts()
 	}
 	if m.claims != nil {
 		m.claims.applyMembership(change)
 	}
 }
 
-// countPeers gives the decision module the number of directors to divide limits by. More count at once. Fewer count after
-// a delay: a director that has left may only have lost its connection, and at a start of the fleet members join one by one.
-func (m *membershipClient) countPeers() {
+// updatePeerCounts sets the number of directors among which the decision module divides limits. An increase takes effect at
+// once, a decrease only after shrinkDelay: a director that left may merely have lost its connection, and when the whole fleet
+// starts, members join one by one.
+func (m *membershipClient) updatePeerCounts() {
 	present := decision.PeerCounts{Total: len(m.locations)}
 	for _, location := range m.locations {
 		if location == m.self.Location {
@@ -181,24 +183,24 @@
 	}
 }
 
-// isStale reports whether the director's events are older than the staleness limit. A stale director starts no attempts,
-// whether it was paused, is partitioned, or the control plane is gone.
+// isStale reports whether the director's events are older than the staleness limit, because the process was paused, the
+// network is partitioned, or the control plane is down. A stale director starts no attempts.
 func (m *membershipClient) isStale() bool {
 	age := bootTime() - m.lastRenewal
 	stale := age > m.maxStaleness
-	if stale != m.fenced {
-		m.fenced = stale
+	if stale != m.staleLogged {
+		m.staleLogged = stale
 		if stale {
 			slog.Error("director.stale", "age_ms", age.Milliseconds(), "limit_ms", m.maxStaleness.Milliseconds(),
-				"after", m.prog.watch.applied)
+				"after", m.prog.watch.appliedRevision)
 		} else {
-			slog.Info("director.fresh", "after", m.prog.watch.applied)
+			slog.Info("director.fresh", "after", m.prog.watch.appliedRevision)
 		}
 	}
 	return stale
 }
 
-// leave gives up the director's quotas and claims.
+// leave releases the director's quotas and stops holding claims.
 func (m *membershipClient) leave() {
 	m.leaving = true
 	m.quota.leave()
--- a/internal/director/program.go
+++ b/internal/director/program.go
@@ -16,29 +16,29 @@
 	director   *routing.Director
 	frontend   *frontend
 	watch      *watchClient
-	config     config.Config     // of the start
+	config     config.Config     // as of the start of the process
 	core       *core             // nil: the process has one core
 	membership *membershipClient // nil: the director does not announce itself
 
 	shutdownTimer    transport.Timer
-	idleSince        time.Duration // since when no request is in flight during the shutdown; 0: some are
-	announceDeadline time.Duration // by which the control plane must know that the director leaves
+	idleSince        time.Duration // during shutdown, since when no request is in flight; 0: some are
+	announceDeadline time.Duration // until which the shutdown waits for the control plane to acknowledge it
 }
 
-// New builds a director. It listens when New returns and serves in Run.
+// New returns a director that runs on one core. It already listens for clients; Run serves them.
 func New(c config.Config) (*Program, error) { return newProgram(c, nil) }
 
-func newProgram(c config.Config, own *core) (*Program, error) {
+func newProgram(c config.Config, owner *core) (*Program, error) {
 	loop, err := transport.NewLoop()
 	if err != nil {
 		return nil, err
 	}
 	limits := newProgramLimits(c)
-	p := &Program{loop: loop, config: c, core: own}
+	p := &Program{loop: loop, config: c, core: owner}
 	p.shutdownTimer.Fire = p.shutdownStep
 	var hooks routing.Hooks
-	if own != nil {
-		own.setHooks(p, &hooks)
+	if owner != nil {
+		owner.setHooks(p, &hooks)
 	}
 	if c.Membership != nil {
 		if p.membership, err = newMembershipClient(p, c); err != nil {
@@ -56,18 +56,18 @@
 	if err := p.initFrontend(limits, hooks.IsStale); err != nil {
 		return nil, err
 	}
-	if own == nil || own.index == 0 {
+	if owner == nil || owner.index == 0 {
 		p.watch.connect()
 	}
-	if own != nil {
-		own.start(p)
+	if owner != nil {
+		owner.startHeartbeats(p)
 	}
 	return p, nil
 }
 
-// initWatch makes the watch of the event stream and applies the events of the start.
+// initWatch creates the watch of the event stream and applies the initial events of the configuration.
 func (p *Program) initWatch(directors int) {
-	if p.core != nil { // the event stream is watched once for all cores
+	if p.core != nil { // only one core of a process watches the event stream
 		directors /= len(p.core.group.cores)
 	}
 	addresses := append([]netip.AddrPort{p.config.Discovery}, p.config.ControlPlanes...)
@@ -91,10 +91,10 @@
 	return nil
 }
 
-// Addr is the address where clients connect.
+// Addr returns the address on which the director listens for clients.
 func (p *Program) Addr() (netip.AddrPort, error) { return p.frontend.listener.Addr() }
 
-// Run serves until the shutdown is complete.
+// Run runs the loop until the shutdown is complete, then logs the counters.
 func (p *Program) Run() error {
 	addr, err := p.Addr()
 	if err != nil {
@@ -106,16 +106,16 @@
 	return err
 }
 
-// Post runs f on the loop. It may be called from any goroutine.
+// Post schedules f to run on the loop. It may be called from any goroutine.
 func (p *Program) Post(f func()) { p.loop.Post(f) }
 
-// Reload applies a configuration that was read again. Only the address of the event stream can change while the process
-// runs. Other differences are logged and wait for the next start.
+// Reload applies a reloaded configuration. Only the address of the event stream can change while the process runs. Other
+// differences are logged and take effect at the next start.
 func (p *Program) Reload(c config.Config) {
 	for _, key := range p.config.Differs(c) {
 		slog.Warn("reload.restart_required", "key", key)
 	}
-	p.watch.moveTo(c.Discovery)
+	p.watch.switchAddress(c.Discovery)
 	slog.Info("reload.applied")
 }
 
--- a/internal/director/quota.go
+++ b/internal/director/quota.go
@@ -10,22 +10,21 @@
 )
 
 const (
-	// quotaInterval is the period in which changed shares are given to the decision module.
+	// quotaInterval is the interval at which changed shares are passed to the decision module.
 	quotaInterval = 20 * time.Millisecond
-	// slowStartLimitPrefix begins the name of a limit: the slow start budget of a cache that is warming up.
+	// slowStartLimitPrefix is the prefix of the names of limits that are slow start budgets. A cache's name follows.
 	slowStartLimitPrefix = "cold:"
-	// minDemand stands for a demand of 0, which would give the limit up.
+	// minDemand replaces a demand of 0, which would release the quota.
 	minDemand = 0.001
 	// equalShare is the share of a cache without a leased quota.
 	equalShare = -1
 )
 
-// quotaClient holds the director's leased shares of the slow start budgets of caches, and gives them to the decision
-// module.
+// quotaClient leases shares of the slow start budgets of caches and passes them to the decision module.
 type quotaClient struct {
 	prog   *Program
 	holder *quota.Holder
-	shares map[string]float64 // by cache, as the decision module has them
+	shares map[string]float64 // by cache, as last passed to the decision module
 	timer  transport.Timer
 }
 
@@ -35,7 +34,7 @@
 		holder: quota.NewHolder(directorID, quota.DirectorSettings),
 		shares: map[string]float64{},
 	}
-	q.timer.Fire = q.publish
+	q.timer.Fire = q.publishShares
 	p.loop.Set(&q.timer, p.loop.Now()+quotaInterval)
 	return q
 }
@@ -44,7 +43,7 @@
 
 func (q *quotaClient) leave() { q.holder.Leave() }
 
-// updateDemands requests what this director would send to caches that are warming up.
+// updateDemands updates the demand for each cache that is warming up, and releases the quotas of all others.
 func (q *quotaClient) updateDemands() {
 	warming := map[string]bool{}
 	q.prog.director.SlowStartDemand(func(cache string, demand float64) {
@@ -59,7 +58,7 @@
 		}
 	})
 	for cache := range q.shares {
-		if !warming[cache] { // it has warmed up, or is gone
+		if !warming[cache] { // the cache has warmed up or is gone
 			q.holder.Want(quota.Want{Limit: slowStartLimitPrefix + cache})
 			q.prog.director.SetQuotaShare(cache, equalShare)
 			delete(q.shares, cache)
@@ -67,19 +66,19 @@
 	}
 }
 
-// takeGrant takes in what the control plane has granted.
-func (q *quotaClient) takeGrant(raw json.RawMessage) {
+// applyGrant applies a quota grant of the control plane.
+func (q *quotaClient) applyGrant(raw json.RawMessage) {
 	var grant quota.Grant
 	if err := json.Unmarshal(raw, &grant); err != nil {
 		slog.Warn("quota.malformed", "err", err)
 		return
 	}
 	q.holder.Take(grant, bootTime())
-	q.publish()
+	q.publishShares()
 }
 
-// publish gives the decision module the shares that are in force.
-func (q *quotaClient) publish() {
+// publishShares passes the shares that have changed to the decision module.
+func (q *quotaClient) publishShares() {
 	now := bootTime()
 	for cache, published := range q.shares {
 		if share := q.holder.Available(slowStartLimitPrefix+cache, now); share != published {
@@ -90,8 +89,8 @@
 	q.prog.loop.Set(&q.timer, q.prog.loop.Now()+quotaInterval)
 }
 
-// shareExpired reports whether the share is over on which an attempt at a cache was decided: the process may have been
-// paused since.
+// shareExpired reports whether the share on which the decision module bases attempts at a cache has expired, which happens if
+// the process was paused.
 func (q *quotaClient) shareExpired(cache string) bool {
 	published, warming := q.shares[cache]
 	return warming && published > 0 && q.holder.Available(slowStartLimitPrefix+cache, bootTime()) < published/2
--- a/internal/director/request_races_test.go
+++ b/internal/director/request_races_test.go
@@ -19,7 +19,7 @@
 			client.submit(requestA, objectA)
 			client.write(client.call(1, "heartbeat", "\x02\x00\x01\x01")) // answered: the request was accepted
 			client.want(2, 0, "")
-			release := w.holdLoop()
+			release := w.blockLoop()
 			upstream := full.acceptNext() // the connection is up, and the director has not seen it
 			switch how {
 			case "end":
@@ -56,7 +56,7 @@
 			upstream := c.accept()
 			upstream.request()
 			w.publish(3, `"roster":{"seq":3,"whole":false,"hosts":[`+other.host("s-2", "in_service")+`]}`)
-			release := w.holdLoop()
+			release := w.blockLoop()
 			upstream.answer(requestA, "ERR", "-", "") // arrives first
 			waitAcknowledged(t, upstream.conn)
 			if how == "end" {
@@ -89,7 +89,7 @@
 			old.submit(requestA, objectA)
 			upstream.request()
 			again.heartbeat() // its connection has been accepted
-			release := w.holdLoop()
+			release := w.blockLoop()
 			end := func() {
 				must(t, old.conn.(*net.TCPConn).CloseWrite())
 				waitAcknowledged(t, old.conn)
@@ -173,7 +173,7 @@
 	client, upstream := w.warmUp(c)
 	client.write(client.submitText(requestA, objectA, 200*time.Millisecond))
 	upstream.request()
-	release := w.holdLoop()
+	release := w.blockLoop()
 	upstream.answer(requestA, "OK", "n=local", "just")
 	waitAcknowledged(t, upstream.conn)
 	time.Sleep(250 * time.Millisecond) // the request's timeout passes while the loop is blocked
@@ -194,7 +194,7 @@
 	client.submit(requestA, objectA)
 	client.write(client.call(1, "heartbeat", "\x02\x00\x01\x01"))
 	client.want(2, 0, "")
-	release := w.holdLoop()
+	release := w.blockLoop()
 	upstream := full.acceptNext()
 	p.write(watchResponse(2, endpointDelta(2, full.host("s-1", "terminating"))))
 	waitAcknowledged(t, p.conn)
--- a/internal/director/serve.go
+++ b/internal/director/serve.go
@@ -11,17 +11,17 @@
 	"stairvane.org/stairvane/internal/director/config"
 )
 
-// The live heap is small, so the collector may run seldom. The limit keeps the heap within the memory of the machine, of
-// which the rest is for stacks, sockets and the program itself.
+// The live heap is small, so the garbage collector may run rarely. The limit keeps the heap within the memory of the
+// machine; the remainder is reserved for stacks, socket buffers and the program itself.
 const (
 	gcPercent = 400
 	heapShare = 0.55
 )
 
-// Serve runs a director until its shutdown. LB_CONFIG, LB_LISTEN and LB_NAME configure it, and the operator's settings.
-// SIGTERM and SIGINT start the graceful shutdown, SIGHUP reads LB_CONFIG again, SIGUSR1 logs the counters.
+// Serve runs a director until its shutdown is complete. It is configured by LB_CONFIG, LB_LISTEN and LB_NAME, and by the
+// operator's settings. SIGTERM and SIGINT start the graceful shutdown, SIGHUP reloads LB_CONFIG, SIGUSR1 logs the counters.
 func Serve(operator config.OperatorSettings) error {
-	// Signals are caught before anything else: the default action of SIGHUP would end the process.
+	// Register for signals first: the default action of SIGHUP would terminate the process.
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP, syscall.SIGUSR1)
 	c, err := config.Load()
@@ -50,14 +50,14 @@
 	debug.SetMemoryLimit(int64(heapShare * float64(memoryMB) * (1 << 20)))
 }
 
-// handleSignals runs until the end of the process.
+// handleSignals handles the signals of Serve. It runs until the process exits.
 func (g *Group) handleSignals(signals <-chan os.Signal) {
 	for s := range signals {
 		switch s {
 		case syscall.SIGUSR1:
 			g.PrintCounts()
 		case syscall.SIGHUP:
-			// The file is read off the loop. A malformed one leaves the running configuration in force.
+			// The file is read outside the loop. If it is malformed, the running configuration stays in force.
 			if c, err := config.Load(); err != nil {
 				slog.Error("reload.rejected", "err", err)
 			} else {
--- a/internal/director/shutdown.go
+++ b/internal/director/shutdown.go
@@ -6,19 +6,20 @@
 )
 
 const (
-	// drainAcceptTime is for how long a director that shuts down still accepts connections and requests. The platform sends
-	// new connections for up to 0.4 s after SIGTERM and requests on open ones for 0.2 s more.
+	// drainAcceptTime is the time for which a director accepts connections and requests after shutdown has started. The
+	// platform routes new connections to it for up to 0.4 s after SIGTERM, and clients send requests on open connections for
+	// 0.2 s more.
 	drainAcceptTime = 700 * time.Millisecond
-	// lastAnswerTimeout is how long clients may take to read their last answers and close.
+	// lastAnswerTimeout is the time within which clients must read their last answers and close.
 	lastAnswerTimeout = 500 * time.Millisecond
-	// leaveTimeout is how long the control plane may take to acknowledge that the director leaves.
+	// leaveTimeout is the time within which the control plane must acknowledge that the director leaves.
 	leaveTimeout = 300 * time.Millisecond
-	// shutdownInterval is the period in which the progress of a shutdown is checked.
+	// shutdownInterval is the interval at which the progress of a shutdown is checked.
 	shutdownInterval = 5 * time.Millisecond
 )
 
-// Shutdown begins the graceful shutdown: the director serves what still comes for a while, answers all requests, says that
-// it leaves, and ends Run.
+// Shutdown starts the graceful shutdown: the director accepts requests for drainAcceptTime, answers all of them, announces to
+// the control plane that it leaves, and then makes Run return. Further calls have no effect.
 func (p *Program) Shutdown() {
 	if p.frontend.draining {
 		return
@@ -28,7 +29,7 @@
 	p.loop.Set(&p.shutdownTimer, p.loop.Now()+drainAcceptTime)
 }
 
-// shutdownStep runs after the acceptPeriod, until the shutdown is complete.
+// shutdownStep advances the shutdown. It runs periodically, starting after drainAcceptTime, until the shutdown is complete.
 func (p *Program) shutdownStep() {
 	now := p.loop.Now()
 	if !p.frontend.listenerClosed {
@@ -47,7 +48,7 @@
 	p.loop.Stop()
 }
 
-// clientsDone reports whether all requests are answered and the clients have got their answers or took too long.
+// clientsDone reports whether all requests have been answered, and the clients have disconnected or lastAnswerTimeout is over.
 func (p *Program) clientsDone(now time.Duration) bool {
 	if p.idleSince == 0 {
 		return false
@@ -58,8 +59,8 @@
 	return now-p.idleSince >= lastAnswerTimeout && p.frontend.isFlushed()
 }
 
-// announceLeaving announces once that the director leaves and has no work in flight, and reports whether that was
-// acknowledged, took too long, or is not needed.
+// announceLeaving announces, on its first call, that the director leaves with no work in flight. It reports whether the
+// shutdown may continue: the announcement was acknowledged, timed out, or is not needed.
 func (p *Program) announceLeaving(now time.Duration) bool {
 	if p.membership == nil {
 		return true
--- a/internal/director/timing_test.go
+++ b/internal/director/timing_test.go
@@ -24,7 +24,7 @@
 	var pauses []time.Duration
 	for i := range directors {
 		f := newWatchClient(loop, nil, make([]netip.AddrPort, 1), directors, uint64(i))
-		p := f.retryPause()
+		p := f.nextPause()
 		perInterval[p/interval]++
 		pauses = append(pauses, p)
 	}
@@ -36,7 +36,7 @@
 	if last := slices.Max(pauses); last > 500*time.Millisecond {
 		t.Errorf("the last director waits %v", last)
 	}
-	if alone := newWatchClient(loop, nil, make([]netip.AddrPort, 1), 0, 1).retryPause(); alone > 2*oneAddressTiming.RetryMin {
+	if alone := newWatchClient(loop, nil, make([]netip.AddrPort, 1), 0, 1).nextPause(); alone > 2*oneAddressTiming.RetryMin {
 		t.Errorf("a single director waits %v", alone)
 	}
 }
@@ -64,7 +64,7 @@
 		longest := time.Duration(0)
 		for seed := range directors {
 			f := newWatchClient(loop, nil, make([]netip.AddrPort, c.addresses), directors, uint64(seed))
-			longest = max(longest, f.retryPause())
+			longest = max(longest, f.nextPause())
 		}
 		if c.noticed+longest >= c.within {
 			t.Errorf("%d addresses: noticed after %v, and a pause of up to %v: back after %v", c.addresses, c.noticed, longest, c.within)
--- a/internal/director/watch.go
+++ b/internal/director/watch.go
@@ -13,27 +13,27 @@
 	"stairvane.org/stairvane/internal/transport"
 )
 
-// watchClient watches the event stream by long polls, one at a time. It implements transport.Handler.
+// watchClient watches the event stream with long polls, one at a time. It implements transport.Handler.
 type watchClient struct {
 	loop            *transport.Loop
 	director        *routing.Director
-	addresses       []netip.AddrPort // of the event stream, the configuration's first
+	addresses       []netip.AddrPort // of the event stream; the first is that of LB_CONFIG
 	addressIndex    int              // of the address in use
 	conn            *transport.Conn
-	timer           transport.Timer // ends a poll without a response, or the pause between two connections
-	retry           time.Duration   // present pause between two connections
+	timer           transport.Timer // times out the open poll, or ends the pause before a reconnect
+	retryDelay      time.Duration   // current base of the pause before a reconnect
 	failing         bool
 	request         []byte // reused by each poll
 	rng             *rand.Rand
-	directors       int   // that watch the event stream, this one included
-	applied         int64 // revision of the last applied event
+	directors       int   // number of watchers of the event stream, including this one
+	appliedRevision int64 // revision of the last applied event
 	malformedEvents int
 
-	publish           func(discovery.WatchResponse) // to the other cores; nil: there are none
+	publish           func(discovery.WatchResponse) // publishes a response to the other cores; nil: there are none
 	membership        *membershipClient             // nil: the director does not announce itself
 	requestedAt       time.Duration                 // when the open poll was sent, on the boot clock
-	leaveSent         bool                          // the open poll says that the director leaves
-	leaveAcknowledged bool                          // a poll that said so was answered
+	leaveSent         bool                          // the open poll announces that the director leaves
+	leaveAcknowledged bool                          // a poll that announced it was answered
 }
 
 func newWatchClient(loop *transport.Loop, d *routing.Director, addresses []netip.AddrPort, directors int, seed uint64) *watchClient {
@@ -44,21 +44,20 @@
 		directors: max(1, directors),
 		rng:       rand.New(rand.NewPCG(seed, 1)),
 	}
-	w.retry = w.timing().RetryMin
-	w.timer.Fire = w.timerFired
+	w.retryDelay = w.timing().RetryMin
+	w.timer.Fire = w.handleTimer
 	return w
 }
 
-// timing is that of a director with these addresses.
+// timing returns the timing for the number of addresses and the membership.
 func (w *watchClient) timing() WatchTiming {
 	return WatchTimingFor(len(w.addresses), w.membership != nil)
 }
 
-// timerFired ends a poll without a response, or the pause between two connections. A connection that is coming up has a
-// timeout of its own.
-func (w *watchClient) timerFired() {
+// handleTimer handles the timeout of a poll, or the end of the pause before a reconnect. Dialing has its own timeout.
+func (w *watchClient) handleTimer() {
 	if w.conn != nil {
-		w.connectionLost(errors.New("no answer in time"))
+		w.connectionLost(errors.New("poll timed out"))
 		return
 	}
 	w.connect()
@@ -83,37 +82,37 @@
 	}
 }
 
-// moveTo watches at another address, from the last applied event on. The old address serves nothing more, though it may
-// leave its connection open for a while.
-func (w *watchClient) moveTo(address netip.AddrPort) {
+// switchAddress replaces the configured address of the event stream and resumes there after the last applied event. The old
+// address delivers no more events, although it may keep its connection open for a while.
+func (w *watchClient) switchAddress(address netip.AddrPort) {
 	if address == w.addresses[0] {
 		return
 	}
-	slog.Info("watch.moved", "from", w.address().String(), "to", address.String(), "after", w.applied)
+	slog.Info("watch.moved", "from", w.address().String(), "to", address.String(), "after", w.appliedRevision)
 	w.addresses[0] = address
 	w.addressIndex = 0
-	w.retry = w.timing().RetryMin
+	w.retryDelay = w.timing().RetryMin
 	w.closeConn()
 	w.connect()
 }
 
-// connectionLost pauses, then connects to the next address.
+// connectionLost closes the connection and schedules a reconnect to the next address.
 func (w *watchClient) connectionLost(err error) {
 	w.closeConn()
 	if !w.failing {
-		slog.Warn("watch.lost", "addr", w.address().String(), "after", w.applied, "err", err)
+		slog.Warn("watch.lost", "addr", w.address().String(), "after", w.appliedRevision, "err", err)
 	}
 	w.failing = true
-	w.loop.Set(&w.timer, w.loop.Now()+w.retryPause())
+	w.loop.Set(&w.timer, w.loop.Now()+w.nextPause())
 	w.addressIndex = (w.addressIndex + 1) % len(w.addresses)
-	if w.addressIndex == 0 { // all addresses were tried
-		w.retry = w.timing().NextRetry(w.retry)
+	if w.addressIndex == 0 { // all addresses have been tried
+		w.retryDelay = w.timing().NextRetry(w.retryDelay)
 	}
 }
 
-// retryPause is the time to wait before the next connection.
-func (w *watchClient) retryPause() time.Duration {
-	return w.timing().Pause(w.retry, w.directors, w.rng.Float64())
+// nextPause returns the time to wait before the next reconnect.
+func (w *watchClient) nextPause() time.Duration {
+	return w.timing().Pause(w.retryDelay, w.directors, w.rng.Float64())
 }
 
 // Opened implements transport.Handler.
@@ -140,12 +139,12 @@
 			timeout = 0
 		}
 	}
-	w.request = discovery.AppendRequest(w.request[:0], w.address().String(), w.applied, timeout.Milliseconds(), announcement)
+	w.request = discovery.AppendRequest(w.request[:0], w.address().String(), w.appliedRevision, timeout.Milliseconds(), announcement)
 	w.conn.Write(w.request)
 	w.loop.Set(&w.timer, w.loop.Now()+timing.SilenceTimeout)
 }
 
-// announceNow reconnects, so that a changed announcement is sent at once.
+// announceNow reconnects in order to send a changed announcement at once.
 func (w *watchClient) announceNow() {
 	w.closeConn()
 	w.connect()
@@ -158,13 +157,13 @@
 		return 0, need, err
 	}
 	if r.Status != discovery.StatusOK {
-		return used, 0, fmt.Errorf("control plane answered %d", r.Status)
+		return used, 0, fmt.Errorf("control plane responded with status %d", r.Status)
 	}
 	response, err := discovery.Decode(r.Body)
 	if err != nil {
 		return used, 0, err
 	}
-	w.accept(response)
+	w.handlePollResponse(response)
 	if r.Close {
 		w.closeConn()
 		w.connect()
@@ -174,23 +173,23 @@
 	return used, 0, nil
 }
 
-// accept takes in the response to the open poll.
-func (w *watchClient) accept(response discovery.WatchResponse) {
-	w.retry = w.timing().RetryMin
+// handlePollResponse processes the response to the open poll.
+func (w *watchClient) handlePollResponse(response discovery.WatchResponse) {
+	w.retryDelay = w.timing().RetryMin
 	if w.membership != nil {
-		w.membership.acceptResponse(response, w.requestedAt)
+		w.membership.handleResponse(response, w.requestedAt)
 		w.leaveAcknowledged = w.leaveAcknowledged || w.leaveSent
 	}
 	if w.failing {
 		w.failing = false
-		slog.Info("watch.restored", "at", w.applied, "addr", w.address().String())
+		slog.Info("watch.restored", "at", w.appliedRevision, "addr", w.address().String())
 	}
 	for _, err := range response.Malformed {
 		w.malformedEvents++
 		slog.Error("watch.event_malformed", "err", err)
 	}
 	if w.publish != nil && len(response.Events) > 0 {
-		w.publish(response) // first: the other cores need not wait for this one
+		w.publish(response) // published first, so that the other cores do not wait for this one
 	}
 	w.apply(response)
 }
--- a/internal/director/watch_test.go
+++ b/internal/director/watch_test.go
@@ -79,7 +79,7 @@
 	w := &testDirector{t: t}
 	w.start(testSettings, b.addr(), 1024, c.host("s-1", "in_service"))
 	p := b.acceptPoll(1)
-	release := w.holdLoop()
+	release := w.blockLoop()
 	p.write(watchResponse(2, endpointDelta(2, c.host("s-1", "terminated"))))
 	must(t, p.conn.(*net.TCPConn).CloseWrite())
 	waitAcknowledged(t, p.conn)
@@ -140,11 +140,11 @@
 	w := &testDirector{t: t}
 	w.start(testSettings, old.addr(), 1024, c.host("s-1", "in_service"))
 	p := old.acceptPoll(1)
-	release := w.holdLoop()
+	release := w.blockLoop()
 	text := watchResponse(2, endpointDelta(2, c.host("s-1", "terminated")))
 	p.write(text)
 	waitAcknowledged(t, p.conn)
-	release(func() { w.program.watch.moveTo(netip.MustParseAddrPort(b.addr())) })
+	release(func() { w.program.watch.switchAddress(netip.MustParseAddrPort(b.addr())) })
 	b.acceptPoll(1)
 	w.wantServedBy(c)
 }
@@ -174,12 +174,12 @@
 	defer loop.Release()
 	b := newScriptedControlPlane(t)
 	f := newWatchClient(loop, nil, []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1")}, 1, 1)
-	f.retry = time.Second
+	f.retryDelay = time.Second
 	f.connectionLost(net.ErrClosed)
 	if !f.timer.Active() {
 		t.Fatal("there is no pause")
 	}
-	f.moveTo(netip.MustParseAddrPort(b.addr()))
+	f.switchAddress(netip.MustParseAddrPort(b.addr()))
 	if f.conn == nil || f.timer.Active() {
 		t.Errorf("connecting %t, the retry timer is active %t", f.conn != nil, f.timer.Active())
 	}
