--- a/internal/director/cache_conn_test.go
+++ b/internal/director/cache_conn_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Guards against sending an attempt on a connection that its cache closes in the same round.
+// Guards against sending an attempt on a connection that the cache closes in the same round.
 func TestNoAttemptOnClosingConnection(t *testing.T) {
 	for _, how := range []string{"end", "reset"} {
 		t.Run(how, func(t *testing.T) {
@@ -34,7 +34,7 @@
 	}
 }
 
-// Guards against endless or malformed responses that cost more than their connection.
+// Guards against unbounded or malformed responses that affect more than their own connection.
 func TestMalformedResponseClosesItsConnection(t *testing.T) {
 	for name, text := range map[string]string{
 		"a line":        "*" + strings.Repeat("1", 100_000),
@@ -63,7 +63,7 @@
 	}
 }
 
-// Guards against mixing up a cache with its replacement at the same address.
+// Guards against confusing a cache with its replacement at the same address.
 func TestCacheReplacedAtSameAddress(t *testing.T) {
 	c, b := newScriptedCache(t), newScriptedControlPlane(t)
 	w := &testDirector{t: t}
--- a/internal/director/client_conn_test.go
+++ b/internal/director/client_conn_test.go
@@ -11,14 +11,14 @@
 	"time"
 )
 
-// Guards against a close for malformed input that loses answers written before.
+// Guards against losing answers already written when a connection is closed because of malformed input.
 func TestAnswersBeforeMalformedInputReachTheClient(t *testing.T) {
 	c := newScriptedCache(t)
 	w := newTestDirector(t, c.host("s-1", "in_service"))
 	client, upstream := w.warmUp(c)
 	client.submit(requestA, objectB)
 	upstream.request()
-	must(t, client.conn.(*net.TCPConn).SetReadBuffer(4096)) // so that most of the answer waits in the director
+	must(t, client.conn.(*net.TCPConn).SetReadBuffer(4096)) // so that most of the answer is queued in the director
 	body := strings.Repeat("x", 200_000)
 	upstream.answer(requestA, "OK", "n=local", body)
 	for inFlight := 1; inFlight > 0; {
@@ -28,14 +28,14 @@
 	for seen := int64(0); seen == 0; {
 		w.onLoop(func() { seen = w.program.frontend.Counters.Malformed })
 	}
-	w.waitRound()                    // a connection closed at once would be closed by now,
-	client.write("and some more...") // and these bytes reset the connection
+	w.waitRound()                    // a connection closed immediately would be closed by now,
+	client.write("and some more...") // and these bytes would reset it
 	waitAcknowledged(t, client.conn)
 	client.want(2, 0, body)
 	client.readToEnd()
 }
 
-// Guards against ignoring the cancels and the end of a client that does not read.
+// Guards against ignoring the cancels and the disconnect of a client that does not read.
 func TestClientThatReadsNothingCanStillCancel(t *testing.T) {
 	for _, how := range []string{"end", "revoke"} {
 		t.Run(how, func(t *testing.T) {
@@ -43,11 +43,11 @@
 			w := newTestDirector(t, c.host("s-1", "in_service"))
 			_, upstream := w.warmUp(c)
 			client := w.client()
-			// So large, and with so long a timeout, that only its client ends it.
+			// The request is so large and its timeout so long that only the client ends it.
 			client.write(client.submitText(requestA, objectA, time.Minute, "mem", "90000"))
 			upstream.request()
 			w.fillQueue(client, upstream, 1)
-			client.submit(requestC, objectA) // it is shed, not read later
+			client.submit(requestC, objectA) // it is shed at once instead of being read later
 			if how == "end" {
 				must(t, client.conn.(*net.TCPConn).CloseWrite())
 			} else {
@@ -77,7 +77,7 @@
 	must(t, err)
 	w.onLoop(func() { w.program.frontend.maxClients = 2 })
 	release := w.blockLoop()
-	conn, err := net.Dial("tcp", addr.String()) // arrives first; busy has been without use for longest
+	conn, err := net.Dial("tcp", addr.String()) // arrives first; busy has been unused the longest
 	must(t, err)
 	busy.submit(requestA, objectB)
 	waitAcknowledged(t, busy.conn)
@@ -95,14 +95,14 @@
 	late.want(1, 0, "c")
 }
 
-// Guards against a close that cuts off a large answer which the client has not read yet.
-func TestAnswerIsCompleteUnderClose(t *testing.T) {
+// Guards against a close that truncates a large answer which the client has not read yet.
+func TestLargeAnswerIsNotTruncatedByClose(t *testing.T) {
 	c := newScriptedCache(t)
 	w := newTestDirector(t, c.host("s-1", "in_service"))
 	client, upstream := w.warmUp(c)
 	client.submit(requestA, objectB)
 	upstream.request()
-	body := strings.Repeat("y", 100_000) // the sockets take it
+	body := strings.Repeat("y", 100_000) // it fits into the socket buffers
 	upstream.answer(requestA, "OK", "n=local", body)
 	for queued := -1; queued != 0; {
 		w.onLoop(func() {
@@ -124,8 +124,8 @@
 	client.readToEnd()
 }
 
-// Guards against a descriptor that is never closed because of a client that does not close its end.
-func TestLingeringClientIsEnded(t *testing.T) {
+// Guards against a descriptor leak caused by a client that does not close its end.
+func TestLingeringClientIsClosed(t *testing.T) {
 	c := newScriptedCache(t)
 	w := newTestDirector(t, c.host("s-1", "in_service"))
 	client, _ := w.warmUp(c)
@@ -140,12 +140,13 @@
 		w.onLoop(func() { left = len(w.program.frontend.clients) + len(w.program.frontend.lingering) })
 	}
 	if left > 0 {
-		t.Error("the client is still there")
+		t.Error("the client is still registered")
 	}
 }
 
-// Guards against a client that sends much and leaves: others are served, and none of its requests stays.
-func TestFloodLeavesNothingBehind(t *testing.T) {
+// Guards against a client that sends many requests and disconnects: other clients must be served, and none of its requests may
+// remain.
+func TestFloodingClientLeavesNoRequests(t *testing.T) {
 	c := newScriptedCache(t)
 	w := newTestDirector(t, c.host("s-1", "in_service"))
 	client, upstream := w.warmUp(c)
@@ -156,7 +157,7 @@
 	}
 	go func() {
 		_, _ = flood.conn.Write([]byte(text.String()))
-		_ = flood.conn.Close() // the director sees it or has closed it
+		_ = flood.conn.Close() // an error means that the director has closed it
 	}()
 	slowest := time.Duration(0)
 	for i := range 20 {
@@ -175,7 +176,7 @@
 	}
 	for left, until := 2, time.Now().Add(testTimeout); left != 1; {
 		if time.Now().After(until) {
-			t.Fatalf("%d clients are left", left)
+			t.Fatalf("%d clients are still registered", left)
 		}
 		w.onLoop(func() { left = len(w.program.frontend.clients) })
 	}
@@ -189,7 +190,7 @@
 	})
 }
 
-// Guards against memory that fills with answers and rejections of a client that only sends.
+// Guards against memory that fills up with answers and rejections for a client that sends but never reads.
 func TestClientThatNeverReadsIsClosed(t *testing.T) {
 	c := newScriptedCache(t)
 	w := newTestDirector(t, c.host("s-1", "in_service"))
@@ -212,13 +213,13 @@
 			t.Errorf("%d requests were shed", n)
 		}
 		if n := w.program.loop.Queued(); n != 0 {
-			t.Errorf("%d bytes are queued still", n)
+			t.Errorf("%d bytes are still queued", n)
 		}
 	})
 	w.wantNothingSentBefore(upstream, requestB)
 }
 
-// Guards against memory that fills with the answers of clients that do not read.
+// Guards against memory that fills up with answers for clients that do not read.
 func TestStuckClientIsClosedAtMemoryLimit(t *testing.T) {
 	c := newScriptedCache(t)
 	w := newTestDirector(t, c.host("s-1", "in_service"))
@@ -232,10 +233,10 @@
 		stuck.submit(fmt.Sprintf("%016x", i), objectA)
 		upstream.request()
 	}
-	for i := range 31 { // 7 MB, more than the sockets take
+	for i := range 31 { // 7 MB, more than the socket buffers hold
 		upstream.answer(fmt.Sprintf("%016x", i), "OK", "n=local", body)
 	}
-	for w := upstream.command(); w[1] != requestA; w = upstream.command() { // the client's requests are cancelled in any order
+	for w := upstream.command(); w[1] != requestA; w = upstream.command() { // the client's requests are cancelled in no particular order
 		if w[0] != "undo" {
 			t.Fatalf("want a cancel, got %q", w)
 		}
@@ -247,7 +248,7 @@
 	client.want(1, 0, body)
 }
 
-// Guards against connections that send nothing, half a message, or only cancelled requests, and stay open.
+// Guards against keeping connections open that send nothing, half a message, or only cancelled requests.
 func TestSilentClientsAreClosed(t *testing.T) {
 	c := newScriptedCache(t)
 	w := newTestDirector(t, c.host("s-1", "in_service"))
@@ -273,7 +274,7 @@
 	waiting.want(1, 0, "a")
 }
 
-// Guards against new clients that are rejected while others hold unused connections.
+// Guards against rejecting new clients while others hold unused connections.
 func TestUnusedConnectionIsEvicted(t *testing.T) {
 	c := newScriptedCache(t)
 	w := newTestDirector(t, c.host("s-1", "in_service"))
--- a/internal/director/config/config_test.go
+++ b/internal/director/config/config_test.go
@@ -13,7 +13,7 @@
 "Grades":[{"Name":"clips","Aim":600.0},{"Name":"stock-report","Effect":"keyed"}]}}`
 
 // Guards against a key that is ignored or mapped to the wrong field.
-func TestConfigurationIsRead(t *testing.T) {
+func TestParseReadsConfiguration(t *testing.T) {
 	c, err := Parse([]byte(good), "", "127.0.0.2:9090")
 	if err != nil {
 		t.Fatal(err)
@@ -30,8 +30,8 @@
 	}
 }
 
-// Guards against an error that does not name the key at fault.
-func TestFaultsNameTheirKey(t *testing.T) {
+// Guards against an error that does not name the invalid key.
+func TestErrorsNameTheInvalidKey(t *testing.T) {
 	for key, change := range map[string][2]string{
 		"listen":                  {`"127.0.0.1:9090"`, `"nowhere"`},
 		"bulletin":                {`"127.0.0.1:8500"`, `"127.0.0.1"`},
--- a/internal/director/cores/budget/ledger_test.go
+++ b/internal/director/cores/budget/ledger_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// worstBudget simulates four cores whose load moves on every second. It gives the highest sum of their budgets, in shares
-// of the load.
+// worstBudget simulates four cores whose load moves to the next core every second. It returns the highest sum of their budgets,
+// as a multiple of the load.
 func worstBudget(share func(l *Ledger) float64) (worst float64) {
 	const (
 		cores    = 4
@@ -37,17 +37,17 @@
 	return worst
 }
 
-// Guards against a cache that is warming up getting several times its budget where load moves from core to core.
-func TestMovingLoadKeepsOneBudget(t *testing.T) {
+// Guards against spending several times the budget of a cache that is warming up if load moves from core to core.
+func TestMovingLoadStaysWithinOneBudget(t *testing.T) {
 	if worst := worstBudget((*Ledger).Share); worst > 1.01 {
 		t.Errorf("%.2f times the budget", worst)
 	}
 	if worst := worstBudget(func(*Ledger) float64 { return 1 }); worst < 3 {
-		t.Errorf("without the ledger: %.2f times; the test would not notice", worst)
+		t.Errorf("without the ledger: %.2f times; the test would not detect the fault", worst)
 	}
 }
 
-// Guards against a budget that is cut although load is even, or there is one core.
+// Guards against reducing the budget although load is evenly distributed, or nothing has been served yet.
 func TestEvenLoadKeepsItsBudget(t *testing.T) {
 	l := New(4, 24*time.Second)
 	for i := range 20 {
@@ -61,14 +61,14 @@
 	if share := New(2, time.Second).Share(); share != 1 {
 		t.Errorf("%v before anything was served", share)
 	}
-	// The best total fades as the cores' own best rates do.
+	// The best total decays like the cores' own best rates.
 	l.Publish(0, 0, 5*math.Exp(-3), 73*time.Second)
 	if total := l.bestTotal.Load().best; total > 15.01 {
 		t.Errorf("%v", total)
 	}
 }
 
-// Guards against a total that is lost when cores publish at once.
+// Guards against losing a total when cores publish concurrently.
 func TestConcurrentPublish(t *testing.T) {
 	l := New(8, 24*time.Second)
 	var wg sync.WaitGroup
--- a/internal/director/cores/events/log_test.go
+++ b/internal/director/cores/events/log_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Guards against a reader that misses a value, reads one twice or out of order, or sees no value although there is one.
+// Guards against a reader that misses a value, reads one twice or out of order, or finds none although HasNext reported one.
 func TestEveryReaderGetsAll(t *testing.T) {
 	const values, readers = 20_000, 4
 	l := New[int]()
--- a/internal/director/cores/owners/owners_test.go
+++ b/internal/director/cores/owners/owners_test.go
@@ -15,7 +15,7 @@
 	release  bool
 }
 
-// Guards against an ID with two owners, or released by another core than its owner: the operations must be linearizable.
+// Guards against an ID that has two owners or is released by a core other than its owner: operations must be linearizable.
 func TestAcquireAndReleaseAreLinearizable(t *testing.T) {
 	seed := uint64(1)
 	t.Logf("seed %d", seed)
--- a/internal/director/cores/stalls/detector_test.go
+++ b/internal/director/cores/stalls/detector_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Guards against a stall, or its end, that is reported never or twice.
+// Guards against failing to report a stall or a recovery, or reporting it twice.
 func TestStallAndRecoveryAreReportedOnce(t *testing.T) {
 	d := New(2, time.Second)
 	heartbeats := []int64{1, 1}
--- a/internal/director/counters_test.go
+++ b/internal/director/counters_test.go
@@ -7,7 +7,7 @@
 	"stairvane.org/stairvane/internal/director/routing"
 )
 
-// Guards against a counter whose key in the log changes: operators' scripts read them.
+// Guards against changing the log key of a counter: operators' scripts read these keys.
 func TestCountersKeepTheirKeys(t *testing.T) {
 	for _, c := range []struct {
 		counters any
@@ -36,7 +36,7 @@
 	}
 }
 
-// Guards against counters of several cores that are added up wrongly.
+// Guards against summing the counters of several cores incorrectly.
 func TestCountersAreAddedUp(t *testing.T) {
 	sum := routing.Counters{Accepted: 2, EndpointUpdates: 1}
 	addCounters(&sum, routing.Counters{Accepted: 3, Cancelled: 1})
--- a/internal/director/director_harness_test.go
+++ b/internal/director/director_harness_test.go
@@ -18,7 +18,7 @@
 	"stairvane.org/stairvane/internal/transport"
 )
 
-// testDirector is a director among scripted peers.
+// testDirector is a director whose clients, caches and control plane are scripted by the test.
 type testDirector struct {
 	t       *testing.T
 	program *Program
@@ -27,8 +27,8 @@
 	events  chan string // bodies of the responses; empty: the connection is closed
 }
 
-// blockLoop blocks the director's loop. What its peers send until release is handled in one round; the function given to
-// release runs first.
+// blockLoop blocks the director's loop until release is called. Everything that peers send in between is handled in one round,
+// after the function passed to release has run.
 func (w *testDirector) blockLoop() (release func(first func())) {
 	w.t.Helper()
 	holding, proceed := make(chan struct{}), make(chan func(), 1)
@@ -52,7 +52,7 @@
 	<-done
 }
 
-// waitRound waits for the end of a round of the loop that began after the call.
+// waitRound waits for the end of a round of the loop that started after the call.
 func (w *testDirector) waitRound() {
 	w.t.Helper()
 	done := make(chan struct{})
@@ -61,7 +61,7 @@
 	<-done
 }
 
-// wantNothingSentBefore checks that a cache gets only pings and cancels before a marker request, and answers that one.
+// wantNothingSentBefore submits a marker request, answers it, and checks that the cache gets only pings and cancels before it.
 func (w *testDirector) wantNothingSentBefore(upstream *scriptedConn, marker string) {
 	w.t.Helper()
 	other := w.client()
@@ -80,7 +80,7 @@
 	}
 }
 
-// warmUp serves a first request of a client over a connection that stays open.
+// warmUp serves the first request of a client over an upstream connection that stays open.
 func (w *testDirector) warmUp(c *scriptedCache) (client, upstream *scriptedConn) {
 	w.t.Helper()
 	client = w.client()
@@ -92,19 +92,19 @@
 	return client, upstream
 }
 
-// finishDraining ends the acceptPeriod of a shutdown.
+// finishDraining starts a shutdown and skips drainAcceptTime.
 func (w *testDirector) finishDraining() {
 	w.program.Shutdown()
 	w.program.shutdownStep()
 }
 
-// fillQueue has a client leave so many answers unread that its calls are shed. others is the number of other requests in
-// flight.
+// fillQueue sends a client, which does not read, so many answers that its further calls are shed. others is the number of other
+// requests in flight.
 func (w *testDirector) fillQueue(client, upstream *scriptedConn, others int) {
 	w.t.Helper()
 	body := strings.Repeat("x", 240_000)
 	queued := 0
-	for i := 0; queued <= maxClientQueue; i++ { // more than the sockets take
+	for i := 0; queued <= maxClientQueue; i++ { // more than the socket buffers hold
 		if i == 100 {
 			w.t.Fatalf("%d bytes are queued after %d answers", queued, i)
 		}
@@ -147,7 +147,7 @@
 	return w
 }
 
-// start starts the director with these endpoints; without any, it starts without an endpoint list.
+// start starts the director with the given endpoints, or without an endpoint list if there are none.
 func (w *testDirector) start(settings, controlPlane string, sockets int, hosts ...string) {
 	w.t.Helper()
 	t := w.t
@@ -182,7 +182,7 @@
 			w.t.Fatalf("polled after revision %s, want %s", got, after)
 		}
 	case <-time.After(testTimeout):
-		w.t.Fatal("no poll came")
+		w.t.Fatal("no poll arrived")
 	}
 }
 
--- a/internal/director/group_harness_test.go
+++ b/internal/director/group_harness_test.go
@@ -13,7 +13,7 @@
 	"stairvane.org/stairvane/internal/tools/fakes"
 )
 
-// testGroup is a director on some cores between fake caches and a control plane whose events the test gives.
+// testGroup is a director on several cores with fake caches and a control plane whose events the test supplies.
 type testGroup struct {
 	t      *testing.T
 	group  *Group
@@ -61,7 +61,7 @@
 		c.group.Shutdown()
 		must(t, <-c.exited)
 		if n := c.group.owners.Len(); n > 0 {
-			t.Errorf("%d IDs are in flight after the end", n)
+			t.Errorf("%d IDs are in flight after the shutdown", n)
 		}
 	})
 	return c
@@ -71,7 +71,7 @@
 	return fmt.Sprintf(`{"host":"s-%d","dial":%q,"site":"west","class":"std","health":%q,"share":1}`, i, c.caches[i].Addr(), health)
 }
 
-// load has some clients send requests, and adds up their answers.
+// load sends requests from several clients and returns the sum of their tallies.
 func (c *testGroup) load(clients, each int, pause time.Duration) (sum fakes.Tally) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -87,7 +87,7 @@
 					c.t.Error(err)
 					break
 				}
-				if i%16 == 15 { // seldom more than a connection may have in flight
+				if i%16 == 15 { // rarely more than a connection may have in flight
 					time.Sleep(pause)
 				}
 			}
--- a/internal/director/group_test.go
+++ b/internal/director/group_test.go
@@ -12,7 +12,7 @@
 	"stairvane.org/stairvane/internal/tools/fakes"
 )
 
-// Guards against a lost or double answer, or a late drain, on several cores of which one is stalled.
+// Guards against a lost or duplicate answer, or a late drain, on several cores while one of them is stalled.
 func TestCoresAnswerOnceAndDrainInTime(t *testing.T) {
 	for _, cores := range []int{1, 2, 4} {
 		t.Run(fmt.Sprint(cores), func(t *testing.T) {
@@ -27,7 +27,7 @@
 			last := c.group.cores[cores-1].prog
 			stalled := make(chan struct{})
 			stall := 300 * time.Millisecond
-			if cores > 1 { // longer than the grace: requests that came before the event are read before it
+			if cores > 1 { // longer than the grace period: requests that arrived before the event are read before it
 				stall = 800 * time.Millisecond
 			}
 			last.Post(func() { close(stalled); time.Sleep(stall) })
@@ -57,14 +57,14 @@
 				}
 			}
 			if busy < cores {
-				t.Errorf("%d of %d cores took requests", busy, cores)
+				t.Errorf("%d of %d cores accepted requests", busy, cores)
 			}
 		})
 	}
 }
 
-// Guards against one ID with attempts in flight on two cores.
-func TestOneIDOnTwoCores(t *testing.T) {
+// Guards against one ID having attempts in flight on two cores.
+func TestIDIsInFlightOnOneCoreOnly(t *testing.T) {
 	silent := newScriptedCache(t) // the test answers
 	c := newTestGroup(t, 4, 1)
 	c.events <- fmt.Sprintf(`{"no":2,"items":[{"no":2,"roster":{"seq":2,"whole":true,"hosts":[%s]}}]}`, silent.host("s-9", "in_service"))
@@ -112,11 +112,11 @@
 	}
 }
 
-// Guards against a cache that is warming up getting a budget from each core.
-func TestCoresKeepOneSlowStartBudget(t *testing.T) {
+// Guards against spending a separate slow start budget on each core for a cache that is warming up.
+func TestCoresShareOneSlowStartBudget(t *testing.T) {
 	const (
 		window = time.Second
-		send   = 2 * time.Millisecond // a request's size over the rate of a transfer
+		send   = 2 * time.Millisecond // sending time of a request: its size divided by the rate of a transfer
 	)
 	nominal := strings.NewReplacer(`"Zone":"west"`, `"Zone":"west","Weights":"nominal"`, `"Fall":3000`, `"Fall":1000`).Replace(testSettings)
 	c := newTestGroupWith(t, 4, 2, nominal)
@@ -128,9 +128,9 @@
 		}
 	}
 	started := time.Now()
-	line := func(i int, share float64, born int64) string {
+	line := func(i int, share float64, startedAtMS int64) string {
 		return fmt.Sprintf(`{"host":"s-%d","dial":%q,"site":"west","class":"std","health":"in_service","share":%g,"born_ms":%d}`,
-			i, c.caches[i].Addr(), share, born)
+			i, c.caches[i].Addr(), share, startedAtMS)
 	}
 	c.events <- fmt.Sprintf(`{"no":2,"items":[{"no":2,"roster":{"seq":2,"whole":false,"hosts":[%s,%s]}}]}`,
 		line(0, 0.25, 0), line(1, 1, started.UnixMilli()))
@@ -138,7 +138,7 @@
 	if sum.Served+sum.Refused+sum.Failed != sum.Sent || sum.Doubled+sum.Lost > 0 || sum.Served < sum.Sent/2 {
 		t.Errorf("%+v", sum)
 	}
-	var at []time.Duration // of the attempts at the cache that warms up, since its start
+	var at []time.Duration // times of the attempts at the cache that is warming up, since its start
 	for _, o := range c.caches[1].Attempts() {
 		if since := o.At.Sub(started); since > 50*time.Millisecond { // the event has reached all cores by then
 			at = append(at, since)
@@ -150,25 +150,25 @@
 		for at[first] <= at[i]-window {
 			first++
 		}
-		share := 0.17 + 0.83*at[first].Seconds()/16 // at the window's start, when its capacity is least
+		share := 0.17 + 0.83*at[first].Seconds()/16 // at the start of the window, when its capacity is lowest
 		worst = max(worst, float64(i-first+1)*send.Seconds()/(4*share*window.Seconds()))
 	}
-	t.Logf("%d attempts at the cache that warms up, at worst %.2f of its budget", len(at), worst)
+	t.Logf("%d attempts at the cache that is warming up, at worst %.2f of its budget", len(at), worst)
 	if worst > 1 || worst < 0.1 {
-		t.Errorf("%.2f of the budget of a window: over 1 the cache is overloaded, under 0.1 the test has no load", worst)
+		t.Errorf("%.2f of the budget of a window: above 1 the cache is overloaded, below 0.1 the test has too little load", worst)
 	}
 }
 
-// Guards against each core taking all of a limit that directors divide.
+// Guards against each core using the whole of a limit that directors share.
 func TestCoresCountAsDirectors(t *testing.T) {
 	c := config.Config{}
 	c.Settings.Directors = 3
 	c.Settings.DirectorsByZone = []int{0, 2}
 	part := divideLimits(c, 4).Settings
 	if part.Directors != 12 || !slices.Equal(part.DirectorsByZone, []int{0, 8}) {
-		t.Errorf("%d directors, by location %v", part.Directors, part.DirectorsByZone)
+		t.Errorf("%d directors, by zone %v", part.Directors, part.DirectorsByZone)
 	}
 	if c.Settings.DirectorsByZone[1] != 2 {
-		t.Error("the configuration that the cores share was changed")
+		t.Error("the configuration shared by the cores was modified")
 	}
 }
--- a/internal/director/integration_test.go
+++ b/internal/director/integration_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Guards against a not-modified answer for an ETag that the client does not have.
+// Guards against a not-modified answer for a different ETag than the client's.
 func TestNotModifiedRequiresTheClientsETag(t *testing.T) {
 	c := newScriptedCache(t)
 	w := newTestDirector(t, c.host("s-1", "in_service"))
@@ -26,8 +26,8 @@
 	}
 }
 
-// Guards against requests that are late because connections to one cache do not come up.
-func TestConnectionsThatNeverComeUp(t *testing.T) {
+// Guards against requests that time out because connections to one cache are never established.
+func TestRequestsAvoidCacheThatAcceptsNoConnections(t *testing.T) {
 	full, c := newFullListenerCache(t), newScriptedCache(t)
 	w := newTestDirector(t, full.host("s-1", "in_service"), c.host("s-2", "in_service"))
 	client := w.client()
@@ -53,12 +53,12 @@
 	}
 	w.onLoop(func() {
 		if w.program.director.Counters.ConnectFailed == 0 {
-			t.Error("no request went to the cache whose connections do not come up")
+			t.Error("no request was routed to the cache whose connections are never established")
 		}
 	})
 }
 
-// Guards against a request, or the ETag of what its client has cached, that does not reach the cache as sent.
+// Guards against altering a request, or the ETag of the object that its client has cached, on the way to the cache.
 func TestServesAndForwardsETag(t *testing.T) {
 	c := newScriptedCache(t)
 	client := newTestDirector(t, c.host("s-1", "in_service")).client()
@@ -81,7 +81,7 @@
 	}
 }
 
-// Guards against bytes lost where frames come in pieces or a client reads slowly.
+// Guards against losing bytes if frames arrive in pieces or a client reads slowly.
 func TestPartialFramesAndSlowReader(t *testing.T) {
 	c := newScriptedCache(t)
 	client := newTestDirector(t, c.host("s-1", "in_service")).client()
@@ -92,7 +92,7 @@
 	client.write(text[9:])
 	upstream = c.accept()
 	upstream.request()
-	for i := range 12 { // 2.9 MB, far more than the sockets take
+	for i := range 12 { // 2.9 MB, far more than the socket buffers hold
 		id := fmt.Sprintf("%016x", i)
 		client.submit(id, objectA)
 		upstream.request()
@@ -105,7 +105,7 @@
 	client.want(1, 0, "last")
 }
 
-// Guards against a response to a cancelled attempt that reaches a client.
+// Guards against forwarding the response to a cancelled attempt to a client.
 func TestCancelIsForwardedAndLateResponseIgnored(t *testing.T) {
 	c := newScriptedCache(t)
 	client := newTestDirector(t, c.host("s-1", "in_service")).client()
@@ -149,7 +149,7 @@
 	client.want(17, 0, "again")
 }
 
-// Guards against a response from before a purge that reaches a client, whatever the cache says.
+// Guards against forwarding a response that predates a purge, whatever the cache responds.
 func TestPurgedResponseIsWithheld(t *testing.T) {
 	c := newScriptedCache(t)
 	w := newTestDirector(t, c.host("s-1", "in_service"))
@@ -162,13 +162,13 @@
 		t.Fatalf("no age limit after a purge: %v", f)
 	}
 	upstream.answer(requestA, "OK", fmt.Sprintf("n=local,since=%d", issued-1), "old")
-	upstream = c.accept() // another connection: the first may get a second response
+	upstream = c.accept() // another connection, since a second response may arrive on the first
 	upstream.request()
 	upstream.answer(requestA, "OK", fmt.Sprintf("n=pulled,since=%d", issued+1), "new")
 	client.want(1, 0, "new")
 }
 
-// Guards against a setting that is absent or 0 and stops the service, or is defaulted silently.
+// Guards against a setting that is absent or 0 and breaks the service, or is defaulted without a log line.
 func TestMissingSettingsAreDefaultedAndLogged(t *testing.T) {
 	var log bytes.Buffer
 	old := slog.Default()
@@ -202,7 +202,7 @@
 	w.wantServedBy(c)
 }
 
-// Guards against requests that wait for their timeout although no cache is left.
+// Guards against requests that wait for their timeout although no cache is available.
 func TestRejectedAtOnceWithRetryAfter(t *testing.T) {
 	c := newScriptedCache(t)
 	w := newTestDirector(t, c.host("s-1", "in_service"))
@@ -222,7 +222,7 @@
 	}
 }
 
-// Guards against malformed input that ends another connection or request than its sender's.
+// Guards against malformed input that affects connections or requests other than those of its sender.
 func TestMalformedInputAffectsItsSenderOnly(t *testing.T) {
 	c := newScriptedCache(t)
 	w := newTestDirector(t, c.host("s-1", "in_service"))
@@ -242,7 +242,7 @@
 	client.submit(requestA, objectA)
 	upstream := c.accept()
 	upstream.request()
-	upstream.write("+PONG\r\n") // malformed: its connection is closed, the request is retried
+	upstream.write("+PONG\r\n") // malformed, so the connection is closed and the request is retried
 	upstream = c.accept()
 	upstream.request()
 	upstream.answer(requestA, "OK", "n=local", "x")
--- a/internal/director/request_races_test.go
+++ b/internal/director/request_races_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Guards against an attempt whose client left in the round in which its connection came up.
+// Guards against sending an attempt whose client disconnects in the round in which its connection is established.
 func TestNoAttemptForClientGoneWhileConnecting(t *testing.T) {
 	for _, how := range []string{"end", "reset", "revoke"} {
 		t.Run(how, func(t *testing.T) {
@@ -17,10 +17,10 @@
 			w := newTestDirectorWith(t, settings, full.host("s-1", "in_service"))
 			client := w.client()
 			client.submit(requestA, objectA)
-			client.write(client.call(1, "heartbeat", "\x02\x00\x01\x01")) // answered: the request was accepted
+			client.write(client.call(1, "heartbeat", "\x02\x00\x01\x01")) // once this is answered, the request has been accepted
 			client.want(2, 0, "")
 			release := w.blockLoop()
-			upstream := full.acceptNext() // the connection is up, and the director has not seen it
+			upstream := full.acceptNext() // the connection is established, but the director has not processed that
 			switch how {
 			case "end":
 				must(t, client.conn.(*net.TCPConn).CloseWrite())
@@ -43,7 +43,7 @@
 	}
 }
 
-// Guards against a retry for a client that left in the round in which its attempt failed.
+// Guards against a retry for a client that disconnects in the round in which its attempt fails.
 func TestNoRetryForClientGoneWithTheResponse(t *testing.T) {
 	for _, how := range []string{"end", "revoke"} {
 		t.Run(how, func(t *testing.T) {
@@ -78,7 +78,7 @@
 	}
 }
 
-// Guards against a resubmission that runs beside the first request or gets its late response.
+// Guards against a resubmission that runs concurrently with the first request or gets its late response.
 func TestResubmissionOnNewConnectionIsSeparate(t *testing.T) {
 	for _, first := range []string{"the end", "the resubmission"} {
 		t.Run(first+" first", func(t *testing.T) {
@@ -119,7 +119,7 @@
 	}
 }
 
-// Guards against connections used up by a client that submits and cancels one ID again and again.
+// Guards against a client that uses up connections by repeatedly submitting and cancelling one ID.
 func TestResubmissionsOfOneIDAreLimited(t *testing.T) {
 	c := newScriptedCache(t)
 	w := newTestDirector(t, c.host("s-1", "in_service"))
@@ -141,7 +141,7 @@
 	}
 }
 
-// Guards against a second response of one cache that ends the next attempt.
+// Guards against a duplicate response of a cache that ends the next attempt.
 func TestDuplicateResponseDoesNotEndTheRetry(t *testing.T) {
 	c := newScriptedCache(t)
 	w := newTestDirector(t, c.host("s-1", "in_service"))
@@ -166,7 +166,7 @@
 	client.want(2, 0, "new")
 }
 
-// Guards against two answers, or a timeout, where the response came in time.
+// Guards against two answers, or a timeout, if the response arrives in time but is handled in the round of the timeout.
 func TestResponseAndTimeoutInOneRound(t *testing.T) {
 	c := newScriptedCache(t)
 	w := newTestDirector(t, c.host("s-1", "in_service"))
@@ -183,7 +183,7 @@
 	client.want(3, 0, "")
 }
 
-// Guards against sending an attempt to a host whose drain arrives as the connection comes up.
+// Guards against sending an attempt to a host whose drain arrives in the round in which the connection is established.
 func TestDrainRacingConnect(t *testing.T) {
 	full, b := newFullListenerCache(t), newScriptedControlPlane(t)
 	w := &testDirector{t: t}
--- a/internal/director/routing/attempts_test.go
+++ b/internal/director/routing/attempts_test.go
@@ -9,7 +9,7 @@
 	"stairvane.org/stairvane/internal/decision"
 )
 
-// Guards against passing on the response to an attempt that was cancelled.
+// Guards against forwarding the response to a cancelled attempt.
 func TestResponseToCancelledAttemptIsDropped(t *testing.T) {
 	d, dialer, responses := newTestDirector(t, defaultLimits, "a")
 	r := newTestRequest(responses, "r1")
@@ -23,13 +23,13 @@
 	}
 }
 
-// Guards against a late response to a cancelled attempt that passes for the response to its retry.
-func TestRetryTakesAnotherConn(t *testing.T) {
+// Guards against matching a late response to a cancelled attempt to its retry.
+func TestRetryUsesAnotherConn(t *testing.T) {
 	d, dialer, responses := newTestDirector(t, defaultLimits, "a")
 	d.Submit(newTestRequest(responses, "r1"))
 	dialer.conns[0].handler.Connected()
 	a := d.requests["r1"].attempts[0]
-	d.attemptTimedOut(a) // the client still waits
+	d.attemptTimedOut(a) // the client is still waiting
 	if !slices.Equal(dialer.conns[0].cancelled, []string{"r1"}) {
 		t.Fatal("timed out without a cancel")
 	}
@@ -43,7 +43,7 @@
 	}
 }
 
-// Guards against a retry that runs beside the attempt that it replaces. A connection without a pong is closed.
+// Guards against a retry that runs concurrently with the attempt that it replaces. A connection that answers no ping is closed.
 func TestRetryWaitsUntilCancelIsRead(t *testing.T) {
 	for _, answers := range []bool{true, false} {
 		d, dialer, responses := newTestDirector(t, defaultLimits, "a")
@@ -51,7 +51,7 @@
 		old := dialer.conns[0]
 		old.handler.Connected()
 		d.Submit(newTestRequest(responses, "r2"))
-		old.handler.Received([]byte("r2"), &Response{Status: decision.OK}) // it answers others, so the module retries there
+		old.handler.Received([]byte("r2"), &Response{Status: decision.OK}) // the host answers other requests, so the module retries there
 		d.cancelForModule(decision.CancelAttempt{Request: "r1"})
 		if len(old.cancelled) != 1 || len(old.pings) != 1 || len(dialer.conns) != 1 {
 			t.Fatalf("cancelled %q, pinged %q, %d connections", old.cancelled, old.pings, len(dialer.conns))
@@ -71,14 +71,14 @@
 	}
 }
 
-// Guards against sending, or connecting, for a request that its client cancels in the same round.
+// Guards against connecting or sending for a request that its client cancels in the same round.
 func TestRequestCancelledInItsRoundIsNotSent(t *testing.T) {
 	d, dialer, responses := newTestDirector(t, defaultLimits, "a")
 	r := newTestRequest(responses, "r1")
 	d.loop.Post(func() {
 		d.Submit(r)
 		if len(dialer.conns) != 0 {
-			t.Error("connected before the round is over")
+			t.Error("connected before the end of the round")
 		}
 		d.Cancel(r)
 	})
@@ -89,7 +89,7 @@
 	responses.want(t)
 }
 
-// Guards against sending a waiting attempt of a cancelled request where caches do not support cancels.
+// Guards against sending a waiting attempt of a cancelled request if caches do not support cancels.
 func TestWaitingAttemptIsNotSentWhenClientIsGone(t *testing.T) {
 	d, dialer, responses := newTestDirector(t, defaultLimits, "a")
 	settings := testSettings()
@@ -110,7 +110,7 @@
 	}
 }
 
-// Guards against a retry that starts when the cancel of the last attempt is confirmed after the client is gone.
+// Guards against sending a retry when the cancel of the previous attempt is confirmed after the client disconnected.
 func TestNoRetryForClientGoneDuringCancel(t *testing.T) {
 	d, dialer, responses := newTestDirector(t, defaultLimits, "a")
 	r := newTestRequest(responses, "r1")
@@ -126,17 +126,17 @@
 	d.Cancel(r)
 	old.handler.Pong([]byte(old.pings[0]))
 	if len(dialer.conns) != 1 || len(old.requests) != 2 || len(d.requests) != 0 {
-		t.Errorf("%d links, %d upstream requests, %d requests known", len(dialer.conns), len(old.requests), len(d.requests))
+		t.Errorf("%d connections, %d upstream requests, %d requests known", len(dialer.conns), len(old.requests), len(d.requests))
 	}
 }
 
-// Guards against a retry that is partly written when the window ends and arrives complete afterwards.
+// Guards against a retry that is partly written when the deduplication window ends and reaches the cache completely afterwards.
 func TestPartlyWrittenRetryEndsWithDedupWindow(t *testing.T) {
 	const window = 60 * time.Millisecond
 	d, dialer, responses := newTestDirector(t, defaultLimits, "a")
 	d.classes["clips"] = classRules{idempotency: decision.IdempotentWithKey, dedupScope: decision.ScopeAll, dedupWindow: window}
 	r := newTestRequest(responses, "r1")
-	r.SizeKB = 10_000 // so large that the module does not cancel it meanwhile
+	r.SizeKB = 10_000 // large enough that the module does not cancel it during the test
 	d.Submit(r)
 	dialer.conns[0].handler.Connected()
 	dialer.conns[0].handler.Closed(errors.New("reset")) // it may have run; the module retries
--- a/internal/director/routing/conn_test.go
+++ b/internal/director/routing/conn_test.go
@@ -9,8 +9,8 @@
 	"stairvane.org/stairvane/internal/transport"
 )
 
-// Guards against a request that fails because its first host takes connections and never completes one.
-func TestConnThatNeverComesUpCostsNoAttempt(t *testing.T) {
+// Guards against a request that fails because connections to its first host are never established.
+func TestRequestIsRetriedIfConnIsNotEstablished(t *testing.T) {
 	d, dialer, responses := newTestDirector(t, func(l *Limits) { l.DialTimeout = 100 * time.Millisecond }, "a", "b")
 	d.Submit(newTestRequest(responses, "r1"))
 	dialer.conns[0].handler.Closed(nil) // as the dialer does after its timeout
@@ -22,15 +22,15 @@
 	responses.want(t, "r1 served x")
 }
 
-// Guards against taking an attempt that was fully written for one that never ran, or the reverse.
-func TestLostConnTellsWhatMayHaveRun(t *testing.T) {
+// Guards against treating an attempt that was fully written as one that never ran, or the reverse.
+func TestLostConnDistinguishesAttemptsThatMayHaveRun(t *testing.T) {
 	d, dialer, responses := newTestDirector(t, defaultLimits, "a")
 	d.Submit(newTestRequest(responses, "r1"))
 	dialer.conns[0].handler.Connected()
 	dialer.conns[0].stuck = true
 	d.Submit(newTestRequest(responses, "r2"))
 	if n := len(dialer.conns[0].requests); n != 1 {
-		t.Fatalf("%d upstream requests on a connection that takes no bytes", n)
+		t.Fatalf("%d upstream requests on a connection that accepts no bytes", n)
 	}
 	dialer.conns[1].stuckAfterNext = true
 	dialer.conns[1].handler.Connected() // r2 is partly written
@@ -44,7 +44,7 @@
 	}
 }
 
-// Guards against a hanging connection that is noticed only by the timeouts of its attempts.
+// Guards against detecting a hanging connection only by the timeouts of its attempts.
 func TestHangingConnIsPingedAndClosed(t *testing.T) {
 	d, dialer, responses := newTestDirector(t, func(l *Limits) {
 		l.KeepaliveAfter = time.Millisecond
@@ -59,7 +59,7 @@
 	}
 }
 
-// Guards against a retry that runs beside an attempt whose cache has not noticed the close yet.
+// Guards against a retry that runs concurrently with an attempt whose cache has not noticed the close yet.
 func TestAttemptsOfLostConnEndAfterCloseDelay(t *testing.T) {
 	d, dialer, responses := newTestDirector(t, func(l *Limits) { l.CloseDelay = time.Millisecond }, "a")
 	d.Submit(newTestRequest(responses, "r1"))
@@ -88,7 +88,7 @@
 	responses.want(t)
 }
 
-// Guards against sending new attempts to a machine that vanished and left its connections open.
+// Guards against sending new attempts to a machine that failed without closing its connections.
 func TestSilentConnGetsNoNewAttempts(t *testing.T) {
 	d, dialer, responses := newTestDirector(t, func(l *Limits) { l.SilentTimeout = time.Nanosecond }, "a")
 	d.Submit(newTestRequest(responses, "r1"))
@@ -98,7 +98,7 @@
 		t.Fatalf("%d connections, %d upstream requests on the silent one", len(dialer.conns), len(dialer.conns[0].requests))
 	}
 	dialer.conns[1].handler.Closed(transport.ErrDialTimeout)
-	responses.want(t, "r2 rejected") // it never ran, and no other host is left
+	responses.want(t, "r2 rejected") // it never ran, and there is no other host
 	dialer.conns[0].handler.Received([]byte("r1"), &Response{Status: decision.OK, Body: []byte("x")})
 	responses.want(t, "r2 rejected", "r1 served x")
 }
@@ -123,8 +123,8 @@
 	responses.want(t, "r1 served ")
 }
 
-// Guards against running out of descriptors: the longest idle connection is closed, and none in use is.
-func TestConnsKeepWithinMaxConns(t *testing.T) {
+// Guards against running out of descriptors: the connection that is idle the longest is closed, but none that is in use.
+func TestOpenConnsStayWithinMaxConns(t *testing.T) {
 	d, dialer, responses := newTestDirector(t, func(l *Limits) { l.MaxConns = 2 }, "a", "b", "c")
 	for i, id := range []string{"r1", "r2", "r3", "r4", "r5", "r6"} {
 		r := newTestRequest(responses, id)
--- a/internal/director/routing/endpoints_test.go
+++ b/internal/director/routing/endpoints_test.go
@@ -7,7 +7,7 @@
 	"stairvane.org/stairvane/internal/decision"
 )
 
-// Guards against a malformed endpoint list that is applied silently or loses a request in flight.
+// Guards against an irregular endpoint list that is applied without a log line, or that loses a request in flight.
 func TestListAnomaliesAreLoggedAndLoseNoRequest(t *testing.T) {
 	ready := testEndpoint("a", decision.Ready)
 	draining := testEndpoint("a", decision.Draining)
@@ -47,7 +47,7 @@
 	}
 }
 
-// Guards against a late delta that returns a host that is gone, or that loses a drain.
+// Guards against an out-of-order delta that brings back a host that is gone, or whose drains are ignored.
 func TestDeltaOutOfOrderAppliesDrainsOnly(t *testing.T) {
 	d, _, _ := newTestDirector(t, defaultLimits, "a", "b")
 	d.UpdateEndpoints(5, false, []Endpoint{testEndpoint("a", decision.Draining)})
@@ -59,7 +59,7 @@
 	}
 }
 
-// Guards against placing objects on other hosts than the simulator does.
+// Guards against placing objects on different hosts than the simulator does.
 func TestHostIDComesFromName(t *testing.T) {
 	d, _, _ := newTestDirector(t, defaultLimits, "s-00c41f7a", "depot-seven", "t-00c41f7a")
 	if d.byName["s-00c41f7a"].Host != 0x00c41f7a && d.byName["t-00c41f7a"].Host != 0x00c41f7a {
--- a/internal/director/routing/fakes_test.go
+++ b/internal/director/routing/fakes_test.go
@@ -22,13 +22,13 @@
 	return b.String()
 }
 
-// fakeDialer makes connections whose events the test causes.
+// fakeDialer creates connections whose events are triggered by the test.
 type fakeDialer struct{ conns []*fakeConn }
 
 type fakeConn struct {
 	handler        ConnHandler
 	address        string
-	stuck          bool // takes nothing more
+	stuck          bool // accepts no more bytes
 	stuckAfterNext bool // the next request is partly written
 	requests       []UpstreamRequest
 	cancelled      []string
@@ -127,7 +127,7 @@
 	}
 }
 
-// newTestDirector starts a Director with ready hosts of these names.
+// newTestDirector starts a Director with ready hosts of the given names.
 func newTestDirector(t testing.TB, change func(*Limits), hosts ...string) (*Director, *fakeDialer, *recorder) {
 	t.Helper()
 	loop, err := transport.NewLoop()
@@ -161,7 +161,7 @@
 
 func defaultLimits(*Limits) {}
 
-// runLoop runs the director's loop for a while.
+// runLoop runs the director's loop for the given time.
 func runLoop(t *testing.T, d *Director, length time.Duration) {
 	t.Helper()
 	d.loop.Set(&transport.Timer{Fire: d.loop.Stop}, d.loop.Now()+length)
--- a/internal/director/routing/guards_test.go
+++ b/internal/director/routing/guards_test.go
@@ -8,7 +8,7 @@
 	"stairvane.org/stairvane/internal/decision"
 )
 
-// Guards against sending an attempt that waited for its connection while its host began to drain.
+// Guards against sending an attempt whose host started to drain while the attempt waited for a connection.
 func TestWaitingAttemptIsNotSentToDrainingHost(t *testing.T) {
 	d, dialer, responses := newTestDirector(t, defaultLimits, "a")
 	d.Submit(newTestRequest(responses, "r1"))
@@ -20,7 +20,7 @@
 	responses.want(t, "r1 rejected")
 }
 
-// Guards against sending an attempt with the age limit that was decided before a purge.
+// Guards against sending an attempt with an age limit that was decided before a purge.
 func TestWaitingAttemptIsNotSentWithMaxAgeFromBeforePurge(t *testing.T) {
 	d, dialer, responses := newTestDirector(t, defaultLimits, "a", "b")
 	d.Submit(newTestRequest(responses, "r1"))
@@ -34,11 +34,11 @@
 		}
 	}
 	if len(dialer.conns) != 2 {
-		t.Fatalf("%d connections: the request was not decided on anew", len(dialer.conns))
+		t.Fatalf("%d connections: the module did not decide on the request again", len(dialer.conns))
 	}
 }
 
-// Guards against a retry that waited for a connection until caches would not drop it any more.
+// Guards against sending a retry that waited for a connection until caches no longer drop duplicates.
 func TestWaitingRetryIsNotSentAfterDedupWindow(t *testing.T) {
 	d, dialer, responses := newTestDirector(t, defaultLimits, "a")
 	d.classes["clips"] = classRules{dedupWindow: time.Nanosecond}
@@ -54,8 +54,8 @@
 	}
 }
 
-// Guards against a purge that is too new to hold hiding an older one that holds.
-func TestEveryPurgeIsChecked(t *testing.T) {
+// Guards against a purge that is too recent to be enforced and hides an older one that is.
+func TestRecentPurgeDoesNotHideOlderOne(t *testing.T) {
 	p := newPurgeLog()
 	q := &clientRequest{Request: &Request{PurgeGroup: 3}}
 	p.groups[3] = []purge{{issued: 10, notifiedAt: 20}, {issued: 30, notifiedAt: 40}}
--- a/internal/director/routing/request_benchmark_test.go
+++ b/internal/director/routing/request_benchmark_test.go
@@ -9,7 +9,7 @@
 	"stairvane.org/stairvane/internal/transport"
 )
 
-// benchmarkDialer remembers the connections that are coming up and the one that got the last request.
+// benchmarkDialer records the connections being established and the one that got the last request.
 type benchmarkDialer struct {
 	connecting []ConnHandler
 	last       *benchmarkConn
@@ -50,7 +50,7 @@
 
 func (s *servedCounter) Fail(*Request) {}
 
-// BenchmarkRequest measures a request that one attempt answers over a connection that is up.
+// BenchmarkRequest measures a request that is answered by its first attempt on an established connection.
 func BenchmarkRequest(b *testing.B) {
 	loop, err := transport.NewLoop()
 	if err != nil {
--- a/internal/director/routing/resubmissions_test.go
+++ b/internal/director/routing/resubmissions_test.go
@@ -8,7 +8,7 @@
 	"stairvane.org/stairvane/internal/decision"
 )
 
-// Guards against a request that gets no answer because its ID is in flight already.
+// Guards against a request that gets no answer because its ID is already in flight.
 func TestResubmittedIDGetsItsAnswer(t *testing.T) {
 	d, dialer, responses := newTestDirector(t, defaultLimits, "a")
 	d.Submit(newTestRequest(responses, "r1"))
@@ -22,7 +22,7 @@
 	}
 }
 
-// Guards against a resubmission that runs beside the first request or takes its connections.
+// Guards against a resubmission that runs concurrently with the first request or uses the same connections.
 func TestResubmissionWaitsForFirstToEnd(t *testing.T) {
 	d, dialer, responses := newTestDirector(t, func(l *Limits) { l.CloseDelay = time.Millisecond }, "a")
 	first, again := newTestRequest(responses, "r1"), newTestRequest(responses, "r1")
@@ -42,7 +42,7 @@
 	responses.want(t, "r1 served x")
 }
 
-// Guards against a waiting resubmission that starts after it was cancelled.
+// Guards against starting a waiting resubmission after it was cancelled.
 func TestWaitingResubmissionCanBeCancelled(t *testing.T) {
 	d, dialer, responses := newTestDirector(t, defaultLimits, "a")
 	first, again := newTestRequest(responses, "r1"), newTestRequest(responses, "r1")
@@ -59,7 +59,7 @@
 	responses.want(t)
 }
 
-// Guards against running a request twice that must not be repeated.
+// Guards against running a request twice if its class does not allow that.
 func TestResubmissionRunsOnlyAsClassAllows(t *testing.T) {
 	keyed := func(scope decision.DedupScope, window time.Duration) classRules {
 		return classRules{idempotency: decision.IdempotentWithKey, dedupScope: scope, dedupWindow: window}
@@ -93,7 +93,7 @@
 	}
 }
 
-// Guards against memory that grows with the requests of clients that are gone.
+// Guards against memory that grows with the number of cancelled requests.
 func TestCancelledRequestsAreForgotten(t *testing.T) {
 	d, dialer, responses := newTestDirector(t, defaultLimits, "a")
 	d.Submit(newTestRequest(responses, "r0"))
@@ -108,6 +108,6 @@
 	}
 	d.expireCancelled(d.loop.Now() + d.limits.MaxDeadline)
 	if len(d.cancelledByID)+len(d.cancelledOldestFirst) != 0 {
-		t.Errorf("%d are never forgotten", len(d.cancelledByID))
+		t.Errorf("%d never expire", len(d.cancelledByID))
 	}
 }
--- a/internal/director/scripted_cache_test.go
+++ b/internal/director/scripted_cache_test.go
@@ -10,7 +10,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// fullListenerCache is a cache whose queue of pending connections is full, so that a new one does not come up.
+// fullListenerCache is a cache whose accept queue is full, so that new connections are not established.
 type fullListenerCache struct {
 	*scriptedCache
 	fillers []net.Conn
@@ -27,7 +27,7 @@
 	must(t, err)
 	t.Cleanup(func() { _ = ln.Close() }) // it may be closed already
 	full := &fullListenerCache{scriptedCache: &scriptedCache{t, ln}}
-	// How many connections the queue takes is the system's choice.
+	// The kernel decides how many connections the queue holds.
 	for range 8 {
 		conn, err := net.DialTimeout("tcp", ln.Addr().String(), 50*time.Millisecond)
 		if err != nil {
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// acceptNext empties the queue, and accepts the director's connection.
+// acceptNext empties the queue and accepts the director's connection.
 func (f *fullListenerCache) acceptNext() *scriptedConn {
 	f.t.Helper()
 	for range f.fillers {
@@ -51,7 +51,7 @@
 	return f.accept()
 }
 
-// scriptedCache is a cache whose test accepts its connections and answers its requests.
+// scriptedCache is a cache whose connections are accepted and whose requests are answered by the test.
 type scriptedCache struct {
 	t        *testing.T
 	listener net.Listener
--- a/internal/director/scripted_conn_test.go
+++ b/internal/director/scripted_conn_test.go
@@ -24,7 +24,7 @@
 	objectB  = "0000000000000001"
 )
 
-// testTimeout is how long a test waits for what must come.
+// testTimeout is how long a test waits for an expected event.
 const testTimeout = 10 * time.Second
 
 func must(t *testing.T, err error) {
@@ -34,14 +34,14 @@
 	}
 }
 
-// scriptedConn is a test's connection to the director: that of a cache, a client, or the control plane.
+// scriptedConn is a connection to the director whose other end the test plays: a cache, a client, or the control plane.
 type scriptedConn struct {
 	t      *testing.T
 	conn   net.Conn
 	reader *bufio.Reader
 	seq    int32
 
-	commands chan []string // of a cache's connection
+	commands chan []string // received on a cache's connection
 }
 
 func newScriptedConn(t *testing.T, conn net.Conn) *scriptedConn {
@@ -50,7 +50,7 @@
 	return &scriptedConn{t: t, conn: conn, reader: bufio.NewReader(conn)}
 }
 
-// waitAcknowledged waits until the other end's system has all that was written on a connection, its end included.
+// waitAcknowledged waits until the peer's kernel has received everything written to a connection, including its end.
 func waitAcknowledged(t *testing.T, conn net.Conn) {
 	t.Helper()
 	raw, err := conn.(*net.TCPConn).SyscallConn()
@@ -68,14 +68,14 @@
 	}
 }
 
-// heartbeat calls heartbeat and reads the answer: by then all that the client sent before has been handled.
+// heartbeat calls heartbeat and reads the answer. When it returns, the director has handled everything the client sent before.
 func (p *scriptedConn) heartbeat() {
 	p.t.Helper()
 	p.write(p.call(1, "heartbeat", "\x02\x00\x01\x01"))
 	p.want(p.seq, 0, "")
 }
 
-// readToEnd returns what comes before the end of a connection.
+// readToEnd returns everything received until the end of a connection.
 func (p *scriptedConn) readToEnd() string {
 	p.t.Helper()
 	b, err := io.ReadAll(p.reader)
@@ -85,7 +85,7 @@
 	return string(b)
 }
 
-// serve reads commands of the director and answers pings at once, as caches do.
+// serve reads commands of the director and answers pings immediately, as caches do.
 func (p *scriptedConn) serve() {
 	defer close(p.commands)
 	count := func() int {
@@ -136,16 +136,16 @@
 	select {
 	case w, open := <-p.commands:
 		if !open {
-			p.t.Fatal("the connection has ended")
+			p.t.Fatal("the connection was closed")
 		}
 		return w
 	case <-time.After(testTimeout):
-		p.t.Fatal("no command came")
+		p.t.Fatal("no command arrived")
 	}
 	return nil
 }
 
-// request waits for the next request to a cache, past cancels; it gives the ID and the fields.
+// request waits for the next request to a cache, skipping cancels, and returns its ID and fields.
 func (p *scriptedConn) request() (id string, fields map[string]string) {
 	p.t.Helper()
 	w := p.command()
@@ -168,7 +168,7 @@
 	p.write(respArray(w...))
 }
 
-// respArray is an array of bulk strings.
+// respArray returns an array of bulk strings.
 func respArray(w ...string) string {
 	s := fmt.Sprintf("*%d\r\n", len(w))
 	for _, x := range w {
@@ -183,18 +183,19 @@
 
 func frame(s string) string { return str(s) }
 
-// call is a framed message of Thrift's strict protocol.
+// call returns a framed message in Thrift's strict binary protocol.
 func (p *scriptedConn) call(kind int, name, args string) string {
 	p.seq++
 	return frame(be32(0x80010000|kind) + str(name) + be32(int(p.seq)) + args + "\x00")
 }
 
-// submitText is a call of submit for an object. more has further fields, as name and value, that precede the usual ones.
+// submitText returns a call of submit for an object. more has additional fields, as alternating names and values, that precede
+// the usual ones.
 func (p *scriptedConn) submitText(id, object string, budget time.Duration, more ...string) string {
 	return p.submitBody(id, object, budget, "", more...)
 }
 
-// submitBody is submitText with a body.
+// submitBody is like submitText, with a body.
 func (p *scriptedConn) submitBody(id, object string, budget time.Duration, body string, more ...string) string {
 	f := append(more, "method", "clips", "rid", id, "budget", fmt.Sprint(budget.Milliseconds()), "obj", object,
 		"part", "0", "group", "5", "mem", "100")
@@ -210,11 +211,11 @@
 	p.write(p.submitText(id, object, 5*time.Second, more...))
 }
 
-// reply is an answer as a client decodes it.
+// reply is a decoded answer to a client.
 type reply struct {
 	seq    int32
-	kind   byte // 2 an answer or a declared exception, 3 an application exception
-	result int  // 0 an answer, 1 rejected, 2 failed
+	kind   byte // 2: an answer or a declared exception, 3: an application exception
+	result int  // 0: an answer, 1: rejected, 2: failed
 	body   string
 	good   bool
 	fields map[string]string
@@ -270,7 +271,7 @@
 		line, err := p.reader.ReadString('\n')
 		must(p.t, err)
 		if first && !strings.Contains(line, fmt.Sprintf("after=%d&", after)) {
-			p.t.Fatalf("polled %q, want what follows revision %d", line, after)
+			p.t.Fatalf("polled %q, want the events after revision %d", line, after)
 		}
 		if line == "\r\n" {
 			return
--- a/internal/director/scripted_control_plane_test.go
+++ b/internal/director/scripted_control_plane_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// scriptedControlPlane is a control plane whose test accepts its polls and writes its responses byte by byte.
+// scriptedControlPlane is a control plane whose polls are accepted by the test, which writes the responses byte by byte.
 type scriptedControlPlane struct {
 	t        *testing.T
 	listener net.Listener
@@ -23,7 +23,7 @@
 
 func (b *scriptedControlPlane) addr() string { return b.listener.Addr().String() }
 
-// acceptPoll accepts the director's next connection and reads its poll, which must be for what follows a revision.
+// acceptPoll accepts the director's next connection and reads its poll, which must request the events after a revision.
 func (b *scriptedControlPlane) acceptPoll(after int) *scriptedConn {
 	b.t.Helper()
 	must(b.t, b.listener.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout)))
@@ -34,7 +34,7 @@
 	return p
 }
 
-// watchResponse is a response with events that are given without their revisions.
+// watchResponse returns a response whose events are numbered consecutively from a revision.
 func watchResponse(from int, events ...string) string {
 	items := make([]string, len(events))
 	for i, e := range events {
--- a/internal/director/shutdown_test.go
+++ b/internal/director/shutdown_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Guards against losing a request that had arrived when its idle connection was closed.
-func TestRequestRacingTheLastCloseIsServed(t *testing.T) {
+// Guards against losing a request that arrived before its idle connection was closed.
+func TestRequestRacingShutdownCloseIsServed(t *testing.T) {
 	c := newScriptedCache(t)
 	w := newTestDirector(t, c.host("s-1", "in_service"))
 	client, upstream := w.warmUp(c)
@@ -23,25 +23,25 @@
 	upstream.answer(requestA, "OK", "n=local", "late")
 	client.want(2, 0, "late")
 	if rest := client.readToEnd(); rest != "" {
-		t.Errorf("after the last answer came %q", rest)
+		t.Errorf("received %q after the last answer", rest)
 	}
 }
 
-// Guards against running a request that came after the close: its client sends it again.
-func TestRequestAfterTheLastCloseIsNotForwarded(t *testing.T) {
+// Guards against running a request that arrived after the close: its client sends it again.
+func TestRequestAfterShutdownCloseIsNotForwarded(t *testing.T) {
 	c := newScriptedCache(t)
 	w := newTestDirector(t, c.host("s-1", "in_service"))
 	client, upstream := w.warmUp(c)
 	stays := w.client()
-	stays.submit(requestB, objectB) // keeps the director running meanwhile
+	stays.submit(requestB, objectB) // keeps the director running
 	id, _ := upstream.request()
 	w.onLoop(w.finishDraining)
 	if rest := client.readToEnd(); rest != "" {
-		t.Fatalf("before the end came %q", rest)
+		t.Fatalf("received %q before the end of the connection", rest)
 	}
 	client.submit(requestA, objectB)
 	waitAcknowledged(t, client.conn)
-	w.waitRound() // this round, or the one before, has read it
+	w.waitRound() // the input is read in this round or the one before
 	w.waitRound()
 	upstream.answer(id, "OK", "n=local", "b")
 	stays.want(1, 0, "b")
@@ -57,12 +57,12 @@
 		}
 	}
 	if w.program.frontend.Counters.AfterClose != 1 {
-		t.Errorf("%d times input after the close", w.program.frontend.Counters.AfterClose)
+		t.Errorf("input after the close was counted %d times", w.program.frontend.Counters.AfterClose)
 	}
 }
 
-// Guards against closing a connection on which half a request has arrived.
-func TestPartialRequestAtTheLastCloseIsAwaited(t *testing.T) {
+// Guards against closing a connection on which a part of a request has arrived.
+func TestPartialRequestAtShutdownCloseIsAwaited(t *testing.T) {
 	c := newScriptedCache(t)
 	w := newTestDirector(t, c.host("s-1", "in_service"))
 	client, upstream := w.warmUp(c)
@@ -79,8 +79,8 @@
 	client.readToEnd()
 }
 
-// Guards against losing a connection that waits to be accepted when the listener closes.
-func TestPendingConnectionIsServedAtTheLastClose(t *testing.T) {
+// Guards against losing a connection that is in the accept queue when the listener closes.
+func TestPendingConnectionIsServedAtShutdownClose(t *testing.T) {
 	c := newScriptedCache(t)
 	w := newTestDirector(t, c.host("s-1", "in_service"))
 	_, upstream := w.warmUp(c)
@@ -105,8 +105,8 @@
 	w := newTestDirectorWith(t, strings.Replace(testSettings, `"DialTimeout":400`, `"DialTimeout":5000`, 1), c.host("s-1", "in_service"))
 	client, upstream := w.warmUp(c)
 	w.publish(2, `"roster":{"seq":2,"whole":false,"hosts":[`+c.host("s-1", "terminated")+`,`+full.host("s-2", "in_service")+`]}`)
-	client.write(client.submitText(requestA, objectA, 2*time.Second)) // waits for a connection that does not come up
-	client.heartbeat()                                                // by now the request was accepted
+	client.write(client.submitText(requestA, objectA, 2*time.Second)) // waits for a connection that is never established
+	client.heartbeat()                                                // the request has been accepted by now
 	w.publish(3, `"roster":{"seq":3,"whole":false,"hosts":[`+c.host("s-1", "in_service")+`,`+full.host("s-2", "terminating")+`]}`)
 	client.write(client.submitText(requestB, objectB, 2*time.Second)) // in flight at a cache that hangs
 	if id, _ := upstream.request(); id != requestB {
@@ -127,14 +127,14 @@
 		w.exited <- err
 		must(t, err)
 	case <-time.After(testTimeout):
-		t.Fatal("the shutdown does not end")
+		t.Fatal("the shutdown does not complete")
 	}
 	if rest := client.readToEnd(); rest != "" {
 		t.Errorf("more than one answer each: %q", rest)
 	}
 }
 
-// Guards against a shutdown that rejects requests which wait for another one's fill.
+// Guards against a shutdown that rejects requests which wait for the fill of another request.
 func TestCoalescedRequestsAreAnsweredDuringShutdown(t *testing.T) {
 	c := newScriptedCache(t)
 	w := newTestDirectorWith(t, strings.Replace(testSettings, `"Joins":true`, `"Joins":false`, 1), c.host("s-1", "in_service"))
@@ -143,7 +143,7 @@
 	if id, _ := upstream.request(); id != requestA {
 		t.Fatalf("request %s", id)
 	}
-	client.submit(requestB, objectA, "mem", "9000") // the same object: it is coalesced with the first
+	client.submit(requestB, objectA, "mem", "9000") // same object, so it is coalesced with the first request
 	client.heartbeat()
 	w.onLoop(func() {
 		if n, inFlight := w.program.director.Counters.Attempts, w.program.director.InFlight(); n != 2 || inFlight != 2 {
@@ -161,12 +161,12 @@
 	client.readToEnd()
 }
 
-// Guards against a shutdown that rejects new connections early or ends before all is answered.
+// Guards against a shutdown that rejects new connections too early or completes before all requests are answered.
 func TestShutdownAnswersEverything(t *testing.T) {
 	c := newScriptedCache(t)
 	w := newTestDirector(t, c.host("s-1", "in_service"))
 	client := w.client()
-	client.submit(requestA, objectA, "mem", "9000") // large, so that it does not time out during the test
+	client.submit(requestA, objectA, "mem", "9000") // large enough not to time out during the test
 	upstream := c.accept()
 	upstream.request()
 	w.program.Post(w.program.Shutdown)
@@ -175,8 +175,8 @@
 	id, _ := upstream.request()
 	upstream.answer(id, "OK", "n=local", "b")
 	late.want(1, 0, "b")
-	if _, err := late.reader.ReadByte(); err == nil { // it is closed after the acceptPeriod
-		t.Error("bytes after the last answer")
+	if _, err := late.reader.ReadByte(); err == nil { // the connection is closed after drainAcceptTime
+		t.Error("received bytes after the last answer")
 	}
 	client.submit(requestC, objectB)
 	id, _ = upstream.request()
--- a/internal/director/timing_test.go
+++ b/internal/director/timing_test.go
@@ -30,7 +30,7 @@
 	}
 	for at, n := range perInterval {
 		if n > directors/4 {
-			t.Errorf("%d of %d return between %v and %v", n, directors, at*interval, (at+1)*interval)
+			t.Errorf("%d of %d reconnect between %v and %v", n, directors, at*interval, (at+1)*interval)
 		}
 	}
 	if last := slices.Max(pauses); last > 500*time.Millisecond {
@@ -41,7 +41,7 @@
 	}
 }
 
-// Guards against a pause that grows with the number of directors until events come too late.
+// Guards against a reconnect pause that grows with the number of directors until events arrive too late.
 func TestReconnectPauseIsBounded(t *testing.T) {
 	loop, err := transport.NewLoop()
 	if err != nil {
@@ -67,10 +67,10 @@
 			longest = max(longest, f.nextPause())
 		}
 		if c.noticed+longest >= c.within {
-			t.Errorf("%d addresses: noticed after %v, and a pause of up to %v: back after %v", c.addresses, c.noticed, longest, c.within)
+			t.Errorf("%d addresses: loss detected after %v, pause up to %v: reconnect after %v", c.addresses, c.noticed, longest, c.within)
 		}
 		if spread := longest - oneAddressTiming.RetryMin; spread < c.within/8 {
-			t.Errorf("%d addresses: all come back within %v", c.addresses, spread)
+			t.Errorf("%d addresses: all reconnect within %v", c.addresses, spread)
 		}
 	}
 }
--- a/internal/director/watch_test.go
+++ b/internal/director/watch_test.go
@@ -10,7 +10,7 @@
 	"stairvane.org/stairvane/internal/transport"
 )
 
-// Guards against events that are missed or applied twice when the connection breaks.
+// Guards against events that are missed or applied twice when the connection is lost.
 func TestWatchResumesAfterConnectionLoss(t *testing.T) {
 	c, other := newScriptedCache(t), newScriptedCache(t)
 	w := newTestDirector(t, c.host("s-1", "in_service"))
@@ -21,7 +21,7 @@
 	w.wantServedBy(other)
 }
 
-// Guards against a silent event stream that is noticed after drains and purges are due.
+// Guards against detecting a silent event stream only after drains and purges have become due.
 func TestSilentWatchIsReplacedInTime(t *testing.T) {
 	for name, script := range map[string]func(p *scriptedConn) (after int){
 		"at the start": func(*scriptedConn) int { return 1 },
@@ -62,7 +62,7 @@
 			since := time.Now()
 			again := b.acceptPoll(after)
 			if took := time.Since(since); took > 5*time.Second {
-				t.Errorf("the stream was given up after %v; events are due within 7 s", took)
+				t.Errorf("the stream was abandoned after %v; events are due within 7 s", took)
 			}
 			again.write(watchResponse(after+1, endpointDelta(9, c.host("s-1", "terminated"))))
 			again.wantPoll(after + 1)
@@ -73,7 +73,7 @@
 	}
 }
 
-// Guards against losing a response whose connection closes in the same round.
+// Guards against losing a response that arrives in the same round as the close of its connection.
 func TestResponseBeforeCloseIsApplied(t *testing.T) {
 	c, b := newScriptedCache(t), newScriptedControlPlane(t)
 	w := &testDirector{t: t}
@@ -90,7 +90,7 @@
 	client.want(1, 1, "")
 }
 
-// Guards against waiting for the silence timeout after a malformed response.
+// Guards against waiting for the silence timeout after a malformed response instead of closing at once.
 func TestMalformedWatchResponseClosesAtOnce(t *testing.T) {
 	for name, text := range map[string]string{
 		"a body without end":   "HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n{",
@@ -117,7 +117,7 @@
 	}
 }
 
-// Guards against a malformed event that holds up those beside it.
+// Guards against a malformed event that prevents the other events of the response from being applied.
 func TestMalformedEventIsSkipped(t *testing.T) {
 	c, other, b := newScriptedCache(t), newScriptedCache(t), newScriptedControlPlane(t)
 	w := &testDirector{t: t}
@@ -134,7 +134,7 @@
 	})
 }
 
-// Guards against applying a response of the old address that arrives in the round of a move.
+// Guards against applying a response from the old address that arrives in the round in which the address changes.
 func TestOldAddressIsIgnoredAfterMove(t *testing.T) {
 	c, old, b := newScriptedCache(t), newScriptedControlPlane(t), newScriptedControlPlane(t)
 	w := &testDirector{t: t}
@@ -149,7 +149,7 @@
 	w.wantServedBy(c)
 }
 
-// Guards against a partial response that counts as applied when the address changes.
+// Guards against treating a partially received response as applied when the address changes.
 func TestMoveDuringPartialResponse(t *testing.T) {
 	c, old, b := newScriptedCache(t), newScriptedControlPlane(t), newScriptedControlPlane(t)
 	w := &testDirector{t: t}
@@ -167,7 +167,7 @@
 	w.wantServedBy(c)
 }
 
-// Guards against the timer of an earlier pause that ends the new connection.
+// Guards against the timer of an earlier pause closing the new connection.
 func TestMoveStopsRetryTimer(t *testing.T) {
 	loop, err := transport.NewLoop()
 	must(t, err)
@@ -185,7 +185,7 @@
 	}
 }
 
-// Guards against a director that says it is ready before it has an endpoint list.
+// Guards against a director that reports ready before it has an endpoint list.
 func TestReadyOnceEndpointListArrived(t *testing.T) {
 	c, b := newScriptedCache(t), newScriptedControlPlane(t)
 	w := &testDirector{t: t}
@@ -216,7 +216,7 @@
 	w.wantServedBy(c)
 }
 
-// Guards against an older delta that returns a cache.
+// Guards against an older delta that brings back a cache.
 func TestOlderListAfterNewerIsIgnored(t *testing.T) {
 	c, other, b := newScriptedCache(t), newScriptedCache(t), newScriptedControlPlane(t)
 	w := &testDirector{t: t}
