--- a/cmd/stairvane/control_plane_linux_test.go
+++ b/cmd/stairvane/control_plane_linux_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// quickstartConfig is the configuration of the quick start, with another control plane and limits.
+// quickstartConfig returns the quick start configuration with a different control plane address, listen address and limits.
 func quickstartConfig(t *testing.T, controlPlane string, sockets int) map[string]any {
 	t.Helper()
 	text, err := os.ReadFile("../../deploy/quickstart/director.json")
@@ -34,12 +34,12 @@
 	return fmt.Sprintf(`"roster":{"seq":%d,"whole":%t,"hosts":[%s]}`, seq, snapshot, strings.Join(hosts, ","))
 }
 
-func endpoint(name, addr, health string, share float64, born int64) string {
+func endpoint(name, addr, health string, share float64, startedAtMS int64) string {
 	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"west","class":"std","health":%q,"share":%g,"born_ms":%d}`,
-		name, addr, health, share, born)
+		name, addr, health, share, startedAtMS)
 }
 
-// fakeControlPlane answers polls with the events that were published.
+// fakeControlPlane answers polls with the published events.
 type fakeControlPlane struct {
 	mu      sync.Mutex
 	events  []string
--- a/cmd/stairvane/descriptors_linux_test.go
+++ b/cmd/stairvane/descriptors_linux_test.go
@@ -10,7 +10,7 @@
 	"stairvane.org/stairvane/internal/tools/fakes"
 )
 
-// Guards against idle clients that take the descriptors for active clients, caches and the control plane.
+// Guards against idle clients that use up the descriptors needed for active clients, caches and the control plane.
 func TestIdleClientsLeaveDescriptors(t *testing.T) {
 	const descriptors = 128
 	cache, err := fakes.NewCache("127.0.0.1:0")
@@ -18,7 +18,7 @@
 		t.Fatal(err)
 	}
 	defer cache.Close()
-	reserved, err := net.Listen("tcp", "127.0.0.1:0") // a port that is used later
+	reserved, err := net.Listen("tcp", "127.0.0.1:0") // reserves a port for later use
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,7 +32,7 @@
 	c["known"] = json.RawMessage(`{"no":1,"items":[{"no":1,` + endpointList(1, true, inService) + `}]}`)
 	p := startDirector(t, c, descriptors)
 	addr := p.waitServing()
-	for i := range 3 * descriptors { // half of them send one request, half nothing; those that are closed stay closed
+	for i := range 3 * descriptors { // half of them send one request, half send nothing; closed ones are not reopened
 		conn, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -49,7 +49,7 @@
 			defer client.Finish(0)
 		}
 	}
-	// New clients may be rejected while all others are so new that their first requests may be on their way.
+	// New clients may be rejected while all others are so new that their first requests may still be in transit.
 	for until := time.Now().Add(2 * time.Second); ; time.Sleep(20 * time.Millisecond) {
 		client, err := fakes.Connect(addr)
 		if err == nil && client.Send(100, time.Second) == nil && client.Finish(time.Second).Served == 1 {
@@ -60,13 +60,13 @@
 		}
 	}
 	if tally, err := fakes.Load(addr, 50, time.Second); err != nil || tally.Served != tally.Sent {
-		t.Errorf("while the descriptors are used up: %+v, %v", tally, err)
+		t.Errorf("with all descriptors in use: %+v, %v", tally, err)
 	}
 	d := newFakeControlPlane(endpointList(1, true, inService), endpointList(2, false, terminated))
 	serveControlPlane(t, address, d)
 	for until := time.Now().Add(5 * time.Second); ; time.Sleep(10 * time.Millisecond) {
 		if good, err := heartbeat(addr); err == nil && !good {
-			break // the only cache is gone: the event was applied
+			break // the only cache is gone, so the event has been applied
 		}
 		if time.Now().After(until) {
 			t.Fatalf("no event is applied:\n%s", p.logged())
--- a/cmd/stairvane/director.go
+++ b/cmd/stairvane/director.go
@@ -5,5 +5,5 @@
 	"stairvane.org/stairvane/internal/director/config"
 )
 
-// runDirector serves as a director on one core, with what LB_CONFIG configures.
+// runDirector runs a director on one core, configured by LB_CONFIG.
 func runDirector() error { return director.Serve(config.OperatorSettings{Cores: 1}) }
--- a/cmd/stairvane/main.go
+++ b/cmd/stairvane/main.go
@@ -1,5 +1,6 @@
-// Command stairvane is a director when it is called without arguments, as the platform does. With arguments it becomes
-// stairvane-fleet, the program beside it that has the sub-commands.
+// Command stairvane runs a director when it is called without arguments, as the platform does, or with the single argument
+// director. With any other arguments it executes stairvane-fleet, the program in the same directory that implements the
+// sub-commands.
 package main
 
 import (
@@ -28,14 +29,14 @@
 	return runFleet()
 }
 
-// runFleet becomes the program of the sub-commands. It returns only if that program cannot be started.
+// runFleet replaces the process with stairvane-fleet. It returns only if that program cannot be executed.
 func runFleet() error {
 	self, err := os.Executable()
 	if err != nil {
-		return fmt.Errorf("find the own program: %w", err)
+		return fmt.Errorf("find the path of this executable: %w", err)
 	}
 	program := filepath.Join(filepath.Dir(self), "stairvane-fleet")
 	arguments := append([]string{"stairvane"}, os.Args[1:]...)
 	err = syscall.Exec(program, arguments, os.Environ())
-	return fmt.Errorf("the sub-commands are in %s: %w", program, err)
+	return fmt.Errorf("execute %s, which implements the sub-commands: %w", program, err)
 }
--- a/cmd/stairvane/platform_linux_amd64_test.go
+++ b/cmd/stairvane/platform_linux_amd64_test.go
@@ -19,9 +19,9 @@
 	"stairvane.org/stairvane/internal/tools/fakes"
 )
 
-// Guards against system calls and files that the platform refuses: other programs, forks, io_uring, splice and sendfile,
-// sockets other than TCP and UDP over IPv4. The director is built and started by the lines of the deploy file, and traced while
-// it serves, reloads its configuration, and shuts down.
+// Guards against system calls and file accesses that the platform forbids: executing other programs, forks, io_uring, splice
+// and sendfile, sockets other than TCP and UDP over IPv4. The director is built and started with the commands of the deploy file
+// and traced while it serves, reloads its configuration, and shuts down.
 func TestRunsWithinThePlatformsLimits(t *testing.T) {
 	root, err := filepath.Abs("../..")
 	if err != nil {
@@ -31,7 +31,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	bin := t.TempDir() // other tests build into bin/ meanwhile
+	bin := t.TempDir() // other tests may build into bin/ at the same time
 	line := func(key string) string {
 		m := regexp.MustCompile(`(?m)^` + key + ` = "(.*)"$`).FindSubmatch(deploy)
 		if m == nil {
@@ -48,10 +48,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = program.Close() }() // it was only read
+	defer func() { _ = program.Close() }() // opened for reading only
 	isLibc := func(library string) bool { return strings.HasPrefix(library, "libc.so") }
 	if libs, err := program.ImportedLibraries(); err != nil || !slices.ContainsFunc(libs, isLibc) {
-		t.Fatalf("it is not linked against the C library: %v %v", libs, err)
+		t.Fatalf("not linked against the C library: %v %v", libs, err)
 	}
 
 	cache, err := fakes.NewCache("127.0.0.1:0")
@@ -131,7 +131,7 @@
 		t.Errorf("requests: %+v", tally)
 	}
 	if r.programs != 2 {
-		t.Errorf("%d programs were run; the shell and the director are two", r.programs)
+		t.Errorf("%d programs were executed, want 2: the shell and the director", r.programs)
 	}
 	seen := map[string]int{}
 	sockets := 0
@@ -144,10 +144,10 @@
 		}
 	}
 	if len(seen) > 0 {
-		t.Errorf("the platform refuses: %v", seen)
+		t.Errorf("forbidden by the platform: %v", seen)
 	}
 	if sockets < 3 {
-		t.Errorf("the trace shows %d sockets; a listener, a connection to a cache and one to the control plane are three", sockets)
+		t.Errorf("the trace shows %d sockets, want at least 3: a listener, a connection to a cache and one to the control plane", sockets)
 	}
 	var opened []string
 	for _, c := range r.calls {
--- a/cmd/stairvane/process_linux_test.go
+++ b/cmd/stairvane/process_linux_test.go
@@ -33,7 +33,7 @@
 	os.Exit(code)
 }
 
-// directorBinary builds the program once and returns its path.
+// directorBinary builds the program on the first call and returns its path.
 func directorBinary(t *testing.T) string {
 	t.Helper()
 	built.Do(func() {
@@ -52,7 +52,7 @@
 	return filepath.Join(built.dir, "stairvane")
 }
 
-// directorProcess is a director that runs as a process, as the platform starts it.
+// directorProcess is a director running as a process of its own, started as on the platform.
 type directorProcess struct {
 	t       *testing.T
 	cmd     *exec.Cmd
@@ -63,7 +63,7 @@
 	exited  chan error
 }
 
-// startDirector starts a director with a configuration and so many descriptors; 0: as many as this process.
+// startDirector starts a director with a configuration and a limit of descriptors; 0: the limit of this process.
 func startDirector(t *testing.T, config map[string]any, descriptors int) *directorProcess {
 	t.Helper()
 	text, err := json.Marshal(config)
@@ -114,18 +114,18 @@
 	return p.log.String()
 }
 
-// waitServing waits until the director listens, and returns its address.
+// waitServing waits until the director listens and returns its address.
 func (p *directorProcess) waitServing() string {
 	p.t.Helper()
 	select {
 	case p.addr = <-p.serving:
 	case <-time.After(30 * time.Second):
-		p.t.Fatalf("the director does not serve:\n%s", p.logged())
+		p.t.Fatalf("the director did not start serving:\n%s", p.logged())
 	}
 	return p.addr
 }
 
-// shutDown sends SIGTERM and waits for the end of the process.
+// shutDown sends SIGTERM and waits for the process to exit.
 func (p *directorProcess) shutDown(within time.Duration) {
 	p.t.Helper()
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
@@ -135,11 +135,11 @@
 			p.t.Errorf("the director exited with %v:\n%s", err, p.logged())
 		}
 	case <-time.After(within):
-		p.t.Fatalf("the director does not exit within %v:\n%s", within, p.logged())
+		p.t.Fatalf("the director did not exit within %v:\n%s", within, p.logged())
 	}
 }
 
-// heartbeat calls heartbeat once: good is whether the director is ready.
+// heartbeat calls heartbeat once and returns whether the director reports ready.
 func heartbeat(addr string) (good bool, err error) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -162,7 +162,7 @@
 	return strings.Contains(string(body), "\x02\x00\x03\x01"), nil // field 3, true
 }
 
-// sendRequest sends a request and reads the result: 0 served, 1 rejected, 2 failed.
+// sendRequest sends a request and returns the result: 0: served, 1: rejected, 2: failed.
 func sendRequest(conn net.Conn, seq int, id string) (int, error) {
 	str := func(s string) string { return string([]byte{0, 0, byte(len(s) >> 8), byte(len(s))}) + s }
 	fields := []string{"method", "clips", "rid", id, "budget", "3000", "obj", id, "part", "0", "group", "5", "mem", "100"}
--- a/cmd/stairvane/reload_test.go
+++ b/cmd/stairvane/reload_test.go
@@ -15,7 +15,7 @@
 
 const testTimeout = 10 * time.Second
 
-// lineWriter sends each line that is logged.
+// lineWriter sends each log line to the channel.
 type lineWriter chan string
 
 func (l lineWriter) Write(b []byte) (int, error) {
@@ -23,8 +23,8 @@
 	return len(b), nil
 }
 
-// Guards against a SIGHUP that ends the process, skips events, or applies a malformed file.
-func TestHangupReloads(t *testing.T) {
+// Guards against a SIGHUP that terminates the process, skips events, or applies a malformed file.
+func TestSIGHUPReloadsConfiguration(t *testing.T) {
 	polls := make(chan string, 16)
 	stop := make(chan struct{})
 	controlPlane := func(name string) string {
--- a/cmd/stairvane/restart_linux_test.go
+++ b/cmd/stairvane/restart_linux_test.go
@@ -10,25 +10,25 @@
 	"stairvane.org/stairvane/internal/tools/fakes"
 )
 
-// retryingClient sends one request after another on a connection. A request that races the close of its connection is sent
-// again to another director.
+// retryingClient sends requests one after the other on a connection. A request that crosses the close of its connection is
+// sent again to another director.
 type retryingClient struct {
-	addrs   func() []string
-	served  int
-	retried int
-	others  int      // rejected or failed
-	lost    []string // why
+	addrs            func() []string
+	served           int
+	retried          int
+	rejectedOrFailed int      // requests
+	lost             []string // errors of requests that were lost
 }
 
-// closeCrossing is how long a request may be on its way while its connection is closed.
-const closeCrossing = 50 * time.Millisecond
+// closeRaceWindow is the time after sending within which a connection error means that the request crossed the close.
+const closeRaceWindow = 50 * time.Millisecond
 
 func (p *retryingClient) run(until time.Time, number int) {
 	var conn net.Conn
 	seq := 0
 	closeConn := func() {
 		if conn != nil {
-			_ = conn.Close() // it may have ended
+			_ = conn.Close() // it may be closed already
 			conn = nil
 		}
 	}
@@ -48,7 +48,7 @@
 		sent := time.Now()
 		result, err := sendRequest(conn, seq, fmt.Sprintf("%08x%08x", number, sent.UnixNano()&0xffffffff))
 		switch {
-		case err != nil && time.Since(sent) <= closeCrossing:
+		case err != nil && time.Since(sent) <= closeRaceWindow:
 			p.retried++
 			closeConn()
 			next++
@@ -59,14 +59,14 @@
 		case result == 0:
 			p.served++
 		default:
-			p.others++
+			p.rejectedOrFailed++
 		}
 		time.Sleep(3 * time.Millisecond)
 	}
 }
 
-// Guards against requests lost while directors are restarted one after another under load.
-func TestRestartsUnderLoadLoseNothing(t *testing.T) {
+// Guards against losing requests during a rolling restart of directors under load.
+func TestRollingRestartLosesNoRequests(t *testing.T) {
 	cache, err := fakes.NewCache("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -109,17 +109,17 @@
 		procs[i].waitServing()
 	}
 	all.Wait()
-	served, retried, others := 0, 0, 0
+	served, retried, rejectedOrFailed := 0, 0, 0
 	for _, p := range retrying {
 		served += p.served
 		retried += p.retried
-		others += p.others
+		rejectedOrFailed += p.rejectedOrFailed
 		for _, l := range p.lost {
 			t.Errorf("lost %s", l)
 		}
 	}
-	t.Logf("%d served, %d raced a close and were sent again, %d rejected or failed", served, retried, others)
-	if served < 500 || others > served/20 || retried > nodes*clients {
-		t.Errorf("%d served, %d sent again, %d rejected or failed", served, retried, others)
+	t.Logf("%d served, %d crossed a close and were sent again, %d rejected or failed", served, retried, rejectedOrFailed)
+	if served < 500 || rejectedOrFailed > served/20 || retried > nodes*clients {
+		t.Errorf("%d served, %d sent again, %d rejected or failed", served, retried, rejectedOrFailed)
 	}
 }
--- a/cmd/stairvane/slow_start_linux_test.go
+++ b/cmd/stairvane/slow_start_linux_test.go
@@ -16,7 +16,7 @@
 		window   = time.Second
 		from     = 0.2
 		multiple = 4.0
-		work     = 0.02 // s of sending: 10 KB at 500 KB/s
+		work     = 0.02 // s of sending time: 10 KB at 500 KB/s
 		weight   = 1.0
 	)
 	var caches []*fakes.Cache
@@ -61,26 +61,26 @@
 	if t.Failed() {
 		return
 	}
-	born := time.Now()
-	d.publish(endpointList(2, false, endpoint("s-1", caches[0].Addr(), "in_service", weight, born.UnixMilli())))
+	startedAt := time.Now()
+	d.publish(endpointList(2, false, endpoint("s-1", caches[0].Addr(), "in_service", weight, startedAt.UnixMilli())))
 	var load sync.WaitGroup
 	for i := range nodes {
 		load.Go(func() {
 			perSecond := 80 / nodes
-			if i%5 == 0 { // a fifth of them has 240 a second in all, of which half go to the cache that is warming up
+			if i%5 == 0 { // a fifth of them get 240 requests/s in total, half of them for the cache that is warming up
 				perSecond = 240 / ((nodes + 4) / 5)
 			}
-			for until := born.Add(warmUp); time.Now().Before(until); {
+			for until := startedAt.Add(warmUp); time.Now().Before(until); {
 				mu.Lock()
 				addr := addrs[i]
 				mu.Unlock()
-				_, _ = fakes.Load(addr, perSecond, min(time.Until(until), 500*time.Millisecond)) // a director may be down
+				_, _ = fakes.Load(addr, perSecond, min(time.Until(until), 500*time.Millisecond)) // fails while a director is down
 			}
 		})
 	}
 	kills := (nodes + 3) / 4
 	for i := range kills {
-		time.Sleep(time.Until(born.Add(time.Duration(i+1) * warmUp * 3 / 4 / time.Duration(kills))))
+		time.Sleep(time.Until(startedAt.Add(time.Duration(i+1) * warmUp * 3 / 4 / time.Duration(kills))))
 		_ = procs[4*i].cmd.Process.Kill()
 		if err := <-procs[4*i].exited; err == nil {
 			t.Error("a killed director exited without an error")
@@ -94,7 +94,7 @@
 	for w := time.Duration(0); w+window <= warmUp; w += 20 * time.Millisecond {
 		n := 0.0
 		for _, o := range attempts {
-			if age := o.At.Sub(born); age >= w && age < w+window {
+			if age := o.At.Sub(startedAt); age >= w && age < w+window {
 				n++
 			}
 		}
@@ -103,7 +103,7 @@
 		used += n / budget
 		windows++
 		if bound := budget + 2*math.Sqrt(budget) + 2; n > bound {
-			t.Fatalf("%v after its start the cache got %.0f attempts in %v; its budget is %.1f, and the bound with chance %.1f",
+			t.Fatalf("%v after its start the cache got %.0f attempts in %v; its budget is %.1f, and the bound with tolerance %.1f",
 				w, n, window, budget, bound)
 		}
 	}
@@ -114,8 +114,8 @@
 	}
 }
 
-// Guards against a cache that is warming up being overloaded by the sum of directors that know nothing of each other. A fifth
-// of them gets most of the demand, and a quarter is killed and restarted meanwhile.
+// Guards against overloading a cache that is warming up with the combined load of directors that do not communicate. A fifth of
+// them get most of the demand, and a quarter are killed and restarted during the test.
 func TestSlowStartBudgetOfManyProcesses(t *testing.T) {
 	for _, nodes := range []int{1, 4, 20, 30} {
 		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
--- a/cmd/stairvane/startup_linux_test.go
+++ b/cmd/stairvane/startup_linux_test.go
@@ -11,7 +11,8 @@
 	"stairvane.org/stairvane/internal/tools/fakes"
 )
 
-// Guards against directors that start together, without an endpoint list, and are not ready within 10 s or soon after it.
+// Guards against directors that start at the same time without an endpoint list and are not ready in time: nine in ten must be
+// within 10 s, counting their start and the time after the list was published.
 func TestThirtyDirectorsAreReadyInTime(t *testing.T) {
 	cache, err := fakes.NewCache("127.0.0.1:0")
 	if err != nil {
@@ -20,10 +21,10 @@
 	defer cache.Close()
 	d := newFakeControlPlane()
 	addr := serveControlPlane(t, "127.0.0.1:0", d)
-	directorBinary(t) // built before the measurement begins
-	const many = 30
+	directorBinary(t) // built before the measurement starts
+	const directors = 30
 	started := time.Now()
-	nodes := make([]*directorProcess, many)
+	nodes := make([]*directorProcess, directors)
 	for i := range nodes {
 		nodes[i] = startDirector(t, quickstartConfig(t, addr, 256), 0)
 	}
@@ -46,23 +47,24 @@
 				break
 			}
 			if time.Since(published) > 10*time.Second {
-				t.Fatal("a director is never ready")
+				t.Fatal("a director is not ready within 10 s")
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
 		took = append(took, time.Since(published))
 	}
 	slices.Sort(took)
-	t.Logf("all %d listened after %v; ready after the list came: median %v, nine in ten %v, last %v", many, up.Round(time.Millisecond),
-		took[many/2].Round(time.Millisecond), took[many*9/10].Round(time.Millisecond), took[many-1].Round(time.Millisecond))
-	if up+took[many*9/10] > 10*time.Second {
-		t.Errorf("nine in ten are ready only after %v", up+took[many*9/10])
+	t.Logf("all %d listened after %v; ready after the list was published: median %v, 90th percentile %v, last %v",
+		directors, up.Round(time.Millisecond), took[directors/2].Round(time.Millisecond),
+		took[directors*9/10].Round(time.Millisecond), took[directors-1].Round(time.Millisecond))
+	if up+took[directors*9/10] > 10*time.Second {
+		t.Errorf("90%% are ready only after %v", up+took[directors*9/10])
 	}
 }
 
-// Guards against a SIGTERM that is ignored before the first endpoint list, or while the control plane is unreachable.
+// Guards against ignoring a SIGTERM before the first endpoint list arrives or while the control plane is unreachable.
 func TestShutdownBeforeEndpointList(t *testing.T) {
-	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0) // never accepts: a poll is sent and hangs
+	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0) // never accepts: a poll hangs after it is sent
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,7 +80,7 @@
 		t.Fatal(err)
 	}
 	hangs := fmt.Sprintf("127.0.0.1:%d", sa.(*unix.SockaddrInet4).Port)
-	for range 4 { // the queue becomes full: dials hang
+	for range 4 { // fills the accept queue, so that further dials hang
 		if conn, err := net.DialTimeout("tcp", hangs, 50*time.Millisecond); err == nil {
 			defer func() { _ = conn.Close() }() // nothing depends on it
 		}
--- a/cmd/stairvane/trace_linux_amd64_test.go
+++ b/cmd/stairvane/trace_linux_amd64_test.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// systemCall is a system call of the traced process at its entry.
+// systemCall is a system call of the traced process, recorded at its entry.
 type systemCall struct {
 	number uint64
 	args   [3]uint64
@@ -21,7 +21,8 @@
 	flags  uint64 // of clone and clone3
 }
 
-// refusedCalls are the calls that the platform refuses. A clone is a fork or a thread, by its flags.
+// refusedCalls are the system calls that the platform forbids. clone is not among them: its flags decide whether it creates a
+// process or a thread.
 var refusedCalls = map[uint64]string{
 	unix.SYS_FORK:              "fork",
 	unix.SYS_VFORK:             "vfork",
@@ -37,7 +38,7 @@
 	unix.SYS_COPY_FILE_RANGE:   "copy_file_range",
 }
 
-// violation is what the platform refuses of a call, or "".
+// violation describes what the platform forbids about a call. It returns "" if the call is allowed.
 func (c systemCall) violation() string {
 	switch c.number {
 	case unix.SYS_CLONE, unix.SYS_CLONE3:
@@ -58,8 +59,8 @@
 	return refusedCalls[c.number]
 }
 
-// trace runs a command under ptrace until it exits, and returns the calls of all its threads since its last exec. It stays on
-// one thread, since only that one may trace.
+// trace runs a command under ptrace until it exits. It returns the system calls of all its threads since its last exec, and the
+// number of programs that it executed. It locks the goroutine to its thread, since only the tracing thread may use ptrace.
 func trace(cmd *exec.Cmd) (calls []systemCall, programs int, err error) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -80,7 +81,7 @@
 	if err := unix.PtraceSyscall(first, 0); err != nil {
 		return nil, 0, err
 	}
-	inside := map[int]bool{} // threads between the entry and the end of a call
+	inside := map[int]bool{} // threads between the entry and the exit of a call
 	programs = 1
 	for {
 		pid, err := unix.Wait4(-1, &status, unix.WALL, nil)
@@ -108,7 +109,7 @@
 			}
 			var regs unix.PtraceRegs
 			if err := unix.PtraceGetRegs(pid, &regs); err != nil {
-				break // the thread was killed meanwhile
+				break // the thread was killed in the meantime
 			}
 			c := systemCall{number: regs.Orig_rax, args: [3]uint64{regs.Rdi, regs.Rsi, regs.Rdx}}
 			switch memory := make([]byte, 256); c.number {
@@ -117,26 +118,26 @@
 				c.path, _, _ = strings.Cut(string(memory[:n]), "\x00")
 			case unix.SYS_CLONE:
 				c.flags = regs.Rdi
-			case unix.SYS_CLONE3: // the first word of what its argument points to
+			case unix.SYS_CLONE3: // the flags are the first word of the struct that its argument points to
 				_, _ = unix.PtracePeekData(pid, uintptr(regs.Rdi), memory[:8])
 				c.flags = binary.LittleEndian.Uint64(memory)
 			}
 			calls = append(calls, c)
 		case sig == syscall.SIGTRAP && status.TrapCause() == unix.PTRACE_EVENT_EXEC:
-			// What came before was another program's. The end of this execve follows.
+			// The previous calls belong to another program. The exit of this execve follows.
 			calls = nil
 			programs++
 			inside = map[int]bool{pid: true}
-		case sig == syscall.SIGTRAP, sig == syscall.SIGSTOP: // a new thread, or one of the events
+		case sig == syscall.SIGTRAP, sig == syscall.SIGSTOP: // a new thread, or another ptrace event
 		default:
 			pass = int(sig)
 		}
-		_ = unix.PtraceSyscall(pid, pass) // it fails for a thread that was killed meanwhile, whose end follows
+		_ = unix.PtraceSyscall(pid, pass) // fails for a thread that was killed in the meantime; its exit status follows
 	}
 }
 
-// Guards against a trace that cannot fail: it must see the forks of a shell.
-func TestTraceSeesForks(t *testing.T) {
+// Guards against a trace that detects nothing: it must report the forks of a shell.
+func TestTraceDetectsForks(t *testing.T) {
 	calls, programs, err := trace(exec.Command("bash", "-c", "(:); (:); exit 0"))
 	if err != nil || programs != 1 {
 		t.Fatal(programs, err)
@@ -148,6 +149,6 @@
 		}
 	}
 	if forks != 2 {
-		t.Errorf("%d forks were seen, not 2", forks)
+		t.Errorf("%d forks were detected, want 2", forks)
 	}
 }
