--- a/internal/director/client_conn.go
+++ b/internal/director/client_conn.go
@@ -128,7 +128,7 @@
 func (c *clientConn) Data(b []byte) (used, need int, err error) {
 	call := &c.frontend.call
 	for {
-		if c.ended { // a call could not be answered any more; the client sends it again
+		if c.ended { // a call could no longer be answered; the client sends it again
 			if len(b) > used {
 				c.frontend.Counters.AfterClose++
 			}
--- a/internal/director/program.go
+++ b/internal/director/program.go
@@ -22,7 +22,7 @@
 
 	shutdownTimer    transport.Timer
 	idleSince        time.Duration // during shutdown, since when no request is in flight; 0: some are
-	announceDeadline time.Duration // until which the shutdown waits for the control plane to acknowledge it
+	announceDeadline time.Duration // until which the shutdown waits for the control plane to acknowledge the leave
 }
 
 // New returns a director that runs on one core. It already listens for clients; Run serves them.
--- a/internal/director/routing/conn.go
+++ b/internal/director/routing/conn.go
@@ -63,9 +63,9 @@
 	c.idleSince = now
 }
 
-// isSilent reports whether a response has been outstanding for so long that the peer's machine may be gone, which closes no
-// connection. An attempt sent there would be stuck until its timeout. A new connection is safer: if it cannot be
-// established, the attempt certainly did not run.
+// isSilent reports whether a response has been outstanding for so long that the cache's machine may have failed without
+// closing the connection. An attempt sent there would be stuck until its timeout. A new connection is safer: if it cannot
+// be established, the attempt certainly did not run.
 func (c *pooledConn) isSilent() bool {
 	d := c.host.director
 	return c.silentSince > 0 && d.loop.Now()-c.silentSince >= d.limits.SilentTimeout
--- a/internal/director/routing/pool.go
+++ b/internal/director/routing/pool.go
@@ -18,7 +18,6 @@
 	return best
 }
 
-// isAvailableFor reports whether an attempt of a request can be sent on the connection now.
 // isAvailableFor reports whether an attempt of a request can be sent on the connection now.
 func (c *pooledConn) isAvailableFor(q *clientRequest) bool {
 	return c.connected && !c.retired && !c.isSilent() &&
