--- a/internal/director/cache_protocol.go
+++ b/internal/director/cache_protocol.go
@@ -105,11 +105,11 @@
 // parseResponse parses a response, which consists of the words ID, STATUS, FIELDS and BODY. The last two are optional.
 func (d *cacheDialer) parseResponse(words resp.Words) (requestID []byte, r *routing.Response, err error) {
 	if len(words) < 2 || len(words) > 4 {
-		return nil, nil, fmt.Errorf("response of %d words", len(words))
+		return nil, nil, fmt.Errorf("unexpected number of words in response: %d", len(words))
 	}
 	status, known := statusWords[string(words[1])]
 	if !known {
-		return nil, nil, fmt.Errorf("unknown response %q", words[1])
+		return nil, nil, fmt.Errorf("unknown response status %q", words[1])
 	}
 	r = &routing.Response{Status: status, NotModified: string(words[1]) == notModifiedWord}
 	if len(words) > 3 {
@@ -132,7 +132,7 @@
 	case "since":
 		ms, err := strconv.ParseFloat(value, 64)
 		if err != nil || !(ms >= 0 && ms < maxGeneratedAtMS) {
-			return fmt.Errorf("field since: bad value %q", value)
+			return fmt.Errorf("field since: invalid value %q", value)
 		}
 		r.GeneratedAt = time.Duration(ms * float64(time.Millisecond))
 	case "l":
--- a/internal/director/claims_conn.go
+++ b/internal/director/claims_conn.go
@@ -41,8 +41,8 @@
 	return err
 }
 
-// senderTo returns the sender for another director. It is dialed when it is first flushed.
-func (s *claimsService) senderTo(id string) *claimsSender {
+// senderFor returns the sender for another director. It is dialed when it is first flushed.
+func (s *claimsService) senderFor(id string) *claimsSender {
 	sender := s.senders[id]
 	if sender == nil {
 		sender = &claimsSender{service: s, to: id}
@@ -172,13 +172,13 @@
 			return used, need, err
 		}
 		used += n
-		if err := c.receive(words); err != nil {
+		if err := c.receiveMessage(words); err != nil {
 			return used, 0, err
 		}
 	}
 }
 
-func (c *claimsReceiver) receive(words resp.Words) error {
+func (c *claimsReceiver) receiveMessage(words resp.Words) error {
 	switch {
 	case len(words) == 2 && string(words[0]) == claimsFrom && c.from == "":
 		c.from = string(words[1])
--- a/internal/director/claims_service.go
+++ b/internal/director/claims_service.go
@@ -192,7 +192,7 @@
 				s.node.Receive(m.To, m.Message, bootTime())
 				continue
 			}
-			s.senderTo(m.To).enqueue(m.Message)
+			s.senderFor(m.To).enqueue(m.Message)
 		}
 		for _, o := range outcomes {
 			if done := s.pending[o.Key]; done != nil {
--- a/internal/director/client_conn.go
+++ b/internal/director/client_conn.go
@@ -136,28 +136,28 @@
 		}
 		n, need, err := thrift.Parse(b[used:], call)
 		if err != nil {
-			c.closeMalformed(err)
+			c.closeOnProtocolError(err)
 			return len(b), 0, nil
 		}
 		if n == 0 {
 			return used, need, nil
 		}
 		used += n
-		if err := c.handle(call); err != nil {
-			c.closeMalformed(err)
+		if err := c.handleCall(call); err != nil {
+			c.closeOnProtocolError(err)
 			return len(b), 0, nil
 		}
 	}
 }
 
-// closeMalformed closes the connection of a client that violates the protocol. Answers already written still reach it.
-func (c *clientConn) closeMalformed(err error) {
+// closeOnProtocolError closes the connection of a client that violates the protocol. Answers already written still reach it.
+func (c *clientConn) closeOnProtocolError(err error) {
 	c.frontend.Counters.Malformed++
 	slog.Info("client.malformed", "err", err)
 	c.closeGracefully()
 }
 
-func (c *clientConn) handle(call *thrift.Call) error {
+func (c *clientConn) handleCall(call *thrift.Call) error {
 	switch call.Method {
 	case thrift.Submit:
 		return c.submit(call)
@@ -186,7 +186,7 @@
 
 func (c *clientConn) submit(call *thrift.Call) error {
 	if c.inFlight[call.SequenceNumber] != nil {
-		return fmt.Errorf("sequence number %d is in flight already", call.SequenceNumber)
+		return fmt.Errorf("sequence number %d is already in flight", call.SequenceNumber)
 	}
 	if c.conn.Queued() > maxClientQueue {
 		c.shed(call)
--- a/internal/director/cores/budget/ledger_test.go
+++ b/internal/director/cores/budget/ledger_test.go
@@ -40,7 +40,7 @@
 // Guards against spending several times the budget of a cache that is warming up if load moves from core to core.
 func TestMovingLoadStaysWithinOneBudget(t *testing.T) {
 	if worst := worstBudget((*Ledger).Share); worst > 1.01 {
-		t.Errorf("%.2f times the budget", worst)
+		t.Errorf("%.2f times the budget was spent", worst)
 	}
 	if worst := worstBudget(func(*Ledger) float64 { return 1 }); worst < 3 {
 		t.Errorf("without the ledger: %.2f times; the test would not detect the fault", worst)
--- a/internal/director/cores/events/log_test.go
+++ b/internal/director/cores/events/log_test.go
@@ -17,7 +17,7 @@
 				hasNext := c.HasNext()
 				v, ok := c.Next()
 				if hasNext && !ok {
-					t.Error("HasNext, but no value is there")
+					t.Error("HasNext returned true, but Next returned no value")
 					return
 				}
 				if !ok {
--- a/internal/director/group.go
+++ b/internal/director/group.go
@@ -48,7 +48,7 @@
 // NewGroup returns a director that runs on the given number of cores. With one core it is equivalent to New.
 func NewGroup(c config.Config, cores int) (*Group, error) {
 	if cores < 1 || cores > maxCores {
-		return nil, fmt.Errorf("cores: %d is not from 1 to %d", cores, maxCores)
+		return nil, fmt.Errorf("cores: %d is out of the range from 1 to %d", cores, maxCores)
 	}
 	maxDeadline := time.Duration(0)
 	for _, class := range c.Settings.Classes {
--- a/internal/director/routing/attempts.go
+++ b/internal/director/routing/attempts.go
@@ -281,7 +281,7 @@
 		q.excludeConn(a.conn) // some caches respond twice, a few milliseconds apart
 	}
 	d.releaseIfDone(q)
-	d.handle(decision.AttemptResult{
+	d.handleEvent(decision.AttemptResult{
 		Request:     q.key,
 		Terminal:    q.answered,
 		Host:        a.action.Host,
--- a/internal/director/routing/attempts_test.go
+++ b/internal/director/routing/attempts_test.go
@@ -147,7 +147,7 @@
 	}
 	runLoop(t, d, window)
 	if !dialer.conns[1].closed {
-		t.Error("the retry may still arrive complete")
+		t.Error("the retry may still reach the cache completely")
 	}
 	for _, conn := range dialer.conns[2:] {
 		if len(conn.requests) > 0 {
--- a/internal/director/routing/claims.go
+++ b/internal/director/routing/claims.go
@@ -169,7 +169,7 @@
 		q.firstRunAt = ranAt
 	}
 	zone, cell := parseDedupGroup(o.Group)
-	d.handle(decision.PriorAttempt{Request: q.key, Zone: zone, Cell: cell, Age: o.Age})
+	d.handleEvent(decision.PriorAttempt{Request: q.key, Zone: zone, Cell: cell, Age: o.Age})
 	if a.ended {
 		return false
 	}
@@ -182,7 +182,7 @@
 
 // endUnsentAttempts ends the attempts of a request that was answered because it got no claim. None of them has been sent.
 func (d *Director) endUnsentAttempts(q *clientRequest) {
-	d.handle(decision.ClientGone{Request: q.key})
+	d.handleEvent(decision.ClientGone{Request: q.key})
 	for _, a := range q.attempts {
 		if !a.ended {
 			d.endAttempt(a, &Response{Status: decision.NotSent})
--- a/internal/director/routing/director.go
+++ b/internal/director/routing/director.go
@@ -82,7 +82,7 @@
 // Start starts the decision module.
 func (d *Director) Start() {
 	for _, action := range d.module.Start(d.loop.Now()) {
-		d.perform(action)
+		d.performAction(action)
 	}
 	d.loop.Set(&d.maintenanceTimer, d.loop.Now()+maintenanceInterval)
 }
@@ -100,9 +100,9 @@
 	return false
 }
 
-// handle passes an event to the module and performs the actions that the module returns. Events that these actions cause
+// handleEvent passes an event to the module and performs the actions that the module returns. Events that these actions cause
 // are queued, so that the module never receives an event before the actions of the previous one have been performed.
-func (d *Director) handle(event decision.Event) {
+func (d *Director) handleEvent(event decision.Event) {
 	d.events = append(d.events, event)
 	if d.handling {
 		return
@@ -110,7 +110,7 @@
 	d.handling = true
 	for i := 0; i < len(d.events); i++ {
 		for _, action := range d.module.Handle(d.loop.Now(), d.events[i]) {
-			d.perform(action)
+			d.performAction(action)
 		}
 	}
 	clear(d.events)
@@ -118,7 +118,7 @@
 	d.handling = false
 }
 
-func (d *Director) perform(action decision.Action) {
+func (d *Director) performAction(action decision.Action) {
 	switch a := action.(type) {
 	case decision.StartAttempt:
 		d.startAttempt(a)
@@ -165,7 +165,7 @@
 	t.Fire = func() {
 		timer := t.timer
 		d.freeTimers = append(d.freeTimers, t)
-		d.handle(decision.TimerFired{Timer: timer})
+		d.handleEvent(decision.TimerFired{Timer: timer})
 	}
 	return t
 }
--- a/internal/director/routing/endpoints.go
+++ b/internal/director/routing/endpoints.go
@@ -64,7 +64,7 @@
 	for _, e := range accepted {
 		update.Endpoints = append(update.Endpoints, d.applyEndpoint(e, now))
 	}
-	d.handle(update)
+	d.handleEvent(update)
 }
 
 // readyAddresses returns the addresses of the ready hosts by name.
--- a/internal/director/routing/fleet.go
+++ b/internal/director/routing/fleet.go
@@ -47,7 +47,7 @@
 	} else {
 		share = max(share, minQuotaShare)
 	}
-	d.handle(decision.QuotaShare{Host: h.Host, Share: share})
+	d.handleEvent(decision.QuotaShare{Host: h.Host, Share: share})
 }
 
 // HostOutcomes calls f for each host with the attempts, the failures and the latency overhead since the last call. The
@@ -69,9 +69,9 @@
 	}
 	h := cmp.Or(d.byName[name], d.byName[incarnation])
 	if h != nil && h.incarnationName() == incarnation {
-		d.handle(decision.AggregatedHealth{Host: h.Host, FailureShare: failureShare})
+		d.handleEvent(decision.AggregatedHealth{Host: h.Host, FailureShare: failureShare})
 	}
 }
 
 // SetPeerCounts sets the current number of directors.
-func (d *Director) SetPeerCounts(counts decision.PeerCounts) { d.handle(counts) }
+func (d *Director) SetPeerCounts(counts decision.PeerCounts) { d.handleEvent(counts) }
--- a/internal/director/routing/guards_test.go
+++ b/internal/director/routing/guards_test.go
@@ -64,6 +64,6 @@
 	}
 	p.expire(30)
 	if p.invalidates(q, 9, 25) || len(p.groups[3]) != 1 {
-		t.Error("an old purge is still there")
+		t.Error("an expired purge was not removed")
 	}
 }
--- a/internal/director/routing/purges.go
+++ b/internal/director/routing/purges.go
@@ -28,14 +28,14 @@
 func (d *Director) PurgeObject(object decision.ObjectID, issued time.Duration) {
 	p := d.newPurge(issued)
 	d.purges.objects[object] = append(d.purges.objects[object], p)
-	d.handle(decision.Purge{Object: object, Age: max(0, p.receivedAt-issued)})
+	d.handleEvent(decision.Purge{Object: object, Age: max(0, p.receivedAt-issued)})
 }
 
 // PurgeGroup applies a purge of a group of objects. issued is in Unix time.
 func (d *Director) PurgeGroup(group int, issued time.Duration) {
 	p := d.newPurge(issued)
 	d.purges.groups[group] = append(d.purges.groups[group], p)
-	d.handle(decision.Purge{Group: group, ByGroup: true, Age: max(0, p.receivedAt-issued)})
+	d.handleEvent(decision.Purge{Group: group, ByGroup: true, Age: max(0, p.receivedAt-issued)})
 }
 
 func (d *Director) newPurge(issued time.Duration) purge {
--- a/internal/director/routing/requests.go
+++ b/internal/director/routing/requests.go
@@ -84,7 +84,7 @@
 	}
 	d.requests[q.key] = q
 	d.inFlight++
-	d.handle(decision.Request{
+	d.handleEvent(decision.Request{
 		ID:         q.key,
 		Object:     r.Object,
 		Part:       r.Part,
@@ -107,7 +107,7 @@
 		d.Counters.Cancelled++
 		q.clientGone = true
 		d.markAnswered(q)
-		d.handle(decision.ClientGone{Request: q.key})
+		d.handleEvent(decision.ClientGone{Request: q.key})
 		// If caches do not support cancels, the module does not cancel any attempts, not even those that are still waiting.
 		for _, a := range q.attempts {
 			if !a.ended && a.conn == nil {
--- a/internal/director/watch.go
+++ b/internal/director/watch.go
@@ -57,7 +57,7 @@
 // handleTimer handles the timeout of a poll, or the end of the pause before a reconnect. Dialing has its own timeout.
 func (w *watchClient) handleTimer() {
 	if w.conn != nil {
-		w.connectionLost(errors.New("poll timed out"))
+		w.handleConnectionLoss(errors.New("poll timed out"))
 		return
 	}
 	w.connect()
@@ -69,7 +69,7 @@
 	w.timer.Stop()
 	conn, err := w.loop.Dial(w.address(), w.timing().DialTimeout, w)
 	if err != nil {
-		w.connectionLost(err)
+		w.handleConnectionLoss(err)
 		return
 	}
 	w.conn = conn
@@ -96,8 +96,8 @@
 	w.connect()
 }
 
-// connectionLost closes the connection and schedules a reconnect to the next address.
-func (w *watchClient) connectionLost(err error) {
+// handleConnectionLoss closes the connection and schedules a reconnect to the next address.
+func (w *watchClient) handleConnectionLoss(err error) {
 	w.closeConn()
 	if !w.failing {
 		slog.Warn("watch.lost", "addr", w.address().String(), "after", w.appliedRevision, "err", err)
@@ -124,7 +124,7 @@
 // Closed implements transport.Handler.
 func (w *watchClient) Closed(err error) {
 	w.conn = nil
-	w.connectionLost(err)
+	w.handleConnectionLoss(err)
 }
 
 func (w *watchClient) poll() {
--- a/internal/director/watch_test.go
+++ b/internal/director/watch_test.go
@@ -175,7 +175,7 @@
 	b := newScriptedControlPlane(t)
 	f := newWatchClient(loop, nil, []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1")}, 1, 1)
 	f.retryDelay = time.Second
-	f.connectionLost(net.ErrClosed)
+	f.handleConnectionLoss(net.ErrClosed)
 	if !f.timer.Active() {
 		t.Fatal("there is no pause")
 	}
