--- a/internal/director/routing/claims.go
+++ b/internal/director/routing/claims.go
@@ -180,7 +180,7 @@
 	return true
 }
 
-// endUnsentAttempts ends the attempts of a request that was answered because it got no claim. None of them has been sent.
+// endUnsentAttempts ends the attempts of a request that was answered because it got no claim. Nothing of the request has run.
 func (d *Director) endUnsentAttempts(q *clientRequest) {
 	d.handleEvent(decision.ClientGone{Request: q.key})
 	for _, a := range q.attempts {
