--- a/internal/director/timing_test.go
+++ b/internal/director/timing_test.go
@@ -24,24 +24,24 @@
 	var pauses []time.Duration
 	for i := range directors {
 		f := newWatchClient(loop, nil, make([]netip.AddrPort, 1), directors, uint64(i))
-		p := f.retryPause()
+		p := f.nextPause()
 		perInterval[p/interval]++
 		pauses = append(pauses, p)
 	}
 	for at, n := range perInterval {
 		if n > directors/4 {
-			t.Errorf("%d of %d return between %v and %v", n, directors, at*interval, (at+1)*interval)
+			t.Errorf("%d of %d reconnect between %v and %v", n, directors, at*interval, (at+1)*interval)
 		}
 	}
 	if last := slices.Max(pauses); last > 500*time.Millisecond {
 		t.Errorf("the last director waits %v", last)
 	}
-	if alone := newWatchClient(loop, nil, make([]netip.AddrPort, 1), 0, 1).retryPause(); alone > 2*oneAddressTiming.RetryMin {
+	if alone := newWatchClient(loop, nil, make([]netip.AddrPort, 1), 0, 1).nextPause(); alone > 2*oneAddressTiming.RetryMin {
 		t.Errorf("a single director waits %v", alone)
 	}
 }
 
-// Guards against a pause that grows with the number of directors until events come too late.
+// Guards against a reconnect pause that grows with the number of directors until events arrive too late.
 func TestReconnectPauseIsBounded(t *testing.T) {
 	loop, err := transport.NewLoop()
 	if err != nil {
@@ -64,13 +64,13 @@
 		longest := time.Duration(0)
 		for seed := range directors {
 			f := newWatchClient(loop, nil, make([]netip.AddrPort, c.addresses), directors, uint64(seed))
-			longest = max(longest, f.retryPause())
+			longest = max(longest, f.nextPause())
 		}
 		if c.noticed+longest >= c.within {
-			t.Errorf("%d addresses: noticed after %v, and a pause of up to %v: back after %v", c.addresses, c.noticed, longest, c.within)
+			t.Errorf("%d addresses: loss detected after %v, pause up to %v: reconnect after %v", c.addresses, c.noticed, longest, c.within)
 		}
 		if spread := longest - oneAddressTiming.RetryMin; spread < c.within/8 {
-			t.Errorf("%d addresses: all come back within %v", c.addresses, spread)
+			t.Errorf("%d addresses: all reconnect within %v", c.addresses, spread)
 		}
 	}
 }
