--- a/internal/controlplane/replicas/barrier.go
+++ b/internal/controlplane/replicas/barrier.go
@@ -7,45 +7,47 @@
 	"stairvane.org/stairvane/internal/controlplane/store"
 )
 
-// barriers are the callers of Barrier who wait for a proof of leadership. They are owned by the
+// barriers tracks the calls of Barrier that wait until leadership is confirmed. It is owned by the
 // loop.
 type barriers struct {
-	waiting map[uint64]chan<- error // by the tag of their ReadIndex; each channel is buffered
-	proven  []replica.ReadState     // whose index is not applied yet
+	waiting   map[uint64]chan<- error // by the tag of the ReadIndex request; each channel is buffered
+	confirmed []replica.ReadState     // confirmed reads whose index is not applied yet
 }
 
 func (b *barriers) anyWaiting() bool { return len(b.waiting) > 0 }
 
-// prove takes in proofs of leadership, and answers the callers whose index is applied.
-func (b *barriers) prove(reads []replica.ReadState, applied uint64) {
-	b.proven = append(b.proven, reads...)
-	remaining := b.proven[:0]
-	for _, read := range b.proven {
+// confirm adds reads whose leadership is confirmed, and completes the barriers whose index is
+// applied.
+func (b *barriers) confirm(reads []replica.ReadState, applied uint64) {
+	b.confirmed = append(b.confirmed, reads...)
+	remaining := b.confirmed[:0]
+	for _, read := range b.confirmed {
 		if read.Index > applied {
 			remaining = append(remaining, read)
 			continue
 		}
 		b.answer(read.Tag, nil)
 	}
-	b.proven = remaining
+	b.confirmed = remaining
 }
 
 func (b *barriers) failAll() {
 	for tag := range b.waiting {
 		b.answer(tag, store.ErrNotLeader)
 	}
-	b.proven = nil
+	b.confirmed = nil
 }
 
 func (b *barriers) answer(tag uint64, err error) {
-	if answer, is := b.waiting[tag]; is {
+	if answer, ok := b.waiting[tag]; ok {
 		answer <- err
 		delete(b.waiting, tag)
 	}
 }
 
-// Barrier waits until it is proven that this replica leads, and until all that was committed before
-// is applied. The error is store.ErrNotLeader, store.ErrClosed, or that of the context.
+// Barrier waits until a majority has confirmed that this replica is the leader and all entries
+// committed before the call are applied. It returns store.ErrNotLeader, store.ErrClosed, or the
+// error of the context.
 func (g *Group) Barrier(ctx context.Context) error {
 	answer := make(chan error, 1)
 	if !g.runOnLoop(func() { g.startBarrier(answer) }) {
--- a/internal/controlplane/replicas/compatibility_test.go
+++ b/internal/controlplane/replicas/compatibility_test.go
@@ -7,9 +7,10 @@
 	"stairvane.org/stairvane/internal/tools/golden"
 )
 
-// TestLandedForms guards what replicas send each other: an older version must read it.
+// TestLandedForms guards the format of the JSON bodies that replicas send to each other, which other
+// versions must be able to read.
 func TestLandedForms(t *testing.T) {
 	golden.JSON[replicas.Hello](t, "hello")
-	golden.JSON[replicas.Greeting](t, "greeting")
+	golden.JSON[replicas.HelloResponse](t, "greeting")
 	golden.JSON[replicas.LeaseRequest](t, "lease-request")
 }
--- a/internal/controlplane/replicas/doc.go
+++ b/internal/controlplane/replicas/doc.go
@@ -1,28 +1,29 @@
-// Package replicas runs one replica of a replicated control plane. It is the shell around package
-// replica, which decides: it ticks the consensus driver, persists and applies what the driver hands
-// out, sends messages to the other replicas over HTTP, and serves theirs. The log and the state
-// that it leads to are in the store of package store.
+// Package replicas runs one replica of a replicated control plane. It performs the I/O for package
+// replica, which makes the decisions: it ticks the consensus driver, persists and applies the
+// driver's output, sends messages to the other replicas over HTTP, and serves their calls. The log
+// and the state machine are kept in the store of package store.
 //
-// # Life of a replica
+// # Phases of a replica
 //
-// A disk that was never a member waits in phase AwaitingAdmission: it introduces itself to the
-// others until the leader admits it. A disk that was a member before starts in phase Introducing:
-// the others tell it what they have observed of it, so that a disk in an older state, as from a
-// backup, is excluded before it votes. Then the replica is Active. If its disk can't be written it
-// gives up its part until the disk can be written again (DiskFailed). A disk that was removed from
-// the group, or must not take part for another reason, is Excluded for good.
+// A disk that has never been a member starts in phase AwaitingAdmission: it sends hellos to the
+// other replicas until the leader admits it. A disk that has been a member starts in phase
+// Introducing: the other replicas report what they have observed of it, so that a disk that was
+// rolled back to an older state, for example from a backup, is excluded before it votes. After
+// that, the replica is Active. If its disk fails writes, the replica stops participating until the
+// disk can be written again (DiskFailed). A disk that was removed from the group, or must not
+// participate for another reason, is Excluded permanently.
 //
 // # Use
 //
-// The caller opens the store with Options.IsReplica, makes a Group with New, registers its handlers
-// with Mount, and runs Run on a goroutine. Writes come through Store.Do. Stop ends the loop; the
-// caller closes the store after that.
+// The caller opens the store with Options.IsReplica, creates a Group with New, registers its
+// handlers with Mount, and calls Run on a goroutine. Writes are submitted through Store.Do. Stop
+// ends the loop; the caller closes the store after that.
 //
 // # Concurrency
 //
-// One goroutine, the loop in Run, owns the driver and all that follows from it (loopState).
-// Handlers and the goroutines beside the loop reach that state only by functions that they have the
-// loop run (runOnLoop, callLoop). The last published status, the leases and the observed disks are
-// shared under an atomic pointer or a mutex of their own. The exported methods are safe for
+// One goroutine, the event loop in Run, owns the driver and the state derived from it (loopState).
+// Handlers and background goroutines access that state only through functions that they submit to
+// the loop (runOnLoop, callLoop). The published status is shared through an atomic pointer; the
+// leases and the disk observations each have their own mutex. The exported methods are safe for
 // concurrent use.
 package replicas
--- a/internal/controlplane/replicas/framing.go
+++ b/internal/controlplane/replicas/framing.go
@@ -9,15 +9,15 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Messages are framed by their length in bytes, as a big-endian number of 4 bytes.
+// Each message is preceded by its length in bytes, as a big-endian integer of 4 bytes.
 const frameHeaderLength = 4
 
 var (
 	errTruncatedMessage = errors.New("a message is truncated")
-	errOtherSender      = errors.New("a message is another disk's")
+	errWrongSender      = errors.New("a message is another disk's")
 )
 
-// appendMessage appends a framed message to a body. After an error the body is as it was.
+// appendMessage appends a framed message to a body. On error it returns the body unchanged.
 func appendMessage(body []byte, m *pb.Message) ([]byte, error) {
 	start := len(body)
 	out, err := proto.MarshalOptions{}.MarshalAppend(append(body, make([]byte, frameHeaderLength)...), m)
@@ -28,7 +28,8 @@
 	return out, nil
 }
 
-// decodeMessages reads the framed messages of a disk.
+// decodeMessages decodes a body of framed messages. It returns an error if a message was not sent by
+// the given disk.
 func decodeMessages(body []byte, disk uint64) (messages []*pb.Message, err error) {
 	for len(body) > 0 {
 		if len(body) < frameHeaderLength {
@@ -44,7 +45,7 @@
 			return nil, fmt.Errorf("decode message of disk %x: %w", disk, err)
 		}
 		if m.GetFrom() != disk {
-			return nil, fmt.Errorf("%w: of disk %x from disk %x", errOtherSender, m.GetFrom(), disk)
+			return nil, fmt.Errorf("%w: of disk %x from disk %x", errWrongSender, m.GetFrom(), disk)
 		}
 		messages = append(messages, m)
 		body = body[length:]
--- a/internal/controlplane/replicas/group.go
+++ b/internal/controlplane/replicas/group.go
@@ -12,77 +12,78 @@
 	"stairvane.org/stairvane/internal/quota"
 )
 
-// Phase is what a replica is doing. The values are those of the status answer.
+// Phase is the phase of a replica's participation in the group. The values appear in the status
+// response.
 type Phase string
 
-// Phases.
+// Phases of a replica.
 const (
-	Introducing       Phase = "meeting" // it asks the others what they have observed of its disk
-	AwaitingAdmission Phase = "waiting" // its disk is no member yet
+	Introducing       Phase = "meeting" // asking the other replicas what they have observed of its disk
+	AwaitingAdmission Phase = "waiting" // its disk is not a member yet
 	Active            Phase = "in"
-	DiskFailed        Phase = "no-disk" // its disk can't be written; it takes no part and tries again
-	Excluded          Phase = "out"     // it may not take part; the status has the reason
+	DiskFailed        Phase = "no-disk" // its disk can't be written; it does not participate and retries the disk
+	Excluded          Phase = "out"     // it may not participate; the status has the reason
 )
 
-// Settings of a replica. The functions must not block, and may be called from several goroutines.
+// Settings configures a replica. The functions must not block, and may be called concurrently.
 type Settings struct {
 	operatorconfig.ReplicaGroup
-	Batch             int                                   // writes in one proposal, at most
-	FoundGroup        bool                                  // begin a group with this store
-	Client            *http.Client                          // for calls to other replicas; nil: without TLS
-	Scheme            string                                // of their addresses; empty: http
-	LeadershipChanged func(isLeader bool)                   // called by the loop when this replica begins or ceases to lead
-	SnapshotInstalled func()                                // called by the loop when a snapshot has replaced the store
-	Acknowledged      func() int64                          // lowest revision that all of this replica's watchers have
-	Heartbeats        func() api.Heartbeats                 // of the directors that watch here
-	TakeHeartbeats    func(api.Heartbeats)                  // at the leader: of the directors that watch elsewhere
-	Grant             func([]quota.Renewal) api.LeaseAnswer // at the leader, right after its leadership was proven
-	TakeLeaseAnswer   func(api.LeaseAnswer)
-	NotifiedAfter     func() time.Duration // after which a watcher that left counts as having acknowledged
+	Batch             int                                   // maximum number of writes in one proposal
+	FoundGroup        bool                                  // found a new group with this store
+	Client            *http.Client                          // for calls to other replicas; nil: http.DefaultClient, without TLS
+	Scheme            string                                // URL scheme of these calls; empty: http
+	LeadershipChanged func(isLeader bool)                   // called by the loop when this replica becomes or stops being the leader
+	SnapshotInstalled func()                                // called by the loop after a snapshot has replaced the store's content
+	Acknowledged      func() int64                          // highest revision that all of this replica's watchers have acknowledged
+	Heartbeats        func() api.Heartbeats                 // returns the heartbeats of the directors that watch this replica
+	TakeHeartbeats    func(api.Heartbeats)                  // at the leader: merges heartbeats of directors that watch other replicas
+	Grant             func([]quota.Renewal) api.LeaseAnswer // at the leader: called right after its leadership was confirmed
+	TakeLeaseAnswer   func(api.LeaseAnswer)                 // at a follower: applies the leader's answer to a lease request
+	NotifiedAfter     func() time.Duration                  // time after which a departed watcher counts as having acknowledged
 }
 
-// callQueueLength is how many functions may wait for the loop before callers block.
+// callQueueLength is the number of functions that can be queued for the loop before callers block.
 const callQueueLength = 1024
 
-// Group is this replica's part in the group.
+// Group runs this replica as a member of its group.
 type Group struct {
 	settings    Settings
 	store       *store.Store
-	incarnation uint64           // number of this start of the program
-	peers       map[string]*peer // the other replicas of the operator's file, by name; not changed
+	incarnation uint64           // random ID of this run of the process
+	peers       map[string]*peer // the other replicas in the operator's file, by name; read-only after New
 	calls       chan func()      // functions for the loop to run
 	stop        chan struct{}    // closed by Stop
-	ended       chan struct{}    // closed when the loop has ended
+	done        chan struct{}    // closed when Run returns
 	published   atomic.Pointer[status]
 	disks       diskObservations
 	leases      leases
-	loopState   // owned by the loop
+	loopState
 }
 
-// loopState is owned by the loop: no other goroutine touches it once Run is called.
+// loopState is owned by the loop: no other goroutine accesses it after Run is called.
 type loopState struct {
-	phase        Phase
-	reason       string          // for the phase, in the status
-	driver       *replica.Driver // nil unless the phase is Active
-	driverSeed   uint64
-	isLeader     bool
-	proposal     *proposal // under way; nil: none
-	barriers     barriers
-	received     *store.ReceivedSnapshot // handed to the driver, and neither installed nor discarded
-	sends        snapshotSends
-	contacts     *replica.ContactTracker
-	senders      map[uint64]string // names of the disks that have sent messages
-	joinRequests map[string]uint64 // disks that wait to be admitted, by name
-	revisions    revisionHistory
-	introduction introduction
-	diskTriedAt  time.Duration // when a failed disk was last tried
-	flush        flushTimer
-	ticks        int
+	phase           Phase
+	reason          string          // why the replica is in this phase; part of the status
+	driver          *replica.Driver // nil unless the phase is Active
+	driverSeed      uint64
+	isLeader        bool
+	proposal        *proposal // in flight; nil: none
+	barriers        barriers
+	received        *store.ReceivedSnapshot // passed to the driver, but neither installed nor discarded yet
+	sends           snapshotSends
+	contacts        *replica.ContactTracker
+	senderNames     map[uint64]string // names of the replicas that have sent messages, by disk
+	joinRequests    map[string]uint64 // disks that wait to be admitted, by replica name
+	revisions       revisionHistory
+	introduction    introduction
+	lastDiskAttempt time.Duration // when a write to the failed disk was last attempted
+	flush           flushTimer
+	ticks           int
 }
 
-// New makes the replica of a store that was opened for a group. A store that belongs to no group
-// becomes the first of a new group if the settings say so, and else that of a disk which waits to
-// be admitted.
+// New creates the replica of a store that was opened with Options.IsReplica. A store that belongs
+// to no group becomes the first member of a new group if FoundGroup is set; otherwise it becomes a
+// new disk that waits to be admitted.
 func New(s *store.Store, settings Settings) (*Group, error) {
 	if settings.Scheme == "" {
 		settings.Scheme = "http"
@@ -90,22 +91,22 @@
 	g := &Group{
 		settings:    settings,
 		store:       s,
-		incarnation: newNumber(),
+		incarnation: newID(),
 		peers:       map[string]*peer{},
 		calls:       make(chan func(), callQueueLength),
 		stop:        make(chan struct{}),
-		ended:       make(chan struct{}),
+		done:        make(chan struct{}),
 		disks:       diskObservations{detector: replica.NewRollbackDetector()},
 		leases:      newLeases(replica.Lease{Length: settings.Lease, Drift: settings.Drift}),
 		loopState: loopState{
 			phase:        Introducing,
-			driverSeed:   newNumber(),
+			driverSeed:   newID(),
 			barriers:     barriers{waiting: map[uint64]chan<- error{}},
-			sends:        snapshotSends{inProgress: map[uint64]bool{}, lastAt: map[uint64]time.Duration{}},
+			sends:        snapshotSends{inProgress: map[uint64]bool{}, lastActivity: map[uint64]time.Duration{}},
 			contacts:     replica.NewContactTracker(settings.Tick),
-			senders:      map[uint64]string{},
+			senderNames:  map[uint64]string{},
 			joinRequests: map[string]uint64{},
-			introduction: introduction{answered: map[string]bool{}},
+			introduction: introduction{acceptedBy: map[string]bool{}},
 			flush:        newFlushTimer(),
 		},
 	}
@@ -114,14 +115,14 @@
 			g.peers[r.Name] = newPeer(g, r)
 		}
 	}
-	if err := g.identifyDisk(); err != nil {
+	if err := g.initIdentity(); err != nil {
 		return nil, err
 	}
 	g.publish()
 	return g, nil
 }
 
-// self is this replica's place in the operator's file.
+// self returns this replica's entry in the operator's file.
 func (g *Group) self() operatorconfig.Replica {
 	for _, r := range g.settings.Replicas {
 		if r.Name == g.settings.Self {
@@ -131,7 +132,7 @@
 	return operatorconfig.Replica{}
 }
 
-// Mount registers the calls of other replicas on a mux.
+// Mount registers the handlers for the calls of other replicas on a mux.
 func (g *Group) Mount(mux *http.ServeMux) {
 	mux.HandleFunc("POST "+messagesPath, g.serveMessages)
 	mux.HandleFunc("POST "+snapshotPath, g.serveSnapshot)
--- a/internal/controlplane/replicas/handlers.go
+++ b/internal/controlplane/replicas/handlers.go
@@ -8,9 +8,10 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-const maxMessagesBytes = 64 << 20 // of a call's body
+// maxMessagesBytes is the maximum size of the body of a messages call.
+const maxMessagesBytes = 64 << 20
 
-// sender is who makes a call.
+// sender identifies the replica that makes a call.
 type sender struct {
 	group       uint64
 	disk        uint64
@@ -18,8 +19,8 @@
 	name        string
 }
 
-// authenticate reads which disk and which incarnation of the program call, and rejects those of
-// another group.
+// authenticate reads the sender's group, disk and incarnation from the headers, and rejects a sender
+// of another group.
 func (g *Group) authenticate(w http.ResponseWriter, r *http.Request) (from sender, ok bool) {
 	for _, field := range []struct {
 		header string
@@ -29,7 +30,7 @@
 		{diskHeader, &from.disk},
 		{incarnationHeader, &from.incarnation},
 	} {
-		number, err := parseNumber(r.Header.Get(field.header))
+		number, err := parseID(r.Header.Get(field.header))
 		if err != nil {
 			http.Error(w, "this is for copies: "+field.header+" is missing", http.StatusBadRequest)
 			return sender{}, false
@@ -44,8 +45,8 @@
 	return from, true
 }
 
-// authorize reads who calls, and rejects a disk that is no member and an incarnation that another
-// one has superseded.
+// authorize authenticates the sender, and rejects an incarnation that another one has superseded and
+// a disk that is not a member.
 func (g *Group) authorize(w http.ResponseWriter, r *http.Request) (from sender, ok bool) {
 	if from, ok = g.authenticate(w, r); !ok {
 		return sender{}, false
@@ -57,8 +58,9 @@
 	return from, g.checkMember(w, from.disk)
 }
 
-// checkMember answers 410 to a disk that is no member. Any replica knows that a disk was removed,
-// for that is final; of a disk that it has never seen only the leader knows that it is no member.
+// checkMember answers with status 410 if a disk is not a member. Every replica can tell that a disk
+// was removed, because a removal is final. Only the leader can tell that an unknown disk is not a
+// member: other replicas may not have applied its admission yet.
 func (g *Group) checkMember(w http.ResponseWriter, disk uint64) (ok bool) {
 	s := g.published.Load()
 	_, isKnown := s.members[disk]
@@ -69,7 +71,7 @@
 	return true
 }
 
-// serveMessages takes in the messages of another replica's driver.
+// serveMessages receives messages of another replica's driver and queues them for the loop.
 func (g *Group) serveMessages(w http.ResponseWriter, r *http.Request) {
 	from, ok := g.authorize(w, r)
 	if !ok {
@@ -90,15 +92,15 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// stepMessages passes received messages to the driver, on the loop.
+// stepMessages passes received messages to the driver. It must be called on the loop.
 func (g *Group) stepMessages(from sender, messages []*pb.Message) {
 	if g.driver == nil {
 		return
 	}
 	g.contacts.Received(from.disk)
-	g.senders[from.disk] = from.name
+	g.senderNames[from.disk] = from.name
 	for _, m := range messages {
-		if m.GetType() == pb.MsgSnap { // it is valid only together with its snapshot
+		if m.GetType() == pb.MsgSnap { // accepted only together with its snapshot, by serveSnapshot
 			continue
 		}
 		if err := g.driver.Step(m); err != nil {
--- a/internal/controlplane/replicas/identity.go
+++ b/internal/controlplane/replicas/identity.go
@@ -13,15 +13,15 @@
 	"stairvane.org/stairvane/internal/controlplane/store"
 )
 
-// Errors of New: the store does not fit the settings.
+// Errors that New returns if the store does not match the settings.
 var (
-	errOtherReplica   = errors.New("the store is that of another copy")
-	errAlreadyInGroup = errors.New("the store belongs to a group already: start it without --found")
+	errWrongReplica   = errors.New("the store belongs to another replica")
+	errAlreadyInGroup = errors.New("the store already belongs to a group: start the replica without --found")
 )
 
-// identifyDisk sets the phase by what the store says of the disk, and gives the disk a number if it
-// has none.
-func (g *Group) identifyDisk() error {
+// initIdentity sets the initial phase from the disk's identity in the store. It assigns an ID to a
+// disk that has none.
+func (g *Group) initIdentity() error {
 	identity, isCloned := g.store.Identity()
 	switch {
 	case isCloned:
@@ -31,7 +31,7 @@
 	case identity.Disk == 0:
 		return g.awaitAdmission()
 	case identity.Name != g.settings.Self:
-		return fmt.Errorf("%w: it is that of copy %s, and this is copy %s", errOtherReplica, identity.Name, g.settings.Self)
+		return fmt.Errorf("%w: it is the store of replica %s, and this is replica %s", errWrongReplica, identity.Name, g.settings.Self)
 	case g.settings.FoundGroup:
 		return errAlreadyInGroup
 	case identity.Group != 0:
@@ -42,37 +42,37 @@
 	return nil
 }
 
-// foundGroup makes the store the only member of a new group.
+// foundGroup makes this disk the only member of a new group.
 func (g *Group) foundGroup() error {
 	own := g.self()
-	disk := newNumber()
+	disk := newID()
 	members := map[uint64]replica.Member{disk: {Name: own.Name, Machine: own.Machine, Site: own.Site}}
-	first, err := encodeAppliedState(replica.Position{Index: 1, Term: 1}, &pb.ConfState{Voters: []uint64{disk}}, members)
+	initial, err := encodeAppliedState(replica.Position{Index: 1, Term: 1}, &pb.ConfState{Voters: []uint64{disk}}, members)
 	if err != nil {
 		return err
 	}
-	if err := g.store.BecomeReplica(store.Identity{Group: newNumber(), Disk: disk, Name: own.Name}, &first); err != nil {
+	if err := g.store.BecomeReplica(store.Identity{Group: newID(), Disk: disk, Name: own.Name}, &initial); err != nil {
 		return fmt.Errorf("found group: %w", err)
 	}
-	slog.Info("replica.group_founded", "replica", own.Name, "disk", formatNumber(disk), "revision", g.store.Fleet().Revision)
-	g.introduction.startedAt = Now() - introductionTimeout // there is nobody to introduce the disk to
+	slog.Info("replica.group_founded", "replica", own.Name, "disk", formatID(disk), "revision", g.store.Fleet().Revision)
+	g.introduction.startedAt = Now() - introductionTimeout // no other replica exists to introduce the disk to
 	return nil
 }
 
-// awaitAdmission makes the store that of a new disk.
+// awaitAdmission assigns an ID to a new disk, which then waits to be admitted to a group.
 func (g *Group) awaitAdmission() error {
 	own := g.self()
-	disk := newNumber()
+	disk := newID()
 	if err := g.store.BecomeReplica(store.Identity{Disk: disk, Name: own.Name}, nil); err != nil {
-		return fmt.Errorf("make store of a new disk: %w", err)
+		return fmt.Errorf("initialize the store of a new disk: %w", err)
 	}
 	g.phase = AwaitingAdmission
-	slog.Info("replica.awaits_admission", "replica", own.Name, "disk", formatNumber(disk))
+	slog.Info("replica.awaits_admission", "replica", own.Name, "disk", formatID(disk))
 	return nil
 }
 
-// encodeAppliedState encodes a position in the log, and who the members are there, as the store has
-// it.
+// encodeAppliedState encodes a log position and the membership at that position in the format of
+// the store.
 func encodeAppliedState(at replica.Position, confState *pb.ConfState, members map[uint64]replica.Member) (store.AppliedState, error) {
 	rawConfState, err := proto.Marshal(confState)
 	if err != nil {
--- a/internal/controlplane/replicas/introduction.go
+++ b/internal/controlplane/replicas/introduction.go
@@ -14,44 +14,45 @@
 )
 
 const (
-	introductionTimeout = time.Second            // to learn what the others have observed of this disk
-	helloInterval       = 250 * time.Millisecond // from one hello to the next
+	introductionTimeout = time.Second            // for the other replicas to report what they have observed of this disk
+	helloInterval       = 250 * time.Millisecond // between hellos, and between membership checks
 )
 
-// removedText is the answer, with status 410, to a disk that was removed from the group.
+// removedText is the body of the 410 response to a disk that was removed from the group.
 const removedText = "the disk was taken out of the group"
 
-// Hello introduces a disk to another replica.
+// Hello is the request by which a disk introduces itself to another replica.
 type Hello struct {
 	Name      string               `json:"name"`
 	DiskState replica.ObservedDisk `json:"says"`
 }
 
-// Greeting answers a Hello.
-type Greeting struct {
-	Observed replica.ObservedDisk `json:"seen"`  // of the disk, before the hello
-	Group    uint64               `json:"group"` // of the replica that answers
+// HelloResponse is the response to a Hello.
+type HelloResponse struct {
+	Observed replica.ObservedDisk `json:"seen"`  // what the responder had observed of the disk before the hello
+	Group    uint64               `json:"group"` // of the responder
 	IsLeader bool                 `json:"leads"`
 	IsMember bool                 `json:"member"`
-	Reason   string               `json:"why,omitempty"` // why the disk is not admitted
+	Reason   string               `json:"why,omitempty"` // why the leader does not admit the disk
 }
 
-// introduction is the state of a disk that was a member before and asks the others what they have
-// observed of it.
+// introduction is the progress of a disk's introduction: the other replicas report what they have
+// observed of the disk, or admit it as a member.
 type introduction struct {
-	startedAt       time.Duration
-	answered        map[string]bool // replicas that have nothing against the disk
-	rejectionLogged string          // the last reason for which the disk was not admitted
+	startedAt        time.Duration
+	acceptedBy       map[string]bool // replicas that have not observed the disk in a newer state
+	lastLoggedReason string          // last logged reason why the disk was not admitted
 }
 
 func (i *introduction) timedOut() bool { return Now()-i.startedAt >= introductionTimeout }
 
-// isOver reports whether all others have answered, or have had the time to.
-func (i *introduction) isOver(peers int) bool { return i.timedOut() || len(i.answered) == peers }
+// isOver reports whether all other replicas have accepted the disk, or introductionTimeout has
+// passed.
+func (i *introduction) isOver(peers int) bool { return i.timedOut() || len(i.acceptedBy) == peers }
 
-// introduceDisk introduces this disk until it is active. Afterwards it asks the others whether the
-// disk was removed, for as long as it has no lease: a disk that was removed is sent nothing, and
-// may neither campaign nor know who leads.
+// introduceDisk sends hellos to the other replicas until this disk is active. After that, while the
+// disk has no lease, it asks them whether the disk was removed. A removed disk is sent no messages;
+// if it can't campaign and doesn't know the leader, it would not learn of its removal otherwise.
 func (g *Group) introduceDisk() {
 	for {
 		switch Phase(g.published.Load().Phase) {
@@ -76,38 +77,39 @@
 	}
 }
 
-// confirmMembership asks another replica whether this disk was removed; call excludes it if it was.
+// confirmMembership asks another replica whether this disk was removed. If it was, call excludes the
+// disk.
 func (p *peer) confirmMembership() {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	if _, err := p.call(ctx, memberPath, request{contentType: binaryType}); err != nil {
-		slog.Debug("replica.membership_not_confirmed", "replica", p.to.Name, "err", err)
+		slog.Debug("replica.membership_not_confirmed", "replica", p.config.Name, "err", err)
 	}
 }
 
-// sendHello introduces this disk to another replica.
+// sendHello sends a Hello to another replica and passes the response to the loop.
 func (g *Group) sendHello(p *peer) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	own, err := g.diskState()
 	if err != nil {
-		return // the next hello follows soon
+		return // introduceDisk sends the next hello after helloInterval
 	}
-	var answer Greeting
+	var answer HelloResponse
 	if err := p.callJSON(ctx, helloPath, Hello{Name: g.settings.Self, DiskState: own}, &answer); err != nil {
 		return
 	}
-	g.runOnLoop(func() { g.handleGreeting(p, own, answer) })
+	g.runOnLoop(func() { g.handleHelloResponse(p, own, answer) })
 }
 
 var errStopped = errors.New("the replica has stopped")
 
-// diskState has the loop read what this disk holds.
+// diskState returns the term, vote and last index that this disk holds, read on the loop.
 func (g *Group) diskState() (state replica.ObservedDisk, err error) {
 	if !g.callLoop(func() {
 		persisted, readErr := g.store.PersistedState()
 		if readErr != nil {
-			err = fmt.Errorf("read state of the disk: %w", readErr)
+			err = fmt.Errorf("read the disk's state: %w", readErr)
 			return
 		}
 		state = replica.ObservedDisk{
@@ -121,8 +123,8 @@
 	return state, err
 }
 
-// handleGreeting handles the answer to a hello, on the loop.
-func (g *Group) handleGreeting(p *peer, own replica.ObservedDisk, answer Greeting) {
+// handleHelloResponse handles the response to a Hello. It must be called on the loop.
+func (g *Group) handleHelloResponse(p *peer, own replica.ObservedDisk, answer HelloResponse) {
 	switch {
 	case g.phase == Introducing:
 		g.checkObservation(p, own, answer)
@@ -132,10 +134,10 @@
 			slog.Error("replica.join_failed", "err", err)
 			return
 		}
-		slog.Info("replica.admitted", "replica", g.settings.Self, "by", p.to.Name)
+		slog.Info("replica.admitted", "replica", g.settings.Self, "by", p.config.Name)
 		g.startDriver()
-	case answer.Reason != "" && answer.Reason != g.introduction.rejectionLogged:
-		g.introduction.rejectionLogged = answer.Reason
+	case answer.Reason != "" && answer.Reason != g.introduction.lastLoggedReason:
+		g.introduction.lastLoggedReason = answer.Reason
 		slog.Warn("replica.not_admitted", "replica", g.settings.Self, "reason", answer.Reason)
 		g.reason = answer.Reason
 		g.publish()
@@ -144,27 +146,27 @@
 
 // checkObservation excludes this disk if another replica of the group has observed it in a newer
 // state.
-func (g *Group) checkObservation(p *peer, own replica.ObservedDisk, answer Greeting) {
+func (g *Group) checkObservation(p *peer, own replica.ObservedDisk, answer HelloResponse) {
 	identity, _ := g.store.Identity()
 	if answer.Group == identity.Group {
 		if err := own.CheckNotOlder(answer.Observed); err != nil {
-			g.exclude("the disk came back in an older state, as copy " + p.to.Name + " knows: " + err.Error())
+			g.exclude("the disk came back in an older state, as copy " + p.config.Name + " knows: " + err.Error())
 			return
 		}
 	}
-	g.introduction.answered[p.to.Name] = true
+	g.introduction.acceptedBy[p.config.Name] = true
 }
 
-// serveMember answers a disk that asks whether it was removed: 204 if this replica does not know of
-// that, else 410.
+// serveMember answers a disk that asks whether it was removed: with status 410 if it was, else with
+// 204.
 func (g *Group) serveMember(w http.ResponseWriter, r *http.Request) {
 	if from, ok := g.authenticate(w, r); ok && g.checkMember(w, from.disk) {
 		w.WriteHeader(http.StatusNoContent)
 	}
 }
 
-// serveHello answers a disk that introduces itself, and admits it if this replica leads and the
-// disk may join.
+// serveHello answers a disk that introduces itself. If this replica is the leader, it admits the disk
+// if the disk may join.
 func (g *Group) serveHello(w http.ResponseWriter, r *http.Request) {
 	var hello Hello
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxJSONBytes)).Decode(&hello); err != nil {
@@ -183,7 +185,7 @@
 		http.Error(w, removedText, http.StatusGone)
 		return
 	}
-	answer := Greeting{Group: identity.Group}
+	answer := HelloResponse{Group: identity.Group}
 	if identity.Group != 0 && isSameGroup {
 		answer.Observed = g.disks.introduce(from.disk, from.incarnation, hello.DiskState)
 	}
@@ -200,11 +202,12 @@
 
 var errNoDisk = errors.New("the disk has no number")
 
-// readHelloSender reads who sends a hello. Its group is 0 while it waits to be admitted.
+// readHelloSender reads the sender of a Hello from the headers. Its group is 0 while the disk waits
+// to be admitted.
 func readHelloSender(r *http.Request) (sender, error) {
-	disk, diskErr := parseNumber(r.Header.Get(diskHeader))
-	incarnation, incarnationErr := parseNumber(r.Header.Get(incarnationHeader))
-	group, groupErr := parseNumber(r.Header.Get(groupHeader))
+	disk, diskErr := parseID(r.Header.Get(diskHeader))
+	incarnation, incarnationErr := parseID(r.Header.Get(incarnationHeader))
+	group, groupErr := parseID(r.Header.Get(groupHeader))
 	if err := errors.Join(diskErr, incarnationErr, groupErr); err != nil {
 		return sender{}, err
 	}
@@ -214,6 +217,6 @@
 	return sender{group: group, disk: disk, incarnation: incarnation}, nil
 }
 
-func parseNumber(text string) (uint64, error) { return strconv.ParseUint(text, 16, 64) }
+func parseID(text string) (uint64, error) { return strconv.ParseUint(text, 16, 64) }
 
-func formatNumber(n uint64) string { return strconv.FormatUint(n, 16) }
+func formatID(n uint64) string { return strconv.FormatUint(n, 16) }
--- a/internal/controlplane/replicas/leases.go
+++ b/internal/controlplane/replicas/leases.go
@@ -14,21 +14,21 @@
 	"stairvane.org/stairvane/internal/controlplane/store"
 )
 
-// renewalsPerLease is how often a lease is renewed within its length, so that a lost renewal does
-// not end it.
+// renewalsPerLease is the number of renewals within the duration of a lease. It is more than one so
+// that the lease survives a failed renewal.
 const renewalsPerLease = 4
 
-// leases is the lease under which this replica serves watchers, and, at the leader, those that it
-// granted. It is safe for concurrent use.
+// leases holds the lease under which this replica serves watchers and, at the leader, the leases
+// that it has granted. It is safe for concurrent use.
 type leases struct {
-	terms  replica.Lease // not changed
+	config replica.Lease // read-only
 	mu     sync.Mutex
 	holder replica.LeaseHolder // guarded by mu
 	lessor *replica.Lessor     // guarded by mu
 }
 
-func newLeases(terms replica.Lease) leases {
-	return leases{terms: terms, lessor: replica.NewLessor(terms)}
+func newLeases(config replica.Lease) leases {
+	return leases{config: config, lessor: replica.NewLessor(config)}
 }
 
 func (l *leases) setLeader(isLeader bool) {
@@ -43,10 +43,10 @@
 	return l.holder.HasLease(Now())
 }
 
-func (l *leases) renewed(requestedAt time.Duration) {
+func (l *leases) renew(requestedAt time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.holder.Renew(l.terms, requestedAt)
+	l.holder.Renew(l.config, requestedAt)
 }
 
 func (l *leases) grant(holder uint64, acknowledged int64) {
@@ -67,33 +67,34 @@
 	return l.lessor.Acknowledged(own, Now(), departedAfter)
 }
 
-// HasLease reports whether this replica may serve watchers at this moment.
+// HasLease reports whether this replica holds a lease now, and so may serve watchers.
 func (g *Group) HasLease() bool { return g.leases.isHeld() }
 
-// Acknowledged returns the revision up to which the watchers of all replicas and relays have every
-// event, at the leader; 0 elsewhere.
+// Acknowledged returns, at the leader, the highest revision that the watchers of all replicas and
+// relays have acknowledged. It returns 0 at other replicas.
 func (g *Group) Acknowledged() int64 {
 	own := g.settings.Acknowledged()
 	departedAfter := g.settings.NotifiedAfter()
 	return g.leases.acknowledged(own, departedAfter)
 }
 
-// GrantSession records the lease of a relay's session, beside those of replicas: Acknowledged waits
-// for its directors too. The leader calls it once a Barrier has passed, and before it sends the
-// lease to the relay.
+// GrantSession records the lease of a relay's session, so that Acknowledged includes the relay's
+// directors. It must be called at the leader, after a Barrier has succeeded and before the lease is
+// sent to the relay.
 func (g *Group) GrantSession(session uint64, acknowledged int64) {
 	g.leases.grant(session, acknowledged)
 }
 
-// LeaseRequest asks the leader for a lease, and reports on this replica's watchers.
+// LeaseRequest is a replica's request to the leader for a lease. It also reports the state of the
+// replica's watchers.
 type LeaseRequest struct {
 	Acknowledged int64          `json:"told"`
 	Revision     int64          `json:"revision"`
 	Heartbeats   api.Heartbeats `json:"signs"`
 }
 
-// keepLease renews this replica's lease until it stops.
-func (g *Group) keepLease() {
+// maintainLease renews this replica's lease periodically until the replica stops.
+func (g *Group) maintainLease() {
 	interval := g.settings.Lease / renewalsPerLease
 	for {
 		select {
@@ -107,8 +108,8 @@
 	}
 }
 
-// renewLease renews this replica's lease. The leader proves its leadership instead of asking. The
-// lease counts from before the request.
+// renewLease renews this replica's lease. The leader confirms its leadership with a Barrier instead
+// of sending a request. The lease starts at the time before the request was sent.
 func (g *Group) renewLease() error {
 	s := g.published.Load()
 	requestedAt := Now()
@@ -121,13 +122,13 @@
 	} else if err := g.requestLease(ctx, s.leaderName); err != nil {
 		return err
 	}
-	g.leases.renewed(requestedAt)
+	g.leases.renew(requestedAt)
 	return nil
 }
 
 func (g *Group) requestLease(ctx context.Context, leader string) error {
 	p := g.peers[leader]
-	if p == nil { // no leader is known, or it is not in this replica's file
+	if p == nil { // no leader is known, or the leader is not in this replica's file
 		return store.ErrNotLeader
 	}
 	lease := LeaseRequest{
@@ -143,8 +144,8 @@
 	return nil
 }
 
-// serveLease grants a lease to another replica, if it is proven that this one leads and if the
-// other one is not behind.
+// serveLease grants a lease to another replica if a Barrier confirms that this replica is the leader
+// and if the other replica's revision is recent enough.
 func (g *Group) serveLease(w http.ResponseWriter, r *http.Request) {
 	from, ok := g.authorize(w, r)
 	if !ok {
--- a/internal/controlplane/replicas/lifecycle.go
+++ b/internal/controlplane/replicas/lifecycle.go
@@ -11,14 +11,14 @@
 	"stairvane.org/stairvane/internal/controlplane/store"
 )
 
-// In ticks: a follower campaigns after one to two election timeouts without a leader.
+// Raft timeouts in ticks. A follower campaigns after one to two election timeouts without a leader.
 const (
 	electionTicks  = 12
 	heartbeatTicks = 2
 )
 
-// startDriver makes the driver from what the store holds; the replica is Active then. If that can't
-// be, it is excluded.
+// startDriver creates the driver from the state in the store and makes the replica Active. If the
+// state can't be read or used, the disk is excluded.
 func (g *Group) startDriver() {
 	persisted, err := g.store.PersistedState()
 	if err == nil {
@@ -59,7 +59,7 @@
 		}
 		state.Entries = append(state.Entries, entry)
 	}
-	g.driverSeed += 1 << 32 // each driver has tags of its own
+	g.driverSeed += 1 << 32 // so that tags are unique across drivers
 	return replica.New(replica.Config{
 		Disk:           persisted.Disk,
 		ElectionTicks:  electionTicks,
@@ -68,7 +68,7 @@
 	}, state)
 }
 
-// exclude ends this disk's part in the group for good.
+// exclude permanently stops this disk's participation in the group.
 func (g *Group) exclude(reason string) {
 	g.setLeader(false)
 	g.failPending(store.ErrOutcomeUnknown)
@@ -76,12 +76,12 @@
 	g.phase = Excluded
 	g.reason = reason
 	slog.Error("replica.excluded", "replica", g.settings.Self, "reason", reason,
-		"action", "start it with --new-disk, and have the new disk let in: stairvane copies replace "+g.settings.Self)
+		"action", "restart the replica with --new-disk, then admit the new disk: stairvane copies replace "+g.settings.Self)
 	g.publish()
 }
 
-// failDisk gives up this disk's part in the group until it can be written again. What the disk
-// holds is as it was.
+// failDisk stops this disk's participation in the group until it can be written again. The content
+// of the disk stays unchanged.
 func (g *Group) failDisk(err error) {
 	if g.phase != DiskFailed {
 		slog.Error("replica.disk_failed", "replica", g.settings.Self, "was_leader", g.isLeader, "err", err)
@@ -90,23 +90,23 @@
 	g.driver = nil
 	g.phase = DiskFailed
 	g.reason = err.Error()
-	g.diskTriedAt = Now()
+	g.lastDiskAttempt = Now()
 	g.failPending(store.ErrOutcomeUnknown)
 	g.publish()
 }
 
-// retryDisk tries to write a failed disk, and starts the driver if it can.
+// retryDisk attempts a write to a failed disk, and starts the driver if it succeeds.
 func (g *Group) retryDisk() {
-	g.diskTriedAt = Now()
+	g.lastDiskAttempt = Now()
 	if err := g.store.Persist(nil, nil); err != nil {
-		return // it is tried again
+		return // tick retries after diskRetryInterval
 	}
 	slog.Info("replica.disk_recovered", "replica", g.settings.Self)
 	g.startDriver()
 }
 
-// failPending answers all who wait for a proposal with an error, and all who wait for a barrier
-// with store.ErrNotLeader.
+// failPending fails the requests of the proposal in flight with err, and all pending barriers with
+// store.ErrNotLeader.
 func (g *Group) failPending(err error) {
 	if g.proposal != nil {
 		g.proposal.fail(err)
@@ -115,7 +115,8 @@
 	g.barriers.failAll()
 }
 
-// setLeader follows a change of leadership.
+// setLeader records whether this replica is the leader, and notifies the leases and the caller's
+// LeadershipChanged if that has changed.
 func (g *Group) setLeader(isLeader bool) {
 	if g.isLeader == isLeader {
 		return
--- a/internal/controlplane/replicas/loop.go
+++ b/internal/controlplane/replicas/loop.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	maxCallsAtOnce = 256                  // functions that the loop runs before it serves the driver
-	flushDelay     = 3 * time.Millisecond // applied batches are written with the next entries, or after this
+	maxCallsAtOnce = 256                  // queued functions that the loop runs before it serves the driver
+	flushDelay     = 3 * time.Millisecond // applied batches are written together with the next entries, or after this delay
 )
 
-// Run runs the replica until Stop.
+// Run runs the replica until Stop is called.
 func (g *Group) Run() {
-	defer close(g.ended)
+	defer close(g.done)
 	for _, p := range g.peers {
 		go p.run()
 	}
 	go g.introduceDisk()
-	go g.keepLease()
+	go g.maintainLease()
 	ticker := time.NewTicker(g.settings.Tick)
 	defer ticker.Stop()
 	if g.phase == Introducing && g.introduction.timedOut() {
@@ -30,16 +30,17 @@
 	}
 }
 
-// Stop ends Run and waits for that. The goroutines beside the loop end on their own.
+// Stop stops the loop and waits until Run returns. It does not wait for the background goroutines,
+// which end by themselves.
 func (g *Group) Stop() {
 	close(g.stop)
-	<-g.ended
+	<-g.done
 }
 
-// waitForEvent handles the next event of the loop; false after Stop.
+// waitForEvent waits for the next event of the loop and handles it. It returns false after Stop.
 func (g *Group) waitForEvent(ticks <-chan time.Time) (isRunning bool) {
 	var requests <-chan *store.Request
-	if g.takesRequests() {
+	if g.acceptsRequests() {
 		requests = g.store.Requests()
 	}
 	select {
@@ -60,7 +61,7 @@
 	return true
 }
 
-// runQueuedCalls runs the functions that have come meanwhile, so that the driver is served once for
+// runQueuedCalls runs the functions that are queued already, so that the driver is served once for
 // all of them.
 func (g *Group) runQueuedCalls() {
 	for range maxCallsAtOnce {
@@ -73,7 +74,8 @@
 	}
 }
 
-// shutDown writes what was applied, and fails all that is pending: its outcome is unknown.
+// shutDown flushes the applied batches and fails all pending proposals and barriers. The outcome of
+// a pending proposal is unknown.
 func (g *Group) shutDown() {
 	if g.driver != nil && g.store.HasUnpersisted() {
 		if err := g.persist(nil); err != nil {
@@ -86,8 +88,8 @@
 	}
 }
 
-// runOnLoop has the loop run a function, and does not wait for it; false if the replica has
-// stopped.
+// runOnLoop queues a function for the loop and does not wait until it has run. It returns false if
+// the replica has stopped.
 func (g *Group) runOnLoop(f func()) bool {
 	select {
 	case g.calls <- f:
@@ -97,7 +99,8 @@
 	}
 }
 
-// callLoop has the loop run a function and waits for it; false if the replica has stopped.
+// callLoop runs a function on the loop and waits until it returns. It returns false if the replica
+// has stopped.
 func (g *Group) callLoop(f func()) bool {
 	done := make(chan struct{})
 	if !g.runOnLoop(func() {
@@ -110,18 +113,18 @@
 	return true
 }
 
-// flushTimer bounds how long an applied batch is in memory only.
+// flushTimer limits how long an applied batch is held only in memory.
 type flushTimer struct {
 	timer   *time.Timer
 	isArmed bool
 }
 
 func newFlushTimer() flushTimer {
-	const never = time.Hour // until it is armed
+	const never = time.Hour // a placeholder until scheduleFlush resets the timer
 	return flushTimer{timer: time.NewTimer(never)}
 }
 
-// scheduleFlush arms the timer if something was applied that is not written.
+// scheduleFlush starts the timer if applied batches are not persisted yet.
 func (g *Group) scheduleFlush() {
 	if g.driver != nil && g.store.HasUnpersisted() && !g.flush.isArmed {
 		g.flush.isArmed = true
--- a/internal/controlplane/replicas/membership.go
+++ b/internal/controlplane/replicas/membership.go
@@ -12,10 +12,11 @@
 	"stairvane.org/stairvane/internal/controlplane/store"
 )
 
-// maxMissingToPromote is how many entries a learner may lack when it becomes a voter.
+// maxMissingToPromote is the maximum number of entries that a learner may lack to be promoted to a
+// voter.
 const maxMissingToPromote = 100
 
-// Actions of an operator's order.
+// Values of api.ReplicaChange.Action.
 const (
 	actionAdd                = "add"
 	actionRemove             = "remove"
@@ -23,8 +24,9 @@
 	actionTransferLeadership = "hand-over"
 )
 
-// ChangeMembers carries out an operator's order if this replica leads. The error is
-// store.ErrNotLeader, store.ErrClosed, replica.ErrBusy, or a *replica.RejectedError.
+// ChangeMembers starts the membership change or leadership transfer that an operator requests. It
+// must be called at the leader. It returns store.ErrNotLeader, store.ErrClosed, replica.ErrBusy, or
+// a *replica.RejectedError.
 func (g *Group) ChangeMembers(order api.ReplicaChange) error {
 	result := make(chan error, 1)
 	if !g.runOnLoop(func() { result <- g.changeMembers(order) }) {
@@ -40,15 +42,16 @@
 	if order.Action == actionTransferLeadership {
 		return g.transferLeadership(order.Name)
 	}
-	c, err := g.decideChange(order)
+	c, err := g.resolveChange(order)
 	if err != nil || c == nil {
 		return err
 	}
 	return g.proposeChange(*c)
 }
 
-// decideChange returns the change of members that an order asks for; nil if it was made before.
-func (g *Group) decideChange(order api.ReplicaChange) (*replica.Change, error) {
+// resolveChange returns the membership change for an operator's request. It returns nil if the
+// change is already made.
+func (g *Group) resolveChange(order api.ReplicaChange) (*replica.Change, error) {
 	view := g.view()
 	switch order.Action {
 	case actionAdd:
@@ -75,7 +78,7 @@
 	return nil
 }
 
-// view is what the leader decides on members by.
+// view returns the state on which the leader bases decisions on membership.
 func (g *Group) view() replica.View {
 	return replica.View{Status: g.driver.Status(), Members: g.driver.Members(), Places: g.settings.Places()}
 }
@@ -97,15 +100,16 @@
 	return strings.Join(steps, ", ")
 }
 
-// promoteLearner makes a voter of a learner that has caught up.
+// promoteLearner proposes to promote a learner that has caught up to a voter.
 func (g *Group) promoteLearner() {
 	if c := g.view().Promote(maxMissingToPromote); c != nil {
-		_ = g.proposeChange(*c) // the leader tries again some ticks later
+		_ = g.proposeChange(*c) // the leader retries after ticksPerPromotion
 	}
 }
 
-// admit decides on a disk that asks to join, at the leader. reason is why it may not, or empty if
-// it will.
+// admit handles, at the leader, the request of a disk to join the group. isMember reports whether it
+// is a member already. reason is why the disk may not join; it is empty if its admission is proposed
+// or will be.
 func (g *Group) admit(name string, disk uint64) (isMember bool, reason string) {
 	silence := map[uint64]time.Duration{}
 	for other := range g.driver.Members() {
@@ -122,17 +126,18 @@
 	if err == nil {
 		err = g.proposeChange(*c)
 	}
-	if err == nil || errors.Is(err, replica.ErrBusy) { // a busy leader admits the disk when it asks again
+	if err == nil || errors.Is(err, replica.ErrBusy) { // a busy leader admits the disk at its next hello
 		return false, ""
 	}
 	return false, err.Error()
 }
 
-// membersChanged follows an applied change of members.
+// membersChanged removes admitted disks from the join requests and logs the members after an applied
+// membership change.
 func (g *Group) membersChanged() {
 	members := g.driver.Members()
 	for name, disk := range g.joinRequests {
-		if m, is := members[disk]; is && !m.Left {
+		if m, ok := members[disk]; ok && !m.Left {
 			delete(g.joinRequests, name)
 		}
 	}
@@ -145,11 +150,11 @@
 	slog.Info("replica.members_changed", "replicas", names)
 }
 
-// nameOf returns the name of a disk's replica: by the members, or, at a learner that does not know
-// them yet, by what the disk's messages say.
-func (g *Group) nameOf(disk uint64) string {
-	if m, is := g.driver.Members()[disk]; is {
+// replicaName returns the name of a disk's replica. A learner that does not know the members yet
+// uses the name that the disk's messages carry.
+func (g *Group) replicaName(disk uint64) string {
+	if m, ok := g.driver.Members()[disk]; ok {
 		return m.Name
 	}
-	return g.senders[disk]
+	return g.senderNames[disk]
 }
--- a/internal/controlplane/replicas/observations.go
+++ b/internal/controlplane/replicas/observations.go
@@ -8,7 +8,8 @@
 	"stairvane.org/stairvane/internal/controlplane/replica"
 )
 
-// diskObservations is what this replica has observed of other disks. It is safe for concurrent use.
+// diskObservations records what this replica has observed of other disks. It is safe for concurrent
+// use.
 type diskObservations struct {
 	mu       sync.Mutex
 	detector *replica.RollbackDetector // guarded by mu
@@ -26,15 +27,15 @@
 	return d.detector.Introduce(disk, incarnation, state)
 }
 
-// observe records what a disk's messages show of it: its term, the log that it acknowledges, and
-// its vote.
+// observe records the state of a disk that its messages reveal: its term, the last index that it
+// acknowledges, and its vote.
 func (d *diskObservations) observe(disk uint64, messages []*pb.Message) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, m := range messages {
 		var lastIndex, vote uint64
 		switch m.GetType() {
-		case pb.MsgPreVote, pb.MsgPreVoteResp: // their term may never come
+		case pb.MsgPreVote, pb.MsgPreVoteResp: // their term may never be reached
 			continue
 		case pb.MsgAppResp:
 			if !m.GetReject() {
--- a/internal/controlplane/replicas/peer.go
+++ b/internal/controlplane/replicas/peer.go
@@ -13,26 +13,26 @@
 )
 
 const (
-	peerQueueLength  = 4096                  // messages; those beyond are dropped, which raft survives
-	maxBytesPerCall  = 4 << 20               // of messages that wait and share a call
-	peerRetryBackoff = 25 * time.Millisecond // after a call that failed
+	peerQueueLength  = 4096                  // messages; further ones are dropped, which raft tolerates
+	maxBytesPerCall  = 4 << 20               // no further message is added to a call's body beyond this size
+	peerRetryBackoff = 25 * time.Millisecond // delay after a failed call
 )
 
-// peer is another replica of the operator's file. It sends messages in order, one call at a time.
+// peer sends messages to another replica in the operator's file, in order and one call at a time.
 type peer struct {
-	group *Group
-	to    operatorconfig.Replica
-	queue chan *pb.Message
+	group  *Group
+	config operatorconfig.Replica
+	queue  chan *pb.Message
 }
 
-func newPeer(g *Group, to operatorconfig.Replica) *peer {
-	return &peer{group: g, to: to, queue: make(chan *pb.Message, peerQueueLength)}
+func newPeer(g *Group, config operatorconfig.Replica) *peer {
+	return &peer{group: g, config: config, queue: make(chan *pb.Message, peerQueueLength)}
 }
 
-// send queues the driver's messages at the peers. It is called on the loop.
+// send queues the driver's messages for the peers. It must be called on the loop.
 func (g *Group) send(messages []*pb.Message) {
 	for _, m := range messages {
-		p := g.peers[g.nameOf(m.GetTo())]
+		p := g.peers[g.replicaName(m.GetTo())]
 		if m.GetType() == pb.MsgSnap {
 			g.sendSnapshot(p, m)
 			continue
@@ -48,21 +48,21 @@
 	}
 }
 
-// run sends the queued messages until the replica stops.
+// run sends queued messages until the replica stops.
 func (p *peer) run() {
 	for {
 		select {
 		case <-p.group.stop:
 			return
 		case m := <-p.queue:
-			p.deliver(p.collect(m))
+			p.sendBatch(p.encodeBatch(m))
 		}
 	}
 }
 
-// collect encodes a message and those that wait behind it, up to the size of a call. to is the
-// receiver of the last one.
-func (p *peer) collect(first *pb.Message) (body []byte, to uint64) {
+// encodeBatch encodes a message and the messages queued after it, up to maxBytesPerCall. to is the
+// receiver of the last message.
+func (p *peer) encodeBatch(first *pb.Message) (body []byte, to uint64) {
 	for m := first; m != nil; {
 		var err error
 		if body, err = appendMessage(body, m); err != nil {
@@ -80,9 +80,10 @@
 	return body, to
 }
 
-// deliver sends messages in one call. It reports to the driver that they were lost. An answer that
-// another incarnation has this disk excludes the replica.
-func (p *peer) deliver(body []byte, to uint64) {
+// sendBatch sends a batch of messages in one call. If the call fails, it reports the receiver to the
+// driver as unreachable. It excludes this disk if the response says that another incarnation uses
+// the disk.
+func (p *peer) sendBatch(body []byte, to uint64) {
 	g := p.group
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
--- a/internal/controlplane/replicas/proposal.go
+++ b/internal/controlplane/replicas/proposal.go
@@ -6,11 +6,11 @@
 	"stairvane.org/stairvane/internal/controlplane/store"
 )
 
-// proposal is a batch of writes that was proposed and is not decided.
+// proposal is a batch of writes that is proposed and not committed yet.
 type proposal struct {
 	tag      uint64
 	requests []*store.Request
-	results  []error // of the evaluation, by request; valid once the batch is committed
+	results  []error // of the evaluation, in the order of requests; valid once the batch is committed
 }
 
 // complete answers the requests after the batch was applied.
@@ -26,17 +26,17 @@
 	}
 }
 
-// takesRequests reports whether the loop takes writes now: while it does not lead it rejects them,
-// and while it leads it takes them one batch at a time, and not before it has applied what earlier
-// leaders committed.
-func (g *Group) takesRequests() bool {
+// acceptsRequests reports whether the loop receives write requests now. A replica that is not the
+// leader receives them to reject them. The leader receives one batch at a time, and none before it
+// has applied the entries that earlier leaders committed.
+func (g *Group) acceptsRequests() bool {
 	if g.driver == nil || !g.driver.Status().IsLeader {
 		return true
 	}
 	return g.driver.CanPropose() && g.proposal == nil
 }
 
-// propose proposes a batch of a request and those that wait behind it.
+// propose proposes a batch of a request and the requests queued after it.
 func (g *Group) propose(first *store.Request) {
 	if g.driver == nil || !g.driver.CanPropose() {
 		first.Answer(store.ErrNotLeader)
@@ -58,7 +58,7 @@
 	g.proposal = p
 }
 
-// collectRequests returns a request and those that wait behind it, up to the size of a batch.
+// collectRequests returns a request and the requests queued after it, up to the batch size.
 func (g *Group) collectRequests(first *store.Request) []*store.Request {
 	batch := []*store.Request{first}
 	for len(batch) < g.settings.Batch {
@@ -72,9 +72,9 @@
 	return batch
 }
 
-// proposeWaiting proposes the next batch at once, so that its entries share the next sync of the
-// disk.
-func (g *Group) proposeWaiting() {
+// proposeNextBatch proposes the next batch without waiting for the event loop, so that its entries
+// are persisted with the next disk sync.
+func (g *Group) proposeNextBatch() {
 	if g.driver.InFlight() != 0 || !g.driver.CanPropose() || g.proposal != nil {
 		return
 	}
--- a/internal/controlplane/replicas/ready.go
+++ b/internal/controlplane/replicas/ready.go
@@ -11,7 +11,7 @@
 	"stairvane.org/stairvane/internal/controlplane/store"
 )
 
-// serveDriver does what the driver asks for until it asks for nothing.
+// serveDriver processes the driver's output until there is none left.
 func (g *Group) serveDriver() {
 	for g.driver != nil {
 		rd := g.driver.Ready()
@@ -22,17 +22,17 @@
 			g.handleStoreError(err)
 			break
 		}
-		g.proposeWaiting()
+		g.proposeNextBatch()
 	}
-	if g.received != nil && g.phase == Active { // raft had no use for it
+	if g.received != nil && g.phase == Active { // raft ignored the snapshot
 		g.received.Discard()
 		g.received = nil
 	}
 	g.scheduleFlush()
 }
 
-// handleStoreError excludes a disk whose content is wrong, and gives up one that can't be written
-// for now.
+// handleStoreError excludes the disk if its content is damaged or newer than this version reads.
+// Any other error is treated as a temporary failure of the disk.
 func (g *Group) handleStoreError(err error) {
 	if errors.Is(err, store.ErrDamaged) || errors.Is(err, store.ErrNewer) {
 		g.exclude(err.Error())
@@ -41,8 +41,8 @@
 	}
 }
 
-// processReady does what one Ready asks for. The order matters: Messages rest on what was persisted
-// before.
+// processReady processes one Ready. The order matters: Messages may be sent only after the entries
+// and the hard state of the Ready are persisted.
 func (g *Group) processReady(rd *replica.Ready) error {
 	g.send(rd.EarlyMessages)
 	if err := g.persistReady(rd); err != nil {
@@ -62,14 +62,14 @@
 	if g.driver.CanPropose() {
 		g.setLeader(true)
 	}
-	g.barriers.prove(rd.ReadStates, g.driver.Applied().Index)
+	g.barriers.confirm(rd.ReadStates, g.driver.Applied().Index)
 	if status.Leader != g.published.Load().leader || len(rd.CommittedEntries) > 0 {
 		g.publish()
 	}
 	return nil
 }
 
-// persistReady makes durable what a Ready asks for.
+// persistReady persists the snapshot, entries and hard state of a Ready.
 func (g *Group) persistReady(rd *replica.Ready) error {
 	if rd.Snapshot != nil {
 		if err := g.installSnapshot(rd.Snapshot); err != nil {
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// persist makes entries, the driver's hard state and all that was applied durable.
+// persist persists entries, the driver's hard state and all applied batches.
 func (g *Group) persist(entries []*pb.Entry) error {
 	encoded := make([]store.Entry, len(entries))
 	for i, entry := range entries {
@@ -102,7 +102,7 @@
 	return g.store.Persist(encoded, &hardState)
 }
 
-// stepDown follows the end of leadership: nobody knows what becomes of a proposal under way.
+// stepDown handles the loss of leadership. The outcome of a proposal in flight is unknown then.
 func (g *Group) stepDown() {
 	g.setLeader(false)
 	if g.proposal != nil || g.barriers.anyWaiting() {
@@ -110,7 +110,8 @@
 	}
 }
 
-// applyEntry applies a committed entry to the store, and answers the proposal that it was.
+// applyEntry applies a committed entry to the store, and completes the proposal in flight if the
+// entry is that proposal.
 func (g *Group) applyEntry(rd *replica.Ready, i int, entry replica.CommittedEntry) error {
 	membersChanged, err := g.driver.ApplyEntry(rd, i)
 	if err != nil {
--- a/internal/controlplane/replicas/recovery.go
+++ b/internal/controlplane/replicas/recovery.go
@@ -11,21 +11,21 @@
 	"stairvane.org/stairvane/internal/operatorconfig"
 )
 
-var errNotInGroup = errors.New("the store is in no group")
+var errNotInGroup = errors.New("the store does not belong to a group")
 
-// Recovery is what one replica has on its own.
+// Recovery describes the state that one replica holds on its own.
 type Recovery struct {
 	Replica     string `json:"copy"`
 	Revision    int64  `json:"revision"`
-	LastEventMS int64  `json:"last_event_ms"` // Unix milliseconds; 0: its last event was compacted
-	Applied     uint64 `json:"taken"`         // index in the log
+	LastEventMS int64  `json:"last_event_ms"` // Unix milliseconds; 0 if the last event was compacted
+	Applied     uint64 `json:"taken"`         // log index
 	Term        uint64 `json:"term"`
-	Undecided   int    `json:"undecided"` // entries of which the replica does not know whether they were committed
+	Undecided   int    `json:"undecided"` // number of entries that the replica does not know to be committed
 }
 
-// Recover reads the store of a replica whose process is stopped, and makes it the first of a new
-// group if isConfirmed. It is for a group that has lost its majority for good. The replicas of the
-// old group can't take part in the new one, which has another number.
+// Recover reads the store of a stopped replica and, if isConfirmed, makes it the first member of a
+// new group. It is for a group that has permanently lost its majority. The replicas of the old group
+// can't participate in the new one, because it has a different ID.
 func Recover(settings operatorconfig.ControlPlane, isConfirmed bool) (r Recovery, err error) {
 	s, err := store.Open(settings.Store, store.Options{
 		IsReplica:     true,
@@ -41,12 +41,12 @@
 	case identity.Disk == 0 || identity.Group == 0:
 		return r, errNotInGroup
 	case identity.Name != settings.Replicas.Self:
-		return r, fmt.Errorf("%w: it is that of copy %s, and the file is of copy %s",
-			errOtherReplica, identity.Name, settings.Replicas.Self)
+		return r, fmt.Errorf("%w: it is the store of replica %s, and the configuration file is of replica %s",
+			errWrongReplica, identity.Name, settings.Replicas.Self)
 	}
 	persisted, err := s.PersistedState()
 	if err != nil {
-		return r, fmt.Errorf("read state of the replica: %w", err)
+		return r, fmt.Errorf("read the state of the replica: %w", err)
 	}
 	r.Replica = identity.Name
 	last, err := applyCommitted(s, persisted, &r)
@@ -57,15 +57,15 @@
 		return r, err
 	}
 	if isCloned {
-		if err := s.ChangeDiskID(newNumber()); err != nil {
-			return r, fmt.Errorf("give the disk another number: %w", err)
+		if err := s.ChangeDiskID(newID()); err != nil {
+			return r, fmt.Errorf("assign a new ID to the disk: %w", err)
 		}
 	}
 	return r, startNewGroup(s, settings.Replicas, persisted.Applied, last)
 }
 
-// applyCommitted applies the entries that the replica knows to be committed, counts the others, and
-// returns the last position.
+// applyCommitted applies the entries that the replica knows to be committed, counts the other ones
+// as undecided, and returns the position of the last applied entry.
 func applyCommitted(s *store.Store, persisted store.PersistedState, r *Recovery) (last store.Position, err error) {
 	last = persisted.Applied.At
 	for _, entry := range persisted.Entries {
@@ -91,7 +91,7 @@
 	return last, nil
 }
 
-// lastEventTime returns the time of the last event in Unix milliseconds; 0 if the event was
+// lastEventTime returns the time of the last event in Unix milliseconds, or 0 if the event was
 // compacted.
 func lastEventTime(s *store.Store) (ms int64, err error) {
 	err = s.View(func(v *store.View) error {
@@ -104,8 +104,8 @@
 	return ms, err
 }
 
-// startNewGroup makes the store the only member of a new group, under its own name and its place in
-// the operator's file.
+// startNewGroup makes the store the only member of a new group. The member keeps its name and gets
+// the machine and site that the operator's file has for it.
 func startNewGroup(s *store.Store, group operatorconfig.ReplicaGroup, applied store.AppliedState, last store.Position) error {
 	if err := s.Persist(nil, nil); err != nil {
 		return err
@@ -119,19 +119,19 @@
 	if own.Name == "" {
 		own = replica.Member{Name: identity.Name}
 	}
-	for _, place := range group.Replicas {
-		if place.Name == identity.Name {
-			own.Machine = place.Machine
-			own.Site = place.Site
+	for _, configured := range group.Replicas {
+		if configured.Name == identity.Name {
+			own.Machine = configured.Machine
+			own.Site = configured.Site
 		}
 	}
 	voters := &pb.ConfState{Voters: []uint64{identity.Disk}}
-	first, err := encodeAppliedState(replica.Position(last), voters, map[uint64]replica.Member{identity.Disk: own})
+	initial, err := encodeAppliedState(replica.Position(last), voters, map[uint64]replica.Member{identity.Disk: own})
 	if err != nil {
 		return err
 	}
-	if err := s.StartNewGroup(newNumber(), first); err != nil {
-		return fmt.Errorf("start new group: %w", err)
+	if err := s.StartNewGroup(newID(), initial); err != nil {
+		return fmt.Errorf("start a new group: %w", err)
 	}
 	return nil
 }
--- a/internal/controlplane/replicas/snapshot_receive.go
+++ b/internal/controlplane/replicas/snapshot_receive.go
@@ -16,7 +16,7 @@
 
 var errNoSnapshot = errors.New("the snapshot that raft installs was not received")
 
-// serveSnapshot receives a snapshot beside the store, verifies it, and passes its message to the
+// serveSnapshot receives a snapshot into a separate file, verifies it, and passes its message to the
 // driver.
 func (g *Group) serveSnapshot(w http.ResponseWriter, r *http.Request) {
 	from, ok := g.authorize(w, r)
@@ -29,32 +29,32 @@
 		http.Error(w, snapshotHeader+" is missing, or not for this disk", http.StatusBadRequest)
 		return
 	}
-	begin := time.Now()
+	start := time.Now()
 	received, err := g.store.ReceiveSnapshot(r.Body)
 	if err != nil {
 		slog.Warn("replica.snapshot_receive_failed", "err", err)
 		http.Error(w, err.Error(), http.StatusInsufficientStorage)
 		return
 	}
-	slog.Info("replica.snapshot_received", "took_ms", time.Since(begin).Milliseconds())
+	slog.Info("replica.snapshot_received", "took_ms", time.Since(start).Milliseconds())
 	m, err := snapshotMessage(received, from.disk, to, term)
 	if err != nil {
 		received.Discard()
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	isTaken := false
-	if !g.callLoop(func() { isTaken = g.stepSnapshot(received, m) }) {
+	isAccepted := false
+	if !g.callLoop(func() { isAccepted = g.stepSnapshot(received, m) }) {
 		received.Discard()
 		return
 	}
-	if !isTaken {
+	if !isAccepted {
 		received.Discard()
 		http.Error(w, "this copy can't take a state over now", http.StatusServiceUnavailable)
 	}
 }
 
-// snapshotMessage makes raft's message of a received snapshot.
+// snapshotMessage returns the raft message for a received snapshot.
 func snapshotMessage(received *store.ReceivedSnapshot, from, to, term uint64) (*pb.Message, error) {
 	confState, _, err := decodeAppliedState(received.Applied)
 	if err != nil {
@@ -73,8 +73,8 @@
 	}, nil
 }
 
-// stepSnapshot passes a received snapshot to the driver, on the loop; false if it can't be used
-// now. The loop discards it if raft has no use for it.
+// stepSnapshot passes a received snapshot to the driver. It returns false if the snapshot can't be
+// accepted now. It must be called on the loop, which discards the snapshot if raft ignores it.
 func (g *Group) stepSnapshot(received *store.ReceivedSnapshot, m *pb.Message) bool {
 	if g.driver == nil || g.received != nil {
 		return false
@@ -86,7 +86,7 @@
 	return true
 }
 
-// installSnapshot replaces the store by the received snapshot.
+// installSnapshot replaces the store's content with the received snapshot.
 func (g *Group) installSnapshot(metadata *pb.SnapshotMetadata) error {
 	received := g.received
 	g.received = nil
--- a/internal/controlplane/replicas/snapshot_send.go
+++ b/internal/controlplane/replicas/snapshot_send.go
@@ -15,25 +15,25 @@
 )
 
 const (
-	snapshotInterval     = 250 * time.Millisecond // from the end of a transfer to the next to the same replica, at least
-	snapshotStallTimeout = 10 * time.Second       // ends a transfer that makes no progress
-	snapshotVerifyRate   = 4 << 20                // bytes that a receiver verifies in a second, at least
+	snapshotInterval     = 250 * time.Millisecond // minimum delay between the end of a transfer and the next one to the same replica
+	snapshotStallTimeout = 10 * time.Second       // after which a transfer without progress is canceled
+	snapshotVerifyRate   = 4 << 20                // bytes per second that a receiver is expected to verify at least
 )
 
-// snapshotSends is the transfers of snapshots to other disks. It is owned by the loop.
+// snapshotSends tracks the transfers of snapshots to other disks. It is owned by the loop.
 type snapshotSends struct {
-	inProgress map[uint64]bool
-	lastAt     map[uint64]time.Duration // when the last transfer began, or ended if it has
+	inProgress   map[uint64]bool
+	lastActivity map[uint64]time.Duration // when the last transfer to the disk started or, if it is over, ended
 }
 
 func (s *snapshotSends) mayStart(disk uint64, now time.Duration) bool {
-	last := s.lastAt[disk]
+	last := s.lastActivity[disk]
 	return !s.inProgress[disk] && (last == 0 || now-last >= snapshotInterval)
 }
 
-// anyUnsettled reports whether a replica still needs the entries that follow its snapshot.
+// anyUnsettled reports whether a replica may still need the log entries that follow its snapshot.
 func (s *snapshotSends) anyUnsettled() bool {
-	for disk, last := range s.lastAt {
+	for disk, last := range s.lastActivity {
 		if s.inProgress[disk] || Now()-last < snapshotSettleTime {
 			return true
 		}
@@ -41,9 +41,9 @@
 	return false
 }
 
-// sendSnapshot sends the store to a replica that is new or lacks more than the log holds. It is
-// called on the loop; the transfer has a goroutine of its own. p is nil if the receiver is not in
-// this replica's file. raft asks again for what was not sent.
+// sendSnapshot sends the store to a replica that is new or lacks entries that the log no longer
+// has. It must be called on the loop; the transfer runs on its own goroutine. p is nil if the
+// receiver is not in this replica's file. raft requests a snapshot again if it was not sent.
 func (g *Group) sendSnapshot(p *peer, m *pb.Message) {
 	to := m.GetTo()
 	now := Now()
@@ -51,8 +51,8 @@
 		g.driver.ReportSnapshot(to, false)
 		return
 	}
-	g.sends.lastAt[to] = now
-	if g.store.HasUnpersisted() { // the file must hold what the message says
+	g.sends.lastActivity[to] = now
+	if g.store.HasUnpersisted() { // the file must include the index in the message
 		if err := g.persist(nil); err != nil {
 			g.driver.ReportSnapshot(to, false)
 			return
@@ -63,7 +63,7 @@
 		err := p.transferSnapshot(m)
 		g.runOnLoop(func() {
 			delete(g.sends.inProgress, to)
-			g.sends.lastAt[to] = Now()
+			g.sends.lastActivity[to] = Now()
 			if g.driver != nil {
 				g.driver.ReportSnapshot(to, err == nil)
 			}
@@ -71,32 +71,32 @@
 	}()
 }
 
-// transferSnapshot sends the store, and logs how that ended.
+// transferSnapshot sends the store and logs the result.
 func (p *peer) transferSnapshot(m *pb.Message) error {
-	begin := time.Now()
+	start := time.Now()
 	length, err := p.streamSnapshot(m)
 	if err != nil {
-		slog.Warn("replica.snapshot_send_failed", "to", p.to.Name, "err", err)
+		slog.Warn("replica.snapshot_send_failed", "to", p.config.Name, "err", err)
 		return err
 	}
-	slog.Info("replica.snapshot_sent", "to", p.to.Name, "bytes", length, "took_ms", time.Since(begin).Milliseconds())
+	slog.Info("replica.snapshot_sent", "to", p.config.Name, "bytes", length, "took_ms", time.Since(start).Milliseconds())
 	return nil
 }
 
-// streamSnapshot makes the call whose body is the store, and returns the length of that in bytes.
+// streamSnapshot makes a call with the store as its body, and returns the body's length in bytes.
 func (p *peer) streamSnapshot(m *pb.Message) (length int64, err error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	stalled := time.AfterFunc(snapshotStallTimeout, cancel)
-	defer stalled.Stop()
+	stallTimer := time.AfterFunc(snapshotStallTimeout, cancel)
+	defer stallTimer.Stop()
 	err = p.group.store.ExportSnapshot(func(_ store.AppliedState, size int64, write func(io.Writer) error) error {
 		length = size
 		r, w := io.Pipe()
-		go func() { w.CloseWithError(write(w)) }() // it ends when r is closed
+		go func() { w.CloseWithError(write(w)) }() // ends when r is closed
 		defer func() { _ = r.Close() }()           // a pipe's Close never fails
 		answer, err := p.call(ctx, snapshotPath, request{
 			contentType: binaryType,
-			body:        stallReader{r: r, stallTimeout: snapshotStallTimeout, verifyTimeout: verifyTimeout(size), timer: stalled},
+			body:        stallReader{r: r, stallTimeout: snapshotStallTimeout, verifyTimeout: verifyTimeout(size), timer: stallTimer},
 			header: map[string]string{
 				snapshotHeader:       fmt.Sprintf("%d %d", m.GetTerm(), m.GetTo()),
 				snapshotLengthHeader: strconv.FormatInt(size, 10),
@@ -110,8 +110,8 @@
 	return length, err
 }
 
-// stallReader is a call's body that resets a timer whenever the receiver reads on. At the end of
-// the body the receiver gets the time to verify it.
+// stallReader is the body of a call. It resets a timer to stallTimeout with each read, and to
+// verifyTimeout at the end of the body, so that the receiver has time to verify it.
 type stallReader struct {
 	r             io.Reader
 	stallTimeout  time.Duration
@@ -127,8 +127,8 @@
 	return n, err
 }
 
-// verifyTimeout is how long a replica may take to verify a snapshot of a size in bytes: each
-// value's checksum, and the hash chain of the events.
+// verifyTimeout returns how long a replica may take to verify a snapshot of the given size in bytes.
+// The verification covers the checksum of each value and the hash chain of the events.
 func verifyTimeout(size int64) time.Duration {
 	return snapshotStallTimeout + time.Duration(size/snapshotVerifyRate)*time.Second
 }
--- a/internal/controlplane/replicas/status.go
+++ b/internal/controlplane/replicas/status.go
@@ -8,34 +8,35 @@
 	"stairvane.org/stairvane/internal/controlplane/replica"
 )
 
-// status is what this replica knows of the group. The loop publishes it for others, who must not
-// change it.
+// status is the state of the group as this replica knows it. The loop publishes it for other
+// goroutines, which must not modify it.
 type status struct {
 	api.GroupStatus
 	leader     uint64 // disk
 	leaderName string
 	members    map[uint64]replica.Member
-	removed    map[uint64]bool // disks that were removed from the group, for good
+	removed    map[uint64]bool // disks that were permanently removed from the group
 }
 
-// Status returns what this replica knows of the group.
+// Status returns the state of the group as this replica knows it.
 func (g *Group) Status() api.GroupStatus { return g.published.Load().GroupStatus }
 
-// IsLeader reports whether this replica leads, as far as it knows.
+// IsLeader reports whether this replica is the leader, as of the last published status. Another
+// replica may have been elected since.
 func (g *Group) IsLeader() bool { return g.published.Load().IsLeader }
 
-// publish makes what the loop knows visible to others.
+// publish publishes a new status to other goroutines. It must be called on the loop.
 func (g *Group) publish() {
 	identity, _ := g.store.Identity()
 	s := &status{GroupStatus: api.GroupStatus{
 		Name:     g.settings.Self,
-		Disk:     formatNumber(identity.Disk),
+		Disk:     formatID(identity.Disk),
 		Phase:    string(g.phase),
 		Reason:   g.reason,
 		Revision: g.store.Fleet().Revision,
 	}}
-	for _, place := range g.settings.Replicas {
-		if !place.IsStandby {
+	for _, configured := range g.settings.Replicas {
+		if !configured.IsStandby {
 			s.Configured++
 		}
 	}
@@ -49,11 +50,11 @@
 	g.published.Store(s)
 }
 
-// fillMembers fills in what the driver knows of the group.
+// fillMembers fills in the driver's state of the group and its members.
 func (g *Group) fillMembers(s *status) {
 	state := g.driver.Status()
 	s.leader = state.Leader
-	s.leaderName = g.nameOf(state.Leader)
+	s.leaderName = g.replicaName(state.Leader)
 	s.members = g.driver.Members()
 	s.removed = map[uint64]bool{}
 	s.Leader = s.leaderName
@@ -79,13 +80,14 @@
 	slices.SortFunc(s.Replicas, func(a, b api.ReplicaStatus) int { return strings.Compare(a.Name+a.Disk, b.Name+b.Disk) })
 }
 
-// memberStatus is a member as the leader sees it; elsewhere only who it is.
+// memberStatus returns the status of a member. Its progress is known only at the leader; at other
+// replicas the status has only the member's identity and role.
 func (g *Group) memberStatus(state replica.Status, disk uint64, member replica.Member) api.ReplicaStatus {
 	r := api.ReplicaStatus{
 		Name:    member.Name,
 		Machine: member.Machine,
 		Site:    member.Site,
-		Disk:    formatNumber(disk),
+		Disk:    formatID(disk),
 		IsVoter: slices.Contains(state.Voters, disk),
 	}
 	progress, isKnown := state.Progress[disk]
--- a/internal/controlplane/replicas/tick.go
+++ b/internal/controlplane/replicas/tick.go
@@ -7,23 +7,23 @@
 )
 
 const (
-	diskRetryInterval    = 200 * time.Millisecond // between attempts to write a failed disk
-	ticksPerPromotion    = 4                      // a leader looks for learners that have caught up every so many ticks
-	ticksPerMaintenance  = 40                     // the log is compacted and the store's file looked for every so many ticks
-	logEntriesKept       = 10_000                 // for replicas that were away; those that lack more are sent a snapshot
-	logCompactionSlack   = 2_000                  // entries beyond those before the log is compacted
-	logEntriesInSnapshot = 300_000                // while a snapshot is sent, so that the log goes on from it
-	snapshotSettleTime   = 30 * time.Second       // after which the receiver has the entries that followed a snapshot
+	diskRetryInterval    = 200 * time.Millisecond // between attempts to write to a failed disk
+	ticksPerPromotion    = 4                      // interval, in ticks, at which a leader looks for learners that have caught up
+	ticksPerMaintenance  = 40                     // interval, in ticks, at which the log is compacted and the store's file is checked
+	logEntriesKept       = 10_000                 // for replicas that were unreachable; one that lacks more is sent a snapshot
+	logCompactionSlack   = 2_000                  // entries beyond logEntriesKept before the log is compacted
+	logEntriesInSnapshot = 300_000                // kept while a snapshot is sent, so that the receiver can continue from it by the log
+	snapshotSettleTime   = 30 * time.Second       // after which a receiver is assumed to have the entries that followed its snapshot
 )
 
-// tick follows one tick of the clock.
+// tick handles one tick of the loop's ticker.
 func (g *Group) tick() {
 	g.ticks++
 	g.contacts.Tick()
 	switch {
 	case g.phase == Introducing && g.introduction.isOver(len(g.peers)):
 		g.startDriver()
-	case g.phase == DiskFailed && Now()-g.diskTriedAt >= diskRetryInterval:
+	case g.phase == DiskFailed && Now()-g.lastDiskAttempt >= diskRetryInterval:
 		g.retryDisk()
 	}
 	if g.driver == nil {
@@ -46,8 +46,8 @@
 	g.publish()
 }
 
-// compactLog drops old entries from the log, but for those that replicas which were away for a
-// short time need.
+// compactLog drops old entries from the log. It keeps recent ones for replicas that were
+// unreachable for a short time.
 func (g *Group) compactLog() {
 	keep := uint64(logEntriesKept)
 	if g.sends.anyUnsettled() {
@@ -61,7 +61,7 @@
 	}
 }
 
-// revisionHistory is the leader's revisions within the length of a lease, oldest first.
+// revisionHistory holds the leader's revisions during the last lease duration, oldest first.
 type revisionHistory []revisionAt
 
 type revisionAt struct {
@@ -69,7 +69,7 @@
 	revision int64
 }
 
-// add records a revision, and forgets those that were superseded before the length of a lease ago.
+// add records a revision, and drops those that were superseded more than a lease duration ago.
 func (h *revisionHistory) add(now time.Duration, revision int64, lease time.Duration) {
 	*h = append(*h, revisionAt{at: now, revision: revision})
 	for len(*h) > 1 && (*h)[1].at <= now-lease {
@@ -77,7 +77,8 @@
 	}
 }
 
-// oldest returns the lowest revision that a lease holder must have; 0 if there is none.
+// oldest returns the lowest revision that a replica must have to be granted a lease; 0 if none is
+// recorded.
 func (h revisionHistory) oldest() int64 {
 	if len(h) == 0 {
 		return 0
--- a/internal/controlplane/replicas/transport.go
+++ b/internal/controlplane/replicas/transport.go
@@ -19,14 +19,14 @@
 	memberPath   = "/v1/copies/member"
 )
 
-// Headers of a call between replicas. Numbers are hexadecimal but for those of the snapshot's
-// headers.
+// Headers of a call between replicas. Numbers are hexadecimal, except for those in the snapshot
+// headers, which are decimal.
 const (
 	groupHeader          = "Stairvane-Group"
 	diskHeader           = "Stairvane-Disk"
 	incarnationHeader    = "Stairvane-Run"
 	nameHeader           = "Stairvane-Copy"
-	snapshotHeader       = "Stairvane-Taken" // of a snapshot: term and receiver of its message
+	snapshotHeader       = "Stairvane-Taken" // term and receiver of a snapshot's message
 	snapshotLengthHeader = "Stairvane-Length"
 )
 
@@ -35,23 +35,23 @@
 	jsonType       = "application/json"
 	callTimeout    = 500 * time.Millisecond
 	maxAnswerBytes = 1 << 20
-	maxJSONBytes   = 1 << 20 // of a call's body
+	maxJSONBytes   = 1 << 20 // of a request body
 )
 
 // request is a call to a peer.
 type request struct {
 	contentType string
 	body        io.Reader
-	header      map[string]string // in addition to those that tell who calls
+	header      map[string]string // in addition to those that identify the sender
 }
 
-// response is a peer's answer.
+// response is a peer's response.
 type response struct {
 	status int
 	body   []byte
 }
 
-// statusError is an answer with a status that the caller did not want.
+// statusError is a response with an unexpected status.
 type statusError struct {
 	Status int
 	Text   string
@@ -69,22 +69,22 @@
 
 func (r response) text() string { return string(bytes.TrimSpace(r.body)) }
 
-// call makes a call as this replica. An error means that there is no complete answer. Whatever the
-// call was for, an answer with status 410 says that this disk was removed from the group, which
-// excludes it.
+// call sends a POST request with headers that identify this replica. It returns an error if there is
+// no complete response. On any path, a response with status 410 means that this disk was removed
+// from the group; call then excludes the disk.
 func (p *peer) call(ctx context.Context, path string, r request) (response, error) {
 	g := p.group
-	url := g.settings.Scheme + "://" + p.to.Address.String() + path
+	url := g.settings.Scheme + "://" + p.config.Address.String() + path
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, r.body)
 	if err != nil {
 		return response{}, fmt.Errorf("call %s: %w", path, err)
 	}
 	identity, _ := g.store.Identity()
 	req.Header.Set("Content-Type", r.contentType)
-	req.Header.Set(groupHeader, formatNumber(identity.Group))
-	req.Header.Set(diskHeader, formatNumber(identity.Disk))
+	req.Header.Set(groupHeader, formatID(identity.Group))
+	req.Header.Set(diskHeader, formatID(identity.Disk))
 	req.Header.Set(nameHeader, g.settings.Self)
-	req.Header.Set(incarnationHeader, formatNumber(g.incarnation))
+	req.Header.Set(incarnationHeader, formatID(g.incarnation))
 	for name, value := range r.header {
 		req.Header.Set(name, value)
 	}
@@ -96,7 +96,7 @@
 	if err != nil {
 		return response{}, err
 	}
-	defer func() { _ = res.Body.Close() }() // what was read is what counts
+	defer func() { _ = res.Body.Close() }() // the body has been read already
 	answer := response{status: res.StatusCode}
 	answer.body, err = io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes))
 	if res.StatusCode == http.StatusGone {
@@ -109,7 +109,7 @@
 	return answer, err
 }
 
-// callJSON makes a call with JSON in both directions.
+// callJSON makes a call whose request and response bodies are JSON.
 func (p *peer) callJSON(ctx context.Context, path string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
@@ -127,5 +127,5 @@
 
 func writeJSON(w http.ResponseWriter, answer any) {
 	w.Header().Set("Content-Type", jsonType)
-	_ = json.NewEncoder(w).Encode(answer) // the caller is gone if it fails
+	_ = json.NewEncoder(w).Encode(answer) // an error means that the caller has disconnected
 }
