--- a/internal/controlplane/replicas/call_history_test.go
+++ b/internal/controlplane/replicas/call_history_test.go
@@ -18,21 +18,22 @@
 	"stairvane.org/stairvane/internal/tools/testharness"
 )
 
-// purgeOp is a call of a client: a purge, or a read of the last revision.
+// purgeOp is a client's call: a purge, or a read of the current revision.
 type purgeOp struct{ isRead bool }
 
-// purgeResult is what a call returned.
+// purgeResult is the result of a call.
 type purgeResult struct {
 	revision  int64
-	isUnknown bool // nobody knows whether the purge was done
+	isUnknown bool // the client does not know whether the purge took effect
 }
 
-// callHistory is clients that purge and read without end, and what each call returned.
+// callHistory runs clients that purge and read until stopClients, and records their calls and
+// results.
 type callHistory struct {
 	mu       sync.Mutex
 	ops      []porcupine.Operation
-	accepted map[string]int64 // events of the purges that were answered, by object
-	unknown  map[string]bool  // objects of purges without an answer
+	accepted map[string]int64 // revisions of the acknowledged purges, by object
+	unknown  map[string]bool  // objects of purges without a response
 	begin    time.Time
 	stop     chan struct{}
 	clients  sync.WaitGroup
@@ -49,7 +50,7 @@
 	return h
 }
 
-// run is one client.
+// run makes calls as one client until the clients are stopped.
 func (h *callHistory) run(c *api.Client, id int, rng *rand.Rand) {
 	for {
 		select {
@@ -96,17 +97,17 @@
 	}
 }
 
-func (h *callHistory) end() {
+func (h *callHistory) stopClients() {
 	close(h.stop)
 	h.clients.Wait()
 }
 
-// checkLinearizable checks that the calls can have happened one after the other. Applies append
-// events too, so a revision may be higher than the one after the last; never lower or the same.
+// checkLinearizable checks that the recorded calls are linearizable. Applies append events too, so
+// the revision of a purge may exceed the previous one by any amount, but never be equal or lower.
 func (h *callHistory) checkLinearizable(t *testing.T) {
 	t.Helper()
 	for i, op := range h.ops {
-		if op.Output.(purgeResult).isUnknown { // it may take effect at any later time
+		if op.Output.(purgeResult).isUnknown { // the purge may take effect at any later time
 			h.ops[i].Return = time.Since(h.begin).Nanoseconds()
 		}
 	}
@@ -133,11 +134,11 @@
 	case porcupine.Illegal:
 		t.Error("the calls are not linearizable")
 	case porcupine.Unknown:
-		t.Error("whether the calls are linearizable was not decided in time")
+		t.Error("the linearizability check timed out")
 	}
 }
 
-// historyOf reads a replica's events, byte for byte as it serves them.
+// historyOf returns the events that a replica serves, as the exact bytes.
 func historyOf(t *testing.T, r *testharness.Replica) (events []json.RawMessage) {
 	t.Helper()
 	for {
@@ -154,9 +155,9 @@
 	}
 }
 
-// checkHistories compares the replicas' events with each other and with the answers of the calls:
-// they are equal byte for byte, every answered purge is there once and under its number, every
-// unanswered one at most once.
+// checkHistories compares the replicas' events with each other and with the results of the calls. The
+// events must be equal byte for byte. Each acknowledged purge must be present once, under its
+// revision, and each unacknowledged one at most once.
 func (h *callHistory) checkHistories(t *testing.T, cluster *testharness.Cluster) {
 	t.Helper()
 	var longest []json.RawMessage
@@ -174,31 +175,31 @@
 	for name, events := range histories {
 		for i := range events {
 			if string(events[i]) != string(longest[i]) {
-				t.Fatalf("replica %s has %s where another has %s", name, events[i], longest[i])
+				t.Fatalf("replica %s has event %s, another replica has %s", name, events[i], longest[i])
 			}
 		}
 		if len(events) < len(longest)-50 {
-			t.Errorf("replica %s ends at event %d, another at %d", name, len(events), len(longest))
+			t.Errorf("the last event of replica %s is %d, that of another replica is %d", name, len(events), len(longest))
 		}
 	}
 	h.checkPurges(t, longest)
-	t.Logf("%d events, %d purges answered, %d not, replicas have %d", len(longest), len(h.accepted), len(h.unknown), len(histories))
+	t.Logf("%d events, %d purges acknowledged, %d not, logs of %d replicas", len(longest), len(h.accepted), len(h.unknown), len(histories))
 }
 
 func (h *callHistory) checkPurges(t *testing.T, events []json.RawMessage) {
 	t.Helper()
-	numbers := map[string]int64{} // of the purges, by object
+	numbers := map[string]int64{} // event numbers of the purges, by object
 	for i, raw := range events {
 		var event fleet.Event
 		check(t, json.Unmarshal(raw, &event))
 		if event.No != int64(i+1) {
-			t.Fatalf("event %d stands where %d is wanted", event.No, i+1)
+			t.Fatalf("event %d is at position %d", event.No, i+1)
 		}
 		if event.Purge == nil {
 			continue
 		}
 		if first, isRepeated := numbers[event.Purge.Object]; isRepeated {
-			t.Errorf("purge of %s is event %d and %d", event.Purge.Object, first, event.No)
+			t.Errorf("purge of %s is both event %d and event %d", event.Purge.Object, first, event.No)
 		}
 		numbers[event.Purge.Object] = event.No
 	}
@@ -209,6 +210,6 @@
 		}
 	}
 	if lost > 0 {
-		t.Errorf("%d of %d accepted purges are missing or elsewhere", lost, len(h.accepted))
+		t.Errorf("%d of %d acknowledged purges are missing or have another revision", lost, len(h.accepted))
 	}
 }
--- a/internal/controlplane/replicas/claims_test.go
+++ b/internal/controlplane/replicas/claims_test.go
@@ -11,7 +11,7 @@
 	"stairvane.org/stairvane/internal/tools/testharness"
 )
 
-// twoLocations is two locations with two caches each, and the origin that they are filled from.
+// twoLocations is a fleet of two locations with two caches each, which fetch from one origin.
 type twoLocations struct {
 	caches map[string][]*fakes.Cache // by location
 }
@@ -44,14 +44,14 @@
 	return l
 }
 
-// executions is where the orders of lost directors were executed.
+// executions counts the tokens of the executed orders.
 type executions struct {
 	tokens int
-	inBoth int      // tokens that were executed in both locations within the window
-	which  []string // those tokens, with the times of both
+	inBoth int      // number of tokens executed in both locations within the window
+	which  []string // those tokens, with both execution times
 }
 
-// executions reads what the fake caches have recorded.
+// executions returns the executions that the fake caches have recorded.
 func (l *twoLocations) executions(window time.Duration) (e executions) {
 	firstAt := map[string]map[string]time.Time{} // by token and location
 	for _, site := range []string{"west", "east"} {
@@ -63,7 +63,7 @@
 				if firstAt[attempt.Token] == nil {
 					firstAt[attempt.Token] = map[string]time.Time{}
 				}
-				if first, is := firstAt[attempt.Token][site]; !is || attempt.At.Before(first) {
+				if first, ok := firstAt[attempt.Token][site]; !ok || attempt.At.Before(first) {
 					firstAt[attempt.Token][site] = attempt.At
 				}
 			}
@@ -80,12 +80,12 @@
 	return e
 }
 
-// directorLoss kills directors with orders under way, and has their clients repeat the orders with
-// the same tokens elsewhere.
+// directorLoss kills directors with orders in flight, and retries the orders with the same tokens at
+// other directors.
 type directorLoss struct {
 	t         *testing.T
 	cluster   *testharness.Cluster
-	claims    string // the directors' settings of claims; empty: without
+	claims    string // form of the directors' claim settings; empty: no claims
 	rng       *rand.Rand
 	directors map[string][]*testharness.Director // by location
 }
@@ -95,7 +95,7 @@
 	l := &directorLoss{t: t, cluster: cluster, claims: claims, rng: rng, directors: map[string][]*testharness.Director{}}
 	for _, site := range []string{"west", "east"} {
 		for n := range 3 {
-			l.directors[site] = append(l.directors[site], l.start(site, n))
+			l.directors[site] = append(l.directors[site], l.startDirector(site, n))
 		}
 	}
 	for _, site := range []string{"west", "east"} {
@@ -109,7 +109,7 @@
 	return l
 }
 
-func (l *directorLoss) start(site string, n int) *testharness.Director {
+func (l *directorLoss) startDirector(site string, n int) *testharness.Director {
 	l.t.Helper()
 	d, err := l.cluster.StartDirector(fmt.Sprintf("%s%d", site, n), site, l.rng.IntN(len(l.cluster.Replicas)), l.claims)
 	check(l.t, err)
@@ -119,7 +119,7 @@
 
 func (l *directorLoss) awaitServing(d *testharness.Director) {
 	l.t.Helper()
-	for end := time.Now().Add(patience); ; {
+	for end := time.Now().Add(waitTimeout); ; {
 		c, err := fakes.Connect(d.Addr)
 		check(l.t, err)
 		check(l.t, c.Ask("orders", 1, time.Second, "token", fmt.Sprintf("warm%x", l.rng.Uint64())))
@@ -127,15 +127,16 @@
 			return
 		}
 		if time.Now().After(end) {
-			l.t.Fatalf("%s serves no order:\n%s", d.Name, d.Log())
+			l.t.Fatalf("%s serves no orders:\n%s", d.Name, d.Log())
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// lose kills a director with orders under way, and returns how the repeated orders were answered:
-// first by a director of the other location, then by another one of the same location.
-func (l *directorLoss) lose(n int) fakes.Tally {
+// killDirector kills a director with orders in flight, and retries the orders, first at a director of
+// the other location, then at another director of the same location. It returns the tally of the
+// retries.
+func (l *directorLoss) killDirector(n int) fakes.Tally {
 	l.t.Helper()
 	site, other := "west", "east"
 	if l.rng.IntN(2) == 0 {
@@ -156,29 +157,29 @@
 	}
 	lost.Kill()
 	c.Finish(time.Second)
-	atOther := l.repeat(l.directors[other][l.rng.IntN(3)], orders)
-	atSame := l.repeat(l.directors[site][(i+1)%3], orders)
+	atOther := l.retryOrders(l.directors[other][l.rng.IntN(3)], orders)
+	atSame := l.retryOrders(l.directors[site][(i+1)%3], orders)
 	if l.claims != "" && atSame.Served < len(orders) {
-		l.t.Logf("%d of %d are not served where they had been sent: %+v", len(orders)-atSame.Served, len(orders), atSame)
+		l.t.Logf("%d of %d orders were not served by a retry in the original location: %+v", len(orders)-atSame.Served, len(orders), atSame)
 	}
-	l.directors[site][i] = l.start(site, i)
+	l.directors[site][i] = l.startDirector(site, i)
 	l.awaitServing(l.directors[site][i])
 	return addTallies(atOther, atSame)
 }
 
-// repeat sends orders again.
-func (l *directorLoss) repeat(to *testharness.Director, orders map[string]uint64) fakes.Tally {
+// retryOrders sends orders again, with the same tokens.
+func (l *directorLoss) retryOrders(to *testharness.Director, orders map[string]uint64) fakes.Tally {
 	l.t.Helper()
 	c, err := fakes.Connect(to.Addr)
 	check(l.t, err)
 	for token, object := range orders {
 		check(l.t, c.Ask("orders", object, 1500*time.Millisecond, "token", token))
 	}
-	return c.Finish(patience)
+	return c.Finish(waitTimeout)
 }
 
-// checkReusedToken checks that a token which comes with another object is rejected: it is no
-// repeat.
+// checkReusedToken checks that a request with a used token and another object is rejected, because it
+// is not a retry.
 func (l *directorLoss) checkReusedToken() {
 	l.t.Helper()
 	c, err := fakes.Connect(l.directors["west"][0].Addr)
@@ -187,18 +188,18 @@
 		check(l.t, c.Ask("orders", object+1, 1500*time.Millisecond, "token", "twofold"))
 		time.Sleep(100 * time.Millisecond)
 	}
-	if tally := c.Finish(patience); tally.Served != 1 || tally.Failed != 1 {
+	if tally := c.Finish(waitTimeout); tally.Served != 1 || tally.Failed != 1 {
 		l.t.Errorf("one token for two objects: %+v", tally)
 	}
 }
 
-// Guards against an order that is executed in two locations: a director is killed with orders under
-// way, and its clients repeat them with their tokens at a director of another location. Without
-// claims some orders are executed in both; with claims none is, and each request gets one final
-// answer.
+// Guards against an order that is executed in two locations: a director is killed with orders in
+// flight, and its clients retry them with the same tokens at a director of another location. Without
+// claims, some orders are executed in both locations. With claims, none may be, and each request must
+// get one final response.
 func TestNoOrderRunsInTwoLocations(t *testing.T) {
-	seed := uint64(fromEnv(seedVar, 1))
-	losses := fromEnv("STAIRVANE_LOSSES", 4)
+	seed := uint64(envInt(seedVar, 1))
+	losses := envInt("STAIRVANE_LOSSES", 4)
 	t.Logf("%s=%d STAIRVANE_LOSSES=%d", seedVar, seed, losses)
 	for _, claims := range []string{"", "(claims (listen 127.0.0.1:0) (unreached wait))"} {
 		cluster := startGroup(t, 3, 0)
@@ -206,25 +207,25 @@
 		loss := startDirectorLoss(t, cluster, locations, claims, rand.New(rand.NewPCG(seed, 9)))
 		var answers fakes.Tally
 		for n := range losses {
-			answers = addTallies(answers, loss.lose(n))
+			answers = addTallies(answers, loss.killDirector(n))
 		}
 		if claims != "" {
 			loss.checkReusedToken()
 		}
 		executed := locations.executions(4 * time.Second)
-		t.Logf("claims %q: %d of %d tokens ran in both locations; the repeated orders: %+v",
+		t.Logf("claims %q: %d of %d tokens were executed in both locations; the retries: %+v",
 			claims, executed.inBoth, executed.tokens, answers)
 		if answers.Lost+answers.Doubled > 0 {
-			t.Errorf("claims %q: not each request got one answer: %+v", claims, answers)
+			t.Errorf("claims %q: not every request got exactly one response: %+v", claims, answers)
 		}
 		if claims == "" && executed.inBoth == 0 {
-			t.Error("without claims none ran in both locations: the test shows nothing")
+			t.Error("without claims no order was executed in both locations: the test can't detect the fault")
 		}
 		if claims != "" && answers.Served < answers.Sent/3 {
-			t.Errorf("with claims hardly any repeated order is served: %+v", answers)
+			t.Errorf("with claims too few retries were served: %+v", answers)
 		}
 		if claims != "" && executed.inBoth > 0 {
-			t.Errorf("%d tokens ran in two locations: %v", executed.inBoth, executed.which)
+			t.Errorf("%d tokens were executed in both locations: %v", executed.inBoth, executed.which)
 		}
 		cluster.Close()
 	}
--- a/internal/controlplane/replicas/faults_test.go
+++ b/internal/controlplane/replicas/faults_test.go
@@ -6,24 +6,25 @@
 	"time"
 )
 
-// The environment sets how long TestFaults is.
+// Environment variables that configure TestFaults.
 const (
-	faultsVar   = "STAIRVANE_FAULTS" // how many faults
-	replicasVar = "STAIRVANE_COPIES" // how many replicas
+	faultsVar   = "STAIRVANE_FAULTS" // number of faults
+	replicasVar = "STAIRVANE_COPIES" // number of replicas
 	seedVar     = "STAIRVANE_SEED"
-	kindVar     = "STAIRVANE_KIND" // every fault is of this kind
+	kindVar     = "STAIRVANE_KIND" // restricts the schedule to faults of this kind
 )
 
-// Replicas, six directors, fake caches and clients are processes of their own, and a schedule of
-// faults from a printed seed goes over the replicas: killed, paused, cut off, cut off in one
-// direction, slowed, connections broken, disks full, lost and restored from an old state. Meanwhile
-// purges and reads go on, and an apply drains a cache. The calls must be linearizable, no accepted
-// write may be lost or repeated, all replicas must have one history, each request must get one
-// final answer, and the drained cache no request once the apply is done.
+// TestFaults injects a schedule of faults, drawn from a logged seed, into the replicas: they are
+// killed, paused, cut off in both directions or in one, and slowed, their connections are broken,
+// and their disks are full, lost or restored from an old state. The replicas and six directors are
+// separate processes. During the faults, clients send purges, reads and requests, and an apply drains
+// a cache. The calls must be linearizable, no accepted write may be lost or duplicated, all replicas
+// must have the same event log, each request must get exactly one final response, and the drained
+// cache must get no attempt after the apply is done.
 func TestFaults(t *testing.T) {
-	replicas := fromEnv(replicasVar, 3)
-	faults := fromEnv(faultsVar, 4) // one short schedule in CI; others by command
-	seed := uint64(fromEnv(seedVar, 3))
+	replicas := envInt(replicasVar, 3)
+	faults := envInt(faultsVar, 4) // a short schedule for CI; longer ones are started manually
+	seed := uint64(envInt(seedVar, 3))
 	t.Logf("%s=%d %s=%d %s=%d", seedVar, seed, faultsVar, faults, replicasVar, replicas)
 	rng := rand.New(rand.NewPCG(seed, 1))
 	schedule := drawSchedule(rng, faults, replicas)
@@ -45,15 +46,15 @@
 	awaitApply(t, cluster, id)
 	done := time.Now()
 	time.Sleep(700 * time.Millisecond)
-	calls.end()
+	calls.stopClients()
 	sum := load.stopLoad()
 	t.Logf("requests: %+v", sum)
 	if sum.Doubled+sum.Lost+sum.Failed > 0 || sum.Served == 0 {
-		t.Errorf("requests without one good final answer: %+v", sum)
+		t.Errorf("not every request got exactly one successful response: %+v", sum)
 	}
 	for _, attempt := range caches[1].Attempts() {
 		if late := attempt.At.Sub(done); late > 0 {
-			t.Errorf("an attempt came to the drained cache %v after its apply was done", late)
+			t.Errorf("the drained cache got an attempt %v after the apply was done", late)
 			break
 		}
 	}
--- a/internal/controlplane/replicas/harness_test.go
+++ b/internal/controlplane/replicas/harness_test.go
@@ -18,20 +18,20 @@
 	"stairvane.org/stairvane/internal/tools/testharness"
 )
 
-// patience bounds the wait for anything that must happen, on a busy machine too.
-const patience = 30 * time.Second
+// waitTimeout limits the wait for an expected event. It is long enough for a busy machine.
+const waitTimeout = 30 * time.Second
 
-// program is the path of the built stairvane-fleet.
-var program string
+// fleetBinary is the path of the built stairvane-fleet.
+var fleetBinary string
 
 func TestMain(m *testing.M) {
 	folder, err := os.MkdirTemp("", "copies")
 	if err != nil {
 		panic(err)
 	}
-	program = filepath.Join(folder, "stairvane-fleet")
-	build := []string{"build", "-o", program}
-	if os.Getenv("STAIRVANE_RACE") != "" { // a process that reports a race ends with status 66
+	fleetBinary = filepath.Join(folder, "stairvane-fleet")
+	build := []string{"build", "-o", fleetBinary}
+	if os.Getenv("STAIRVANE_RACE") != "" { // a process that reports a race exits with status 66
 		build = append(build, "-race")
 	}
 	if out, err := exec.Command("go", append(build, "stairvane.org/stairvane/cmd/stairvane-fleet")...).CombinedOutput(); err != nil {
@@ -39,7 +39,7 @@
 		os.Exit(1)
 	}
 	status := m.Run()
-	_ = os.RemoveAll(folder) // it is in the folder of temporary files
+	_ = os.RemoveAll(folder) // a leftover in the temporary directory is harmless
 	os.Exit(status)
 }
 
@@ -50,17 +50,18 @@
 	}
 }
 
-func fromEnv(name string, otherwise int) int {
+// envInt returns the integer in an environment variable, or fallback if it is not set to one.
+func envInt(name string, fallback int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return n
 	}
-	return otherwise
+	return fallback
 }
 
-// startGroup starts a cluster of replicas, and prints what they logged if the test fails.
+// startGroup starts a cluster of replicas and standbys, and prints their logs if the test fails.
 func startGroup(t testing.TB, replicas, standbys int, options ...func(*testharness.Cluster)) *testharness.Cluster {
 	t.Helper()
-	cluster, err := testharness.NewCluster(program, t.TempDir(), replicas, standbys)
+	cluster, err := testharness.NewCluster(fleetBinary, t.TempDir(), replicas, standbys)
 	check(t, err)
 	for _, option := range options {
 		option(cluster)
@@ -78,12 +79,13 @@
 			}
 		}
 	})
-	check(t, cluster.Bootstrap(patience))
+	check(t, cluster.Bootstrap(waitTimeout))
 	return cluster
 }
 
-// within relaxes a bound that holds on an idle machine. CI, where other tests run at the same time,
-// allows four times as much, which still tells a fault; STAIRVANE_TIMES demands the bound itself.
+// within returns a time limit adapted to the machine's load. The limit d applies to an idle machine,
+// and is enforced as it is if STAIRVANE_TIMES is set. Otherwise, as in CI, where other tests run at
+// the same time, four times the limit is allowed, which still detects a fault.
 func within(d time.Duration) time.Duration {
 	if os.Getenv("STAIRVANE_TIMES") == "" {
 		return 4 * d
@@ -102,21 +104,21 @@
 	return caches
 }
 
-// awaitServing waits until a director serves.
+// awaitServing waits until a director serves requests.
 func awaitServing(t *testing.T, d *testharness.Director) {
 	t.Helper()
-	for end := time.Now().Add(patience); ; {
+	for end := time.Now().Add(waitTimeout); ; {
 		if tally, err := fakes.Load(d.Addr, 100, 30*time.Millisecond); err == nil && tally.Served > 0 {
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%s serves nothing", d.Name)
+			t.Fatalf("%s serves no requests", d.Name)
 		}
 	}
 }
 
-// desiredStates returns a fleet of three caches, and the one that it becomes: the second cache is
-// drained, and a fourth is added.
+// desiredStates returns the desired state of a fleet with three caches, and a second one in which the
+// second cache is drained and a fourth is added.
 func desiredStates(caches []*fakes.Cache) (before, after fleet.DesiredState) {
 	rules := fleet.DefaultRules()
 	rules.Cache.WarmUpMS = 0
@@ -146,13 +148,13 @@
 	}
 }
 
-// submitPlan plans the way to a desired state, submits the plan, and returns the number of the
-// apply.
+// submitPlan computes a plan from the observed state to a desired state, submits it, and returns the
+// ID of the apply.
 func submitPlan(t *testing.T, cluster *testharness.Cluster, desired fleet.DesiredState) int64 {
 	t.Helper()
 	c, err := cluster.Client()
 	check(t, err)
-	for end := time.Now().Add(2 * patience); ; time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(2 * waitTimeout); ; time.Sleep(20 * time.Millisecond) {
 		state, err := c.State()
 		if err == nil {
 			var observed fleet.ObservedState
@@ -168,18 +170,18 @@
 			}
 		}
 		if time.Now().After(end) {
-			t.Fatalf("the plan is not accepted: %v", err)
+			t.Fatalf("the plan was not accepted: %v", err)
 		}
 	}
 }
 
-// awaitApply waits for the end of an apply.
+// awaitApply waits until an apply is done.
 func awaitApply(t *testing.T, cluster *testharness.Cluster, id int64) {
 	t.Helper()
 	c, err := cluster.Client()
 	check(t, err)
 	var now api.Apply
-	for end := time.Now().Add(3 * patience); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(3 * waitTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if now, err = c.Apply(id); err == nil && now.Status == apply.Done {
 			return
 		}
--- a/internal/controlplane/replicas/health_test.go
+++ b/internal/controlplane/replicas/health_test.go
@@ -15,8 +15,8 @@
 	"stairvane.org/stairvane/internal/tools/testharness"
 )
 
-// startFleetWithParents starts replicas, two caches that are filled from four parent caches, and
-// directors of one location that each send few requests.
+// startFleetWithParents starts replicas, two caches that fetch from four parent caches, and directors
+// of one location under a low load each.
 func startFleetWithParents(
 	t *testing.T, directors int, pause time.Duration, forms string,
 ) (cluster *testharness.Cluster, caches []*fakes.Cache, f *loadedFleet) {
@@ -51,7 +51,7 @@
 	return cluster, caches, startLoadedFleet(t, cluster, directors, forms, 100_000, pause)
 }
 
-// corruptedFills counts the fills that were rejected from a moment on, second by second.
+// corruptedFills returns the number of rejected fills since a time, in total and for each second.
 func corruptedFills(caches []*fakes.Cache, since time.Time, seconds int) (sum int, each []int) {
 	each = make([]int, seconds)
 	for _, c := range caches {
@@ -65,12 +65,13 @@
 	return sum, each
 }
 
-// Guards the exchange of health reports. One of four parent caches rejects two thirds of the fills.
-// Eight directors with few requests each learn that alone, or by the reports of all: then far fewer
-// fills are rejected until all avoid it. A replica is killed and a director is paused meanwhile.
-// Once the parent cache is healthy it gets requests again.
+// Guards the exchange of health reports between directors. Two thirds of the fills from one of four
+// parent caches are rejected. Eight directors under a low load each detect that either by themselves
+// or by the reports of all directors. With reports, far fewer fills may be rejected until all
+// directors avoid the parent cache. Once the parent cache is healthy it must get requests again, even
+// though a replica was killed and a director was paused.
 func TestHealthReportsSpareAFaultyParentCache(t *testing.T) {
-	seconds := fromEnv("STAIRVANE_SECONDS", 6)
+	seconds := envInt("STAIRVANE_SECONDS", 6)
 	sums := map[string]int{}
 	for _, forms := range []string{"", "(signals)"} {
 		cluster, caches, f := startFleetWithParents(t, 8, 125*time.Millisecond, forms)
@@ -84,20 +85,20 @@
 		sum, each := corruptedFills(caches, begin, seconds)
 		sums[forms] = sum
 		t.Logf("%q: %d fills rejected, second by second %v", forms, sum, each)
-		for _, d := range f.directors { // each is notified in the time that the test has, and none without the setting
+		for _, d := range f.directors { // with the setting, each must be notified within the time of the test; without it, none
 			if isNotified := d.Count("health.suspected") > 0; isNotified != (forms != "") {
-				t.Errorf("%q: that %s was notified of a suspected host is %v", forms, d.Name, isNotified)
+				t.Errorf("%q: %s was notified of a suspected host: %v", forms, d.Name, isNotified)
 			}
 		}
 		if forms != "" {
-			out, err := exec.Command(program, "signals", "hub-1", "--board", cluster.Addresses()).CombinedOutput()
+			out, err := exec.Command(fleetBinary, "signals", "hub-1", "--board", cluster.Addresses()).CombinedOutput()
 			if err != nil || !strings.Contains(string(out), "d-0/") {
 				t.Errorf("%v\n%s", err, out)
 			}
 			t.Logf("%s", out)
 			var resumed sync.WaitGroup
 			follower := cluster.Replicas[0]
-			if follower == cluster.Leader(patience) {
+			if follower == cluster.Leader(waitTimeout) {
 				follower = cluster.Replicas[1]
 			}
 			follower.Kill()
@@ -121,7 +122,7 @@
 				}
 			}
 			if fills == 0 {
-				t.Error("the parent cache is healthy and gets nothing")
+				t.Error("the parent cache is healthy but gets no requests")
 			}
 			t.Logf("healthy again: %d fills in 2 s", fills)
 		}
--- a/internal/controlplane/replicas/load_test.go
+++ b/internal/controlplane/replicas/load_test.go
@@ -11,7 +11,7 @@
 	"stairvane.org/stairvane/internal/tools/testharness"
 )
 
-// loadedFleet is directors, each with a client that sends requests without end.
+// loadedFleet is a group of directors, each with a client that sends requests until stopLoad.
 type loadedFleet struct {
 	directors []*testharness.Director
 	clients   []*fakes.Client
@@ -19,9 +19,9 @@
 	load      sync.WaitGroup
 }
 
-// startLoadedFleet starts directors that watch the replicas, spread over them, waits until each
-// serves, and has a client request random objects from each, with random pauses. objects is how
-// many objects there are, pause the mean pause.
+// startLoadedFleet starts n directors, distributes their watches over the replicas, and waits until
+// each director serves. It then starts a client for each director that requests random objects with
+// random pauses. objects is the number of distinct objects, and pause is the mean pause.
 func startLoadedFleet(t *testing.T, cluster *testharness.Cluster, n int, forms string, objects int, pause time.Duration) *loadedFleet {
 	t.Helper()
 	f := &loadedFleet{stop: make(chan struct{})}
@@ -53,17 +53,17 @@
 	return f
 }
 
-// stopLoad stops the load and adds up what the clients got.
+// stopLoad stops the clients and returns the sum of their tallies.
 func (f *loadedFleet) stopLoad() (sum fakes.Tally) {
 	close(f.stop)
 	f.load.Wait()
 	for _, c := range f.clients {
-		sum = addTallies(sum, c.Finish(patience))
+		sum = addTallies(sum, c.Finish(waitTimeout))
 	}
 	return sum
 }
 
-// addTallies adds up the outcomes of two clients' requests.
+// addTallies returns the sum of two tallies.
 func addTallies(a, b fakes.Tally) fakes.Tally {
 	a.Sent += b.Sent
 	a.Served += b.Served
--- a/internal/controlplane/replicas/local_replica_test.go
+++ b/internal/controlplane/replicas/local_replica_test.go
@@ -22,11 +22,11 @@
 	helloPath  = "/v1/copies/hello"
 	memberPath = "/v1/copies/member"
 
-	// groupNumber is the number of the group of local replicas.
+	// groupNumber is the ID of the group of local replicas.
 	groupNumber = 7
 )
 
-// localSettings returns the settings of a replica in this process.
+// localSettings returns the settings of a replica that runs in the test process.
 func localSettings(self string, list ...operatorconfig.Replica) replicas.Settings {
 	return replicas.Settings{
 		ReplicaGroup: operatorconfig.ReplicaGroup{
@@ -47,23 +47,23 @@
 	}
 }
 
-// localReplica is a replica in this process.
+// localReplica is a replica that runs in the test process.
 type localReplica struct {
 	*replicas.Group
 	store *store.Store
-	calls http.Handler // serves the calls of other replicas
+	calls http.Handler // handles the calls of other replicas
 }
 
-// storedState is what a local replica's store holds when it starts.
+// storedState is the initial content of a local replica's store.
 type storedState struct {
 	disk      uint64
-	position  uint64 // index and term of the last entry
+	position  uint64 // both the index and the term of the last entry
 	confState *pb.ConfState
 	members   map[uint64]replica.Member
 }
 
-// startReplica runs a replica from a stored state. Its store calls killPoint at each point of a
-// write.
+// startReplica starts a replica with the given stored state. The store calls killPoint at each point
+// of a write.
 func startReplica(t *testing.T, settings replicas.Settings, killPoint func(string), stored storedState) *localReplica {
 	t.Helper()
 	s, err := store.Open(filepath.Join(t.TempDir(), "store.db"), store.Options{IsReplica: true, NoSync: true, KillPoint: killPoint})
@@ -89,9 +89,9 @@
 // awaitPhase waits until a replica is in a phase.
 func awaitPhase(t *testing.T, g *localReplica, phase replicas.Phase) {
 	t.Helper()
-	for end := time.Now().Add(patience); replicas.Phase(g.Status().Phase) != phase; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); replicas.Phase(g.Status().Phase) != phase; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("the replica is %q, not %q", g.Status().Phase, phase)
+			t.Fatalf("the replica is in phase %q, not %q", g.Status().Phase, phase)
 		}
 	}
 }
--- a/internal/controlplane/replicas/measure_test.go
+++ b/internal/controlplane/replicas/measure_test.go
@@ -19,16 +19,16 @@
 	"stairvane.org/stairvane/internal/tools/testharness"
 )
 
-// skipUnlessMeasuring skips a measurement unless it is asked for: STAIRVANE_MEASURE=1 go test -run
-// TestMeasure -v ./internal/controlplane/replicas. Every process is the built program; all stores
-// are on one disk.
+// skipUnlessMeasuring skips a measurement unless STAIRVANE_MEASURE is set: STAIRVANE_MEASURE=1 go
+// test -run TestMeasure -v ./internal/controlplane/replicas. Each process runs the built program; all
+// stores are on the same disk.
 func skipUnlessMeasuring(t *testing.T) {
 	if os.Getenv("STAIRVANE_MEASURE") == "" {
-		t.Skip("a measurement, by command: STAIRVANE_MEASURE=1")
+		t.Skip("a measurement, run only with STAIRVANE_MEASURE=1")
 	}
 }
 
-// quantile sorts durations and returns one of their quantiles.
+// quantile sorts durations in place and returns their q-quantile.
 func quantile(d []time.Duration, q float64) time.Duration {
 	if len(d) == 0 {
 		return 0
@@ -37,8 +37,8 @@
 	return d[min(len(d)-1, int(q*float64(len(d))))]
 }
 
-// writeFor has writers purge for a time as fast as they are answered, each over a connection of its
-// own.
+// writeFor runs writers that purge as fast as they get responses, each over its own connection. It
+// returns the rate and the latency quantiles of the purges.
 func writeFor(t *testing.T, addresses string, writers int, length time.Duration) (perSecond float64, p50, p99 time.Duration) {
 	t.Helper()
 	var mu sync.Mutex
@@ -74,19 +74,20 @@
 	path := filepath.Join(folder, "alone.scm")
 	settings := "(board (listen 127.0.0.1:0) (store " + filepath.Join(folder, "board.db") + ") (write (tcp 127.0.0.1:0)))\n"
 	check(t, os.WriteFile(path, []byte(settings), 0o600))
-	p, err := testharness.Start("alone", program, []string{"board", path}, nil)
+	p, err := testharness.Start("alone", fleetBinary, []string{"board", path}, nil)
 	check(t, err)
 	t.Cleanup(p.Kill)
-	serves, _, err := p.Event("controlplane.started", 0, patience)
+	serves, _, err := p.Event("controlplane.started", 0, waitTimeout)
 	check(t, err)
 	address, _ = serves["write"].(string)
 	return address
 }
 
-// Durable writes a second of 1, 3 and 5 replicas against a control plane without replicas.
+// Measures the durable writes per second of 1, 3 and 5 replicas, relative to those of a control plane
+// without replicas.
 func TestMeasureWrites(t *testing.T) {
 	skipUnlessMeasuring(t)
-	single := map[int][]float64{} // writes a second without replicas, by writers and round
+	single := map[int][]float64{} // writes per second without replicas, by number of writers and round
 	for round := range 3 {
 		for _, replicas := range []int{0, 1, 3, 5} {
 			for _, writers := range []int{1, 64} {
@@ -94,7 +95,7 @@
 				if replicas == 0 {
 					single[writers] = append(single[writers], perSecond)
 				}
-				t.Logf("round %d: %d replicas, %2d writers: %.2f of a single one, %.0f/s, p50 %v, p99 %v",
+				t.Logf("round %d: %d replicas, %2d writers: %.2f of the rate without replicas, %.0f/s, p50 %v, p99 %v",
 					round, replicas, writers, perSecond/single[writers][round], perSecond, p50, p99)
 			}
 		}
@@ -109,10 +110,10 @@
 	}
 	cluster := startGroup(t, replicas, 0)
 	defer cluster.Close()
-	return writeFor(t, cluster.Leader(patience).Write.Addr(), writers, length)
+	return writeFor(t, cluster.Leader(waitTimeout).Write.Addr(), writers, length)
 }
 
-// The time from a fault of the leader to the first write that is accepted afterwards.
+// Measures the time from a fault of the leader to the next accepted write.
 func TestMeasureUnavailability(t *testing.T) {
 	skipUnlessMeasuring(t)
 	for _, kind := range []string{"killed", "paused", "cut off", "disk full", "disk broken"} {
@@ -120,15 +121,15 @@
 			continue
 		}
 		cluster := startGroup(t, 3, 0)
-		clients := map[string]*api.Client{} // one for each replica: each opens a connection of its own
+		clients := map[string]*api.Client{} // one for each replica, with its own connection
 		for _, r := range cluster.Replicas {
 			c, err := api.NewClient(r.Write.Addr(), "measure", api.Credentials{})
 			check(t, err)
 			clients[r.Write.Addr()] = c
 		}
 		var outages []time.Duration
-		for n := range fromEnv("STAIRVANE_TIMES", 50) {
-			leader := cluster.Leader(patience)
+		for n := range envInt("STAIRVANE_TIMES", 50) {
+			leader := cluster.Leader(waitTimeout)
 			var others []string
 			for _, r := range cluster.Replicas {
 				if r != leader || kind == "disk full" || kind == "disk broken" {
@@ -146,7 +147,7 @@
 					_, err := leader.FailDisk(syscall.EIO, false, 1500*time.Millisecond)
 					repaired <- err
 				}()
-				time.Sleep(20 * time.Millisecond) // until all its threads are stopped, before the first write
+				time.Sleep(20 * time.Millisecond) // until FailDisk has stopped all threads of the process, before the first write
 				begin = time.Now()
 			case "killed":
 				leader.Kill()
@@ -175,15 +176,15 @@
 			case "disk broken":
 				check(t, <-repaired)
 			}
-			check(t, cluster.AwaitComplete(patience))
+			check(t, cluster.AwaitComplete(waitTimeout))
 		}
-		t.Logf("leader %s: %d times, no write for p50 %v, p90 %v, max %v",
+		t.Logf("leader %s: %d times, no writes accepted for p50 %v, p90 %v, max %v",
 			kind, len(outages), quantile(outages, 0.5), quantile(outages, 0.9), outages[len(outages)-1])
 		cluster.Close()
 	}
 }
 
-// watch watches a replica as a director does, and calls a function with each event's number.
+// watch watches a replica as a director does, and calls received with the number of each event.
 func watch(t *testing.T, address string, received func(no int64, at time.Time)) (stop func()) {
 	conn, err := net.Dial("tcp", address)
 	check(t, err)
@@ -223,11 +224,11 @@
 			}
 		}
 	}()
-	return func() { _ = conn.Close() } // the watch ends by that
+	return func() { _ = conn.Close() } // ends the watch
 }
 
-// The time from the answer that an event is accepted until each of 100 watchers has it, spread over
-// three replicas.
+// Measures the time from the acknowledgment of an event until each of 100 watchers, distributed over
+// three replicas, has received it.
 func TestMeasureNotification(t *testing.T) {
 	skipUnlessMeasuring(t)
 	cluster := startGroup(t, 3, 0)
@@ -241,7 +242,7 @@
 		defer watch(t, cluster.Replicas[i%3].Watch.Addr(), func(no int64, at time.Time) { receipts <- receipt{no, at} })()
 	}
 	time.Sleep(time.Second)
-	c, err := api.NewClient(cluster.Leader(patience).Write.Addr(), "measure", api.Credentials{})
+	c, err := api.NewClient(cluster.Leader(waitTimeout).Write.Addr(), "measure", api.Credentials{})
 	check(t, err)
 	var each, last []time.Duration
 	for n := range rounds {
@@ -259,32 +260,32 @@
 				received++
 				each = append(each, took)
 				latest = max(latest, took)
-			case <-time.After(patience):
-				t.Fatalf("event %d came to %d of %d", p.Revision, received, watchers)
+			case <-time.After(waitTimeout):
+				t.Fatalf("event %d reached %d of %d watchers", p.Revision, received, watchers)
 			}
 		}
 		last = append(last, latest)
 	}
-	t.Logf("%d events to %d watchers at 3 replicas: each p50 %v, p99 %v; the last of them p50 %v, p99 %v, max %v",
+	t.Logf("%d events to %d watchers of 3 replicas: each watcher p50 %v, p99 %v; the last watcher p50 %v, p99 %v, max %v",
 		rounds, watchers, quantile(each, 0.5), quantile(each, 0.99), quantile(last, 0.5), quantile(last, 0.99), last[len(last)-1])
 }
 
-// The time until a new disk replaces a lost one when the history has many events, and the latency
-// of writes meanwhile.
+// Measures the time until a new disk has replaced a lost one when the event log is long, and the
+// latency of writes during the replacement.
 func TestMeasureReplacement(t *testing.T) {
 	skipUnlessMeasuring(t)
 	cluster := startGroup(t, 3, 0)
-	events := fromEnv("STAIRVANE_EVENTS", 100_000)
+	events := envInt("STAIRVANE_EVENTS", 100_000)
 	c, err := cluster.Client()
 	check(t, err)
-	address := cluster.Leader(patience).Write.Addr()
+	address := cluster.Leader(waitTimeout).Write.Addr()
 	for done := int64(0); done < int64(events); {
 		writeFor(t, address, 256, 5*time.Second)
 		state, err := c.State()
 		check(t, err)
 		done = state.Fleet.Revision
 	}
-	check(t, cluster.AwaitComplete(patience))
+	check(t, cluster.AwaitComplete(waitTimeout))
 	_, p50, p99 := writeFor(t, address, 8, 5*time.Second)
 	t.Logf("before: p50 %v, p99 %v", p50, p99)
 	var lost *testharness.Replica
@@ -309,11 +310,11 @@
 	}()
 	_, p50, p99 = writeFor(t, address, 8, 5*time.Second)
 	<-done
-	t.Logf("%d events: the new disk votes after %v; meanwhile p50 %v, p99 %v", events, took, p50, p99)
+	t.Logf("%d events: the new disk is a voter after %v; writes during the replacement: p50 %v, p99 %v", events, took, p50, p99)
 }
 
-// What a claim adds to the latency of a request with an idempotency key, and to the memory of a
-// director.
+// Measures what claims add to the latency of requests with an idempotency key, and to the memory of
+// a director.
 func TestMeasureClaims(t *testing.T) {
 	skipUnlessMeasuring(t)
 	for round := range 3 {
@@ -327,7 +328,7 @@
 				directors = append(directors, d)
 			}
 			served := false
-			for end := time.Now().Add(patience); !served && time.Now().Before(end); {
+			for end := time.Now().Add(waitTimeout); !served && time.Now().Before(end); {
 				c, err := fakes.Connect(directors[0].Addr)
 				check(t, err)
 				check(t, c.Ask("orders", 1, time.Second, "token", fmt.Sprint("w", time.Now().UnixNano())))
@@ -342,7 +343,7 @@
 				check(t, c.Ask("orders", uint64(k), 5*time.Second, "token", fmt.Sprintf("m%dx%d", round, k)))
 				time.Sleep(time.Millisecond)
 			}
-			tally := c.Finish(patience)
+			tally := c.Finish(waitTimeout)
 			took := c.Took()
 			after := residentKB(directors[0].Pid())
 			t.Logf("round %d, claims %q: %d served of %d, p50 %v, p99 %v, resident %d kB before, %d kB after",
@@ -355,7 +356,7 @@
 	}
 }
 
-// residentKB returns the memory of a process.
+// residentKB returns the resident memory of a process in kB.
 func residentKB(pid int) (kb int) {
 	b, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	for line := range strings.Lines(string(b)) {
--- a/internal/controlplane/replicas/nemesis_test.go
+++ b/internal/controlplane/replicas/nemesis_test.go
@@ -12,15 +12,15 @@
 	"stairvane.org/stairvane/internal/tools/testharness"
 )
 
-// fault is one entry of a schedule: what happens to which replica, and for how long.
+// fault is an entry of a schedule: a kind of fault, the affected replica, and the duration.
 type fault struct {
 	kind     string
 	replica  int  // index in the cluster
-	isLeader bool // it happens to whichever replica leads then, instead
+	isLeader bool // affects the current leader instead
 	length   time.Duration
 }
 
-// faultKinds are the kinds of faults; one that is listed twice is drawn twice as often.
+// faultKinds lists the kinds of faults. A kind that is listed twice is drawn twice as often.
 var faultKinds = []string{
 	"kill", "kill", "pause", "cut", "cut there", "cut back", "full", "slow", "break", "wipe", "unlink", "old disk", "old in place",
 	"all but a majority", "all full", "leader killed in a change", "full while it is filled", "EIO", "EIO of syncs", "read-only",
@@ -34,7 +34,7 @@
 	return fmt.Sprintf("%s %s for %v", f.kind, victim, f.length)
 }
 
-// drawSchedule draws n faults. A schedule that is long enough has each kind.
+// drawSchedule draws n faults. A schedule of at least len(faultKinds) faults includes every kind.
 func drawSchedule(rng *rand.Rand, n, replicas int) (schedule []fault) {
 	for i := range n {
 		f := fault{
@@ -54,7 +54,7 @@
 	return schedule
 }
 
-// nemesis injects the faults of a schedule, one after the other, and heals each.
+// nemesis injects the faults of a schedule one after another, and repairs each.
 type nemesis struct {
 	t       *testing.T
 	cluster *testharness.Cluster
@@ -63,14 +63,14 @@
 
 func (n *nemesis) victim(f fault) *testharness.Replica {
 	if f.isLeader {
-		if leader := n.cluster.Leader(patience); leader != nil {
+		if leader := n.cluster.Leader(waitTimeout); leader != nil {
 			return leader
 		}
 	}
 	return n.cluster.Replicas[f.replica]
 }
 
-// inject makes a fault, heals it, and waits until all replicas take part again.
+// inject injects a fault, repairs it, and waits until all replicas participate again.
 func (n *nemesis) inject(f fault) {
 	victim := n.victim(f)
 	n.t.Logf("%v: %s", f, victim.Name)
@@ -105,7 +105,7 @@
 		victim.Kill()
 		n.emptyFolder(victim)
 		check(n.t, victim.Start())
-		check(n.t, victim.LimitFiles(40_000)) // less than the snapshot that it is sent
+		check(n.t, victim.LimitFiles(40_000)) // smaller than the snapshot that it receives
 		n.replace(victim)
 		time.Sleep(f.length)
 		check(n.t, victim.LimitFiles(-1))
@@ -121,12 +121,12 @@
 	case "old disk":
 		n.restoreImage(f, victim)
 	}
-	if err := n.cluster.AwaitComplete(2 * patience); err != nil {
+	if err := n.cluster.AwaitComplete(2 * waitTimeout); err != nil {
 		n.t.Fatalf("after %v: %v", f, err)
 	}
 }
 
-// killMinority kills all but a majority at once.
+// killMinority kills all replicas but a majority at the same time.
 func (n *nemesis) killMinority(f fault) {
 	var killed []*testharness.Replica
 	for i := range (len(n.cluster.Replicas) - 1) / 2 {
@@ -136,7 +136,7 @@
 		r.Signal(syscall.SIGKILL)
 	}
 	for _, r := range killed {
-		_ = r.Wait(patience) // it was killed
+		_ = r.Wait(waitTimeout) // the exit status of a killed process is an error
 	}
 	time.Sleep(f.length)
 	for _, r := range killed {
@@ -144,7 +144,7 @@
 	}
 }
 
-// disturbLinks slows the connections to a replica, or breaks each after some bytes.
+// disturbLinks slows the connections to a replica, or breaks each after a random number of bytes.
 func (n *nemesis) disturbLinks(f fault, victim *testharness.Replica) {
 	for _, link := range victim.Peers {
 		if f.kind == "slow" {
@@ -171,7 +171,7 @@
 	failed, err := victim.FailDisk(with, f.kind == "EIO of syncs", f.length)
 	check(n.t, err)
 	if failed == 0 {
-		n.t.Errorf("%v: nothing was written meanwhile", f)
+		n.t.Errorf("%v: no write was attempted during the fault", f)
 	}
 }
 
@@ -185,9 +185,9 @@
 	}
 }
 
-// killLeaderInChange kills the leader while a follower is being replaced.
+// killLeaderInChange kills the leader while the disk of a follower is being replaced.
 func (n *nemesis) killLeaderInChange(f fault, victim *testharness.Replica) {
-	if leader := n.cluster.Leader(patience); leader == victim {
+	if leader := n.cluster.Leader(waitTimeout); leader == victim {
 		victim = n.cluster.Replicas[(f.replica+1)%len(n.cluster.Replicas)]
 		if victim == leader {
 			victim = n.cluster.Replicas[(f.replica+2)%len(n.cluster.Replicas)]
@@ -197,13 +197,13 @@
 	n.emptyFolder(victim)
 	check(n.t, victim.Start())
 	n.replace(victim)
-	leader := n.cluster.Leader(patience)
+	leader := n.cluster.Leader(waitTimeout)
 	leader.Kill()
 	time.Sleep(f.length)
 	check(n.t, leader.Start())
 }
 
-// unlinkStore removes a replica's folder while the process writes to it.
+// unlinkStore removes a replica's store while the process writes to it.
 func (n *nemesis) unlinkStore(victim *testharness.Replica) {
 	n.emptyFolder(victim)
 	n.awaitExcluded(victim, "a missing store")
@@ -212,13 +212,13 @@
 	n.replace(victim)
 }
 
-// restoreInPlace writes an older content into the very files of a replica.
+// restoreInPlace overwrites the files of a replica, in place, with their earlier content.
 func (n *nemesis) restoreInPlace(f fault, victim *testharness.Replica) {
 	victim.Kill()
 	image := n.t.TempDir()
 	check(n.t, testharness.CopyFolder(victim.Folder, image))
 	check(n.t, victim.Start())
-	if err := n.cluster.AwaitComplete(2 * patience); err != nil {
+	if err := n.cluster.AwaitComplete(2 * waitTimeout); err != nil {
 		n.t.Fatal(err)
 	}
 	time.Sleep(f.length)
@@ -229,8 +229,8 @@
 	n.startNewDisk(victim)
 }
 
-// restoreImage replaces the files of a replica by older ones, copied once while they were written
-// to, as a machine's image is.
+// restoreImage replaces the files of a replica by earlier copies. They were first copied while the
+// process was writing to them, as in an image of a running machine, and again after it was killed.
 func (n *nemesis) restoreImage(f fault, victim *testharness.Replica) {
 	image := n.t.TempDir()
 	check(n.t, testharness.CopyFolder(victim.Folder, image))
@@ -252,7 +252,7 @@
 }
 
 func (n *nemesis) awaitExcluded(r *testharness.Replica, what string) {
-	if _, _, err := r.Event("replica.excluded", 0, patience); err != nil {
+	if _, _, err := r.Event("replica.excluded", 0, waitTimeout); err != nil {
 		n.t.Errorf("%s was not excluded: %v", what, err)
 	}
 }
@@ -263,16 +263,16 @@
 	n.replace(r)
 }
 
-// replace has a new disk admitted under the name of the one that is lost, as an operator does.
+// replace requests the admission of a new disk under the name of the lost one, as an operator does.
 func (n *nemesis) replace(r *testharness.Replica) {
 	c, err := n.cluster.Client()
 	check(n.t, err)
-	for end := time.Now().Add(patience); ; time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); ; time.Sleep(50 * time.Millisecond) {
 		if _, err = c.ChangeReplicas(api.ReplicaChange{Action: "replace", Name: r.Name}); err == nil {
 			return
 		}
 		if time.Now().After(end) {
-			n.t.Fatalf("replica %s is not replaced: %v", r.Name, err)
+			n.t.Fatalf("replica %s was not replaced: %v", r.Name, err)
 		}
 	}
 }
--- a/internal/controlplane/replicas/propagation_test.go
+++ b/internal/controlplane/replicas/propagation_test.go
@@ -10,27 +10,27 @@
 	"stairvane.org/stairvane/internal/tools/testharness"
 )
 
-// Guards against events that reach directors late because these watch a replica which is cut off: a
-// purge reaches all within 300 ms, by the directors' own logs, and a drained cache gets no request
-// after 500 ms, by its own record. Under a far longer lease they are late, which shows that the
-// test can fail.
+// Guards against events that reach directors late because the directors watch a replica that is cut
+// off. According to the directors' logs, a purge must reach all of them within 300 ms. According to
+// the cache's record, a drained cache must get no attempt after 500 ms. With a much longer lease the
+// events must be late, which shows that the test can detect the fault.
 func TestEventsReachAllWhileAReplicaIsCutOff(t *testing.T) {
-	seed := uint64(fromEnv(seedVar, 1))
+	seed := uint64(envInt(seedVar, 1))
 	t.Logf("%s=%d", seedVar, seed)
 	for _, lease := range []string{"", "(lease 3s)"} {
 		rng := rand.New(rand.NewPCG(seed, 5))
-		cluster, err := testharness.NewCluster(program, t.TempDir(), 3, 0)
+		cluster, err := testharness.NewCluster(fleetBinary, t.TempDir(), 3, 0)
 		check(t, err)
 		cluster.ExtraForms = lease
 		t.Cleanup(cluster.Close)
-		check(t, cluster.Bootstrap(patience))
+		check(t, cluster.Bootstrap(waitTimeout))
 		caches := startCaches(t, 5)
 		now, next := desiredStates(caches)
 		awaitApply(t, cluster, submitPlan(t, cluster, now))
 		f := startLoadedFleet(t, cluster, 6, "", 200, 10*time.Millisecond)
 		c, err := cluster.Client()
 		check(t, err)
-		rounds := fromEnv("STAIRVANE_TIMES", 6)
+		rounds := envInt("STAIRVANE_TIMES", 6)
 		if lease != "" {
 			rounds = 1
 		}
@@ -47,7 +47,7 @@
 			latest := time.Duration(0)
 			for _, d := range f.directors {
 				for at := 0; ; {
-					event, next, err := d.Event("purge.applied", at, patience)
+					event, next, err := d.Event("purge.applied", at, waitTimeout)
 					check(t, err)
 					if at = next; int64(event["no"].(float64)) == p.Revision {
 						when, err := time.Parse(time.RFC3339Nano, event["time"].(string))
@@ -58,26 +58,26 @@
 				}
 			}
 			worst = max(worst, latest)
-			t.Logf("lease %q: %s cut off (there %v, back %v): accepted after %v, the last director had it %v later",
+			t.Logf("lease %q: %s cut off (there %v, back %v): purge accepted after %v, applied by the last director %v later",
 				lease, cut.Name, directions[0], directions[1], accepted.Sub(begin), latest)
 			cut.Cut(true, true)
-			check(t, cluster.AwaitComplete(patience))
+			check(t, cluster.AwaitComplete(waitTimeout))
 		}
 		if lease == "" && worst > within(300*time.Millisecond) || lease != "" && worst < within(300*time.Millisecond) {
-			t.Errorf("lease %q: the last director had a purge %v after it was accepted", lease, worst)
+			t.Errorf("lease %q: the last director applied a purge %v after it was accepted", lease, worst)
 		}
 		if lease != "" {
 			cluster.Close()
 			continue
 		}
 		follower := cluster.Replicas[0]
-		if follower == cluster.Leader(patience) {
+		if follower == cluster.Leader(waitTimeout) {
 			follower = cluster.Replicas[1]
 		}
 		follower.Cut(false, false)
 		submitPlan(t, cluster, next)
 		var drained time.Time
-		for end := time.Now().Add(patience); drained.IsZero() && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+		for end := time.Now().Add(waitTimeout); drained.IsZero() && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 			state, err := c.State()
 			check(t, err)
 			for _, host := range state.Fleet.Hosts {
@@ -90,7 +90,7 @@
 		sum := f.stopLoad()
 		t.Logf("requests: %+v", sum)
 		if drained.IsZero() || sum.Doubled+sum.Lost+sum.Failed > 0 || sum.Served == 0 {
-			t.Errorf("drained at %v; requests without one good final answer: %+v", drained, sum)
+			t.Errorf("drained at %v; not every request got exactly one successful response: %+v", drained, sum)
 		}
 		before := 0
 		last := time.Duration(-1)
--- a/internal/controlplane/replicas/quota_test.go
+++ b/internal/controlplane/replicas/quota_test.go
@@ -16,7 +16,8 @@
 	"stairvane.org/stairvane/internal/tools/testharness"
 )
 
-// attemptsPerWindow counts a cache's requests in each window of time since a moment.
+// attemptsPerWindow returns the number of attempts at a cache in each of the consecutive windows that
+// start at since.
 func attemptsPerWindow(cache *fakes.Cache, since time.Time, window time.Duration, windows int) []int {
 	counts := make([]int, windows)
 	for _, attempt := range cache.Attempts() {
@@ -27,10 +28,10 @@
 	return counts
 }
 
-// fullestWindow returns the requests in the window of 3 s that came nearest to what a cache which
-// is warming up can bear, and that bound. A cache bears 4 times the requests that its share allows,
-// of which it has 0.17 at its first request and all 16 s later, and 3 standard deviations and 3
-// more by chance.
+// fullestWindow returns the number of attempts in the window of 3 s with the highest ratio of
+// attempts to the capacity of a cache that is warming up, and that capacity. The capacity is 4 times
+// the attempts that the cache's share allows; it has 0.17 of its share at its first attempt and all
+// of it 16 s later. For random variation, 3 standard deviations and another 3 attempts are added.
 func fullestWindow(cache *fakes.Cache, share float64, work time.Duration) (requests int, bound float64) {
 	const window = 3 * time.Second
 	attempts := cache.Attempts()
@@ -54,19 +55,19 @@
 	return requests, bound
 }
 
-// checkFullestWindow checks that a cache which is warming up was never sent more than it can bear,
-// and that it was sent requests.
+// checkFullestWindow checks that a cache that is warming up was never sent more attempts than its
+// capacity, and that it was sent attempts at all.
 func checkFullestWindow(t *testing.T, cache *fakes.Cache) {
 	t.Helper()
 	requests, bound := fullestWindow(cache, 4, 200*time.Millisecond)
-	t.Logf("the fullest window of 3 s had %d requests, the cache fails at more than %.0f", requests, bound)
+	t.Logf("the fullest window of 3 s had %d attempts; the capacity is %.0f", requests, bound)
 	if requests < 10 || float64(requests) > bound {
-		t.Errorf("a window of 3 s had %d requests, at %.0f the cache fails", requests, bound)
+		t.Errorf("a window of 3 s had %d attempts at a capacity of %.0f", requests, bound)
 	}
 }
 
-// withWarmingCache returns a desired state with one more cache, which begins with 0.17 of its share
-// and has all of it 16 s later.
+// withWarmingCache returns a desired state with an additional cache, which starts with 0.17 of its
+// share and has all of it 16 s later.
 func withWarmingCache(desired fleet.DesiredState, cache *fakes.Cache) fleet.DesiredState {
 	desired.Rules.Cache.WarmUpMS = 16000
 	desired.Hosts = append(slices.Clone(desired.Hosts), cacheSpec(3, cache.Addr(), false))
@@ -74,7 +75,7 @@
 	return desired
 }
 
-// requestClips requests random objects with a pause between two until it is stopped.
+// requestClips requests random objects, with a pause before each, until stop is closed.
 func requestClips(c *fakes.Client, pause time.Duration, stop <-chan struct{}) {
 	for {
 		select {
@@ -89,7 +90,8 @@
 	}
 }
 
-// unevenPause is the pause of a director's client: the first director gets most of the load.
+// unevenPause returns the pause between requests of a director's client. The first director gets most
+// of the load.
 func unevenPause(director int) time.Duration {
 	if director == 0 {
 		return 2 * time.Millisecond
@@ -97,12 +99,12 @@
 	return 200 * time.Millisecond
 }
 
-// Guards the division of a quota by demand. A cache that is warming up is added under a load of
-// which one director of six has nine tenths, by processes. That director gets what the others leave
-// of the cache's capacity. Never is the cache sent more than it can bear, though a director is
-// paused and another is killed.
+// Guards the division of a quota by demand, between processes. A cache that is warming up is added
+// while one of six directors has nine tenths of the load. That director must get the part of the
+// cache's capacity that the others don't use. The cache must never be sent more than its capacity,
+// even though one director is paused and another is killed.
 func TestQuotaOfAWarmingCacheFollowsDemand(t *testing.T) {
-	seed := uint64(fromEnv(seedVar, 1))
+	seed := uint64(envInt(seedVar, 1))
 	t.Logf("%s=%d", seedVar, seed)
 	cluster := startGroup(t, 3, 0)
 	caches := startCaches(t, 5)
@@ -147,12 +149,12 @@
 	for _, c := range clients {
 		c.Finish(2 * time.Second)
 	}
-	t.Logf("requests at the warming cache, second by second: %v", attemptsPerWindow(caches[3], begin, time.Second, 8))
+	t.Logf("attempts at the warming cache per second: %v", attemptsPerWindow(caches[3], begin, time.Second, 8))
 	checkFullestWindow(t, caches[3])
 }
 
-// checkAllocations checks that six directors have allocations which add up to at most all of the
-// quota, and that the busy director d-0 has much of it.
+// checkAllocations checks that six directors have allocations whose sum does not exceed the quota,
+// and that the busy director d-0 has a large part of it.
 func checkAllocations(t *testing.T, c *api.Client) {
 	t.Helper()
 	allocations, err := c.Quotas()
@@ -165,7 +167,7 @@
 			busy = a.Fraction
 		}
 	}
-	t.Logf("%d allocations add up to %.2f; the busy director has %.2f of it", len(allocations), sum, busy)
+	t.Logf("%d allocations add up to %.2f; the busy director has %.2f", len(allocations), sum, busy)
 	if len(allocations) != 6 || sum > 1 || busy < 0.4 {
 		t.Errorf("allocations: %+v", allocations)
 	}
--- a/internal/controlplane/replicas/relays_test.go
+++ b/internal/controlplane/replicas/relays_test.go
@@ -15,7 +15,7 @@
 	"stairvane.org/stairvane/internal/tools/testharness"
 )
 
-// region is a cluster of replicas with relays, and directors that know only the relays.
+// region is a cluster of replicas with relays, and directors that are configured with the relays only.
 type region struct {
 	t         *testing.T
 	cluster   *testharness.Cluster
@@ -25,10 +25,10 @@
 	ids       []string // of the directors
 }
 
-// withRelays lets a cluster admit relays.
+// withRelays makes a cluster admit relays.
 func withRelays(cluster *testharness.Cluster) { cluster.Relays = true }
 
-// startRegion starts replicas, relays and directors, which are spread over the relays, and waits
+// startRegion starts replicas, relays, and directors that are distributed over the relays, and waits
 // until all directors are members.
 func startRegion(t *testing.T, relays, directors int, forms string) *region {
 	t.Helper()
@@ -54,7 +54,7 @@
 			r.printLogs()
 		}
 	})
-	r.until("all directors are members", func(members api.Members) bool { return len(members.Directors) == directors })
+	r.awaitMembers("all directors are members", func(members api.Members) bool { return len(members.Directors) == directors })
 	r.ids = r.members()
 	return r
 }
@@ -68,7 +68,7 @@
 	}
 }
 
-// members returns the IDs of the directors that are announced to all.
+// members returns the sorted IDs of the directors that are members.
 func (r *region) members() (ids []string) {
 	r.t.Helper()
 	members, err := r.client.Members()
@@ -80,8 +80,8 @@
 	return ids
 }
 
-// purge purges a group of objects and returns the event's number.
-func (r *region) purge() int64 {
+// purgeGroup purges a purge group and returns the event's number.
+func (r *region) purgeGroup() int64 {
 	r.t.Helper()
 	number := 1
 	p, err := r.client.Purge(fleet.Purge{Group: &number})
@@ -89,13 +89,13 @@
 	return p.Revision
 }
 
-// arrived waits until all directors have an event, from a line of their logs on, and returns when
-// the last of them had it.
-func (r *region) arrived(no int64, from []int) (last time.Time) {
+// awaitArrival waits until all directors have applied the purge with an event number, and returns the
+// time at which the last of them did. It searches each director's log from the given line on.
+func (r *region) awaitArrival(no int64, from []int) (last time.Time) {
 	r.t.Helper()
 	for i, d := range r.directors {
 		for at := from[i]; ; {
-			event, next, err := d.Event("purge.applied", at, patience)
+			event, next, err := d.Event("purge.applied", at, waitTimeout)
 			if err != nil {
 				r.t.Errorf("event %d: %v", no, err)
 				break
@@ -115,56 +115,56 @@
 	return last
 }
 
-// slowestPurge purges several times with a pause between two, and returns how long the slowest took
-// to reach all directors.
+// slowestPurge makes count purges with a pause after each, and returns the longest time that a purge
+// took to reach all directors.
 func (r *region) slowestPurge(count int, pause time.Duration) (slowest time.Duration) {
 	r.t.Helper()
-	from := r.lines()
+	from := r.logLengths()
 	begun := map[int64]time.Time{}
 	for range count {
 		began := time.Now()
-		begun[r.purge()] = began
+		begun[r.purgeGroup()] = began
 		time.Sleep(pause)
 	}
 	for no, began := range begun {
-		slowest = max(slowest, r.arrived(no, from).Sub(began))
+		slowest = max(slowest, r.awaitArrival(no, from).Sub(began))
 	}
 	return slowest
 }
 
-// lines returns the lengths of the directors' logs.
-func (r *region) lines() (all []int) {
+// logLengths returns the number of lines in each director's log.
+func (r *region) logLengths() (all []int) {
 	for _, d := range r.directors {
 		all = append(all, d.Lines())
 	}
 	return all
 }
 
-// during makes a fault, and purges all the while until every director is served by one of the given
-// relays again. All purges must arrive, and all directors stay members.
-func (r *region) during(what string, fault func(), by ...*testharness.Relay) {
+// purgeDuring injects a fault, and purges repeatedly until every director is served by one of the
+// given relays again. All purges must reach all directors, and all directors must stay members.
+func (r *region) purgeDuring(what string, fault func(), by ...*testharness.Relay) {
 	r.t.Helper()
-	from := r.lines()
+	from := r.logLengths()
 	fault()
 	began := time.Now()
 	var purges []int64
 	for len(purges) < 10 || !r.servedBy(by) {
-		if time.Since(began) > patience {
-			r.t.Fatalf("%s: not all directors are served by the relays that are left", what)
+		if time.Since(began) > waitTimeout {
+			r.t.Fatalf("%s: not all directors are served by the remaining relays", what)
 		}
-		purges = append(purges, r.purge())
+		purges = append(purges, r.purgeGroup())
 		time.Sleep(30 * time.Millisecond)
 	}
-	r.t.Logf("%s: all directors are back after at most %v", what, time.Since(began).Round(time.Millisecond))
+	r.t.Logf("%s: all directors were served again after at most %v", what, time.Since(began).Round(time.Millisecond))
 	for _, no := range purges {
-		r.arrived(no, from)
+		r.awaitArrival(no, from)
 	}
 	if ids := r.members(); !slices.Equal(ids, r.ids) {
 		r.t.Errorf("%s: members are %v, not %v", what, ids, r.ids)
 	}
 }
 
-// servedBy reports whether the leader counts all directors as those of the given relays.
+// servedBy reports whether, according to the leader, all directors are served by the given relays.
 func (r *region) servedBy(by []*testharness.Relay) bool {
 	r.t.Helper()
 	members, err := r.client.Members()
@@ -178,7 +178,7 @@
 	return served == len(r.directors)
 }
 
-// departed returns the directors that were ever announced as having left.
+// departed returns the IDs of all directors whose departure was announced in an event.
 func (r *region) departed() (ids []string) {
 	r.t.Helper()
 	h, err := r.client.History(0)
@@ -191,28 +191,28 @@
 	return ids
 }
 
-// until waits until the leader's list of directors and relays is as it must become.
-func (r *region) until(what string, is func(api.Members) bool) {
+// awaitMembers waits until the leader's list of directors and relays satisfies a condition.
+func (r *region) awaitMembers(what string, reached func(api.Members) bool) {
 	r.t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); ; time.Sleep(10 * time.Millisecond) {
 		members, err := r.client.Members()
 		check(r.t, err)
-		if is(members) {
+		if reached(members) {
 			return
 		}
 		if time.Now().After(end) {
-			r.t.Fatalf("%s: never; %+v", what, members)
+			r.t.Fatalf("timed out waiting until %s: %+v", what, members)
 		}
 	}
 }
 
-// awaitAllocations waits until the given holders and no others have allocations of a quota that add
-// up to most of it. At no moment may they add up to more than all of it.
+// awaitAllocations waits until only the given holders have allocations of a quota and these add up to
+// most of it. The allocations must never add up to more than the quota.
 func (r *region) awaitAllocations(when string, holders ...string) {
 	r.t.Helper()
 	var allocations []quota.Allocation
 	sum := 0.0
-	r.until("allocations "+when, func(api.Members) bool {
+	r.awaitMembers("allocations "+when, func(api.Members) bool {
 		var err error
 		allocations, err = r.client.Quotas()
 		check(r.t, err)
@@ -229,9 +229,9 @@
 	r.t.Logf("%s: %d allocations add up to %.2f", when, len(allocations), sum)
 }
 
-// Directors know only two relays. Purges reach all of them in time. While a relay is killed, the
-// leader is killed, and a relay is cut off, all purges arrive, and no director is ever announced as
-// having left.
+// Guards the propagation of events to directors that are configured with two relays only. Purges must
+// reach all directors in time. All purges must arrive while a relay is killed, the leader is killed,
+// and a relay is cut off, and no director may be announced as having left.
 func TestDirectorsBehindRelays(t *testing.T) {
 	r := startRegion(t, 2, 4, "")
 	first, second := r.relays[0], r.relays[1]
@@ -240,38 +240,43 @@
 	if slowest > within(300*time.Millisecond) {
 		t.Errorf("a purge took %v to reach all directors", slowest)
 	}
-	r.during("a relay is killed", first.Kill, second)
+	r.purgeDuring("a relay is killed", first.Kill, second)
 	check(t, first.Start())
-	r.during("the leader is killed", func() {
-		leader := r.cluster.Leader(patience)
+	r.purgeDuring("the leader is killed", func() {
+		leader := r.cluster.Leader(waitTimeout)
 		leader.Kill()
-		t.Cleanup(func() { _ = leader.Wait(patience) })
+		t.Cleanup(func() { _ = leader.Wait(waitTimeout) })
 	}, first, second)
-	r.during("a relay is cut off", func() { second.Cut(true) }, first)
+	r.purgeDuring("a relay is cut off", func() { second.Cut(true) }, first)
 	if second.Count("relay.lease_lost") == 0 || second.Count("watcher.lease_lost") == 0 {
-		t.Error("the relay that was cut off has closed no watch")
+		t.Error("the relay that was cut off has not closed its watches")
 	}
 	cutUntil := second.Lines()
 	second.Cut(false)
-	if _, _, err := second.Event("relay.lease_gained", cutUntil, patience); err != nil {
+	if _, _, err := second.Event("relay.lease_gained", cutUntil, waitTimeout); err != nil {
 		t.Error(err)
 	}
-	r.during("a relay leaves", func() { check(t, first.Leave(patience)) }, second)
-	r.until("the leader has dropped the session of the relay that left", func(members api.Members) bool { return len(members.Relays) == 1 })
+	r.purgeDuring("a relay leaves", func() { check(t, first.Leave(waitTimeout)) }, second)
+	r.awaitMembers("the leader has dropped the session of the relay that left", func(members api.Members) bool {
+		return len(members.Relays) == 1
+	})
 	if departed := r.departed(); len(departed) > 0 {
 		t.Errorf("announced as having left: %v", departed)
 	}
 	r.directors[0].Kill()
-	r.until("a director that was killed has left", func(members api.Members) bool { return len(members.Directors) == len(r.directors)-1 })
+	r.awaitMembers("a director that was killed has left", func(members api.Members) bool {
+		return len(members.Directors) == len(r.directors)-1
+	})
 	if departed := r.departed(); len(departed) != 1 || departed[0][:3] != "d-0" {
 		t.Errorf("d-0 was killed; announced as having left: %v", departed)
 	}
 }
 
-// Guards the division of a quota through relays. A cache that is warming up is added under a load
-// of which one director of four has most. The leader allocates its capacity to the relays only, and
-// the allocations add up to at most all of it, also once a relay is killed and its directors are at
-// the other one. The cache is never sent more than it can bear.
+// Guards the division of a quota through relays. A cache that is warming up is added while one of
+// four directors has most of the load. The leader must allocate the cache's capacity to the relays
+// only, and the allocations must not add up to more than the capacity, not even after a relay was
+// killed and its directors have moved to the other one. The cache must never be sent more than its
+// capacity.
 func TestRelaysDivideTheQuotaOfAWarmingCache(t *testing.T) {
 	r := startRegion(t, 2, 4, "")
 	caches := startCaches(t, 5)
@@ -291,7 +296,7 @@
 	sent := len(caches[3].Attempts())
 	r.relays[0].Kill()
 	r.awaitAllocations("with one relay", "r2/")
-	r.until("the cache is sent more", func(api.Members) bool { return len(caches[3].Attempts()) > sent+20 })
+	r.awaitMembers("the cache is sent more", func(api.Members) bool { return len(caches[3].Attempts()) > sent+20 })
 	close(stop)
 	load.Wait()
 	checkFullestWindow(t, caches[3])
--- a/internal/controlplane/replicas/removed_test.go
+++ b/internal/controlplane/replicas/removed_test.go
@@ -15,16 +15,17 @@
 	"stairvane.org/stairvane/internal/operatorconfig"
 )
 
-// Guards against a removed disk that is never answered. Disk 2 comes back after it was removed. The
-// other replica that it reaches knows of that, and is the leader or a follower; the disk itself can
-// campaign or, as a learner, can't; and its hello is answered, or only its later calls. It always
-// learns that it was removed, but not before the change that removes it is complete.
+// Guards against a removed disk that never learns of its removal. Disk 2 restarts after it was
+// removed. It reaches one replica, which knows of the removal and is the leader or a follower. The
+// disk itself can campaign or, as a learner, can't. Either its hello is answered, or only its later
+// calls are. In each case it must learn that it was removed, but not before the change that removes
+// it is complete.
 func TestRemovedDiskIsAlwaysAnswered(t *testing.T) {
 	voters := func(disks ...uint64) *pb.ConfState { return &pb.ConfState{Voters: disks} }
 	for name, c := range map[string]struct {
 		own, other *pb.ConfState
-		helloOnly  bool // only its hello is answered; else all calls but that
-		stays      bool // it is not excluded
+		helloOnly  bool // only its hello is answered; if false, all calls except the hello
+		stays      bool // the disk must not be excluded
 	}{
 		"its hello is answered":           {own: voters(1, 2, 3), other: voters(1, 3), helloOnly: true},
 		"a learner, answered by a leader": {own: &pb.ConfState{Voters: []uint64{1}, Learners: []uint64{2}}, other: voters(1)},
@@ -69,9 +70,9 @@
 			isDone := func() bool {
 				return replicas.Phase(back.Status().Phase) == want && (!c.stays || asked.Load() >= 3)
 			}
-			for end := time.Now().Add(patience / 3); !isDone(); time.Sleep(5 * time.Millisecond) {
+			for end := time.Now().Add(waitTimeout / 3); !isDone(); time.Sleep(5 * time.Millisecond) {
 				if time.Now().After(end) {
-					t.Fatalf("it asked %d times whether it is a member, and is in phase %q, not %q",
+					t.Fatalf("the disk asked %d times whether it is a member; it is in phase %q, not %q",
 						asked.Load(), back.Status().Phase, want)
 				}
 			}
--- a/internal/controlplane/replicas/silence_test.go
+++ b/internal/controlplane/replicas/silence_test.go
@@ -18,7 +18,7 @@
 	"stairvane.org/stairvane/internal/operatorconfig"
 )
 
-// callAs makes a call as a disk does. group is 0 for a disk that was never a member.
+// callAs makes a call with the headers of a disk. group is 0 for a disk that was never a member.
 func callAs(to http.Handler, path string, disk, group uint64, body string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(http.MethodPost, path, strings.NewReader(body))
 	for header, value := range map[string]uint64{"Stairvane-Group": group, "Stairvane-Disk": disk, "Stairvane-Run": 1} {
@@ -29,17 +29,17 @@
 	return w
 }
 
-// stallTest is a leader a whose loop can be stalled, a follower b behind a proxy, a member c and a
-// standby d that the test speaks for.
+// stallTest has a leader a whose loop can be stalled, a follower b behind a proxy, and a member c and
+// a standby d whose calls are made by the test.
 type stallTest struct {
 	a, b    *localReplica
-	isCut   atomic.Bool  // no call reaches a or b, but those that the test makes itself
-	stallAt atomic.Value // point at which the loop of a is stalled next
+	isCut   atomic.Bool  // no call reaches a or b, except those that the test makes directly
+	stallAt atomic.Value // next point at which a's loop is stalled
 	stalled chan struct{}
 	resume  chan struct{}
 }
 
-// replaceAfter is the silence after which a standby replaces a replica.
+// replaceAfter is the duration of silence after which a standby replaces a replica.
 const replaceAfter = time.Second
 
 // Points at which a loop can be stalled.
@@ -49,8 +49,8 @@
 	atWrite    = store.BeforeCommit
 )
 
-// pass stalls a's loop if that is to happen at this point.
-func (s *stallTest) pass(point string) {
+// stallIfDue stalls a's loop if stallAt is this point.
+func (s *stallTest) stallIfDue(point string) {
 	if s.stallAt.CompareAndSwap(point, nowhere) {
 		s.isCut.Store(true)
 		s.stalled <- struct{}{}
@@ -58,8 +58,8 @@
 	}
 }
 
-// serve returns a place whose calls a replica answers.
-func (s *stallTest) serve(t *testing.T, to **localReplica) operatorconfig.Replica {
+// serveReplica starts a server for a replica, and returns a replica entry with its address.
+func (s *stallTest) serveReplica(t *testing.T, to **localReplica) operatorconfig.Replica {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.isCut.Load() {
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -74,7 +74,7 @@
 func newStallTest(t *testing.T) *stallTest {
 	s := &stallTest{stalled: make(chan struct{}), resume: make(chan struct{})}
 	s.isCut.Store(true)
-	list := []operatorconfig.Replica{s.serve(t, &s.a), s.serve(t, &s.b), {}, {}}
+	list := []operatorconfig.Replica{s.serveReplica(t, &s.a), s.serveReplica(t, &s.b), {}, {}}
 	members := map[uint64]replica.Member{}
 	for i, name := range []string{"a", "b", "c", "d"} {
 		list[i].ConfiguredReplica = replica.ConfiguredReplica{Name: name, Machine: name, Site: name, IsStandby: name == "d"}
@@ -87,14 +87,14 @@
 	settings.ReplaceAfter = replaceAfter
 	s.b = startReplica(t, settings, nil, storedState{disk: 2, position: 1, confState: voters, members: members})
 	settings.Self = "a"
-	settings.LeadershipChanged = func(bool) { s.pass(atElection) }
+	settings.LeadershipChanged = func(bool) { s.stallIfDue(atElection) }
 	// The log of a is longer, so that b does not win an election.
-	s.a = startReplica(t, settings, s.pass, storedState{disk: 1, position: 2, confState: voters, members: members})
+	s.a = startReplica(t, settings, s.stallIfDue, storedState{disk: 1, position: 2, confState: voters, members: members})
 	return s
 }
 
-// helloDuringStall sends the hello of the standby while the loop of a is stalled for a time, and
-// returns the answer after that.
+// helloDuringStall sends the standby's hello while the loop of a is stalled, and returns the response,
+// which a sends after the stall.
 func (s *stallTest) helloDuringStall(stall time.Duration) string {
 	<-s.stalled
 	answer := make(chan string, 1)
@@ -104,7 +104,7 @@
 	return <-answer
 }
 
-// contact has c call a, so that it counts as alive.
+// contact makes a call from c to a, so that a considers c alive.
 func (s *stallTest) contact(t *testing.T) {
 	t.Helper()
 	if w := callAs(s.a.calls, "/v1/copies/messages", 3, groupNumber, ""); w.Code != http.StatusNoContent {
@@ -112,33 +112,33 @@
 	}
 }
 
-// Guards against a standby that replaces a live replica: silence before the leader's election, or
-// while the leader's own disk stalled it, does not count. The standby gets c's place once c is
+// Guards against a standby that replaces a live replica. Silence before the leader's election, or
+// while the leader was stalled by its own disk, must not count. The standby must replace c once c is
 // silent while the leader runs.
 func TestSilenceCountsOnlyWhileTheLeaderRuns(t *testing.T) {
 	s := newStallTest(t)
 	awaitPhase(t, s.a, replicas.Active)
 	s.contact(t)
-	time.Sleep(replaceAfter + replaceAfter/4) // c's silence towards a follower
+	time.Sleep(replaceAfter + replaceAfter/4) // c is silent while a is a follower
 	s.stallAt.Store(atElection)
 	s.isCut.Store(false)
 	if answer := s.helloDuringStall(0); !strings.Contains(answer, "no copy is gone") {
-		t.Errorf("a new leader answers the standby %s", answer)
+		t.Errorf("response of a new leader to the standby: %s", answer)
 	}
 	s.isCut.Store(false)
-	for end := time.Now().Add(patience); !s.a.IsLeader(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !s.a.IsLeader(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("a does not lead")
 		}
 	}
 	s.contact(t)
 	s.stallAt.Store(atWrite)
-	go func() { _ = s.a.store.Do(func(*store.Tx) error { return nil }) }() // a change that writes
+	go func() { _ = s.a.store.Do(func(*store.Tx) error { return nil }) }() // a write, which reaches the stall point
 	if answer := s.helloDuringStall(replaceAfter + replaceAfter/4); !strings.Contains(answer, "no copy is gone") {
-		t.Errorf("after a stall the standby is answered %s", answer)
+		t.Errorf("response to the standby after a stall: %s", answer)
 	}
 	s.isCut.Store(false)
-	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); ; time.Sleep(10 * time.Millisecond) {
 		for _, g := range []*localReplica{s.a, s.b} {
 			callAs(g.calls, helloPath, 4, 0, `{"name":"d"}`)
 			if list := g.Status().Replicas; len(list) == 4 && list[3].Replaces == "c" {
@@ -146,7 +146,7 @@
 			}
 		}
 		if time.Now().After(end) {
-			t.Fatalf("the standby gets no place: %+v", s.a.Status())
+			t.Fatalf("the standby has not replaced c: %+v", s.a.Status())
 		}
 	}
 }
--- a/internal/controlplane/replicas/snapshot_stall_test.go
+++ b/internal/controlplane/replicas/snapshot_stall_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Guards against a call that is ended while the receiver verifies the snapshot, which takes it
-// longer than a connection may stall: the snapshot was then sent again and again.
+// Guards against a call that is canceled while the receiver verifies the snapshot, which takes longer
+// than the stall timeout: the snapshot was then sent again and again.
 func TestSnapshotReceiverHasTimeToVerify(t *testing.T) {
 	ended := make(chan struct{})
 	timer := time.AfterFunc(time.Hour, func() { close(ended) })
@@ -20,7 +20,7 @@
 	}
 	select {
 	case <-ended:
-		t.Error("the call was ended during the verification")
+		t.Error("the call was canceled during the verification")
 	case <-time.After(100 * time.Millisecond):
 	}
 	timer.Reset(time.Hour)
@@ -28,9 +28,9 @@
 		t.Fatal(err)
 	}
 	select {
-	case <-ended: // the connection stalls
+	case <-ended: // the read has set the timer to the stall timeout
 	case <-time.After(10 * time.Second):
-		t.Error("a stalled call is not ended")
+		t.Error("a stalled call was not canceled")
 	}
 	if d := verifyTimeout(1600 << 20); d < 6*time.Minute || d > 10*time.Minute {
 		t.Errorf("%v to verify 1.6 GB", d)
--- a/internal/controlplane/replicas/snapshot_test.go
+++ b/internal/controlplane/replicas/snapshot_test.go
@@ -12,10 +12,10 @@
 	"stairvane.org/stairvane/internal/fleet"
 )
 
-// Guards against a snapshot that is sent again because the leader changed during the transfer.
+// Guards against a snapshot that is sent again because the leader changed during its transfer.
 func TestSnapshotSurvivesALeadershipTransfer(t *testing.T) {
 	cluster := startGroup(t, 3, 0)
-	leader := cluster.Leader(patience)
+	leader := cluster.Leader(waitTimeout)
 	writers := sync.WaitGroup{}
 	for w := range 16 {
 		c, err := api.NewClient(leader.Write.Addr(), "test", api.Credentials{})
@@ -30,7 +30,7 @@
 		})
 	}
 	writers.Wait()
-	check(t, cluster.AwaitComplete(patience))
+	check(t, cluster.AwaitComplete(waitTimeout))
 	lost := cluster.Replicas[0]
 	if lost == leader {
 		lost = cluster.Replicas[1]
@@ -38,30 +38,30 @@
 	lost.Kill()
 	check(t, os.RemoveAll(lost.Folder))
 	check(t, os.MkdirAll(lost.Folder, 0o700))
-	leader.Peers[lost.Name].Slow(20 * time.Millisecond) // each piece: the transfer takes some seconds
+	leader.Peers[lost.Name].Slow(20 * time.Millisecond) // for each chunk, so that the transfer takes some seconds
 	check(t, lost.Start())
 	(&nemesis{t: t, cluster: cluster}).replace(lost)
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); ; time.Sleep(time.Millisecond) {
 		if all, _ := filepath.Glob(filepath.Join(lost.Folder, "board.db.incoming-*")); len(all) > 0 {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("no snapshot is being received")
+			t.Fatal("the transfer of a snapshot has not started")
 		}
 	}
 	c, err := cluster.Client()
 	check(t, err)
 	_, err = c.ChangeReplicas(api.ReplicaChange{Action: "hand-over"})
 	check(t, err)
-	for end := time.Now().Add(patience); cluster.Leader(patience) == leader; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); cluster.Leader(waitTimeout) == leader; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the leadership is not transferred")
+			t.Fatal("the leadership was not transferred")
 		}
 	}
 	if lost.Count("replica.snapshot_received") > 0 {
-		t.Fatal("the snapshot was received before the leadership was transferred: the test shows nothing")
+		t.Fatal("the snapshot was received before the leadership was transferred: the test can't detect the fault")
 	}
-	check(t, cluster.AwaitComplete(patience))
+	check(t, cluster.AwaitComplete(waitTimeout))
 	received, installed := lost.Count("replica.snapshot_received"), lost.Count("replica.snapshot_installed")
 	if received != 1 || installed != 1 {
 		t.Errorf("the snapshot was received %d times and installed %d times", received, installed)
--- a/internal/controlplane/replicas/stale_director_test.go
+++ b/internal/controlplane/replicas/stale_director_test.go
@@ -14,12 +14,13 @@
 	"stairvane.org/stairvane/internal/tools/fakes"
 )
 
-// Guards against a stale director. A director is paused for longer than its endpoint list may be
-// old, and wakes with requests in its sockets. Meanwhile a cache was drained. Without the bound it
-// sends these requests to the cache before it reads the watch events; with the bound it rejects
-// them with a Retry-After. The audit names the director while it is behind.
+// Guards against a director that routes by a stale endpoint list. A director is paused for longer than
+// the maximum age of its endpoint list, and resumes with requests in its sockets. During the pause a
+// cache was drained. Without a maximum age, the director sends these requests to the cache before it
+// reads the watch events. With one, it must reject them with a Retry-After. The audit must report the
+// director while it is behind.
 func TestPausedDirectorSendsNothingByAStaleEndpointList(t *testing.T) {
-	late := map[string]int{} // attempts at the drained cache after the bound, by setting
+	late := map[string]int{} // attempts at the drained cache more than 500 ms after the drain, by setting
 	for _, forms := range []string{"", "(stragglers (behind-most 500ms))"} {
 		cluster := startGroup(t, 3, 0)
 		caches := startCaches(t, 5)
@@ -36,7 +37,7 @@
 		client, err := cluster.Client()
 		check(t, err)
 		var drained time.Time
-		for end := time.Now().Add(patience); drained.IsZero() && time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+		for end := time.Now().Add(waitTimeout); drained.IsZero() && time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 			state, err := client.State()
 			if err != nil {
 				continue
@@ -50,7 +51,7 @@
 		if drained.IsZero() {
 			t.Fatal("the cache is not drained")
 		}
-		for range 20 { // fewer than a connection may have in flight
+		for range 20 { // fewer than the maximum in flight on a connection
 			check(t, c.Send(200, 5*time.Second))
 		}
 		time.Sleep(1500 * time.Millisecond)
@@ -58,48 +59,48 @@
 		check(t, err)
 		last := fmt.Sprint(state.Fleet.Revision)
 		audit := func(arguments ...string) *exec.Cmd {
-			return exec.Command(program, append(append([]string{"audit"}, arguments...), "--board", cluster.Addresses())...)
+			return exec.Command(fleetBinary, append(append([]string{"audit"}, arguments...), "--board", cluster.Addresses())...)
 		}
 		if out, err := audit("event", last).CombinedOutput(); err == nil || !strings.Contains(string(out), "not heard of since") {
-			t.Errorf("the paused director is said to have applied event %s: %v\n%s", last, err, out)
+			t.Errorf("the audit does not report the paused director for event %s: %v\n%s", last, err, out)
 		}
 		var reported struct {
 			Odd []struct{ Director, Why string }
 		}
 		out, err := audit("versions", "--within", "500ms", "-o", "json").Output()
 		if err == nil || json.Unmarshal(out, &reported) != nil {
-			t.Errorf("a director that is behind is not reported: %s", out)
+			t.Errorf("the audit does not report a director that is behind: %s", out)
 		}
 		d.Signal(syscall.SIGCONT)
-		tally := c.Finish(patience)
+		tally := c.Finish(waitTimeout)
 		time.Sleep(300 * time.Millisecond)
 		var event adoption.Event
 		out, err = audit("event", last, "-o", "json").Output()
 		if err != nil || json.Unmarshal(out, &event) != nil || len(event.Applied) != 1 || event.LastMS < 500 {
-			t.Errorf("the director that woke applied event %s: %v\n%s", last, err, out)
+			t.Errorf("the audit of event %s after the director resumed: %v\n%s", last, err, out)
 		}
 		if out, err := audit("event", "99999").CombinedOutput(); err == nil || !strings.Contains(string(out), "is not recorded") {
-			t.Errorf("an event that does not exist: %v\n%s", err, out)
+			t.Errorf("the audit of an event that does not exist: %v\n%s", err, out)
 		}
 		for _, attempt := range caches[1].Attempts() {
 			if attempt.At.After(drained.Add(500 * time.Millisecond)) {
 				late[forms]++
 			}
 		}
-		t.Logf("%q: %d attempts at the drained cache after it woke; its requests: %+v; the audit reported %v",
+		t.Logf("%q: %d attempts at the drained cache after the director resumed; its requests: %+v; the audit reported %v",
 			forms, late[forms], tally, reported.Odd)
 		if tally.Lost+tally.Doubled > 0 || tally.Served+tally.Refused+tally.Failed != tally.Sent {
-			t.Errorf("not one answer for each: %+v", tally)
+			t.Errorf("not every request got exactly one response: %+v", tally)
 		}
 		if forms != "" && (tally.Refused == 0 || !strings.Contains(strings.Join(d.Log(), " "), "director.stale")) {
-			t.Errorf("it did not reject requests: %+v", tally)
+			t.Errorf("the director did not reject requests: %+v", tally)
 		}
 		cluster.Close()
 	}
 	if late[""] == 0 {
-		t.Error("without the bound nothing came to the drained cache: the test shows nothing")
+		t.Error("without a maximum age the drained cache got no attempts: the test can't detect the fault")
 	}
 	if n := late["(stragglers (behind-most 500ms))"]; n > 0 {
-		t.Error(fmt.Sprint(n), "attempts came to the drained cache by a stale endpoint list")
+		t.Error(fmt.Sprint(n), "attempts were sent to the drained cache by a stale endpoint list")
 	}
 }
--- a/internal/controlplane/replicas/standby_test.go
+++ b/internal/controlplane/replicas/standby_test.go
@@ -11,10 +11,10 @@
 	"stairvane.org/stairvane/internal/tools/testharness"
 )
 
-// Guards the replacement of a lost replica by a standby, and against a removal after which the
-// group tolerates fewer failures.
+// Guards the automatic replacement of a lost replica by a standby, and the rejection of a removal
+// after which the group would tolerate fewer failures.
 func TestStandbyReplacesALostReplica(t *testing.T) {
-	cluster, err := testharness.NewCluster(program, t.TempDir(), 3, 1)
+	cluster, err := testharness.NewCluster(fleetBinary, t.TempDir(), 3, 1)
 	check(t, err)
 	cluster.ExtraForms = "(replace-after 1s)"
 	t.Cleanup(func() {
@@ -25,7 +25,7 @@
 			}
 		}
 	})
-	check(t, cluster.Bootstrap(patience))
+	check(t, cluster.Bootstrap(waitTimeout))
 	c, err := cluster.Client()
 	check(t, err)
 	_, err = c.ChangeReplicas(api.ReplicaChange{Action: "remove", Name: "c"})
@@ -33,13 +33,13 @@
 	if !errors.As(err, &rejected) || rejected.Kind != api.Rejected || !strings.Contains(err.Error(), "bear") {
 		t.Errorf("%v", err)
 	}
-	leader := cluster.Leader(patience)
+	leader := cluster.Leader(waitTimeout)
 	lost := cluster.Replicas[0]
 	if lost == leader {
 		lost = cluster.Replicas[1]
 	}
 	lost.Kill()
-	for end := time.Now().Add(patience); ; time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); ; time.Sleep(50 * time.Millisecond) {
 		status, err := leader.Status()
 		check(t, err)
 		voters := ""
@@ -55,11 +55,11 @@
 			t.Fatalf("%+v", status)
 		}
 	}
-	check(t, lost.Start()) // the old disk is no member any more
-	if _, _, err := lost.Event("replica.excluded", 0, patience); err != nil {
-		t.Errorf("a disk that was replaced is not excluded: %v", err)
+	check(t, lost.Start()) // the old disk is no longer a member
+	if _, _, err := lost.Event("replica.excluded", 0, waitTimeout); err != nil {
+		t.Errorf("the replaced disk was not excluded: %v", err)
 	}
-	leader.Kill() // the group goes on with the standby's vote
+	leader.Kill() // the group must keep its majority through the standby's vote
 	if _, err := c.Purge(fleet.Purge{Object: "00000000000000cc"}); err != nil {
 		t.Error(err)
 	}
