--- a/internal/controlplane/replicas/barrier.go
+++ b/internal/controlplane/replicas/barrier.go
@@ -11,7 +11,7 @@
 // loop.
 type barriers struct {
 	waiting   map[uint64]chan<- error // by the tag of the ReadIndex request; each channel is buffered
-	confirmed []replica.ReadState     // confirmed reads whose index is not applied yet
+	confirmed []replica.ReadState     // reads with confirmed leadership whose index is not applied yet
 }
 
 func (b *barriers) anyWaiting() bool { return len(b.waiting) > 0 }
--- a/internal/controlplane/replicas/introduction.go
+++ b/internal/controlplane/replicas/introduction.go
@@ -165,8 +165,8 @@
 	}
 }
 
-// serveHello answers a disk that introduces itself. If this replica is the leader, it admits the disk
-// if the disk may join.
+// serveHello answers a disk that introduces itself. The leader also admits the disk if the disk may
+// join.
 func (g *Group) serveHello(w http.ResponseWriter, r *http.Request) {
 	var hello Hello
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxJSONBytes)).Decode(&hello); err != nil {
--- a/internal/controlplane/replicas/leases.go
+++ b/internal/controlplane/replicas/leases.go
@@ -70,7 +70,7 @@
 // HasLease reports whether this replica holds a lease now, and so may serve watchers.
 func (g *Group) HasLease() bool { return g.leases.isHeld() }
 
-// Acknowledged returns, at the leader, the highest revision that the watchers of all replicas and
+// Acknowledged returns, at the leader, the highest revision that all watchers of all replicas and
 // relays have acknowledged. It returns 0 at other replicas.
 func (g *Group) Acknowledged() int64 {
 	own := g.settings.Acknowledged()
@@ -109,7 +109,7 @@
 }
 
 // renewLease renews this replica's lease. The leader confirms its leadership with a Barrier instead
-// of sending a request. The lease starts at the time before the request was sent.
+// of sending a request. The duration of the lease counts from before the request is sent.
 func (g *Group) renewLease() error {
 	s := g.published.Load()
 	requestedAt := Now()
--- a/internal/controlplane/replicas/peer.go
+++ b/internal/controlplane/replicas/peer.go
@@ -14,7 +14,7 @@
 
 const (
 	peerQueueLength  = 4096                  // messages; further ones are dropped, which raft tolerates
-	maxBytesPerCall  = 4 << 20               // no further message is added to a call's body beyond this size
+	maxBytesPerCall  = 4 << 20               // once a call's body has this size, no further message is added to it
 	peerRetryBackoff = 25 * time.Millisecond // delay after a failed call
 )
 
--- a/internal/controlplane/replicas/quota_test.go
+++ b/internal/controlplane/replicas/quota_test.go
@@ -30,8 +30,8 @@
 
 // fullestWindow returns the number of attempts in the window of 3 s with the highest ratio of
 // attempts to the capacity of a cache that is warming up, and that capacity. The capacity is 4 times
-// the attempts that the cache's share allows; it has 0.17 of its share at its first attempt and all
-// of it 16 s later. For random variation, 3 standard deviations and another 3 attempts are added.
+// the attempts that the cache's share allows. The cache has 0.17 of its share at its first attempt and
+// all of it 16 s later. 3 standard deviations and another 3 attempts allow for random variation.
 func fullestWindow(cache *fakes.Cache, share float64, work time.Duration) (requests int, bound float64) {
 	const window = 3 * time.Second
 	attempts := cache.Attempts()
--- a/internal/controlplane/replicas/ready.go
+++ b/internal/controlplane/replicas/ready.go
@@ -102,7 +102,7 @@
 	return g.store.Persist(encoded, &hardState)
 }
 
-// stepDown handles the loss of leadership. The outcome of a proposal in flight is unknown then.
+// stepDown handles the loss of leadership. It fails a proposal in flight, whose outcome is unknown.
 func (g *Group) stepDown() {
 	g.setLeader(false)
 	if g.proposal != nil || g.barriers.anyWaiting() {
--- a/internal/controlplane/replicas/tick.go
+++ b/internal/controlplane/replicas/tick.go
@@ -12,7 +12,7 @@
 	ticksPerMaintenance  = 40                     // interval, in ticks, at which the log is compacted and the store's file is checked
 	logEntriesKept       = 10_000                 // for replicas that were unreachable; one that lacks more is sent a snapshot
 	logCompactionSlack   = 2_000                  // entries beyond logEntriesKept before the log is compacted
-	logEntriesInSnapshot = 300_000                // kept while a snapshot is sent, so that the receiver can continue from it by the log
+	logEntriesInSnapshot = 300_000                // kept while a snapshot is sent, so that the receiver can then catch up from the log
 	snapshotSettleTime   = 30 * time.Second       // after which a receiver is assumed to have the entries that followed its snapshot
 )
 
--- a/internal/controlplane/replicas/transport.go
+++ b/internal/controlplane/replicas/transport.go
@@ -70,8 +70,8 @@
 func (r response) text() string { return string(bytes.TrimSpace(r.body)) }
 
 // call sends a POST request with headers that identify this replica. It returns an error if there is
-// no complete response. On any path, a response with status 410 means that this disk was removed
-// from the group; call then excludes the disk.
+// no complete response. A response with status 410 means, for every path, that this disk was removed
+// from the group, and call excludes the disk.
 func (p *peer) call(ctx context.Context, path string, r request) (response, error) {
 	g := p.group
 	url := g.settings.Scheme + "://" + p.config.Address.String() + path
