--- a/internal/controlplane/members.go
+++ b/internal/controlplane/members.go
@@ -68,7 +68,7 @@
 func (s *memberService) lead(f fleet.Fleet, now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tracker.Begin(f, now)
+	s.tracker.Reset(f, now)
 	s.isLeader = true
 }
 
@@ -157,7 +157,7 @@
 func (s *memberService) change(f fleet.Fleet, now time.Duration) *fleet.MembershipChange {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := s.tracker.Change(f, now)
+	c := s.tracker.NextChange(f, now)
 	s.tracker.Observe(f.Revision, now)
 	return c
 }
--- a/internal/controlplane/membership/changes.go
+++ b/internal/controlplane/membership/changes.go
@@ -13,9 +13,9 @@
 // between, only directors that have changed are compared.
 const reconcileInterval = time.Second
 
-// Change returns what the next membership event is to change of the members in f; nil if nothing, or if the last change was too
+// NextChange returns what the next membership event is to change of the members in f; nil if nothing, or if the last change was too
 // short a time ago. A director under the name of a member joins only once the member is gone.
-func (t *Tracker) Change(f fleet.Fleet, now time.Duration) *fleet.MembershipChange {
+func (t *Tracker) NextChange(f fleet.Fleet, now time.Duration) *fleet.MembershipChange {
 	t.expireSessions(now)
 	if now-t.lastChange < t.set.Gather {
 		return nil
--- a/internal/controlplane/membership/changes_test.go
+++ b/internal/controlplane/membership/changes_test.go
@@ -31,7 +31,7 @@
 // writeChange applies the next change of the members, if there is one.
 func (h *harness) writeChange() *fleet.MembershipChange {
 	h.t.Helper()
-	c := h.tracker.Change(h.f, h.now)
+	c := h.tracker.NextChange(h.f, h.now)
 	if c == nil {
 		return nil
 	}
@@ -110,7 +110,7 @@
 	h.writeChange()
 	h.now += time.Hour
 	h.tracker = New(h.tracker.set)
-	h.tracker.Begin(h.f, h.now)
+	h.tracker.Reset(h.f, h.now)
 	h.now += 300 * ms
 	if c := h.writeChange(); c != nil {
 		t.Fatalf("%+v", c)
--- a/internal/controlplane/membership/doc.go
+++ b/internal/controlplane/membership/doc.go
@@ -6,9 +6,9 @@
 // lease is over by any clock. Until then it may act on what it was sent last, and hold claims.
 //
 // A Tracker belongs to the leader. Its caller
-//   - begins it with the members of the event log when leadership is gained (Begin),
+//   - begins it with the members of the event log when leadership is gained (Reset),
 //   - passes heartbeats (RecordHeartbeat) and relays' updates (Update), each before it answers them,
-//   - writes the changes that Change returns, many times a second, and says so (MarkAnnounced),
+//   - writes the changes that NextChange returns, many times a second, and says so (MarkWritten),
 //   - serializes all calls: a Tracker is not safe for concurrent use.
 //
 // The package does no I/O and reads no clock: times are passed in.
--- a/internal/controlplane/membership/sessions_test.go
+++ b/internal/controlplane/membership/sessions_test.go
@@ -12,7 +12,7 @@
 func newRelayHarness(t testing.TB) *harness {
 	h := newHarness(t)
 	h.tracker = New(Settings{Lease: 600 * ms, Drift: 0.02, Gather: 100 * ms, DirectorLease: 400 * ms, RelayLease: 200 * ms})
-	h.tracker.Begin(h.f, h.now)
+	h.tracker.Reset(h.f, h.now)
 	h.now += 700 * ms
 	return h
 }
@@ -137,7 +137,7 @@
 	u.send(none)
 	late := u.Update
 	late.Sequence, late.Full, late.Joined = 2, true, []JoinedDirector{described("a")}
-	h.tracker.Begin(h.f, h.now)
+	h.tracker.Reset(h.f, h.now)
 	h.now += 700 * ms
 	if got, err := h.tracker.Update(late, 5, h.now); err != nil || !got.NeedFull || got.Registration == late.Registration {
 		t.Fatalf("%+v, %v", got, err)
--- a/internal/controlplane/membership/tracker.go
+++ b/internal/controlplane/membership/tracker.go
@@ -66,7 +66,7 @@
 // Tracker is what the leader knows of directors and of the sessions of relays. It is not safe for concurrent use.
 //
 // A director is known by its own calls of replicas, or by the sessions of the relays that it calls. Only directors without a
-// session are looked at with each call of Change.
+// session are looked at with each call of NextChange.
 type Tracker struct {
 	set            Settings
 	directors      map[string]*director     // by ID
@@ -100,9 +100,9 @@
 	t.lastReconcile = -reconcileInterval
 }
 
-// Begin takes over the members in f. All of them count as in contact now, since the time of their last calls is not known. No
+// Reset takes over the members in f. All of them count as in contact now, since the time of their last calls is not known. No
 // session is known: relays are asked for all of their directors.
-func (t *Tracker) Begin(f fleet.Fleet, now time.Duration) {
+func (t *Tracker) Reset(f fleet.Fleet, now time.Duration) {
 	t.clear()
 	for member := range f.Directors() {
 		d := t.add(*member)
--- a/internal/controlplane/relay_requests_test.go
+++ b/internal/controlplane/relay_requests_test.go
@@ -63,7 +63,7 @@
 		if !behind {
 			acknowledged = r.revision
 		}
-		r.session.Observe(d, acknowledged, now)
+		r.session.RecordWatchRequest(d, acknowledged, now)
 	}
 	r.last = r.session.Request(r.revision, r.revision, now)
 	body, err := json.Marshal(r.last)
@@ -74,7 +74,7 @@
 	}
 	var a relaysession.Answer
 	check(r.t, json.Unmarshal(w.Body.Bytes(), &a))
-	r.session.TakeAnswer(a, replicas.Now())
+	r.session.HandleAnswer(a, replicas.Now())
 	if a.Snapshot != nil {
 		r.revision = a.Snapshot.Revision
 	}
@@ -236,7 +236,7 @@
 				b.StopTimer()
 				now := replicas.Now()
 				for _, d := range r.directors {
-					r.session.Observe(d, r.revision, now)
+					r.session.RecordWatchRequest(d, r.revision, now)
 				}
 				q := r.session.Request(r.revision, r.revision, now)
 				body, err := json.Marshal(q)
@@ -247,7 +247,7 @@
 				b.StopTimer()
 				var a relaysession.Answer
 				check(b, json.Unmarshal(w.Body.Bytes(), &a))
-				r.session.TakeAnswer(a, now)
+				r.session.HandleAnswer(a, now)
 				b.StartTimer()
 			}
 			b.ReportMetric(float64(size), "request-bytes")
--- a/internal/controlplane/relayserver/server.go
+++ b/internal/controlplane/relayserver/server.go
@@ -163,7 +163,7 @@
 		return false
 	}
 	now := replicas.Now()
-	if s.session.TakeAnswer(a, now) {
+	if s.session.HandleAnswer(a, now) {
 		defer s.watches.PublishHealth()
 	}
 	if a.LeaseMS > 0 {
--- a/internal/controlplane/relayserver/watchowner.go
+++ b/internal/controlplane/relayserver/watchowner.go
@@ -15,10 +15,10 @@
 // MayServe implements watch.Owner.
 func (o watchOwner) MayServe() bool { return o.relay.hasLease() }
 
-// ObserveDirector implements watch.Owner.
-func (o watchOwner) ObserveDirector(a discovery.Announcement, acknowledged int64) bool {
+// RecordAnnouncement implements watch.Owner.
+func (o watchOwner) RecordAnnouncement(a discovery.Announcement, acknowledged int64) bool {
 	r := o.relay
-	if !r.session.Observe(a, acknowledged, replicas.Now()) {
+	if !r.session.RecordWatchRequest(a, acknowledged, replicas.Now()) {
 		return false
 	}
 	if r.session.Pending() {
--- a/internal/controlplane/relaysession/doc.go
+++ b/internal/controlplane/relaysession/doc.go
@@ -2,8 +2,8 @@
 // hundred directors, and speaks for all of them with one request about every 50 ms: who has joined, left or is lost, the lowest
 // revision that all have acknowledged, the sum of their quota demands, and their health reports.
 //
-// The caller passes each director's watch request to Observe before it answers the director, sends what Request returns to the
-// leader, one request at a time, and passes each answer to TakeAnswer. A request whose answer is lost is not repeated: the next one
+// The caller passes each director's watch request to RecordWatchRequest before it answers the director, sends what Request returns to the
+// leader, one request at a time, and passes each answer to HandleAnswer. A request whose answer is lost is not repeated: the next one
 // has all that the leader has not confirmed.
 //
 // The package does no I/O and reads no clock. A Session is not safe for concurrent use.
--- a/internal/controlplane/relaysession/model_test.go
+++ b/internal/controlplane/relaysession/model_test.go
@@ -160,7 +160,7 @@
 		Drift:         drift,
 		Gather:        150 * ms,
 	})
-	m.tracker.Begin(m.fleet, m.now)
+	m.tracker.Reset(m.fleet, m.now)
 	m.leases = replica.NewLessor(replica.Lease{Length: relaysession.Lease, Drift: drift})
 	m.leases.SetLeader(true, m.now)
 }
@@ -193,7 +193,7 @@
 			return
 		}
 		now := r.at(m.now)
-		r.session.TakeAnswer(answer, now)
+		r.session.HandleAnswer(answer, now)
 		if r.waits == answer.Sequence {
 			r.waits = 0
 			r.revision = max(r.revision, answer.Revision)
@@ -243,7 +243,7 @@
 	if !r.alive || !r.holder.HasLease(now) || d.calling != number {
 		return
 	}
-	r.session.Observe(a, acknowledged, now)
+	r.session.RecordWatchRequest(a, acknowledged, now)
 	d.lapsed = d.lapsed || called >= d.lease
 	d.relayed, d.relayedAt = r.number, m.now
 	revision := r.revision
@@ -318,7 +318,7 @@
 	if m.now < m.noLeader {
 		return
 	}
-	c := m.tracker.Change(m.fleet, m.now)
+	c := m.tracker.NextChange(m.fleet, m.now)
 	if c == nil {
 		return
 	}
--- a/internal/controlplane/relaysession/session.go
+++ b/internal/controlplane/relaysession/session.go
@@ -69,9 +69,10 @@
 	}
 }
 
-// Observe takes a director's watch request; acknowledged is the revision after which it wants events. It must be called before the
-// request is answered. False means that the relay has as many directors as it may: this request must not be answered.
-func (s *Session) Observe(a discovery.Announcement, acknowledged int64, now time.Duration) bool {
+// RecordWatchRequest records a director's watch request and renews the director's lease with the relay. acknowledged is the
+// revision after which the director wants events. It must be called before the request is answered. It returns false if the relay
+// already serves MaxDirectors directors; the request must then be rejected.
+func (s *Session) RecordWatchRequest(a discovery.Announcement, acknowledged int64, now time.Duration) bool {
 	id := a.ID()
 	known := s.directors[id]
 	if known == nil && !a.Leaving && len(s.directors) >= MaxDirectors {
@@ -241,9 +242,9 @@
 	}
 }
 
-// TakeAnswer takes the answer to the last request. One to an earlier request changes nothing. It reports whether the aggregated
+// HandleAnswer takes the answer to the last request. One to an earlier request changes nothing. It reports whether the aggregated
 // health has changed: directors that wait are then to be answered.
-func (s *Session) TakeAnswer(a Answer, now time.Duration) (healthChanged bool) {
+func (s *Session) HandleAnswer(a Answer, now time.Duration) (healthChanged bool) {
 	if a.Sequence != s.sequence || a.Sequence == s.lastAnswered {
 		return false
 	}
--- a/internal/controlplane/relaysession/session_test.go
+++ b/internal/controlplane/relaysession/session_test.go
@@ -53,10 +53,10 @@
 func TestSteadyRequestIsSmall(t *testing.T) {
 	s, now := New(testSettings, &fakeQuota{}), time.Hour
 	for i := range 400 {
-		s.Observe(announcement(i), 1000, now)
+		s.RecordWatchRequest(announcement(i), 1000, now)
 	}
 	first := s.Request(1000, 1000, now)
-	s.TakeAnswer(Answer{Sequence: first.Sequence}, now)
+	s.HandleAnswer(Answer{Sequence: first.Sequence}, now)
 	if len(first.Joined) != 400 || !first.Full || first.More {
 		t.Fatalf("%d joined, full %v, more %v", len(first.Joined), first.Full, first.More)
 	}
@@ -64,7 +64,7 @@
 		now += 50 * ms
 		revision := int64(1001 + round)
 		for i := range 400 {
-			s.Observe(announcement(i), revision-1, now)
+			s.RecordWatchRequest(announcement(i), revision-1, now)
 		}
 		r := s.Request(revision, revision-1, now)
 		body, err := json.Marshal(r)
@@ -74,7 +74,7 @@
 		if r.Acknowledged != revision-1 || len(r.Stale) > 0 || r.Directors != 400 {
 			t.Fatalf("round %d: %s", round, body)
 		}
-		s.TakeAnswer(Answer{Sequence: r.Sequence}, now)
+		s.HandleAnswer(Answer{Sequence: r.Sequence}, now)
 	}
 }
 
@@ -82,32 +82,32 @@
 // confirms nothing.
 func TestChangesAreRepeatedUntilAnswered(t *testing.T) {
 	s, now := New(testSettings, nil), time.Hour
-	s.Observe(announcement(1), 5, now)
+	s.RecordWatchRequest(announcement(1), 5, now)
 	first := s.Request(5, 5, now)
 	second := s.Request(5, 5, now)
-	if s.TakeAnswer(Answer{Sequence: first.Sequence}, now); len(second.Joined) != 1 || !second.Full {
+	if s.HandleAnswer(Answer{Sequence: first.Sequence}, now); len(second.Joined) != 1 || !second.Full {
 		t.Fatalf("%+v", second)
 	}
 	if third := s.Request(5, 5, now); len(third.Joined) != 1 || !third.Full || third.Answered != 0 {
 		t.Fatalf("an answer to an old request confirmed: %+v", third)
 	}
-	s.TakeAnswer(Answer{Sequence: 3}, now)
-	s.Observe(announcement(2), 4, now)
+	s.HandleAnswer(Answer{Sequence: 3}, now)
+	s.RecordWatchRequest(announcement(2), 4, now)
 	fourth := s.Request(5, 5, now)
 	if len(fourth.Joined) != 1 || fourth.Full || fourth.Answered != 3 || fourth.Acknowledged != 4 {
 		t.Fatalf("%+v", fourth)
 	}
 	now += 417 * ms
-	s.Observe(announcement(1), 5, now)
-	s.TakeAnswer(Answer{Sequence: 4}, now) // confirms that 2 has joined, and not that it is lost
+	s.RecordWatchRequest(announcement(1), 5, now)
+	s.HandleAnswer(Answer{Sequence: 4}, now) // confirms that 2 has joined, and not that it is lost
 	fifth := s.Request(5, 5, now)
 	if len(fifth.Lost) != 1 || len(fifth.Joined) != 0 {
 		t.Fatalf("%+v", fifth)
 	}
 	leaving := announcement(1)
 	leaving.Leaving = true
-	s.Observe(leaving, 5, now)
-	s.TakeAnswer(Answer{Sequence: 5, NeedFull: true}, now)
+	s.RecordWatchRequest(leaving, 5, now)
+	s.HandleAnswer(Answer{Sequence: 5, NeedFull: true}, now)
 	if sixth := s.Request(5, 5, now); len(sixth.Left) != 1 || len(sixth.Lost) != 1 || !sixth.Full {
 		t.Fatalf("%+v", sixth)
 	}
@@ -120,7 +120,7 @@
 		a := announcement(i)
 		a.HealthReport, _ = json.Marshal(health.Report{Holder: a.ID(), Seq: 1, Caches: []health.Outcomes{{Cache: "b", Attempts: 1}}})
 		a.ReadyShards = []int64{int64(i), 7}
-		if taken := s.Observe(a, 1, now); taken != (i < MaxDirectors) {
+		if taken := s.RecordWatchRequest(a, 1, now); taken != (i < MaxDirectors) {
 			t.Fatalf("director %d: taken %v", i, taken)
 		}
 	}
@@ -135,7 +135,7 @@
 			joined[d.ID()] = true
 		}
 		reports += len(r.Reports)
-		if s.TakeAnswer(Answer{Sequence: r.Sequence}, now); !r.More {
+		if s.HandleAnswer(Answer{Sequence: r.Sequence}, now); !r.More {
 			break
 		}
 	}
@@ -149,7 +149,7 @@
 			if i == 0 {
 				a = 10
 			}
-			s.Observe(announcement(i), a, now)
+			s.RecordWatchRequest(announcement(i), a, now)
 		}
 		s.Request(10, 10, now)
 	}
@@ -164,13 +164,13 @@
 	s, now := New(testSettings, q), time.Hour
 	a := announcement(1)
 	a.QuotaRenewal, _ = json.Marshal(quota.Renewal{Holder: a.ID(), Seq: 9})
-	s.Observe(a, 1, now)
+	s.RecordWatchRequest(a, 1, now)
 	if g := s.TakeGrant(a.ID()); g == nil || g.Seq != 9 || s.TakeGrant(a.ID()) != nil {
 		t.Fatalf("%+v", g)
 	}
 	r := s.Request(1, 1, now)
 	o := &health.AggregatedHealth{Epoch: 3, Seq: 2, Caches: []health.CacheHealth{{Cache: "b", FailureShare: 1, Machines: 3}}}
-	changed := s.TakeAnswer(Answer{Sequence: r.Sequence, Grant: &quota.Grant{Seq: 4}, AggregatedHealth: o}, now)
+	changed := s.HandleAnswer(Answer{Sequence: r.Sequence, Grant: &quota.Grant{Seq: 4}, AggregatedHealth: o}, now)
 	if !changed || len(q.taken) != 1 || q.taken[0].Seq != 4 {
 		t.Fatalf("%+v", q.taken)
 	}
@@ -185,7 +185,7 @@
 // A director is lost once its lease is over by any clock within the drift, and not before.
 func TestLostAfterTheLease(t *testing.T) {
 	s, now := New(testSettings, nil), time.Hour
-	s.Observe(announcement(1), 1, now)
+	s.RecordWatchRequest(announcement(1), 1, now)
 	if r := s.Request(1, 1, now+416*ms); len(r.Lost) != 0 || r.Directors != 1 {
 		t.Fatalf("%+v", r)
 	}
--- a/internal/controlplane/watch/owner.go
+++ b/internal/controlplane/watch/owner.go
@@ -10,9 +10,9 @@
 type Owner interface {
 	// MayServe tells whether the process may have watchers at this moment.
 	MayServe() bool
-	// ObserveDirector takes in what a director announces of itself with a request, and the revision that it acknowledges. False means that
-	// the process has no capacity for the director, which is then rejected.
-	ObserveDirector(announcement discovery.Announcement, acknowledged int64) bool
+	// RecordAnnouncement records a director's announcement and the revision that its request acknowledges. It returns false if the
+	// process has no capacity for the director, whose request is then rejected.
+	RecordAnnouncement(announcement discovery.Announcement, acknowledged int64) bool
 	// TakeQuotaGrant takes the quota grant for a director, which is given once; nil if there is none.
 	TakeQuotaGrant(directorID string) *quota.Grant
 	// Health is the aggregated health of caches that a director is to be sent now; nil if nothing in it is new to the director.
--- a/internal/controlplane/watch/watch_test.go
+++ b/internal/controlplane/watch/watch_test.go
@@ -47,7 +47,7 @@
 }
 
 func (p *testOwner) MayServe() bool { return !p.leaseLost.Load() }
-func (p *testOwner) ObserveDirector(_ discovery.Announcement, acknowledged int64) bool {
+func (p *testOwner) RecordAnnouncement(_ discovery.Announcement, acknowledged int64) bool {
 	p.requests <- acknowledged
 	return !p.atCapacity.Load()
 }
--- a/internal/controlplane/watch/watcher.go
+++ b/internal/controlplane/watch/watcher.go
@@ -84,7 +84,7 @@
 	s.tracker.Ack(w.id, w.request.After)
 	isBehind := w.request.After < s.lastRevision || w.lacksMembership()
 	s.mu.Unlock()
-	if a := w.request.Announcement; a != nil && !s.owner.ObserveDirector(*a, w.request.After) {
+	if a := w.request.Announcement; a != nil && !s.owner.RecordAnnouncement(*a, w.request.After) {
 		slog.Warn("watcher.rejected", "watchers", len(s.watchers))
 		w.leave()
 		w.reject(http.StatusServiceUnavailable)
--- a/internal/controlplane/watchowner.go
+++ b/internal/controlplane/watchowner.go
@@ -36,8 +36,8 @@
 // MayServe implements watch.Owner.
 func (o watchOwner) MayServe() bool { return o.server.hasLease() }
 
-// ObserveDirector implements watch.Owner. There is always capacity for a director: the number of watchers is bounded by maxWatchers.
-func (o watchOwner) ObserveDirector(announcement discovery.Announcement, acknowledged int64) bool {
+// RecordAnnouncement implements watch.Owner. There is always capacity for a director: the number of watchers is bounded by maxWatchers.
+func (o watchOwner) RecordAnnouncement(announcement discovery.Announcement, acknowledged int64) bool {
 	o.server.directors.observe(announcement, acknowledged)
 	return true
 }
--- a/internal/tools/capacity/measure/leader_membership.go
+++ b/internal/tools/capacity/measure/leader_membership.go
@@ -94,7 +94,7 @@
 	}
 	tracker := trackerOf(directors)
 	var changed *fleet.MembershipChange
-	took := timeOf(func(int) { changed = tracker.Change(f, time.Hour) })
+	took := timeOf(func(int) { changed = tracker.NextChange(f, time.Hour) })
 	if changed != nil {
 		return 0, fmt.Errorf("the membership of %d directors has changed", directors)
 	}
--- a/internal/tools/fleetsim/fleetsim.go
+++ b/internal/tools/fleetsim/fleetsim.go
@@ -214,7 +214,7 @@
 	if m.isDue(m.cfg.NewAllocator) {
 		m.epoch++
 		m.allocator = quota.NewAllocator(quota.DirectorSettings, m.epoch, m.now, false)
-		m.membership.Begin(m.fleet, m.now)
+		m.membership.Reset(m.fleet, m.now)
 	}
 }
 
@@ -279,7 +279,7 @@
 
 // control is the leader's tick: changes of the membership become events.
 func (m *model) control() {
-	change := m.membership.Change(m.fleet, m.now)
+	change := m.membership.NextChange(m.fleet, m.now)
 	if change == nil {
 		return
 	}
