--- a/internal/controlplane/membership/changes.go
+++ b/internal/controlplane/membership/changes.go
@@ -9,15 +9,16 @@
 	"stairvane.org/stairvane/internal/fleet"
 )
 
-// reconcileInterval is the time between two comparisons of all members with what is known, which cost a pass over the fleet. In
-// between, only directors that have changed are compared.
+// reconcileInterval is the time between two comparisons of all members with the known directors. A comparison iterates over the
+// whole fleet, so only directors that have changed are compared in between.
 const reconcileInterval = time.Second
 
-// NextChange returns what the next membership event is to change of the members in f; nil if nothing, or if the last change was too
-// short a time ago. A director under the name of a member joins only once the member is gone.
+// NextChange returns the next change to the members of f. It returns nil if there is nothing to change, or if less than
+// Settings.Gather has passed since the last change was written. A director with the name of a current member joins only after that
+// member has been removed.
 func (t *Tracker) NextChange(f fleet.Fleet, now time.Duration) *fleet.MembershipChange {
 	t.expireSessions(now)
-	if now-t.lastChange < t.set.Gather {
+	if now-t.lastChange < t.settings.Gather {
 		return nil
 	}
 	t.removeExpired(now)
@@ -32,7 +33,7 @@
 	return c
 }
 
-// removeExpired forgets directors that have left or whose leases are over.
+// removeExpired removes directors that have left or whose leases have expired.
 func (t *Tracker) removeExpired(now time.Duration) {
 	for id, d := range t.withoutSession {
 		switch {
@@ -49,13 +50,14 @@
 	maps.DeleteFunc(t.left, func(_ string, since time.Duration) bool { return now-since > leftExpiry })
 }
 
-// isExpired reports whether the lease of a director without a session is over, wherever the director may have called. Within its
-// lease it may have gone on to another relay that has not reported it yet. So the updates of each relay must cover the lease's end.
+// isExpired reports whether the lease of a director without a session has expired, regardless of which process the director called
+// last. Within its lease, a director may have moved to another relay that has not reported it yet, so the updates of every relay
+// must cover the time up to the end of the lease.
 func (t *Tracker) isExpired(d *director, now time.Duration) bool {
-	// The last term: a relay may serve the director that only the leader before this one knew.
-	leaseEnd := max(d.relayLeaseEnd, d.contact+t.set.silentUntilGone(d), t.beganAt+t.set.relayedLease())
-	// It may have gone on from a relay to a replica, where its lease is longer.
-	if now <= leaseEnd || now <= d.relayLeaseEnd+t.set.withDrift(t.set.Lease-t.set.DirectorLease) {
+	// The last term accounts for a director whose relay was known only to the previous leader.
+	leaseEnd := max(d.relayLeaseEnd, d.directContact+t.settings.silenceTimeout(d), t.resetAt+t.settings.relayedLeaseDuration())
+	// The director may have moved from a relay to a replica, which grants a longer lease.
+	if now <= leaseEnd || now <= d.relayLeaseEnd+t.settings.withDrift(t.settings.Lease-t.settings.DirectorLease) {
 		return false
 	}
 	for _, s := range t.sessions {
@@ -66,7 +68,7 @@
 	return true
 }
 
-// reconcile compares all members with the directors that are known.
+// reconcile compares all members with the known directors.
 func (t *Tracker) reconcile(f fleet.Fleet) {
 	for d := range f.Directors() {
 		id := d.ID()
@@ -84,7 +86,7 @@
 	}
 }
 
-// leftMembers returns the sorted IDs of the members that are not known any more.
+// leftMembers returns the sorted IDs of the members that are no longer known.
 func (t *Tracker) leftMembers(f fleet.Fleet) []string {
 	var ids []string
 	for id := range t.removed {
@@ -98,8 +100,8 @@
 	return ids
 }
 
-// joinedMembers returns the directors that are not members, or not as they describe themselves, sorted by ID. Of several under one
-// name it is the one with the last contact.
+// joinedMembers returns the directors that are not members yet, or whose descriptions have changed, sorted by ID. If several
+// directors share a name, it returns only the one with the latest contact.
 func (t *Tracker) joinedMembers(f fleet.Fleet) []fleet.Director {
 	latest := map[string]*director{} // by name
 	for id := range t.dirty {
@@ -109,7 +111,7 @@
 		case member != nil && *member == d.Director:
 			delete(t.dirty, id)
 		case member == nil && t.hasOtherProcess(f, d):
-			// The member stays until it is gone: it may hold claims.
+		// The current member must be removed first: it may hold claims.
 		case latest[d.Name] == nil || d.isLaterThan(latest[d.Name]):
 			latest[d.Name] = d
 		}
@@ -122,12 +124,12 @@
 	return all
 }
 
-// isLaterThan reports whether the director's last contact is later than that of another.
+// isLaterThan reports whether the director's last contact is later than the other director's. The ID breaks ties.
 func (d *director) isLaterThan(other *director) bool {
 	return cmp.Or(cmp.Compare(d.lastContact(), other.lastContact()), cmp.Compare(d.ID(), other.ID())) > 0
 }
 
-// hasOtherProcess reports whether another process of a director's name is a member and not gone.
+// hasOtherProcess reports whether another process with the director's name is a member and has not been removed.
 func (t *Tracker) hasOtherProcess(f fleet.Fleet, d *director) bool {
 	return slices.ContainsFunc(t.byName[d.Name], func(o *director) bool { return o != d && f.Director(o.ID()) != nil })
 }
--- a/internal/controlplane/membership/heartbeats.go
+++ b/internal/controlplane/membership/heartbeats.go
@@ -6,17 +6,17 @@
 	"stairvane.org/stairvane/internal/fleet"
 )
 
-// Heartbeat says that a director called a replica, at a moment that may lie a little back.
+// Heartbeat reports that a director called a replica. The call may be slightly in the past.
 type Heartbeat struct {
 	ID       string
-	Director *fleet.Director // nil: this heartbeat does not describe it
+	Director *fleet.Director // nil: the heartbeat does not include the description
 	Leaving  bool
-	At       time.Duration
-	Applied  int64  // the last revision that it has applied
-	Config   string // fingerprint of its configuration; empty: not part of this heartbeat
+	At       time.Duration // when the replica received the call
+	Applied  int64         // last revision that the director has applied
+	Config   string        // fingerprint of the director's configuration; empty: not included
 }
 
-// RecordHeartbeat takes a heartbeat. One of a director that is not known changes nothing unless it describes the director.
+// RecordHeartbeat records a heartbeat. A heartbeat of an unknown director is ignored unless it includes the director's description.
 func (t *Tracker) RecordHeartbeat(h Heartbeat) {
 	d := t.directors[h.ID]
 	if d == nil {
@@ -26,10 +26,10 @@
 		d = t.add(*h.Director)
 	}
 	if h.Director != nil {
-		t.describe(d, *h.Director)
+		t.updateDescription(d, *h.Director)
 	}
 	if h.Leaving {
-		t.leave(d)
+		t.markLeaving(d)
 	}
 	d.applied = max(d.applied, h.Applied)
 	if h.Config != "" {
@@ -38,21 +38,21 @@
 	d.recordCall(h.At)
 }
 
-// recordCall records a call of a replica, and how regular the calls are.
+// recordCall records a call to a replica and updates the smoothed interval between such calls.
 func (d *director) recordCall(at time.Duration) {
-	if !d.direct {
-		// The calls before went to relays: the time since says nothing about its calls of replicas.
-		d.direct = len(d.sessions) == 0
+	if !d.lastCallDirect {
+		// Earlier calls went to relays, so the time since then is not an interval between calls to replicas.
+		d.lastCallDirect = len(d.sessions) == 0
 		d.callInterval = 0
 		d.intervalDeviation = 0
-		d.contact = max(d.contact, at)
+		d.directContact = max(d.directContact, at)
 		return
 	}
-	interval := at - d.contact
+	interval := at - d.directContact
 	if interval <= 0 {
 		return
 	}
 	d.intervalDeviation += ((interval - d.callInterval).Abs() - d.intervalDeviation) / 8
 	d.callInterval += (interval - d.callInterval) / 8
-	d.contact = at
+	d.directContact = at
 }
--- a/internal/controlplane/membership/sessions.go
+++ b/internal/controlplane/membership/sessions.go
@@ -5,42 +5,44 @@
 	"time"
 )
 
-// leftExpiry is the time for which a director that has left can't join again: a relay that it called before may still name it.
+// leftExpiry is the time for which a director that has left cannot join again. A relay that the director called earlier may still
+// report it.
 const leftExpiry = 10 * time.Second
 
-// session is what is known of a relay's session.
+// session is the leader's state of a relay's session.
 type session struct {
 	registration uint64
-	update       Update        // the last one, without its changes
-	renewed      time.Duration // when that was taken
-	// coveredUntil is the moment up to which each director that called the relay is known.
-	coveredUntil  time.Duration
-	complete      bool                      // a full list was received to its end
-	receivingFull bool                      // a full list has begun
-	directors     map[string]*sessionMember // by ID
-	lag           Lag
-	behind        time.Duration // for which its directors have lacked the last event, without those that are stale
+	update       Update        // the last update, without its changes
+	renewed      time.Duration // when the last update was accepted
+	// coveredUntil is the time up to which every director that called the relay has been reported.
+	coveredUntil      time.Duration
+	hasFullList       bool                      // a full list has been received completely
+	receivingFullList bool                      // a full list has been started and is not complete
+	directors         map[string]*sessionMember // by ID
+	lag               Lag
+	behindFor         time.Duration // for how long its non-stale directors have lacked the last event
 }
 
-// sessionMember is a director under a session.
+// sessionMember is a director that a relay has reported in its session.
 type sessionMember struct {
 	*director
-	confirmed bool // since the last full list began
+	confirmed bool // reported since the start of the last full list
 }
 
-// UpdateResult is what the relay must be answered.
+// UpdateResult is the result of an update, which is returned to the relay.
 type UpdateResult struct {
 	Registration uint64
-	// NeedFull says that the session is not known under the update's registration, as after a change of the leader. The
-	// session was renewed, but the update's changes were not taken, and the relay must send a full list.
+	// NeedFull means that the leader has no complete list of the session's directors under the update's registration, for example
+	// after a change of leader. The session was renewed, but the update's changes were not applied, and the relay must send a full
+	// list.
 	NeedFull bool
 }
 
-// Update takes an update of a relay's session, and renews the session with all directors under it. It is to be called before the
-// update is answered. random is drawn anew for each call; it becomes the registration of a session that is not known.
+// Update applies an update of a relay's session and renews the session for all of its directors. It must be called before the
+// update is answered. random must be a new random number for each call; it becomes the registration if the session is new.
 //
-// The error is ErrOldUpdate for an update that comes again or late, ErrTooManySessions or ErrUpdateTooLarge. An update with an
-// error changes nothing.
+// Update returns ErrOldUpdate for a duplicate or reordered update, ErrTooManySessions or ErrUpdateTooLarge. If it returns an error,
+// the update has no effect.
 func (t *Tracker) Update(u Update, random uint64, now time.Duration) (UpdateResult, error) {
 	s, err := t.findSession(u, random)
 	if err != nil {
@@ -51,23 +53,24 @@
 	s.renew(u, now)
 	registered := u.Registration == s.registration
 	if u.Full && registered {
-		s.beginFullList()
+		s.startFullList()
 	}
-	if !registered || !s.receivingFull && !s.complete {
+	if !registered || !s.receivingFullList && !s.hasFullList {
 		return UpdateResult{Registration: s.registration, NeedFull: true}, nil
 	}
 	t.applyChanges(s, u, now)
-	if s.receivingFull && !u.More {
-		t.endFullList(s, now)
+	if s.receivingFullList && !u.More {
+		t.finishFullList(s, now)
 	}
-	// The relay had the answer to the update before when it made this one. So this one has all calls up to when that was taken.
+	// The relay had received the answer to its previous update when it created this one. This update therefore includes all calls
+	// up to the time at which the previous update was accepted.
 	if !u.More && answerReceived {
 		s.coveredUntil = previousRenewed
 	}
 	return UpdateResult{Registration: s.registration}, nil
 }
 
-// findSession returns the session of an update, a new one if there is none.
+// findSession returns the session of an update and creates it if it does not exist. It checks the limits and the update's sequence.
 func (t *Tracker) findSession(u Update, random uint64) (*session, error) {
 	if len(u.Joined)+len(u.Left)+len(u.Lost) > MaxUpdateChanges || len(u.Stale) > MaxUpdateStale {
 		return nil, ErrUpdateTooLarge
@@ -87,7 +90,7 @@
 	return s, nil
 }
 
-// renew records an update without its changes.
+// renew renews the session and stores the update without its changes.
 func (s *session) renew(u Update, now time.Duration) {
 	u.Joined = nil
 	u.Left = nil
@@ -96,32 +99,32 @@
 	s.renewed = now
 }
 
-// beginFullList begins to receive a full list: directors that it does not name are released at its end.
-func (s *session) beginFullList() {
-	s.complete = false
-	s.receivingFull = true
+// startFullList starts receiving a full list. finishFullList releases the directors that the list does not include.
+func (s *session) startFullList() {
+	s.hasFullList = false
+	s.receivingFullList = true
 	for _, d := range s.directors {
 		d.confirmed = false
 	}
 }
 
-// applyChanges applies an update's changes.
+// applyChanges applies the changes of an update.
 func (t *Tracker) applyChanges(s *session, u Update, now time.Duration) {
 	for _, d := range u.Joined {
-		t.join(s, d, now)
+		t.joinSession(s, d, now)
 	}
 	for _, id := range u.Left {
 		if d := t.directors[id]; d != nil {
-			t.leave(d)
+			t.markLeaving(d)
 		}
 	}
 	for _, id := range u.Lost {
-		t.release(s, id, now)
+		t.releaseFromSession(s, id, now)
 	}
 }
 
-// join puts a director under a session.
-func (t *Tracker) join(s *session, j JoinedDirector, now time.Duration) {
+// joinSession adds a director to a session.
+func (t *Tracker) joinSession(s *session, j JoinedDirector, now time.Duration) {
 	id := j.ID()
 	if _, left := t.left[id]; left || j.Name == "" || j.Incarnation == "" {
 		return
@@ -129,26 +132,26 @@
 	d := t.directors[id]
 	if d == nil {
 		d = t.add(j.Director)
-		d.contact = now
+		d.directContact = now
 	}
 	if d.leaving {
 		return
 	}
-	t.describe(d, j.Director)
+	t.updateDescription(d, j.Director)
 	d.config = j.Config
-	d.direct = false
+	d.lastCallDirect = false
 	if m := s.directors[id]; m != nil {
 		m.confirmed = true
 		return
 	}
 	s.directors[id] = &sessionMember{director: d, confirmed: true}
-	d.sessions = append(d.sessions, s) // the last is of the relay that named it last
+	d.sessions = append(d.sessions, s) // the last session is that of the relay that reported the director last
 	delete(t.withoutSession, id)
 }
 
-// release takes a director from a session. It stays under other sessions. Its lease with the relay is over at leaseEnd, also if the
-// relay has not reported yet that it served the director.
-func (t *Tracker) release(s *session, id string, leaseEnd time.Duration) {
+// releaseFromSession removes a director from a session; it remains in other sessions. leaseEnd is when its lease with the relay
+// ended. It is recorded even if the relay had not yet reported that it served the director.
+func (t *Tracker) releaseFromSession(s *session, id string, leaseEnd time.Duration) {
 	d := t.directors[id]
 	if d == nil {
 		return
@@ -166,28 +169,29 @@
 	}
 }
 
-// endFullList releases the directors that a full list did not name.
-func (t *Tracker) endFullList(s *session, now time.Duration) {
-	s.complete = true
-	s.receivingFull = false
+// finishFullList releases the directors that the full list did not include.
+func (t *Tracker) finishFullList(s *session, now time.Duration) {
+	s.hasFullList = true
+	s.receivingFullList = false
 	for id, d := range s.directors {
 		if !d.confirmed {
-			t.release(s, id, now)
+			t.releaseFromSession(s, id, now)
 		}
 	}
 }
 
-// expireSessions ends sessions that were not renewed: the relay does not serve its directors any more, and their leases are over.
+// expireSessions removes sessions that have not been renewed. Their relays no longer serve any directors, and the leases of these
+// directors have expired.
 func (t *Tracker) expireSessions(now time.Duration) {
 	for number, s := range t.sessions {
-		if now-s.renewed <= t.set.relayedLease() {
+		if now-s.renewed <= t.settings.relayedLeaseDuration() {
 			continue
 		}
 		for id := range s.directors {
-			t.release(s, id, now)
+			t.releaseFromSession(s, id, now)
 		}
 		delete(t.sessions, number)
-		// The relay may have served any director that has no session now, without having reported it.
+		// The relay may have served any director that has no session now without having reported it.
 		for _, d := range t.withoutSession {
 			d.relayLeaseEnd = max(d.relayLeaseEnd, now)
 		}
--- a/internal/controlplane/membership/sessions_test.go
+++ b/internal/controlplane/membership/sessions_test.go
@@ -17,21 +17,21 @@
 	return h
 }
 
-func described(name string) JoinedDirector {
+func joinedDirector(name string) JoinedDirector {
 	return JoinedDirector{Director: fleet.Director{Name: name, Incarnation: "1"}}
 }
 
-// updates is a relay that sends updates with correct sequences and registrations.
-type updates struct {
+// relayClient is a relay that sends updates with correct sequences and registrations.
+type relayClient struct {
 	h *harness
 	Update
 }
 
-func newUpdates(h *harness, session uint64) *updates {
-	return &updates{h, Update{Relay: Relay{Name: fmt.Sprint("r", session), Incarnation: "1"}, Session: session, Full: true}}
+func newRelayClient(h *harness, session uint64) *relayClient {
+	return &relayClient{h, Update{Relay: Relay{Name: fmt.Sprint("r", session), Incarnation: "1"}, Session: session, Full: true}}
 }
 
-func (u *updates) send(change func(*Update)) UpdateResult {
+func (u *relayClient) send(change func(*Update)) UpdateResult {
 	u.h.t.Helper()
 	sent := u.Update
 	sent.Sequence++
@@ -44,75 +44,75 @@
 	return got
 }
 
-func none(*Update) {}
+func noChange(*Update) {}
 
-// A full list in several updates is complete only with its last one. Until then no director is gone that the relay may serve; then
-// those are that it did not name.
+// A full list that is sent in several updates is complete only after the last of them. Until then, no director that the relay may
+// serve is removed; afterwards, the directors that the list did not include are.
 func TestFullListInSeveralUpdates(t *testing.T) {
 	h := newRelayHarness(t)
-	first, second := newUpdates(h, 1), newUpdates(h, 2)
-	first.send(none)
-	first.send(func(u *Update) { u.Joined = []JoinedDirector{described("a"), described("b")} })
-	h.writeChange()
+	first, second := newRelayClient(h, 1), newRelayClient(h, 2)
+	first.send(noChange)
+	first.send(func(u *Update) { u.Joined = []JoinedDirector{joinedDirector("a"), joinedDirector("b")} })
+	h.applyChange()
 	first.send(func(u *Update) { u.Lost = []string{"a/1"} })
-	second.send(none)
+	second.send(noChange)
 	for range 20 {
 		h.now += 50 * ms
-		first.send(none)
+		first.send(noChange)
 		second.send(func(u *Update) { u.More = true })
-		if c := h.writeChange(); c != nil {
-			t.Fatalf("gone before the second relay has named its directors: %+v", c)
+		if c := h.applyChange(); c != nil {
+			t.Fatalf("removed before the second relay has reported its directors: %+v", c)
 		}
 	}
-	second.send(func(u *Update) { u.Joined = []JoinedDirector{described("c")} })
+	second.send(func(u *Update) { u.Joined = []JoinedDirector{joinedDirector("c")} })
 	for range 10 {
 		h.now += 50 * ms
-		first.send(none)
-		second.send(none)
-		h.writeChange()
+		first.send(noChange)
+		second.send(noChange)
+		h.applyChange()
 	}
 	if h.f.Director("a/1") != nil || h.f.Director("b/1") == nil || h.f.Director("c/1") == nil {
 		t.Fatalf("%+v", h.f.Membership())
 	}
 	second.Full = true
-	second.send(func(u *Update) { u.Joined = []JoinedDirector{described("d")} })
+	second.send(func(u *Update) { u.Joined = []JoinedDirector{joinedDirector("d")} })
 	for range 20 {
 		h.now += 50 * ms
-		first.send(none)
-		second.send(none)
-		h.writeChange()
+		first.send(noChange)
+		second.send(noChange)
+		h.applyChange()
 	}
 	if h.f.Director("b/1") == nil || h.f.Director("c/1") != nil || h.f.Director("d/1") == nil {
 		t.Fatalf("%+v", h.f.Membership())
 	}
 }
 
-// A director that leaves is gone at once, and a relay that it called before does not bring it back.
+// A director that leaves is removed immediately, and a relay that it called earlier cannot add it again.
 func TestLeaveThroughRelay(t *testing.T) {
 	h := newRelayHarness(t)
-	first, second := newUpdates(h, 1), newUpdates(h, 2)
-	for _, u := range []*updates{first, second} {
-		u.send(none)
-		u.send(func(u *Update) { u.Joined = []JoinedDirector{described("a")} })
+	first, second := newRelayClient(h, 1), newRelayClient(h, 2)
+	for _, u := range []*relayClient{first, second} {
+		u.send(noChange)
+		u.send(func(u *Update) { u.Joined = []JoinedDirector{joinedDirector("a")} })
 	}
-	h.writeChange()
+	h.applyChange()
 	h.now += 150 * ms
 	second.send(func(u *Update) { u.Left = []string{"a/1"} })
-	if c := h.writeChange(); c == nil || len(c.Left) != 1 {
+	if c := h.applyChange(); c == nil || len(c.Left) != 1 {
 		t.Fatalf("%+v", c)
 	}
 	h.now += 150 * ms
-	first.send(func(u *Update) { u.Joined = []JoinedDirector{described("a")} })
-	if c := h.writeChange(); c != nil {
-		t.Fatalf("it is back: %+v", c)
+	first.send(func(u *Update) { u.Joined = []JoinedDirector{joinedDirector("a")} })
+	if c := h.applyChange(); c != nil {
+		t.Fatalf("the director joined again: %+v", c)
 	}
 }
 
-// Updates that come again or are too large are rejected, and sessions beyond the bound.
-func TestUpdatesRejected(t *testing.T) {
+// Duplicate updates, updates that are too large, and sessions beyond the limit are rejected.
+func TestInvalidUpdatesRejected(t *testing.T) {
 	h := newRelayHarness(t)
 	for i := range MaxSessions {
-		newUpdates(h, uint64(i+1)).send(none)
+		newRelayClient(h, uint64(i+1)).send(noChange)
 	}
 	for want, u := range map[error]Update{
 		ErrTooManySessions: {Session: 1000, Sequence: 1},
@@ -120,96 +120,96 @@
 		ErrUpdateTooLarge:  {Session: 1, Sequence: 2, Left: make([]string, MaxUpdateChanges+1)},
 	} {
 		if _, err := h.tracker.Update(u, 1, h.now); !errors.Is(err, want) {
-			t.Errorf("%v, want %v", err, want)
+			t.Errorf("got error %v, want %v", err, want)
 		}
 	}
 	h.now += 625 * ms
-	h.writeChange()
+	h.applyChange()
 	if n := len(h.tracker.Sessions(h.now)); n != 0 {
-		t.Errorf("%d sessions after all leases are over", n)
+		t.Errorf("%d sessions after all leases have expired", n)
 	}
 }
 
-// A full list that was made for an earlier leader is not taken: the changes since were reported to that leader alone.
-func TestFullListForEarlierLeader(t *testing.T) {
+// A full list that was created for the previous leader must not be applied: later changes were reported to that leader only.
+func TestFullListForPreviousLeaderIgnored(t *testing.T) {
 	h := newRelayHarness(t)
-	u := newUpdates(h, 1)
-	u.send(none)
+	u := newRelayClient(h, 1)
+	u.send(noChange)
 	late := u.Update
-	late.Sequence, late.Full, late.Joined = 2, true, []JoinedDirector{described("a")}
+	late.Sequence, late.Full, late.Joined = 2, true, []JoinedDirector{joinedDirector("a")}
 	h.tracker.Reset(h.f, h.now)
 	h.now += 700 * ms
 	if got, err := h.tracker.Update(late, 5, h.now); err != nil || !got.NeedFull || got.Registration == late.Registration {
 		t.Fatalf("%+v, %v", got, err)
 	}
-	if c := h.writeChange(); c != nil {
+	if c := h.applyChange(); c != nil {
 		t.Fatalf("%+v", c)
 	}
 }
 
-// A director lost by two relays, of which the second had not reported that it served it, may have gone on from the second to a
-// third after the third's last update. It must not be gone before the third has reported.
-func TestLostByRelayThatHadNotReportedIt(t *testing.T) {
+// Two relays lose a director, and the second had not reported that it served the director. The director may have moved from the
+// second relay to a third after the third relay's last update, so it must not be removed before the third relay has reported.
+func TestDirectorLostByUnreportedRelayIsKept(t *testing.T) {
 	h := newRelayHarness(t)
-	first, second, third := newUpdates(h, 1), newUpdates(h, 2), newUpdates(h, 3)
-	all := []*updates{first, second, third}
+	first, second, third := newRelayClient(h, 1), newRelayClient(h, 2), newRelayClient(h, 3)
+	all := []*relayClient{first, second, third}
 	for _, u := range all {
-		u.send(none)
-		u.send(none)
+		u.send(noChange)
+		u.send(noChange)
 	}
-	first.send(func(u *Update) { u.Joined = []JoinedDirector{described("a")} })
+	first.send(func(u *Update) { u.Joined = []JoinedDirector{joinedDirector("a")} })
 	for range 20 {
 		h.now += 50 * ms
 		for _, u := range all {
-			u.send(none)
+			u.send(noChange)
 		}
-		h.writeChange()
+		h.applyChange()
 	}
 	first.send(func(u *Update) { u.Lost = []string{"a/1"} })
 	h.now += 50 * ms
-	third.send(none)
-	third.send(none) // its updates cover the time up to here
+	third.send(noChange)
+	third.send(noChange) // its updates now cover the time up to this point
 	h.now += 300 * ms
 	second.send(func(u *Update) { u.Lost = []string{"a/1"} })
 	for range 4 {
 		h.now += 50 * ms
-		first.send(none)
-		second.send(none)
-		if c := h.writeChange(); c != nil {
-			t.Fatalf("the third relay may have it: %+v", c)
+		first.send(noChange)
+		second.send(noChange)
+		if c := h.applyChange(); c != nil {
+			t.Fatalf("removed although the third relay may serve it: %+v", c)
 		}
 	}
-	third.send(func(u *Update) { u.Joined = []JoinedDirector{described("a")} })
+	third.send(func(u *Update) { u.Joined = []JoinedDirector{joinedDirector("a")} })
 	for range 20 {
 		h.now += 50 * ms
 		for _, u := range all {
-			u.send(none)
+			u.send(noChange)
 		}
-		if c := h.writeChange(); c != nil {
+		if c := h.applyChange(); c != nil {
 			t.Fatalf("%+v", c)
 		}
 	}
 }
 
-// A director that a relay has lost may have gone on to a replica that has not reported it yet, so it is given the lease of a
-// replica. One that comes back to a replica after an hour with a relay is gone after the same time as any.
+// A director that a relay has lost may have moved to a replica that has not reported it yet, so it is kept for the lease of a
+// replica. A director that returns to a replica after an hour with a relay is removed after the same time as any other.
 func TestLeaseBetweenRelaysAndReplicas(t *testing.T) {
 	h := newRelayHarness(t)
-	u := newUpdates(h, 1)
-	u.send(none)
-	u.send(func(u *Update) { u.Joined = []JoinedDirector{described("a"), described("b")} })
+	u := newRelayClient(h, 1)
+	u.send(noChange)
+	u.send(func(u *Update) { u.Joined = []JoinedDirector{joinedDirector("a"), joinedDirector("b")} })
 	h.heartbeat("b", "1", false)
 	for range 3600 * 20 {
 		h.now += 50 * ms
-		u.send(none)
+		u.send(noChange)
 	}
-	h.writeChange()
+	h.applyChange()
 	u.send(func(u *Update) { u.Lost = []string{"a/1", "b/1"} })
 	h.heartbeat("b", "1", false)
 	gone := map[string]time.Duration{}
 	for since := time.Duration(0); since < time.Second; since += 4 * ms {
-		u.send(none)
-		if c := h.writeChange(); c != nil {
+		u.send(noChange)
+		if c := h.applyChange(); c != nil {
 			for _, id := range c.Left {
 				gone[id] = since
 			}
--- a/internal/controlplane/membership/status.go
+++ b/internal/controlplane/membership/status.go
@@ -8,10 +8,10 @@
 	"stairvane.org/stairvane/internal/fleet"
 )
 
-// lostExpiry is the time for which a director that was lost is listed.
+// lostExpiry is the time for which a lost director remains listed.
 const lostExpiry = 10 * time.Minute
 
-// LastContact returns when a director was known to be there last; false if it is not known.
+// LastContact returns the time of the last known contact with a director; known is false if there is no such director.
 func (t *Tracker) LastContact(id string) (at time.Duration, known bool) {
 	d := t.directors[id]
 	if d == nil {
@@ -20,52 +20,53 @@
 	return d.lastContact(), true
 }
 
-// ServedByRelay reports whether a relay has a director in its session.
+// ServedByRelay reports whether a director is in the session of any relay.
 func (t *Tracker) ServedByRelay(id string) bool {
 	d := t.directors[id]
 	return d != nil && len(d.sessions) > 0
 }
 
-// Suspected reports whether a director has been silent for longer than its connection explains, though it is not gone yet.
+// Suspected reports whether a director has been silent for more than half of its lease and for longer than the intervals between
+// its calls explain. It also returns true for an unknown director.
 func (t *Tracker) Suspected(id string, now time.Duration) bool {
 	d := t.directors[id]
 	if d == nil {
 		return true
 	}
 	silent := now - d.lastContact()
-	return silent > d.callInterval+4*d.intervalDeviation && silent > t.set.Lease/2
+	return silent > d.callInterval+4*d.intervalDeviation && silent > t.settings.Lease/2
 }
 
-// Observe measures for how long directors and sessions have lacked the last event. It is to be called many times a second. It
-// does not look at directors that relays serve.
+// Observe updates for how long directors and sessions have lacked the last event. It must be called many times a second. It skips
+// directors that are served by relays, whose sessions are measured instead.
 func (t *Tracker) Observe(last int64, now time.Duration) {
 	for _, d := range t.withoutSession {
-		d.behind = d.lag.Observe(d.applied, last, now)
+		d.behindFor = d.lag.Observe(d.applied, last, now)
 	}
 	for _, s := range t.sessions {
-		s.behind = s.lag.Observe(s.update.Current, last, now)
+		s.behindFor = s.lag.Observe(s.update.Current, last, now)
 	}
 }
 
-// Version is what a director has applied.
+// Version describes what a director has applied.
 type Version struct {
-	Applied int64         // revision
-	Config  string        // fingerprint of its configuration
-	Relay   string        // ID of the relay that reported it; empty: the director did
-	Behind  time.Duration // for which it has lacked the last event; 0: it has it
+	Applied int64         // last applied revision
+	Config  string        // fingerprint of the director's configuration
+	Relay   string        // ID of the relay that reported the director; empty: the director called a replica
+	Behind  time.Duration // for how long it has lacked the last event; 0: it is up to date
 }
 
-// Versions returns what each director has applied, by ID. One that a relay serves counts with the relay's lowest revision, unless
-// the relay names it as stale.
+// Versions returns the version of each director by ID. A director that is served by a relay is reported with the lowest revision of
+// the relay's session, unless the relay lists it as stale.
 func (t *Tracker) Versions() map[string]Version {
 	versions := make(map[string]Version, len(t.directors))
 	for id, d := range t.directors {
-		v := Version{Applied: d.applied, Config: d.config, Behind: d.behind}
+		v := Version{Applied: d.applied, Config: d.config, Behind: d.behindFor}
 		if n := len(d.sessions); n > 0 {
 			s := d.sessions[n-1]
 			v.Applied = max(d.applied, s.update.Current)
 			v.Relay = s.update.Relay.ID()
-			v.Behind = s.behind
+			v.Behind = s.behindFor
 		}
 		versions[id] = v
 	}
@@ -83,14 +84,14 @@
 	return versions
 }
 
-// Lost is a director whose lease has ended without its leaving.
+// Lost is a director whose lease expired without the director having left.
 type Lost struct {
 	fleet.Director
-	Since   time.Duration // when it was known to be there last
-	Applied int64         // the last revision that it had applied
+	Since   time.Duration // time of the last known contact
+	Applied int64         // last revision that it had applied
 }
 
-// Lost lists the directors that were lost in the last minutes and have not come back under their names.
+// Lost returns the directors that were lost within lostExpiry and whose names have not been seen again, sorted by name.
 func (t *Tracker) Lost(now time.Duration) (all []Lost) {
 	for name, l := range t.lost {
 		if now-l.Since > lostExpiry {
@@ -103,24 +104,24 @@
 	return all
 }
 
-// Session is a relay's session, for the operator.
+// Session describes a relay's session for the operator.
 type Session struct {
 	Update
-	Renewed   time.Duration // time since it was renewed
-	Directors int           // that are known under it
-	Behind    time.Duration // for which its directors have lacked the last event, without those that are stale
-	Complete  bool          // all of its directors are known
+	Renewed   time.Duration // time since the last renewal
+	Directors int           // number of known directors in the session
+	Behind    time.Duration // for how long its non-stale directors have lacked the last event
+	Complete  bool          // whether a full list of its directors has been received
 }
 
-// Sessions lists the sessions of relays, by the relays' IDs.
+// Sessions returns the sessions of relays, sorted by the relays' IDs.
 func (t *Tracker) Sessions(now time.Duration) (all []Session) {
 	for _, s := range t.sessions {
 		all = append(all, Session{
 			Update:    s.update,
 			Renewed:   now - s.renewed,
 			Directors: len(s.directors),
-			Behind:    s.behind,
-			Complete:  s.complete,
+			Behind:    s.behindFor,
+			Complete:  s.hasFullList,
 		})
 	}
 	slices.SortFunc(all, func(a, b Session) int {
@@ -129,7 +130,7 @@
 	return all
 }
 
-// HasRelaySession reports whether a relay has a session.
+// HasRelaySession reports whether the relay with the given ID has a session.
 func (t *Tracker) HasRelaySession(id string) bool {
 	for _, s := range t.sessions {
 		if s.update.Relay.ID() == id {
--- a/internal/controlplane/membership/tracker.go
+++ b/internal/controlplane/membership/tracker.go
@@ -7,84 +7,84 @@
 	"stairvane.org/stairvane/internal/fleet"
 )
 
-// Settings of a Tracker.
+// Settings are the settings of a Tracker.
 type Settings struct {
-	// Lease is the time for which a director may act on what a replica sent it, by its own clock.
+	// Lease is the time for which a director may act on a replica's response, measured by the director's own clock.
 	Lease time.Duration
-	// Drift is the most by which two clocks run apart, as a share.
+	// Drift is the maximum rate difference between two clocks, as a fraction.
 	Drift float64
-	// Gather is the time from one change of the members to the next, at least.
+	// Gather is the minimum time between two changes of the members. Changes that occur in between are batched.
 	Gather time.Duration
-	// DirectorLease is the part of Lease that counts from a director's call of a relay. It has no meaning without relays.
+	// DirectorLease is the part of Lease that starts with a director's call to a relay. It is unused without relays.
 	DirectorLease time.Duration
-	// RelayLease is the time for which a relay may serve after a request to the leader. It has no meaning without relays.
+	// RelayLease is the time for which a relay may serve directors after a request to the leader. It is unused without relays.
 	RelayLease time.Duration
 }
 
-// withDrift returns how long a time that another clock counts may last by the own clock.
+// withDrift returns the longest time that can pass on the local clock while another clock measures the given length.
 func (s Settings) withDrift(length time.Duration) time.Duration {
 	return time.Duration(float64(length) * (1 + 2*s.Drift))
 }
 
-// relayedLease returns the time after a relay's last request after which the leases of its directors are over.
-func (s Settings) relayedLease() time.Duration {
+// relayedLeaseDuration returns the time after a relay's last request after which the leases of the relay's directors have expired.
+func (s Settings) relayedLeaseDuration() time.Duration {
 	return s.withDrift(s.RelayLease) + s.withDrift(s.DirectorLease)
 }
 
-// silentUntilGone returns the time without a call after which a director is gone. Its lease is over by then, and it has been
-// silent for longer than its connection explains.
-func (s Settings) silentUntilGone(d *director) time.Duration {
+// silenceTimeout returns the time without a call to a replica after which a director is considered lost. By then its lease has
+// expired, and it has been silent for longer than the intervals between its calls explain.
+func (s Settings) silenceTimeout(d *director) time.Duration {
 	return max(s.withDrift(s.Lease), d.callInterval+4*d.intervalDeviation)
 }
 
-// director is what is known of a director.
+// director is the leader's state of a director.
 type director struct {
 	fleet.Director
-	contact           time.Duration // when it called a replica last, or a relay was first known to serve it
-	direct            bool          // the last contact was a call of a replica
-	callInterval      time.Duration // smoothed, between calls of replicas
-	intervalDeviation time.Duration // smoothed, of callInterval
+	directContact     time.Duration // last call to a replica, or when a relay first reported the director
+	lastCallDirect    bool          // the last call went to a replica
+	callInterval      time.Duration // smoothed interval between calls to replicas
+	intervalDeviation time.Duration // smoothed deviation of callInterval
 	leaving           bool
-	applied           int64 // the last revision that it has applied
+	applied           int64 // last revision that it has applied
 	config            string
 	lag               Lag
-	behind            time.Duration // for which it has lacked the last event
-	sessions          []*session    // of relays that serve it
-	servedUntil       time.Duration // when a relay that does not serve it any more was known to do so last
-	relayLeaseEnd     time.Duration // when its lease with the last relay that served it is over
+	behindFor         time.Duration // for how long it has lacked the last event
+	sessions          []*session    // sessions of the relays that serve it
+	servedUntil       time.Duration // last renewal by a relay that no longer serves it
+	relayLeaseEnd     time.Duration // when its lease with the last relay that served it ends
 }
 
-// lastContact returns when the director was known to be there last.
+// lastContact returns the time of the last known contact with the director.
 func (d *director) lastContact() time.Duration {
-	at := max(d.contact, d.servedUntil)
+	at := max(d.directContact, d.servedUntil)
 	for _, s := range d.sessions {
 		at = max(at, s.renewed)
 	}
 	return at
 }
 
-// Tracker is what the leader knows of directors and of the sessions of relays. It is not safe for concurrent use.
+// Tracker holds the leader's state of directors and of relays' sessions. It is not safe for concurrent use.
 //
-// A director is known by its own calls of replicas, or by the sessions of the relays that it calls. Only directors without a
-// session are looked at with each call of NextChange.
+// A director is known by its own calls to replicas, or by the sessions of the relays that it calls. NextChange checks the leases of
+// only those directors that have no session.
 type Tracker struct {
-	set            Settings
+	settings       Settings
 	directors      map[string]*director     // by ID
-	byName         map[string][]*director   // the same, by name
-	withoutSession map[string]*director     // those that no relay serves, by ID
-	dirty          map[string]bool          // IDs of those whose description may differ from the event log's
-	removed        map[string]bool          // IDs of those that are not known any more, and may be members
-	left           map[string]time.Duration // when a director left, by ID
-	lost           map[string]Lost          // by name
-	sessions       map[uint64]*session
-	beganAt        time.Duration // when leadership was gained
-	lastChange     time.Duration // when a change was written last
-	lastReconcile  time.Duration // when all members were compared last
+	byName         map[string][]*director   // the same directors, by name
+	withoutSession map[string]*director     // directors that no relay serves, by ID
+	dirty          map[string]bool          // IDs of directors whose descriptions may differ from those in the event log
+	removed        map[string]bool          // IDs of removed directors that may still be members
+	left           map[string]time.Duration // when each director left, by ID
+	lost           map[string]Lost          // lost directors by name
+	sessions       map[uint64]*session      // relays' sessions by session number
+	resetAt        time.Duration            // when the tracker was last reset, which is when leadership was gained
+	lastChange     time.Duration            // when the last change was written
+	lastReconcile  time.Duration            // when all members were last compared
 }
 
-// New makes a tracker that knows nobody.
-func New(set Settings) *Tracker {
-	t := &Tracker{set: set, lost: map[string]Lost{}}
+// New returns a tracker without directors and sessions.
+func New(settings Settings) *Tracker {
+	t := &Tracker{settings: settings, lost: map[string]Lost{}}
 	t.clear()
 	return t
 }
@@ -100,29 +100,29 @@
 	t.lastReconcile = -reconcileInterval
 }
 
-// Reset takes over the members in f. All of them count as in contact now, since the time of their last calls is not known. No
-// session is known: relays are asked for all of their directors.
+// Reset replaces the state with the members in f. The time of their last calls is unknown, so all of them count as having called
+// now. No session is kept: relays are asked for full lists of their directors.
 func (t *Tracker) Reset(f fleet.Fleet, now time.Duration) {
 	t.clear()
 	for member := range f.Directors() {
 		d := t.add(*member)
-		d.contact = now
-		d.direct = true
+		d.directContact = now
+		d.lastCallDirect = true
 	}
-	t.beganAt = now
+	t.resetAt = now
 	t.lastChange = now
 }
 
-// Settled reports whether all leases are over that an earlier leader may have given. Until then there may be relays and directors
-// that are not known.
+// Settled reports whether all leases that an earlier leader may have granted have expired. Until then there may be relays and
+// directors that this leader does not know.
 func (t *Tracker) Settled(now time.Duration) bool {
-	return now > t.beganAt+max(t.set.withDrift(t.set.Lease), t.set.relayedLease())
+	return now > t.resetAt+max(t.settings.withDrift(t.settings.Lease), t.settings.relayedLeaseDuration())
 }
 
-// MarkWritten records that a change of the members was written.
+// MarkWritten records that a change of the members was written at the given time.
 func (t *Tracker) MarkWritten(now time.Duration) { t.lastChange = now }
 
-// add makes a director known.
+// add adds a director.
 func (t *Tracker) add(description fleet.Director) *director {
 	d := &director{Director: description}
 	id := d.ID()
@@ -135,15 +135,15 @@
 	return d
 }
 
-// describe replaces a director's description by a later one with the same ID.
-func (t *Tracker) describe(d *director, description fleet.Director) {
+// updateDescription replaces a director's description with a later one that has the same ID.
+func (t *Tracker) updateDescription(d *director, description fleet.Director) {
 	if d.Director != description {
 		d.Director = description
 		t.dirty[d.ID()] = true
 	}
 }
 
-// remove forgets a director.
+// remove removes a director.
 func (t *Tracker) remove(id string) {
 	d := t.directors[id]
 	delete(t.directors, id)
@@ -158,8 +158,9 @@
 	}
 }
 
-// leave marks a director that has said that it leaves. It has given up its claims, so no relay need be waited for.
-func (t *Tracker) leave(d *director) {
+// markLeaving marks a director that has announced that it is leaving. It has given up its claims, so it is removed without waiting
+// for relays' updates.
+func (t *Tracker) markLeaving(d *director) {
 	d.leaving = true
 	for _, s := range d.sessions {
 		delete(s.directors, d.ID())
