--- a/internal/controlplane/relayserver/eventlog.go
+++ b/internal/controlplane/relayserver/eventlog.go
@@ -7,26 +7,26 @@
 	"stairvane.org/stairvane/internal/fleet"
 )
 
-// eventLog is the state of the fleet as the relay knows it, and the last events before it.
+// eventLog is the fleet state that the relay has received, and the last events that led to it.
 type eventLog struct {
-	fleet fleet.Fleet
-	log   *eventlog.Log
-	keep  int
+	fleet     fleet.Fleet
+	log       *eventlog.Log
+	maxEvents int
 }
 
-// newEventLog makes an empty log that keeps so many events.
-func newEventLog(keep int) (*eventLog, error) {
-	log, err := eventlog.New(1, nil, fleet.Fleet{}, keep)
-	return &eventLog{log: log, keep: keep}, err
+// newEventLog returns an empty log that keeps up to maxEvents events.
+func newEventLog(maxEvents int) (*eventLog, error) {
+	log, err := eventlog.New(1, nil, fleet.Fleet{}, maxEvents)
+	return &eventLog{log: log, maxEvents: maxEvents}, err
 }
 
-// replace replaces the state by a snapshot, and all events.
+// replace replaces the state with a snapshot and discards all events.
 func (l *eventLog) replace(snapshot fleet.Dump) error {
 	after, err := fleet.Restore(snapshot)
 	if err != nil {
 		return fmt.Errorf("snapshot at event %d: %w", snapshot.Revision, err)
 	}
-	log, err := eventlog.New(after.Revision+1, nil, after, l.keep)
+	log, err := eventlog.New(after.Revision+1, nil, after, l.maxEvents)
 	if err != nil {
 		return err
 	}
@@ -34,8 +34,8 @@
 	return nil
 }
 
-// append applies events and returns those that are new, which are to be published. Events that the log has are skipped; the others
-// must follow on it without a gap. After an error the state is as before.
+// append applies events to the state and returns the new ones, which the caller must publish. It skips events that the log already
+// has; the remaining events must follow without a gap. If append returns an error, the state is unchanged.
 func (l *eventLog) append(events []fleet.Event) (applied []fleet.Event, err error) {
 	for len(events) > 0 && events[0].No <= l.fleet.Revision {
 		events = events[1:]
--- a/internal/controlplane/relayserver/exchange.go
+++ b/internal/controlplane/relayserver/exchange.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	renewInterval  = 50 * time.Millisecond // from one request to the next, where nothing is urgent
-	urgentInterval = 20 * time.Millisecond // from one request to the next, at least
-	retryInterval  = 25 * time.Millisecond // after all replicas have failed in a row
+	renewInterval  = 50 * time.Millisecond // between two requests if none is urgent
+	urgentInterval = 20 * time.Millisecond // minimum time between two requests
+	retryInterval  = 25 * time.Millisecond // after each round in which all replicas failed
 )
 
-// errEnded is the error of an exchange after the loop has ended.
-var errEnded = errors.New("the relay has ended")
+// errStopped is returned by exchange after the loop has stopped.
+var errStopped = errors.New("the relay has stopped")
 
-// keepSession keeps the session with the leader until the loop has ended.
-func (s *Server) keepSession() {
+// maintainSession sends requests to the leader until the loop has stopped.
+func (s *Server) maintainSession() {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() {
@@ -28,11 +28,11 @@
 	}()
 	failures := 0
 	for {
-		began := time.Now()
-		again, err := s.exchange(ctx)
+		startedAt := time.Now()
+		immediate, err := s.exchange(ctx)
 		if err != nil {
 			failures++
-			logFailure(s.set.Name, failures, len(s.upstream.addresses), err)
+			logFailure(s.settings.Name, failures, len(s.upstream.addresses), err)
 			if failures%len(s.upstream.addresses) == 0 && !s.pause(retryInterval, nil) {
 				return
 			}
@@ -42,23 +42,24 @@
 			continue
 		}
 		failures = 0
-		if again {
+		if immediate {
 			s.upstream.requestSoon()
 		}
-		if !s.pause(urgentInterval-time.Since(began), nil) || !s.pause(renewInterval-time.Since(began), s.upstream.urgent) {
+		if !s.pause(urgentInterval-time.Since(startedAt), nil) || !s.pause(renewInterval-time.Since(startedAt), s.upstream.urgent) {
 			return
 		}
 	}
 }
 
-// logFailure logs an error once for each outage: when all replicas have failed in a row.
+// logFailure logs an error once per outage, after every replica has failed in a row.
 func logFailure(name string, failures, replicas int, err error) {
 	if failures == replicas {
 		slog.Warn("relay.leader_lost", "name", name, "err", err)
 	}
 }
 
-// pause waits for a time, or until urgent has a value unless it is nil. It returns false once the loop has ended.
+// pause waits for the given time, or until a value arrives on urgent; urgent may be nil. It returns false once the loop has
+// stopped.
 func (s *Server) pause(length time.Duration, urgent <-chan struct{}) bool {
 	timer := time.NewTimer(max(0, length))
 	defer timer.Stop()
@@ -71,32 +72,32 @@
 	return true
 }
 
-// exchange sends one request and applies its answer. It reports whether the next one is to be sent at once.
-func (s *Server) exchange(ctx context.Context) (again bool, err error) {
-	requestedAt := replicas.Now() // the lease counts from before the request
-	request, ok := onLoop(s, s.request)
+// exchange sends one request and applies its answer. It reports whether the next request should be sent immediately.
+func (s *Server) exchange(ctx context.Context) (immediate bool, err error) {
+	requestedAt := replicas.Now() // the lease starts before the request is sent
+	request, ok := runOnLoop(s, s.request)
 	if !ok {
-		return false, errEnded
+		return false, errStopped
 	}
 	answer, err := s.upstream.call(ctx, request)
 	if err != nil {
 		return false, err
 	}
-	again, ok = onLoop(s, func() bool { return s.applyAnswer(answer, requestedAt) })
+	immediate, ok = runOnLoop(s, func() bool { return s.applyAnswer(answer, requestedAt) })
 	if !ok {
-		return false, errEnded
+		return false, errStopped
 	}
-	return again, nil
+	return immediate, nil
 }
 
-// onLoop runs a function on the loop and returns its result; false if the loop has ended.
-func onLoop[T any](r *Server, f func() T) (result T, ok bool) {
+// runOnLoop runs f on the loop and returns its result. ok is false if the loop has stopped.
+func runOnLoop[T any](s *Server, f func() T) (result T, ok bool) {
 	done := make(chan T, 1)
-	r.loop.Post(func() { done <- f() })
+	s.loop.Post(func() { done <- f() })
 	select {
 	case result = <-done:
 		return result, true
-	case <-r.loopEnded:
+	case <-s.loopEnded:
 		return result, false
 	}
 }
--- a/internal/controlplane/relayserver/server.go
+++ b/internal/controlplane/relayserver/server.go
@@ -23,62 +23,63 @@
 
 const (
 	leaseCheckInterval = 10 * time.Millisecond
-	// lingerTime is how long the loop goes on after the last watcher is closed, so that the leader is sent who has left.
-	lingerTime = 100 * time.Millisecond
+	// lingerDuration is how long the loop continues after the last watcher is closed, so that the relay can still report to the
+	// leader which directors have left.
+	lingerDuration = 100 * time.Millisecond
 )
 
-// Server is one relay. Run, Leave, Stop and Addr may be called from any goroutine; all else belongs to the loop.
+// Server is a relay. Run, Leave, Stop and Addr may be called from any goroutine; all other methods and fields belong to the loop.
 type Server struct {
-	set         operatorconfig.Relay
-	loop        *transport.Loop
-	watches     *watch.Server
-	session     *relaysession.Session
-	upstream    *upstream
-	events      *eventLog
-	lease       replica.LeaseHolder
-	hadLease    bool // what checkLease found last
-	leaseTimer  transport.Timer
-	lingerTimer transport.Timer
-	loopEnded   chan struct{} // closed when the loop has ended
-	leaveOnce   sync.Once
-	failure     error // why the loop was stopped
+	settings        operatorconfig.Relay
+	loop            *transport.Loop
+	watches         *watch.Server
+	session         *relaysession.Session
+	upstream        *upstream
+	events          *eventLog
+	lease           replica.LeaseHolder
+	hadLease        bool // result of the last checkLease
+	leaseCheckTimer transport.Timer
+	lingerTimer     transport.Timer
+	loopEnded       chan struct{} // closed when the loop has stopped
+	leaveOnce       sync.Once
+	fatalErr        error // why the loop was stopped; nil unless a fault occurred
 }
 
-// New reads the keys and listens. It starts no goroutine.
-func New(set operatorconfig.Relay) (*Server, error) {
-	s := &Server{set: set, loopEnded: make(chan struct{})}
+// New reads the TLS keys and opens the listener. It starts no goroutine.
+func New(settings operatorconfig.Relay) (*Server, error) {
+	s := &Server{settings: settings, loopEnded: make(chan struct{})}
 	var err error
-	if s.upstream, err = newUpstream(set); err != nil {
+	if s.upstream, err = newUpstream(settings); err != nil {
 		return nil, err
 	}
 	if s.loop, err = transport.NewLoop(); err != nil {
 		return nil, err
 	}
-	if s.events, err = newEventLog(set.KeepEvents); err == nil {
+	if s.events, err = newEventLog(settings.KeepEvents); err == nil {
 		s.watches, err = watch.New(s.loop, watch.Settings{
-			Listen:      set.Listen,
-			Allowed:     set.Watchers,
-			MaxWatchers: set.MaxWatchers,
-			Gather:      set.Gather,
+			Listen:      settings.Listen,
+			Allowed:     settings.Watchers,
+			MaxWatchers: settings.MaxWatchers,
+			Gather:      settings.Gather,
 		}, watchOwner{s}, s.events.log, s.events.fleet.Rules().NotifiedWithinMS)
 	}
 	if err != nil {
 		s.loop.Release()
 		return nil, err
 	}
-	s.session = newSession(set)
-	s.leaseTimer.Fire = s.checkLease
+	s.session = newSession(settings)
+	s.leaseCheckTimer.Fire = s.checkLease
 	return s, nil
 }
 
-// newSession makes the session of a process that has just started.
-func newSession(set operatorconfig.Relay) *relaysession.Session {
+// newSession returns the session of a new process.
+func newSession(settings operatorconfig.Relay) *relaysession.Session {
 	identity := membership.Relay{
-		Name:        set.Name,
+		Name:        settings.Name,
 		Incarnation: rand.Text(),
-		Machine:     set.Machine,
-		Site:        set.Site,
-		Region:      set.Region,
+		Machine:     settings.Machine,
+		Site:        settings.Site,
+		Region:      settings.Region,
 	}
 	return relaysession.New(relaysession.Settings{
 		Relay:         identity,
@@ -88,17 +89,17 @@
 	}, quota.NewNode(identity.ID(), relaysession.QuotaSettings))
 }
 
-// randomNumber draws the number of a session.
+// randomNumber returns a random session number.
 func randomNumber() uint64 {
 	var b [8]byte
-	_, _ = rand.Read(b[:]) // it returns no error, see crypto/rand
+	_, _ = rand.Read(b[:]) // never returns an error, see crypto/rand
 	return binary.LittleEndian.Uint64(b[:])
 }
 
-// Addr returns the address that directors watch.
+// Addr returns the address on which the relay serves watches.
 func (s *Server) Addr() (netip.AddrPort, error) { return s.watches.Addr() }
 
-// Run serves until Leave has closed all watchers, or until Stop. The error says why the loop ended, if for another reason.
+// Run serves until Leave has closed all watchers or Stop is called. It returns an error if the loop ended for any other reason.
 func (s *Server) Run() error {
 	addr, err := s.Addr()
 	if err != nil {
@@ -106,58 +107,61 @@
 	}
 	s.watches.CheckLease()
 	s.checkLease()
-	called := make(chan struct{})
+	sessionDone := make(chan struct{})
 	go func() {
-		defer close(called)
-		s.keepSession()
+		defer close(sessionDone)
+		s.maintainSession()
 	}()
-	slog.Info("relay.started", "watch", addr.String(), "name", s.set.Name, "region", s.set.Region)
+	slog.Info("relay.started", "watch", addr.String(), "name", s.settings.Name, "region", s.settings.Region)
 	err = s.loop.Run()
 	close(s.loopEnded)
-	<-called
-	slog.Info("relay.stopped", "name", s.set.Name, "revision", s.events.fleet.Revision)
-	return errors.Join(err, s.failure)
+	<-sessionDone
+	slog.Info("relay.stopped", "name", s.settings.Name, "revision", s.events.fleet.Revision)
+	return errors.Join(err, s.fatalErr)
 }
 
-// Leave shuts the relay down gracefully: it takes no new watchers, closes those that there are one by one within the drain time, and
-// ends Run.
+// Leave shuts the relay down gracefully: it stops accepting watchers, closes the existing ones one by one within the drain time,
+// and then makes Run return.
 func (s *Server) Leave() {
 	s.leaveOnce.Do(func() { s.loop.Post(s.drain) })
 }
 
-// drain closes all watchers, and then stops the loop after a time in which the leader is sent who has left.
+// drain closes all watchers. It then stops the loop after lingerDuration, so that the relay can still report to the leader which
+// directors have left.
 func (s *Server) drain() {
-	slog.Info("relay.draining", "name", s.set.Name, "directors", s.session.DirectorCount())
+	slog.Info("relay.draining", "name", s.settings.Name, "directors", s.session.DirectorCount())
 	s.lingerTimer.Fire = s.loop.Stop
-	s.watches.Drain(s.set.DrainTime, func() { s.loop.Set(&s.lingerTimer, s.loop.Now()+lingerTime) })
+	s.watches.Drain(s.settings.DrainTime, func() { s.loop.Set(&s.lingerTimer, s.loop.Now()+lingerDuration) })
 }
 
-// Stop ends Run at once.
+// Stop makes Run return immediately.
 func (s *Server) Stop() { s.loop.Post(s.loop.Stop) }
 
-// hasLease reports whether the relay may answer directors at this moment.
+// hasLease reports whether the relay may currently answer directors.
 func (s *Server) hasLease() bool { return s.lease.HasLease(replicas.Now()) }
 
-// checkLease logs when the lease is gained and lost.
+// checkLease logs when the lease is gained or lost, and schedules the next check.
 func (s *Server) checkLease() {
 	if leased := s.hasLease(); leased != s.hadLease {
 		s.hadLease = leased
 		if leased {
-			slog.Info("relay.lease_gained", "name", s.set.Name, "revision", s.events.fleet.Revision)
+			slog.Info("relay.lease_gained", "name", s.settings.Name, "revision", s.events.fleet.Revision)
 		} else {
-			slog.Warn("relay.lease_lost", "name", s.set.Name, "revision", s.events.fleet.Revision, "directors", s.session.DirectorCount())
+			slog.Warn("relay.lease_lost", "name", s.settings.Name, "revision", s.events.fleet.Revision,
+				"directors", s.session.DirectorCount())
 		}
 	}
-	s.loop.Set(&s.leaseTimer, s.loop.Now()+leaseCheckInterval)
+	s.loop.Set(&s.leaseCheckTimer, s.loop.Now()+leaseCheckInterval)
 }
 
-// request returns what is to be sent to the leader now.
+// request returns the next request to the leader.
 func (s *Server) request() relaysession.Request {
 	return s.session.Request(s.events.fleet.Revision, s.watches.Acknowledged(), replicas.Now())
 }
 
-// applyAnswer applies the answer to a request that was made at a moment. It reports whether the next request is to be sent at once.
-func (s *Server) applyAnswer(a relaysession.Answer, requestedAt time.Duration) (again bool) {
+// applyAnswer applies the answer to a request. requestedAt is the time just before the request was created. It reports whether the
+// next request should be sent immediately.
+func (s *Server) applyAnswer(a relaysession.Answer, requestedAt time.Duration) (immediate bool) {
 	if err := s.applyEvents(a); err != nil {
 		s.resetEventLog(err)
 		return false
@@ -173,13 +177,13 @@
 	return a.LeaseMS == 0 || a.NeedFull || s.session.Pending()
 }
 
-// applyEvents applies the events of an answer, or its snapshot, and publishes them.
+// applyEvents applies and publishes the snapshot or the events of an answer.
 func (s *Server) applyEvents(a relaysession.Answer) error {
 	if a.Snapshot != nil {
 		if err := s.events.replace(*a.Snapshot); err != nil {
 			return err
 		}
-		slog.Info("relay.snapshot_applied", "name", s.set.Name, "revision", s.events.fleet.Revision)
+		slog.Info("relay.snapshot_applied", "name", s.settings.Name, "revision", s.events.fleet.Revision)
 		s.watches.Replace(s.events.log, s.events.fleet)
 		return nil
 	}
@@ -191,12 +195,12 @@
 	return nil
 }
 
-// resetEventLog drops the event log, which the leader's events do not follow on, and the lease, so that no director is answered from
-// it. The next request asks for all events.
+// resetEventLog discards an event log that the leader's events do not follow, and the lease, so that no director is answered from
+// that log. The next request asks for all events.
 func (s *Server) resetEventLog(cause error) {
-	slog.Error("relay.event_log_reset", "name", s.set.Name, "err", cause, "revision", s.events.fleet.Revision)
+	slog.Error("relay.event_log_reset", "name", s.settings.Name, "err", cause, "revision", s.events.fleet.Revision)
 	s.lease.Release()
-	empty, err := newEventLog(s.set.KeepEvents)
+	empty, err := newEventLog(s.settings.KeepEvents)
 	if err != nil {
 		s.fail(err)
 		return
@@ -205,9 +209,9 @@
 	s.watches.Replace(empty.log, empty.fleet)
 }
 
-// fail ends the relay, since what it would answer can't be trusted. It loses nothing: a relay starts with an empty log.
+// fail stops the relay because its state is no longer trustworthy. No data is lost: a relay starts with an empty log.
 func (s *Server) fail(err error) {
-	s.failure = errors.Join(s.failure, fmt.Errorf("relay %s: %w", s.set.Name, err))
+	s.fatalErr = errors.Join(s.fatalErr, fmt.Errorf("relay %s: %w", s.settings.Name, err))
 	s.lease.Release()
 	s.loop.Stop()
 }
--- a/internal/controlplane/relayserver/server_test.go
+++ b/internal/controlplane/relayserver/server_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// replicaServer is the write side of a replica with the answers that a test sets.
+// replicaServer is the write side of a replica whose answers are set by the test.
 type replicaServer struct {
 	*httptest.Server
 	mu     sync.Mutex
@@ -59,48 +59,48 @@
 	return l
 }
 
-func (l *replicaServer) set(answer func(relaysession.Request) (int, any)) {
+func (l *replicaServer) setAnswer(answer func(relaysession.Request) (int, any)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.answer = answer
 }
 
-// until waits for a request that meets a condition.
-func (l *replicaServer) until(t *testing.T, what string, is func(relaysession.Request) bool) {
+// waitForRequest waits for a request that satisfies a condition.
+func (l *replicaServer) waitForRequest(t *testing.T, description string, matches func(relaysession.Request) bool) {
 	t.Helper()
 	for end := time.Now().Add(timeout); ; time.Sleep(time.Millisecond) {
 		l.mu.Lock()
 		last := l.last
 		l.mu.Unlock()
-		if is(last) {
+		if matches(last) {
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%s: never; the last request: %+v", what, last)
+			t.Fatalf("timed out waiting for %s; last request: %+v", description, last)
 		}
 	}
 }
 
-// leader answers with the events of a log, few at a time.
-func leader(events []fleet.Event, atOnce int) func(relaysession.Request) (int, any) {
+// leaderAnswer returns a handler that answers with the events of a log, at most maxEvents at a time.
+func leaderAnswer(events []fleet.Event, maxEvents int) func(relaysession.Request) (int, any) {
 	return func(r relaysession.Request) (int, any) {
 		a := relaysession.Answer{Sequence: r.Sequence, Revision: int64(len(events)), LeaseMS: 200}
 		rest := events[min(r.Revision, int64(len(events))):]
-		if len(rest) > atOnce {
-			rest, a.LeaseMS = rest[:atOnce], 0
+		if len(rest) > maxEvents {
+			rest, a.LeaseMS = rest[:maxEvents], 0
 		}
 		a.Events = rest
 		return http.StatusOK, a
 	}
 }
 
-func notLeader(relaysession.Request) (int, any) {
+func notLeaderAnswer(relaysession.Request) (int, any) {
 	return http.StatusMisdirectedRequest, api.Error{Kind: api.NotLeader, Message: "another replica leads", Leader: "b"}
 }
 
-func silent(relaysession.Request) (int, any) { return http.StatusServiceUnavailable, "no" }
+func unavailableAnswer(relaysession.Request) (int, any) { return http.StatusServiceUnavailable, "no" }
 
-// purges returns so many events, from number first on.
+// purges returns count purge events, numbered from first.
 func purges(first, count int) (events []fleet.Event) {
 	for i := range count {
 		group := 1
@@ -109,8 +109,8 @@
 	return events
 }
 
-// start runs a relay of some replicas until the test ends.
-func start(t *testing.T, replicas ...*replicaServer) *Server {
+// startRelay runs a relay of the given replicas until the test ends.
+func startRelay(t *testing.T, replicas ...*replicaServer) *Server {
 	set := operatorconfig.DefaultRelay()
 	set.Name, set.Machine, set.Site, set.Region = "r1", "m-1", "s-1", "north"
 	set.Listen = netip.MustParseAddrPort("127.0.0.1:0")
@@ -129,8 +129,8 @@
 	return r
 }
 
-// try makes one call on a connection of its own; the status is 0 if it was closed.
-func try(t *testing.T, r *Server) (*watchtest.Client, int) {
+// dialOnce makes one request on a new connection. The status is 0 if the connection was closed.
+func dialOnce(t *testing.T, r *Server) (*watchtest.Client, int) {
 	t.Helper()
 	addr, err := r.Addr()
 	check(t, err)
@@ -141,33 +141,35 @@
 	return w, status
 }
 
-// dial connects until a call is answered with 200.
-func dial(t *testing.T, r *Server) *watchtest.Client {
+// dialUntilServed reconnects until a request is answered with 200.
+func dialUntilServed(t *testing.T, r *Server) *watchtest.Client {
 	t.Helper()
 	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		if w, status := try(t, r); status == http.StatusOK {
+		if w, status := dialOnce(t, r); status == http.StatusOK {
 			return w
 		}
 	}
-	t.Fatal("the relay answers nobody")
+	t.Fatal("timed out waiting for the relay to answer a director")
 	return nil
 }
 
-// A relay answers directors only once it has all events and a lease.
-func TestRelayServesWithAllEventsAndLease(t *testing.T) {
-	l := newReplica(t, silent)
-	r := start(t, l)
-	l.until(t, "a request", func(q relaysession.Request) bool { return q.Sequence > 2 })
-	if _, status := try(t, r); status != http.StatusServiceUnavailable {
-		t.Errorf("a relay without a lease answers %d", status)
+// A relay must not answer directors before it has all events and a lease.
+func TestRelayServesOnlyWithAllEventsAndLease(t *testing.T) {
+	l := newReplica(t, unavailableAnswer)
+	r := startRelay(t, l)
+	l.waitForRequest(t, "a request", func(q relaysession.Request) bool { return q.Sequence > 2 })
+	if _, status := dialOnce(t, r); status != http.StatusServiceUnavailable {
+		t.Errorf("a relay without a lease answered with status %d, want 503", status)
 	}
-	l.set(leader(purges(1, 7), 2))
-	w := dial(t, r)
+	l.setAnswer(leaderAnswer(purges(1, 7), 2))
+	w := dialUntilServed(t, r)
 	if w.Revision != 7 {
-		t.Errorf("the first answer goes up to event %d of 7", w.Revision)
+		t.Errorf("the first answer ends at event %d, want 7", w.Revision)
 	}
-	l.until(t, "the director's joining", func(q relaysession.Request) bool { return q.Directors == 1 && q.Revision == 7 })
-	l.set(leader(purges(1, 9), 100))
+	l.waitForRequest(t, "a request that reports the director", func(q relaysession.Request) bool {
+		return q.Directors == 1 && q.Revision == 7
+	})
+	l.setAnswer(leaderAnswer(purges(1, 9), 100))
 	_, response, err := w.Poll(5 * time.Second)
 	check(t, err)
 	if len(response.Events) != 2 || response.LastRevision != 9 {
@@ -175,17 +177,17 @@
 	}
 }
 
-// A snapshot replaces the events that a relay has, and events follow on it.
+// A snapshot replaces the events that a relay has; later events follow the snapshot.
 func TestSnapshotReplacesEvents(t *testing.T) {
-	behind, err := newEventLog(10)
+	source, err := newEventLog(10)
 	check(t, err)
-	_, err = behind.append(purges(1, 40))
+	_, err = source.append(purges(1, 40))
 	check(t, err)
-	snapshot := behind.fleet.Dump()
-	l := newReplica(t, leader(purges(1, 3), 100))
-	r := start(t, l)
-	w := dial(t, r)
-	l.set(func(q relaysession.Request) (int, any) {
+	snapshot := source.fleet.Dump()
+	l := newReplica(t, leaderAnswer(purges(1, 3), 100))
+	r := startRelay(t, l)
+	w := dialUntilServed(t, r)
+	l.setAnswer(func(q relaysession.Request) (int, any) {
 		a := relaysession.Answer{Sequence: q.Sequence, Revision: 41, LeaseMS: 200}
 		switch {
 		case q.Revision < 40:
@@ -201,54 +203,54 @@
 	}
 }
 
-// A relay that loses its lease closes its watchers, and serves again with the next lease.
+// A relay that loses its lease closes its watchers, and serves again once it regains a lease.
 func TestWatchersClosedWithoutLease(t *testing.T) {
-	l := newReplica(t, leader(purges(1, 3), 100))
-	r := start(t, l)
-	w := dial(t, r)
-	l.set(silent)
+	l := newReplica(t, leaderAnswer(purges(1, 3), 100))
+	r := startRelay(t, l)
+	w := dialUntilServed(t, r)
+	l.setAnswer(unavailableAnswer)
 	began := time.Now()
 	if _, _, err := w.Poll(5 * time.Second); err == nil {
-		t.Error("a watch was answered at its end without a lease")
+		t.Error("a watch request was answered without a lease")
 	}
 	if took := time.Since(began); took > 2*time.Second {
 		t.Errorf("the watcher was closed after %v", took)
 	}
-	l.set(leader(purges(1, 4), 100))
-	if w = dial(t, r); w.Revision != 4 {
-		t.Errorf("back at event %d of 4", w.Revision)
+	l.setAnswer(leaderAnswer(purges(1, 4), 100))
+	if w = dialUntilServed(t, r); w.Revision != 4 {
+		t.Errorf("after reconnecting the watcher is at event %d, want 4", w.Revision)
 	}
 }
 
-// A relay finds the leader among the replicas, also after a change.
-func TestLeaderIsFound(t *testing.T) {
-	a, b, c := newReplica(t, notLeader), newReplica(t, leader(purges(1, 1), 100)), newReplica(t, notLeader)
-	r := start(t, a, b, c)
-	w := dial(t, r)
-	b.set(notLeader)
-	c.set(leader(purges(1, 2), 100))
+// A relay finds the leader among the replicas, also after a change of leader.
+func TestLeaderIsFoundAfterChange(t *testing.T) {
+	a, b, c := newReplica(t, notLeaderAnswer), newReplica(t, leaderAnswer(purges(1, 1), 100)), newReplica(t, notLeaderAnswer)
+	r := startRelay(t, a, b, c)
+	w := dialUntilServed(t, r)
+	b.setAnswer(notLeaderAnswer)
+	c.setAnswer(leaderAnswer(purges(1, 2), 100))
 	for w.Revision < 2 {
 		if _, _, err := w.Poll(time.Second); err != nil {
-			w = dial(t, r) // the lease has ended
+			w = dialUntilServed(t, r) // the lease has expired
 		}
 	}
 }
 
-// Events after a gap are never published: the relay closes its watchers and begins with an empty log.
+// Events after a gap must never be published: the relay closes its watchers and restarts with an empty log.
 func TestGapInEventsIsNotPublished(t *testing.T) {
-	l := newReplica(t, leader(purges(1, 3), 100))
-	r := start(t, l)
-	w := dial(t, r)
-	l.set(func(q relaysession.Request) (int, any) {
+	l := newReplica(t, leaderAnswer(purges(1, 3), 100))
+	r := startRelay(t, l)
+	w := dialUntilServed(t, r)
+	l.setAnswer(func(q relaysession.Request) (int, any) {
 		if q.Revision == 0 {
-			return leader(purges(1, 6), 100)(q)
+			return leaderAnswer(purges(1, 6), 100)(q)
 		}
 		return http.StatusOK, relaysession.Answer{Sequence: q.Sequence, Revision: 6, LeaseMS: 200, Events: purges(5, 2)}
 	})
 	for w.Revision < 6 {
 		_, response, err := w.Poll(5 * time.Second)
 		if err != nil {
-			w = dial(t, r)
+			w = dialUntilServed(t, r)
 		}
 		for _, event := range response.Events {
 			if event.Revision > 4 && response.LastRevision < 6 {
@@ -256,29 +258,29 @@
 			}
 		}
 		if response.LastRevision == 6 && len(response.Events) != 3 {
-			t.Fatalf("%d events after event 3, of 6", len(response.Events))
+			t.Fatalf("got %d events after event 3, want 3", len(response.Events))
 		}
 	}
 }
 
-// A relay that shuts down gracefully closes its watchers without an answer, and ends.
+// A relay that shuts down gracefully closes its watchers without answering them, and stops.
 func TestLeaveClosesWatchersAndEnds(t *testing.T) {
-	l := newReplica(t, leader(purges(1, 3), 100))
-	r := start(t, l)
-	w := dial(t, r)
+	l := newReplica(t, leaderAnswer(purges(1, 3), 100))
+	r := startRelay(t, l)
+	w := dialUntilServed(t, r)
 	check(t, w.SendRequest(5*time.Second))
 	r.Leave()
 	if _, _, err := w.ReadAnswer(); err == nil {
-		t.Error("the watch was answered and not closed")
+		t.Error("the watch request was answered, want a closed connection")
 	}
 	select {
 	case <-r.loopEnded:
 	case <-time.After(timeout):
-		t.Error("the relay does not end")
+		t.Error("timed out waiting for the relay to stop")
 	}
 }
 
-// Events that a log has are skipped; after a gap the log is as before.
+// Events that the log already has are skipped. After a gap the log is unchanged.
 func TestEventLogSkipsKnownEvents(t *testing.T) {
 	l, err := newEventLog(10)
 	check(t, err)
@@ -286,9 +288,9 @@
 	check(t, err)
 	fresh, err := l.append(purges(3, 4))
 	if err != nil || len(fresh) != 1 || l.fleet.Revision != 6 {
-		t.Errorf("%v, %d new, at %d", err, len(fresh), l.fleet.Revision)
+		t.Errorf("error %v, %d new events, revision %d", err, len(fresh), l.fleet.Revision)
 	}
 	if _, err = l.append(purges(8, 1)); err == nil || !strings.Contains(err.Error(), "event 8") || l.fleet.Revision != 6 {
-		t.Errorf("after a gap: %v, at %d", err, l.fleet.Revision)
+		t.Errorf("after a gap: error %v, revision %d", err, l.fleet.Revision)
 	}
 }
--- a/internal/controlplane/relayserver/upstream.go
+++ b/internal/controlplane/relayserver/upstream.go
@@ -18,43 +18,44 @@
 
 const (
 	dialTimeout = 200 * time.Millisecond
-	// headTimeout is the time for an answer to begin: one that begins later carries no lease.
-	headTimeout = relaysession.Lease
-	// stallTimeout is the time for each further piece of an answer, which may be a large snapshot.
+	// responseHeaderTimeout is the maximum time until the response header arrives. A later answer would not grant a lease.
+	responseHeaderTimeout = relaysession.Lease
+	// stallTimeout is the maximum time between two reads of a response body, which may be a large snapshot.
 	stallTimeout = 500 * time.Millisecond
 	maxAnswer    = 256 << 20 // bytes
 )
 
-// upstream calls the write sides of the replicas and finds the leader among them. All of it but requestSoon belongs to one goroutine.
+// upstream calls the replicas' write sides and finds the leader among them. requestSoon may be called from any goroutine;
+// everything else belongs to a single goroutine.
 type upstream struct {
 	http      *http.Client
 	scheme    string
 	addresses []string
-	next      int           // index of the address that is called next
-	hasLeader bool          // that one answered the last call
-	urgent    chan struct{} // has a value if a request is to be sent soon
+	next      int           // index of the address to call next
+	hasLeader bool          // the last call succeeded
+	urgent    chan struct{} // holds a value if a request is to be sent soon
 }
 
-// newUpstream reads the keys, if the file names any.
-func newUpstream(set operatorconfig.Relay) (*upstream, error) {
+// newUpstream returns an upstream for the configured replicas. It reads the TLS keys if the configuration names any.
+func newUpstream(settings operatorconfig.Relay) (*upstream, error) {
 	t := &http.Transport{
 		MaxIdleConnsPerHost:   1,
 		IdleConnTimeout:       time.Minute,
 		DisableCompression:    true,
-		ResponseHeaderTimeout: headTimeout,
+		ResponseHeaderTimeout: responseHeaderTimeout,
 		DialContext:           (&net.Dialer{Timeout: dialTimeout}).DialContext,
 	}
 	u := &upstream{http: &http.Client{Transport: t}, scheme: "http", urgent: make(chan struct{}, 1)}
-	for _, address := range set.Upstream {
+	for _, address := range settings.Upstream {
 		u.addresses = append(u.addresses, address.String())
 	}
-	if set.TLS == nil {
+	if settings.TLS == nil {
 		return u, nil
 	}
 	tlsConfig, err := api.ClientTLS(api.Credentials{
-		Certificate: set.TLS.Certificate,
-		Key:         set.TLS.Key,
-		Authority:   set.TLS.Authority,
+		Certificate: settings.TLS.Certificate,
+		Key:         settings.TLS.Key,
+		Authority:   settings.TLS.Authority,
 	})
 	if err != nil {
 		return nil, err
@@ -64,7 +65,7 @@
 	return u, nil
 }
 
-// requestSoon has the next request sent soon. It never blocks, and may be called from any goroutine.
+// requestSoon causes the next request to be sent soon. It never blocks and may be called from any goroutine.
 func (u *upstream) requestSoon() {
 	select {
 	case u.urgent <- struct{}{}:
@@ -72,7 +73,7 @@
 	}
 }
 
-// call sends a request to the replica that answered last. After an error the following one is called next.
+// call sends a request to the replica that answered last. After an error, the next call goes to the next replica.
 func (u *upstream) call(ctx context.Context, r relaysession.Request) (a relaysession.Answer, err error) {
 	body, err := json.Marshal(r)
 	if err != nil {
@@ -92,7 +93,7 @@
 	return a, err
 }
 
-// post sends one request. The error is an *api.Error if the replica rejects it.
+// post sends one request. It returns an *api.Error if the replica rejects the request.
 func (u *upstream) post(ctx context.Context, body []byte) (a relaysession.Answer, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -106,34 +107,34 @@
 	if err != nil {
 		return a, err
 	}
-	defer func() { _ = res.Body.Close() }() // the answer has been read by then
-	stalled := time.AfterFunc(stallTimeout, cancel)
-	defer stalled.Stop()
-	text, err := io.ReadAll(io.LimitReader(progress{res.Body, stalled}, maxAnswer))
+	defer func() { _ = res.Body.Close() }() // the body has been read by then
+	stallTimer := time.AfterFunc(stallTimeout, cancel)
+	defer stallTimer.Stop()
+	responseBody, err := io.ReadAll(io.LimitReader(progressReader{res.Body, stallTimer}, maxAnswer))
 	if err != nil {
 		return a, fmt.Errorf("read answer: %w", err)
 	}
 	if res.StatusCode != http.StatusOK {
 		rejection := &api.Error{}
-		if json.Unmarshal(text, rejection) != nil || rejection.Message == "" {
-			rejection = &api.Error{Kind: api.Failed, Message: fmt.Sprintf("%s: %.200s", res.Status, text)}
+		if json.Unmarshal(responseBody, rejection) != nil || rejection.Message == "" {
+			rejection = &api.Error{Kind: api.Failed, Message: fmt.Sprintf("%s: %.200s", res.Status, responseBody)}
 		}
 		return a, rejection
 	}
-	if err := json.Unmarshal(text, &a); err != nil {
+	if err := json.Unmarshal(responseBody, &a); err != nil {
 		return a, fmt.Errorf("decode answer: %w", err)
 	}
 	return a, nil
 }
 
-// progress resets a timer with each piece that is read.
-type progress struct {
+// progressReader resets a timer whenever it reads data.
+type progressReader struct {
 	source io.Reader
 	timer  *time.Timer
 }
 
 // Read implements io.Reader.
-func (p progress) Read(b []byte) (int, error) {
+func (p progressReader) Read(b []byte) (int, error) {
 	n, err := p.source.Read(b)
 	if n > 0 {
 		p.timer.Reset(stallTimeout)
--- a/internal/controlplane/relayserver/watchowner.go
+++ b/internal/controlplane/relayserver/watchowner.go
@@ -9,7 +9,8 @@
 	"stairvane.org/stairvane/internal/quota"
 )
 
-// watchOwner is the relay as its watch server sees it. Its methods are called on the loop.
+// watchOwner implements watch.Owner for a relay. Its methods are called on the loop, except ClockMS, which may be called from any
+// goroutine.
 type watchOwner struct{ relay *Server }
 
 // MayServe implements watch.Owner.
@@ -37,7 +38,7 @@
 	return o.relay.session.Health(directorID, replicas.Now())
 }
 
-// AcknowledgedChanged implements watch.Owner. The next request reports it to the leader.
+// AcknowledgedChanged implements watch.Owner. It does nothing: the next request reports the revision to the leader.
 func (o watchOwner) AcknowledgedChanged() {}
 
 // ClockMS implements watch.Owner.
