--- a/internal/controlplane/relaysession/compatibility_test.go
+++ b/internal/controlplane/relaysession/compatibility_test.go
@@ -6,7 +6,7 @@
 	"stairvane.org/stairvane/internal/tools/golden"
 )
 
-// TestLandedForms guards what relays and the leader send each other: an older version must read it.
+// TestLandedForms guards the messages between relays and the leader, which must stay readable for older versions.
 func TestLandedForms(t *testing.T) {
 	golden.JSON[Request](t, "request")
 	golden.JSON[Answer](t, "answer")
--- a/internal/controlplane/relaysession/directors.go
+++ b/internal/controlplane/relaysession/directors.go
@@ -9,33 +9,33 @@
 	"stairvane.org/stairvane/internal/quota"
 )
 
-// changeKind is how a director has changed. Requests name the kinds in this order.
+// changeKind is the kind of a director's change. Requests list changes in the order of these values.
 type changeKind int
 
 const (
-	left changeKind = iota
-	lost
-	joined
+	directorLeft changeKind = iota
+	directorLost
+	directorJoined
 )
 
-// change is the change of a director that the leader has not confirmed yet.
+// change is a change of a director that the leader has not confirmed yet.
 type change struct {
-	kind     changeKind
-	sentWith uint64 // sequence of the last request with it; 0: none
+	kind         changeKind
+	sentSequence uint64 // sequence of the last request that included it; 0: none
 }
 
-// director is a director in lease with the relay.
+// director is a director that holds a lease from the relay.
 type director struct {
 	fleet.Director
 	config       string        // fingerprint of its configuration
-	calledAt     time.Duration // of its last call
+	calledAt     time.Duration // time of its last call
 	acknowledged int64
 	lag          membership.Lag
-	grant        *quota.Grant // for the next answer to it
+	grant        *quota.Grant // to be sent with the next answer to it
 }
 
-// update takes a call; it reports whether the leader must be sent the director's description.
-func (d *director) update(a discovery.Announcement, acknowledged int64, now time.Duration) (changed bool) {
+// recordCall records a call and reports whether the leader must be sent the director's description.
+func (d *director) recordCall(a discovery.Announcement, acknowledged int64, now time.Duration) (changed bool) {
 	description := fleet.Director(a.Director)
 	changed = d.Director != description || d.config != a.Config
 	d.Director = description
@@ -45,13 +45,14 @@
 	return changed
 }
 
-// DirectorCount returns how many directors are in lease with the relay.
+// DirectorCount returns the number of directors that hold a lease from the relay.
 func (s *Session) DirectorCount() int { return len(s.directors) }
 
-// Pending reports whether a request is to be sent at once: a director has joined or left, or a report of failures waits.
+// Pending reports whether a request should be sent immediately, because a director has joined, left or been lost, or because a
+// queued health report includes failures.
 func (s *Session) Pending() bool {
 	for _, c := range s.changes {
-		if c.sentWith == 0 {
+		if c.sentSequence == 0 {
 			return true
 		}
 	}
--- a/internal/controlplane/relaysession/model_test.go
+++ b/internal/controlplane/relaysession/model_test.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	ms             = time.Millisecond
-	step           = 5 * ms
-	directorLease  = 400 * ms
-	drift          = 0.02
-	departedWithin = 420 * ms // no less than a director's lease with drift
-	goneWithin     = 1800 * ms
-	calls          = 200 * ms // a call is given up after it
+	ms               = time.Millisecond
+	step             = 5 * ms
+	directorLease    = 400 * ms
+	drift            = 0.02
+	departureTimeout = 420 * ms // at least a director's lease with drift
+	removalDeadline  = 1800 * ms
+	callTimeout      = 200 * ms // after which a relay abandons a request
 )
 
 var (
-	firstSeed = flag.Uint64("seed", 1, "the first seed of the model")
-	seeds     = flag.Uint64("seeds", 40, "how many seeds")
+	firstSeed = flag.Uint64("seed", 1, "first seed of the model")
+	seeds     = flag.Uint64("seeds", 40, "number of seeds")
 )
 
-// clock is the clock of one process, up to 1 % off.
+// clock is the clock of one process, with a rate up to 1 % off.
 type clock struct{ offset, rate float64 }
 
 func (c clock) at(now time.Duration) time.Duration {
@@ -39,57 +39,57 @@
 type modelDirector struct {
 	clock
 	discovery.Director
-	alive, leaving bool
-	ended          time.Duration
-	relay          int
-	calling        int           // number of the call that is under way; 0: none
-	next, giveUp   time.Duration // own clock
-	lease          time.Duration // own clock: until then it may act
-	acknowledged   int64
-	calls          int
-	lapsed         bool          // its lease was over when it called again, and the leader does not know of that call
-	relayed        uint64        // the session that took the call
-	relayedAt      time.Duration // when
+	alive, leaving         bool
+	endedAt                time.Duration
+	relay                  int
+	pendingCall            int           // number of the call in progress; 0: none
+	nextCall, callDeadline time.Duration // by its own clock
+	leaseEnd               time.Duration // by its own clock: the director may act until then
+	acknowledged           int64
+	callCount              int
+	unreportedCall         bool          // its lease had expired when it called again, and the leader has not been told of that call
+	relaySession           uint64        // session of the relay that received the last call
+	relayCallAt            time.Duration // when that relay received it
 }
 
 type modelRelay struct {
 	clock
-	alive         bool
-	cutUntil      time.Duration // from the leader
-	restartAt     time.Duration // of a dead one
-	session       *relaysession.Session
-	holder        replica.LeaseHolder
-	revision      int64
-	number        uint64
-	asked, called time.Duration
-	waits         uint64 // sequence of the request under way; 0: none
+	alive                      bool
+	partitionedUntil           time.Duration // from the leader
+	restartAt                  time.Duration // if the relay is not alive
+	session                    *relaysession.Session
+	lease                      replica.LeaseHolder
+	revision                   int64
+	number                     uint64
+	requestedAt, lastRequestAt time.Duration
+	pendingSequence            uint64 // sequence of the request in progress; 0: none
 }
 
-// model is a leader, 3 relays and 30 directors with messages that are late, lost and doubled.
+// model simulates a leader, 3 relays and 30 directors whose messages are delayed, lost or duplicated.
 type model struct {
-	t           *testing.T
-	seed        uint64
-	rng         *rand.Rand
-	now         time.Duration
-	calm        bool
-	relays      []*modelRelay
-	directors   []*modelDirector
-	dead        []*modelDirector
-	inFlight    []message
-	fleet       fleet.Fleet
-	tracker     *membership.Tracker
-	leases      *replica.Lessor
-	noLeader    time.Duration // there is no leader until then
-	disturbance time.Duration
-	gone        int
-	worst       time.Duration
-	numbers     uint64
-	failed      bool
+	t               *testing.T
+	seed            uint64
+	rng             *rand.Rand
+	now             time.Duration
+	stable          bool
+	relays          []*modelRelay
+	directors       []*modelDirector
+	endedDirectors  []*modelDirector
+	inFlight        []message
+	fleet           fleet.Fleet
+	tracker         *membership.Tracker
+	leases          *replica.Lessor
+	leaderlessUntil time.Duration // there is no leader until then
+	lastDisturbance time.Duration
+	removedCount    int
+	longestRemoval  time.Duration
+	lastNumber      uint64
+	failed          bool
 }
 
 type message struct {
-	at      time.Duration
-	deliver func()
+	deliverAt time.Duration
+	deliver   func()
 }
 
 func (m *model) clock() clock {
@@ -98,10 +98,10 @@
 
 func (m *model) chance(p float64) bool { return m.rng.Float64() < p }
 
-// send delivers a message late, not at all or twice. In calm times nothing is lost.
+// send delivers a message with a random delay, possibly twice or not at all. In stable periods no message is lost.
 func (m *model) send(maxDelay time.Duration, deliver func()) {
 	loss, double := 0.1, 0.1
-	if m.calm {
+	if m.stable {
 		loss = 0
 	}
 	if m.chance(loss) {
@@ -111,7 +111,7 @@
 	if m.chance(double) {
 		m.inFlight = append(m.inFlight, message{m.now + delay(10*maxDelay), deliver})
 	}
-	if !m.calm && m.chance(0.05) {
+	if !m.stable && m.chance(0.05) {
 		maxDelay *= 10
 	}
 	m.inFlight = append(m.inFlight, message{m.now + delay(maxDelay), deliver})
@@ -121,7 +121,7 @@
 	due := m.inFlight
 	m.inFlight = nil
 	for _, x := range due {
-		if x.at <= m.now {
+		if x.deliverAt <= m.now {
 			x.deliver()
 		} else {
 			m.inFlight = append(m.inFlight, x)
@@ -130,26 +130,26 @@
 }
 
 func (m *model) startDirector(name string) {
-	m.numbers++
+	m.lastNumber++
 	d := &modelDirector{
 		clock: m.clock(), alive: true, relay: m.rng.IntN(len(m.relays)),
-		Director: discovery.Director{Name: name, Incarnation: fmt.Sprint(m.numbers)},
+		Director: discovery.Director{Name: name, Incarnation: fmt.Sprint(m.lastNumber)},
 	}
 	m.directors = append(m.directors, d)
 }
 
 func (m *model) startRelay(r *modelRelay, name string) {
-	m.numbers++
-	*r = modelRelay{clock: m.clock(), alive: true, number: m.numbers}
+	m.lastNumber++
+	*r = modelRelay{clock: m.clock(), alive: true, number: m.lastNumber}
 	r.session = relaysession.New(relaysession.Settings{
-		Relay: membership.Relay{Name: name, Incarnation: fmt.Sprint(m.numbers)}, Number: m.numbers,
+		Relay: membership.Relay{Name: name, Incarnation: fmt.Sprint(m.lastNumber)}, Number: m.lastNumber,
 		DirectorLease: directorLease, Drift: drift,
 	}, nil)
 }
 
-// lead makes another replica the leader. It was in the group before and has all events.
-func (m *model) lead() {
-	direct := directorLease // in a control plane without a group, which odd seeds have
+// startLeader makes another replica the leader. The replica was already in the group and has all events.
+func (m *model) startLeader() {
+	direct := directorLease // the lease in a control plane without a group, which odd seeds have
 	if m.seed%2 == 0 {
 		direct += relaysession.Lease
 	}
@@ -165,9 +165,9 @@
 	m.leases.SetLeader(true, m.now)
 }
 
-// serveRequest is the leader's side of a request.
-func (m *model) serveRequest(r *modelRelay, q relaysession.Request, made time.Duration) {
-	if m.now < m.noLeader || m.now < r.cutUntil {
+// serveRequest handles a relay's request at the leader.
+func (m *model) serveRequest(r *modelRelay, q relaysession.Request, sentAt time.Duration) {
+	if m.now < m.leaderlessUntil || m.now < r.partitionedUntil {
 		return
 	}
 	registered, err := m.tracker.Update(q.Update, m.rng.Uint64(), m.now)
@@ -175,8 +175,8 @@
 		return
 	}
 	for _, d := range m.directors {
-		if !registered.NeedFull && !q.More && d.relayed == q.Session && d.relayedAt <= made {
-			d.lapsed = false
+		if !registered.NeedFull && !q.More && d.relaySession == q.Session && d.relayCallAt <= sentAt {
+			d.unreportedCall = false
 		}
 	}
 	m.leases.Grant(q.Session, q.Acknowledged, m.now)
@@ -189,77 +189,80 @@
 	}
 	number := r.number
 	m.send(30*ms, func() {
-		if !r.alive || r.number != number || m.now < r.cutUntil {
+		if !r.alive || r.number != number || m.now < r.partitionedUntil {
 			return
 		}
 		now := r.at(m.now)
 		r.session.HandleAnswer(answer, now)
-		if r.waits == answer.Sequence {
-			r.waits = 0
+		if r.pendingSequence == answer.Sequence {
+			r.pendingSequence = 0
 			r.revision = max(r.revision, answer.Revision)
-			r.holder.Renew(replica.Lease{Length: relaysession.Lease}, r.asked)
+			r.lease.Renew(replica.Lease{Length: relaysession.Lease}, r.requestedAt)
 		}
 	})
 }
 
 func (m *model) runRelay(r *modelRelay) {
 	now := r.at(m.now)
-	if !r.alive || now-r.called < 50*ms || r.waits > 0 && now-r.asked < calls {
+	if !r.alive || now-r.lastRequestAt < 50*ms || r.pendingSequence > 0 && now-r.requestedAt < callTimeout {
 		return
 	}
 	q := r.session.Request(r.revision, r.revision, now)
-	r.asked, r.called, r.waits = now, now, q.Sequence
-	if m.now >= r.cutUntil {
-		made := m.now
-		m.send(30*ms, func() { m.serveRequest(r, q, made) })
+	r.requestedAt, r.lastRequestAt, r.pendingSequence = now, now, q.Sequence
+	if m.now >= r.partitionedUntil {
+		sentAt := m.now
+		m.send(30*ms, func() { m.serveRequest(r, q, sentAt) })
 	}
 }
 
 func (m *model) runDirector(d *modelDirector) {
 	now := d.at(m.now)
-	if d.calling > 0 && now > d.giveUp { // its relay is gone, or does not answer
-		d.calling, d.relay = 0, m.rng.IntN(len(m.relays))
+	if d.pendingCall > 0 && now > d.callDeadline { // its relay has stopped or does not answer
+		d.pendingCall, d.relay = 0, m.rng.IntN(len(m.relays))
 	}
-	if !d.alive || d.calling > 0 || now < d.next {
+	if !d.alive || d.pendingCall > 0 || now < d.nextCall {
 		return
 	}
 	if m.chance(0.02) {
 		d.relay = m.rng.IntN(len(m.relays))
 	}
-	d.calls++
-	d.calling, d.giveUp = d.calls, now+100*ms
-	r, number, called, acknowledged := m.relays[d.relay], d.calls, now, d.acknowledged
+	d.callCount++
+	d.pendingCall, d.callDeadline = d.callCount, now+100*ms
+	r, number, called, acknowledged := m.relays[d.relay], d.callCount, now, d.acknowledged
 	a := discovery.Announcement{Director: d.Director, Leaving: d.leaving}
-	m.send(20*ms, func() { m.serveCall(d, r, a, number, called, acknowledged) })
+	m.send(20*ms, func() { m.serveWatch(d, r, a, number, called, acknowledged) })
 	if d.leaving {
-		d.alive, d.ended = false, m.now
-		m.dead = append(m.dead, d)
+		d.alive, d.endedAt = false, m.now
+		m.endedDirectors = append(m.endedDirectors, d)
 	}
 }
 
-// serveCall is a relay's side of a director's call. A connection has one call at a time: one that the director gave up is not read.
-func (m *model) serveCall(d *modelDirector, r *modelRelay, a discovery.Announcement, number int, called time.Duration, acknowledged int64) {
+// serveWatch handles a director's watch request at a relay. A connection has one call at a time, so a call that the director has
+// abandoned is ignored.
+func (m *model) serveWatch(
+	d *modelDirector, r *modelRelay, a discovery.Announcement, number int, called time.Duration, acknowledged int64,
+) {
 	now := r.at(m.now)
-	if !r.alive || !r.holder.HasLease(now) || d.calling != number {
+	if !r.alive || !r.lease.HasLease(now) || d.pendingCall != number {
 		return
 	}
 	r.session.RecordWatchRequest(a, acknowledged, now)
-	d.lapsed = d.lapsed || called >= d.lease
-	d.relayed, d.relayedAt = r.number, m.now
+	d.unreportedCall = d.unreportedCall || called >= d.leaseEnd
+	d.relaySession, d.relayCallAt = r.number, m.now
 	revision := r.revision
 	m.send(20*ms, func() {
-		if d.calling != number || !d.alive {
+		if d.pendingCall != number || !d.alive {
 			return
 		}
 		own := d.at(m.now)
-		d.calling, d.next = 0, own+time.Duration(m.rng.Int64N(int64(100*ms)))
+		d.pendingCall, d.nextCall = 0, own+time.Duration(m.rng.Int64N(int64(100*ms)))
 		d.acknowledged = max(d.acknowledged, revision)
-		d.lease = max(d.lease, called+directorLease)
+		d.leaseEnd = max(d.leaseEnd, called+directorLease)
 	})
 }
 
-// disturb ends and cuts off processes, and makes events.
-func (m *model) disturb() {
+// injectFaults stops and partitions processes, and appends events.
+func (m *model) injectFaults() {
 	if m.chance(0.1) {
 		m.append(fleet.Event{Purge: &fleet.Purge{Object: "0123456789abcdef"}})
 	}
@@ -267,11 +270,11 @@
 		if d.alive && m.chance(0.001) {
 			d.leaving = m.chance(0.3)
 			if !d.leaving {
-				d.alive, d.ended = false, m.now
-				m.dead = append(m.dead, d)
+				d.alive, d.endedAt = false, m.now
+				m.endedDirectors = append(m.endedDirectors, d)
 			}
 		}
-		if !d.alive && m.now-d.ended > 500*ms && m.chance(0.01) {
+		if !d.alive && m.now-d.endedAt > 500*ms && m.chance(0.01) {
 			name := d.Name
 			m.directors = append(m.directors[:i], m.directors[i+1:]...)
 			m.startDirector(name)
@@ -280,19 +283,19 @@
 	}
 	for _, r := range m.relays {
 		switch {
-		case m.calm || !r.alive:
+		case m.stable || !r.alive:
 		case m.chance(0.002):
 			r.alive, r.restartAt = false, m.now+time.Duration(m.rng.Int64N(int64(800*ms)))
-			m.disturbance = m.now
+			m.lastDisturbance = m.now
 		case m.chance(0.003):
-			r.cutUntil = m.now + time.Duration(m.rng.Int64N(int64(1500*ms)))
-			m.disturbance = r.cutUntil
+			r.partitionedUntil = m.now + time.Duration(m.rng.Int64N(int64(1500*ms)))
+			m.lastDisturbance = r.partitionedUntil
 		}
 	}
-	if !m.calm && m.chance(0.003) {
-		m.noLeader = m.now + time.Duration(m.rng.Int64N(int64(250*ms)))
-		m.disturbance = m.noLeader
-		m.lead()
+	if !m.stable && m.chance(0.003) {
+		m.leaderlessUntil = m.now + time.Duration(m.rng.Int64N(int64(250*ms)))
+		m.lastDisturbance = m.leaderlessUntil
+		m.startLeader()
 	}
 }
 
@@ -306,16 +309,16 @@
 }
 
 // inLease reports whether a director may act.
-func (m *model) inLease(d *modelDirector) bool { return d.alive && d.at(m.now) < d.lease }
+func (m *model) inLease(d *modelDirector) bool { return d.alive && d.at(m.now) < d.leaseEnd }
 
 func (m *model) fail(format string, args ...any) {
 	m.failed = true
 	m.t.Errorf("seed %d at %v: %s", m.seed, m.now, fmt.Sprintf(format, args...))
 }
 
-// announce writes the next change of the members, and checks that no director in lease has left with it.
-func (m *model) announce() {
-	if m.now < m.noLeader {
+// writeMembershipChange writes the next change of the members and checks that it does not remove a director within its lease.
+func (m *model) writeMembershipChange() {
+	if m.now < m.leaderlessUntil {
 		return
 	}
 	c := m.tracker.NextChange(m.fleet, m.now)
@@ -324,44 +327,44 @@
 	}
 	m.append(fleet.Event{Membership: c})
 	m.tracker.MarkWritten(m.now)
-	m.gone += len(c.Left)
+	m.removedCount += len(c.Left)
 	for _, id := range c.Left {
 		for _, d := range m.directors {
-			if d.ID() == id && m.inLease(d) && !d.lapsed {
-				m.fail("%s is announced as gone and in lease", id)
+			if d.ID() == id && m.inLease(d) && !d.unreportedCall {
+				m.fail("%s was removed within its lease", id)
 			}
 		}
 	}
 }
 
-func (m *model) check() {
-	if m.now >= m.noLeader && m.tracker.Settled(m.now) {
-		everywhere := m.leases.Acknowledged(m.fleet.Revision, m.now, departedWithin)
+func (m *model) checkInvariants() {
+	if m.now >= m.leaderlessUntil && m.tracker.Settled(m.now) {
+		acknowledgedByAll := m.leases.Acknowledged(m.fleet.Revision, m.now, departureTimeout)
 		for _, d := range m.directors {
-			if m.inLease(d) && d.acknowledged < everywhere {
-				m.fail("%s has %d, and %d counts as acknowledged by all", d.ID(), d.acknowledged, everywhere)
+			if m.inLease(d) && d.acknowledged < acknowledgedByAll {
+				m.fail("%s has revision %d, but %d counts as acknowledged by all", d.ID(), d.acknowledged, acknowledgedByAll)
 			}
 		}
 	}
-	remaining := m.dead[:0]
-	for _, d := range m.dead {
-		if m.fleet.Director(d.ID()) == nil && m.now-d.ended > 10*time.Second {
+	remaining := m.endedDirectors[:0]
+	for _, d := range m.endedDirectors {
+		if m.fleet.Director(d.ID()) == nil && m.now-d.endedAt > 10*time.Second {
 			continue
 		}
 		remaining = append(remaining, d)
 		if m.fleet.Director(d.ID()) == nil {
 			continue
 		}
-		since := m.now - max(d.ended, m.disturbance)
-		if m.worst = max(m.worst, since); since > goneWithin {
-			m.fail("%s ended at %v and is not announced as gone", d.ID(), d.ended)
+		since := m.now - max(d.endedAt, m.lastDisturbance)
+		if m.longestRemoval = max(m.longestRemoval, since); since > removalDeadline {
+			m.fail("%s ended at %v and has not been removed", d.ID(), d.endedAt)
 		}
 	}
-	m.dead = remaining
+	m.endedDirectors = remaining
 }
 
-// end checks that after a quiet time the members are the directors that are alive.
-func (m *model) end() {
+// checkFinalMembers checks that, after a stable period, the members are exactly the directors that are alive.
+func (m *model) checkFinalMembers() {
 	members := 0
 	for range m.fleet.Directors() {
 		members++
@@ -371,22 +374,22 @@
 		if d.alive {
 			alive++
 			if m.fleet.Director(d.ID()) == nil {
-				m.fail("%s lives and is not a member", d.ID())
+				m.fail("%s is alive but not a member", d.ID())
 			}
 		}
 	}
 	if members != alive {
-		m.fail("%d members, %d alive", members, alive)
+		m.fail("got %d members, want the %d directors that are alive", members, alive)
 	}
 }
 
-// Whatever happens to messages, relays and leaders: a director in lease is never announced as gone, one that has ended is announced
-// within a bound, and the acknowledged revision never exceeds what any director in lease has.
+// For any sequence of message, relay and leader faults: a director within its lease is never removed, a director that has ended is
+// removed within a bound, and the acknowledged revision never exceeds the revision of any director within its lease.
 func TestModel(t *testing.T) {
-	gone, worst := 0, time.Duration(0)
+	removedCount, longestRemoval := 0, time.Duration(0)
 	for seed := *firstSeed; seed < *firstSeed+*seeds; seed++ {
-		m := &model{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 5)), now: time.Hour, disturbance: time.Hour}
-		m.lead()
+		m := &model{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 5)), now: time.Hour, lastDisturbance: time.Hour}
+		m.startLeader()
 		for i := range 3 {
 			m.relays = append(m.relays, &modelRelay{})
 			m.startRelay(m.relays[i], fmt.Sprint("relay-", i))
@@ -396,10 +399,10 @@
 		}
 		for m.now < time.Hour+15*time.Second && !m.failed {
 			m.now += step
-			m.calm = m.now%(5*time.Second) > 2500*ms
+			m.stable = m.now%(5*time.Second) > 2500*ms
 			m.deliver()
 			if m.now < time.Hour+13*time.Second {
-				m.disturb()
+				m.injectFaults()
 			}
 			for i, r := range m.relays {
 				if !r.alive && m.now > r.restartAt {
@@ -413,17 +416,17 @@
 				m.runDirector(d)
 			}
 			if m.now%(25*ms) == 0 {
-				m.announce()
+				m.writeMembershipChange()
 			}
-			m.check()
+			m.checkInvariants()
 		}
 		if !m.failed {
-			m.end()
+			m.checkFinalMembers()
 		}
-		gone, worst = gone+m.gone, max(worst, m.worst)
+		removedCount, longestRemoval = removedCount+m.removedCount, max(longestRemoval, m.longestRemoval)
 	}
-	t.Logf("seeds %d to %d: %d announced as gone, at the latest after %v", *firstSeed, *firstSeed+*seeds-1, gone, worst)
-	if gone == 0 {
-		t.Error("no director ended")
+	t.Logf("seeds %d to %d: %d directors removed, the slowest after %v", *firstSeed, *firstSeed+*seeds-1, removedCount, longestRemoval)
+	if removedCount == 0 {
+		t.Error("no director was removed")
 	}
 }
--- a/internal/controlplane/relaysession/quota.go
+++ b/internal/controlplane/relaysession/quota.go
@@ -6,12 +6,12 @@
 	"stairvane.org/stairvane/internal/quota"
 )
 
-// nodeLease is the lease of the shares that the leader grants to relays. Without an answer of the leader, a relay grants quotas for
-// somewhat more than half a second.
+// nodeLease is the lease of the quota shares that the leader grants to relays. Without answers from the leader, a relay continues
+// to grant quota for somewhat more than half a second.
 const nodeLease = time.Second
 
-// QuotaSettings is how quotas are divided in a tree: by the leader among relays and the directors that watch replicas, and by each
-// relay among its own directors.
+// QuotaSettings are the settings for dividing quotas in a tree: the leader divides them among the relays and the directors that
+// watch replicas, and each relay divides its share among its own directors.
 var QuotaSettings = withNodeLease(quota.DirectorSettings)
 
 func withNodeLease(settings quota.Settings) quota.Settings {
--- a/internal/controlplane/relaysession/session.go
+++ b/internal/controlplane/relaysession/session.go
@@ -14,52 +14,53 @@
 	"stairvane.org/stairvane/internal/quota"
 )
 
-// Settings of a session.
+// Settings are the settings of a Session.
 type Settings struct {
 	Relay         membership.Relay
-	Number        uint64        // of the session: random, drawn when the process starts
+	Number        uint64        // number of the session: random, generated when the process starts
 	DirectorLease time.Duration // time for which a director may act after a call, by its own clock
-	Drift         float64       // the most by which two clocks run apart, as a share
+	Drift         float64       // maximum rate difference between two clocks, as a fraction
 }
 
-// directorLeaseAtRelay returns the time without a call after which a director is lost: its lease is over by any clock.
+// directorLeaseAtRelay returns the time without a call after which a director is lost, because its lease has expired by any clock
+// within the drift.
 func (s Settings) directorLeaseAtRelay() time.Duration {
 	return time.Duration(float64(s.DirectorLease) * (1 + 2*s.Drift))
 }
 
-// Quota divides the relay's quota among its directors. *quota.Node is one.
+// Quota divides the relay's quota among its directors. It is implemented by *quota.Node.
 type Quota interface {
-	// Renewal returns what the relay wants of the leader.
+	// Renewal returns the relay's renewal, which is sent to the leader.
 	Renewal(now time.Duration) quota.Renewal
-	// Apply takes a grant of the leader into use.
+	// Apply applies a grant from the leader.
 	Apply(grant quota.Grant, now time.Duration)
-	// Renew answers a director's renewal.
+	// Renew returns the grant for a director's renewal.
 	Renew(renewal quota.Renewal, now time.Duration) quota.Grant
-	// Sweep forgets directors that are gone.
+	// Sweep removes directors whose accounts have expired.
 	Sweep(now time.Duration)
 }
 
 // Session is a relay's side of its session with the leader. It is not safe for concurrent use.
 type Session struct {
-	set          Settings
-	quota        Quota                // nil: no quotas are divided
-	directors    map[string]*director // in lease with the relay, by ID
-	changes      map[string]change    // not confirmed yet, by ID
-	sequence     uint64               // of the last request
-	lastAnswered uint64               // sequence of the last request whose answer was taken
-	registration uint64               // of that answer
-	sendFull     bool                 // the next request begins a full list
-	reports      []Report
-	readyShards  map[int]int64 // epoch by shard
-	notifier     *health.Notifier
-	healthEpoch  int64 // of the aggregated health
-	healthSeq    uint64
+	settings         Settings
+	quota            Quota                // nil: quotas are not divided
+	directors        map[string]*director // directors that hold a lease from the relay, by ID
+	changes          map[string]change    // changes that the leader has not confirmed, by director ID
+	sequence         uint64               // of the last request
+	answeredSequence uint64               // sequence of the last request whose answer was applied
+	registration     uint64               // from the last applied answer
+	sendFull         bool                 // the next request starts a full list
+	reports          []Report
+	readyShards      map[int]int64 // epoch by shard
+	notifier         *health.Notifier
+	healthEpoch      int64 // epoch of the aggregated health
+	healthSeq        uint64
 }
 
-// New makes a session without directors. q may be nil.
-func New(set Settings, q Quota) *Session {
+// New returns a session without directors. q may be nil.
+func New(settings Settings, q Quota) *Session {
 	return &Session{
-		set:         set,
+		settings:    settings,
 		quota:       q,
 		directors:   map[string]*director{},
 		changes:     map[string]change{},
@@ -85,14 +86,14 @@
 	case a.Leaving && known == nil:
 	case a.Leaving:
 		delete(s.directors, id)
-		s.changes[id] = change{kind: left}
+		s.changes[id] = change{kind: directorLeft}
 	default:
 		if known == nil {
 			known = &director{}
 			s.directors[id] = known
 		}
-		if known.update(a, acknowledged, now) {
-			s.changes[id] = change{kind: joined}
+		if known.recordCall(a, acknowledged, now) {
+			s.changes[id] = change{kind: directorJoined}
 		}
 		if grant != nil {
 			known.grant = grant
@@ -101,7 +102,7 @@
 	return true
 }
 
-// recordReadyShards takes pairs of shard and epoch.
+// recordReadyShards records pairs of shard number and epoch for the next request.
 func (s *Session) recordReadyShards(pairs []int64) {
 	for i := 0; i+1 < len(pairs); i += 2 {
 		if shard := pairs[i]; shard >= 0 && shard < fleet.ShardCount {
@@ -110,7 +111,7 @@
 	}
 }
 
-// queueReport queues the health report of an announcement for the leader.
+// queueReport queues the health report of an announcement, if it has a valid one, for the leader.
 func (s *Session) queueReport(a discovery.Announcement) {
 	if len(a.HealthReport) == 0 || len(s.reports) >= MaxQueuedReports {
 		return
@@ -119,11 +120,11 @@
 	if json.Unmarshal(a.HealthReport, &r) != nil || r.Holder != a.ID() || len(r.Caches) == 0 {
 		return
 	}
-	place := health.ReporterLocation{Machine: a.Machine, Location: a.Location}
-	s.reports = append(s.reports, Report{Report: r, ReporterLocation: place})
+	location := health.ReporterLocation{Machine: a.Machine, Location: a.Location}
+	s.reports = append(s.reports, Report{Report: r, ReporterLocation: location})
 }
 
-// renewQuota answers the quota renewal of an announcement; nil if it has none.
+// renewQuota returns the grant for the quota renewal of an announcement; nil if the announcement has no valid renewal.
 func (s *Session) renewQuota(a discovery.Announcement, now time.Duration) *quota.Grant {
 	if s.quota == nil || len(a.QuotaRenewal) == 0 {
 		return nil
@@ -136,7 +137,7 @@
 	return &grant
 }
 
-// TakeGrant returns the quota grant for a director, once; nil if there is none.
+// TakeGrant removes and returns the pending quota grant for a director; nil if there is none.
 func (s *Session) TakeGrant(directorID string) *quota.Grant {
 	known := s.directors[directorID]
 	if known == nil {
@@ -147,7 +148,7 @@
 	return grant
 }
 
-// Health returns the aggregated health for a director; nil if nothing is new to it.
+// Health returns the aggregated health for a director; nil if the director already has the latest result.
 func (s *Session) Health(directorID string, now time.Duration) *health.AggregatedHealth {
 	h, isNew := s.notifier.ResultFor(directorID, now)
 	if !isNew {
@@ -156,16 +157,16 @@
 	return &h
 }
 
-// Request returns what is to be sent to the leader now. revision is that of the relay's last event; acknowledged is the lowest
-// revision of all its watchers, including those that do not announce themselves or have left lately.
+// Request returns the next request to the leader. revision is that of the relay's last event; acknowledged is the lowest revision
+// of all its watchers, including those that do not announce themselves and those that have left recently.
 func (s *Session) Request(revision, acknowledged int64, now time.Duration) Request {
-	s.sweep(now)
+	s.expireDirectors(now)
 	s.sequence++
 	r := Request{Revision: revision, HealthEpoch: s.healthEpoch, HealthSeq: s.healthSeq}
-	r.Relay = s.set.Relay
-	r.Session = s.set.Number
+	r.Relay = s.settings.Relay
+	r.Session = s.settings.Number
 	r.Sequence = s.sequence
-	r.Answered = s.lastAnswered
+	r.Answered = s.answeredSequence
 	r.Registration = s.registration
 	r.Full = s.sendFull
 	s.addChanges(&r.Update)
@@ -177,19 +178,19 @@
 	for _, shard := range slices.Sorted(maps.Keys(s.readyShards)) {
 		r.ReadyShards = append(r.ReadyShards, int64(shard), s.readyShards[shard])
 	}
-	clear(s.readyShards) // directors repeat them until the event log has them
+	clear(s.readyShards) // directors repeat them until they are in the event log
 	sent := min(len(s.reports), MaxReports)
 	r.Reports = s.reports[:sent:sent]
 	s.reports = s.reports[sent:]
 	return r
 }
 
-// sweep drops directors whose leases are over.
-func (s *Session) sweep(now time.Duration) {
+// expireDirectors removes directors whose leases have expired.
+func (s *Session) expireDirectors(now time.Duration) {
 	for id, d := range s.directors {
-		if now-d.calledAt > s.set.directorLeaseAtRelay() {
+		if now-d.calledAt > s.settings.directorLeaseAtRelay() {
 			delete(s.directors, id)
-			s.changes[id] = change{kind: lost}
+			s.changes[id] = change{kind: directorLost}
 		}
 	}
 	if s.quota != nil {
@@ -197,7 +198,8 @@
 	}
 }
 
-// addChanges adds as many changes to an update as one may have, those of directors that are gone first. The rest waits.
+// addChanges adds changes to an update, up to the limit of one update. Changes of directors that have left or been lost come first;
+// the remaining changes are sent in later updates.
 func (s *Session) addChanges(u *membership.Update) {
 	ids := slices.SortedFunc(maps.Keys(s.changes), func(a, b string) int {
 		return cmp.Or(cmp.Compare(s.changes[a].kind, s.changes[b].kind), cmp.Compare(a, b))
@@ -208,21 +210,21 @@
 			return
 		}
 		c := s.changes[id]
-		c.sentWith = s.sequence
+		c.sentSequence = s.sequence
 		s.changes[id] = c
 		switch c.kind {
-		case joined:
+		case directorJoined:
 			d := s.directors[id]
 			u.Joined = append(u.Joined, membership.JoinedDirector{Director: d.Director, Config: d.config})
-		case left:
+		case directorLeft:
 			u.Left = append(u.Left, id)
-		case lost:
+		case directorLost:
 			u.Lost = append(u.Lost, id)
 		}
 	}
 }
 
-// addRevisions adds what the directors have acknowledged, and names those that are stale.
+// addRevisions adds the directors' acknowledged revisions and lists stale directors.
 func (s *Session) addRevisions(u *membership.Update, revision, acknowledged int64, now time.Duration) {
 	u.Directors = len(s.directors)
 	u.Acknowledged = min(revision, acknowledged)
@@ -242,13 +244,13 @@
 	}
 }
 
-// HandleAnswer takes the answer to the last request. One to an earlier request changes nothing. It reports whether the aggregated
-// health has changed: directors that wait are then to be answered.
+// HandleAnswer applies the answer to the last request. It ignores answers to earlier requests and duplicate answers. It reports
+// whether the aggregated health has changed, in which case the caller must answer the waiting directors.
 func (s *Session) HandleAnswer(a Answer, now time.Duration) (healthChanged bool) {
-	if a.Sequence != s.sequence || a.Sequence == s.lastAnswered {
+	if a.Sequence != s.sequence || a.Sequence == s.answeredSequence {
 		return false
 	}
-	s.lastAnswered = a.Sequence
+	s.answeredSequence = a.Sequence
 	s.registration = a.Registration
 	if a.Grant != nil && s.quota != nil {
 		s.quota.Apply(*a.Grant, now)
@@ -259,19 +261,19 @@
 		healthChanged = s.notifier.Apply(*a.AggregatedHealth, now)
 	}
 	if a.NeedFull {
-		s.resendAll()
+		s.queueFullList()
 		return healthChanged
 	}
 	s.sendFull = false
-	maps.DeleteFunc(s.changes, func(_ string, c change) bool { return c.sentWith == a.Sequence })
+	maps.DeleteFunc(s.changes, func(_ string, c change) bool { return c.sentSequence == a.Sequence })
 	return healthChanged
 }
 
-// resendAll has the next requests name all directors, since the leader does not know the session. Directors that were lost are still
-// named: the leader may not know that the relay has served them.
-func (s *Session) resendAll() {
+// queueFullList makes the next requests list all directors, because the leader does not know the session. Lost directors remain
+// listed as well: the leader may not know that the relay has served them.
+func (s *Session) queueFullList() {
 	s.sendFull = true
 	for id := range s.directors {
-		s.changes[id] = change{kind: joined}
+		s.changes[id] = change{kind: directorJoined}
 	}
 }
--- a/internal/controlplane/relaysession/session_test.go
+++ b/internal/controlplane/relaysession/session_test.go
@@ -30,10 +30,10 @@
 	}}
 }
 
-// fakeQuota wants a fixed number of limits and answers each renewal.
+// fakeQuota requests a fixed number of limits and grants every renewal.
 type fakeQuota struct {
-	limits int
-	taken  []quota.Grant
+	limits  int
+	applied []quota.Grant
 }
 
 func (f *fakeQuota) Renewal(time.Duration) quota.Renewal {
@@ -43,13 +43,13 @@
 	}
 	return r
 }
-func (f *fakeQuota) Apply(g quota.Grant, _ time.Duration) { f.taken = append(f.taken, g) }
+func (f *fakeQuota) Apply(g quota.Grant, _ time.Duration) { f.applied = append(f.applied, g) }
 func (f *fakeQuota) Renew(r quota.Renewal, _ time.Duration) quota.Grant {
 	return quota.Grant{Holder: r.Holder, Seq: r.Seq}
 }
 func (f *fakeQuota) Sweep(time.Duration) {}
 
-// A request of 400 directors in steady state has less than 2 KB.
+// In steady state, a request for 400 directors must be smaller than 2 KB.
 func TestSteadyRequestIsSmall(t *testing.T) {
 	s, now := New(testSettings, &fakeQuota{}), time.Hour
 	for i := range 400 {
@@ -78,7 +78,7 @@
 	}
 }
 
-// A change is repeated until a request with it is answered; an answer to an earlier request, or one that comes again,
+// A change is repeated until a request that includes it is answered. An answer to an earlier request, or a duplicate answer,
 // confirms nothing.
 func TestChangesAreRepeatedUntilAnswered(t *testing.T) {
 	s, now := New(testSettings, nil), time.Hour
@@ -89,7 +89,7 @@
 		t.Fatalf("%+v", second)
 	}
 	if third := s.Request(5, 5, now); len(third.Joined) != 1 || !third.Full || third.Answered != 0 {
-		t.Fatalf("an answer to an old request confirmed: %+v", third)
+		t.Fatalf("an answer to an earlier request confirmed a change: %+v", third)
 	}
 	s.HandleAnswer(Answer{Sequence: 3}, now)
 	s.RecordWatchRequest(announcement(2), 4, now)
@@ -99,7 +99,7 @@
 	}
 	now += 417 * ms
 	s.RecordWatchRequest(announcement(1), 5, now)
-	s.HandleAnswer(Answer{Sequence: 4}, now) // confirms that 2 has joined, and not that it is lost
+	s.HandleAnswer(Answer{Sequence: 4}, now) // confirms that director 2 has joined, but not that it is lost
 	fifth := s.Request(5, 5, now)
 	if len(fifth.Lost) != 1 || len(fifth.Joined) != 0 {
 		t.Fatalf("%+v", fifth)
@@ -113,15 +113,15 @@
 	}
 }
 
-// What a session stores and each message are bounded, and what does not fit into a request is in the next ones.
-func TestBounds(t *testing.T) {
+// The state of a session and each message are bounded. What does not fit into a request is sent in later ones.
+func TestSessionAndMessageBounds(t *testing.T) {
 	s, now := New(testSettings, nil), time.Hour
 	for i := range MaxDirectors + 1 {
 		a := announcement(i)
 		a.HealthReport, _ = json.Marshal(health.Report{Holder: a.ID(), Seq: 1, Caches: []health.Outcomes{{Cache: "b", Attempts: 1}}})
 		a.ReadyShards = []int64{int64(i), 7}
 		if taken := s.RecordWatchRequest(a, 1, now); taken != (i < MaxDirectors) {
-			t.Fatalf("director %d: taken %v", i, taken)
+			t.Fatalf("director %d: accepted %v", i, taken)
 		}
 	}
 	joined, reports := map[string]bool{}, 0
@@ -140,9 +140,9 @@
 		}
 	}
 	if len(joined) != MaxDirectors || reports != MaxQueuedReports {
-		t.Fatalf("%d directors and %d reports", len(joined), reports)
+		t.Fatalf("got %d directors and %d reports", len(joined), reports)
 	}
-	for range 12 { // one acknowledges all, the others nothing
+	for range 12 { // one director acknowledges all events, the others none
 		now += 100 * ms
 		for i := range MaxDirectors {
 			a := int64(1)
@@ -154,11 +154,11 @@
 		s.Request(10, 10, now)
 	}
 	if r := s.Request(10, 10, now); r.StaleCount != MaxDirectors-1 || len(r.Stale) != MaxStale || r.Current != 10 || r.Acknowledged != 1 {
-		t.Fatalf("%d stale, %d named, %d of all and %d of the others", r.StaleCount, len(r.Stale), r.Acknowledged, r.Current)
+		t.Fatalf("%d stale, %d listed, acknowledged %d, current %d", r.StaleCount, len(r.Stale), r.Acknowledged, r.Current)
 	}
 }
 
-// A director gets each quota grant and each result of aggregated health once.
+// A director receives each quota grant and each aggregated health result once.
 func TestGrantsAndHealth(t *testing.T) {
 	q := &fakeQuota{}
 	s, now := New(testSettings, q), time.Hour
@@ -171,8 +171,8 @@
 	r := s.Request(1, 1, now)
 	o := &health.AggregatedHealth{Epoch: 3, Seq: 2, Caches: []health.CacheHealth{{Cache: "b", FailureShare: 1, Machines: 3}}}
 	changed := s.HandleAnswer(Answer{Sequence: r.Sequence, Grant: &quota.Grant{Seq: 4}, AggregatedHealth: o}, now)
-	if !changed || len(q.taken) != 1 || q.taken[0].Seq != 4 {
-		t.Fatalf("%+v", q.taken)
+	if !changed || len(q.applied) != 1 || q.applied[0].Seq != 4 {
+		t.Fatalf("%+v", q.applied)
 	}
 	if x := s.Health(a.ID(), now+100*ms); x == nil || x.Caches[0].AgeMS != 100 || s.Health(a.ID(), now+100*ms) != nil {
 		t.Fatalf("%+v", x)
@@ -182,8 +182,8 @@
 	}
 }
 
-// A director is lost once its lease is over by any clock within the drift, and not before.
-func TestLostAfterTheLease(t *testing.T) {
+// A director is lost once its lease has expired by any clock within the drift, and not before.
+func TestDirectorLostAfterLease(t *testing.T) {
 	s, now := New(testSettings, nil), time.Hour
 	s.RecordWatchRequest(announcement(1), 1, now)
 	if r := s.Request(1, 1, now+416*ms); len(r.Lost) != 0 || r.Directors != 1 {
