--- a/internal/controlplane/watch/answer.go
+++ b/internal/controlplane/watch/answer.go
@@ -8,19 +8,20 @@
 	"stairvane.org/stairvane/internal/protocol/discovery"
 )
 
-// answerWhenDue answers with what is new, or sets the timer to do so where the last such answer was a moment ago.
+// answerWhenDue answers with new data, or sets the timer to do so if the last answer with new data was less than Settings.Gather
+// ago.
 func (w *watcher) answerWhenDue() {
 	s := w.server
-	if w.nextReady <= s.loop.Now() {
+	if w.nextAnswerAt <= s.loop.Now() {
 		w.answer()
 		return
 	}
-	if w.nextReady < w.waitEnd {
-		s.loop.Set(&w.timer, w.nextReady)
+	if w.nextAnswerAt < w.waitDeadline {
+		s.loop.Set(&w.timer, w.nextAnswerAt)
 	}
 }
 
-// answer ends the wait with what is new, if anything is.
+// answer ends the wait and answers with the new data, if there is any.
 func (w *watcher) answer() {
 	s := w.server
 	if !s.owner.MayServe() {
@@ -29,7 +30,7 @@
 	}
 	after := w.request.After
 	if w.lacksMembership() {
-		after = 0 // the complete membership comes with the snapshot of the endpoint list
+		after = 0 // the complete membership is sent with the snapshot of the endpoint list
 	}
 	parts, size, err := s.log.Answer(after, w.request.Announcement != nil)
 	if err != nil {
@@ -37,7 +38,7 @@
 		w.close()
 		return
 	}
-	parts, size = w.complete(parts, size)
+	parts, size = w.buildBody(parts, size)
 	w.waiting = false
 	s.headBuffer = discovery.AppendResponseHead(s.headBuffer[:0], http.StatusOK, size, w.request.Close)
 	w.conn.Write(append([][]byte{s.headBuffer}, parts...)...)
@@ -52,13 +53,13 @@
 	s.loop.Set(&w.timer, s.loop.Now()+requestTimeout)
 }
 
-// complete makes a body of the log's answer, which is nil if nothing is new, and of what is sent to this director alone. It begins the
-// time to gather in if there is something new in the body.
-func (w *watcher) complete(parts [][]byte, size int) ([][]byte, int) {
+// buildBody returns the response body and its size. It combines the log's answer, which is nil if nothing is new, with the fields
+// that are sent to this director only. If the body includes new events or health, buildBody starts the interval of Settings.Gather.
+func (w *watcher) buildBody(parts [][]byte, size int) ([][]byte, int) {
 	s := w.server
 	personal, hasHealth := w.personalFields()
 	if parts != nil || hasHealth {
-		w.nextReady = s.loop.Now() + s.set.Gather
+		w.nextAnswerAt = s.loop.Now() + s.settings.Gather
 	}
 	if parts == nil {
 		empty := append(discovery.ResponseStart(max(s.log.Last(), 0)), discovery.ResponseEnd...)
@@ -68,14 +69,14 @@
 	if personal == nil {
 		return parts, size
 	}
-	// The parts are shared with other watchers: the last one, which closes the JSON object, is replaced and not changed.
+	// The parts are shared with other watchers, so the last one, which closes the JSON object, is replaced instead of modified.
 	last := parts[len(parts)-1]
 	open := append([][]byte(nil), parts[:len(parts)-1]...)
 	return append(open, last[:len(last)-1], personal), size + len(personal) - 1
 }
 
-// personalFields are the JSON fields for this director alone, with the end of the object: its quota grant and the health of caches.
-// They are nil if there are none.
+// personalFields returns the JSON fields for this director only, followed by the closing brace of the object: its quota grant and
+// the health of caches. It returns nil if there are no such fields.
 func (w *watcher) personalFields() (fields []byte, hasHealth bool) {
 	announcement := w.request.Announcement
 	if announcement == nil {
@@ -97,7 +98,7 @@
 	return append(fields, '}'), hasHealth
 }
 
-// appendField appends a field to a JSON object that has others. A value that can't be encoded is left out.
+// appendField appends a field to a JSON object that already has fields. A value that cannot be encoded is omitted.
 func appendField(fields []byte, name string, value any) []byte {
 	encoded, err := json.Marshal(value)
 	if err != nil {
@@ -107,13 +108,13 @@
 	return append(fields, encoded...)
 }
 
-// sharesHealth tells whether the director reports on the health of caches, and so is sent what others report.
+// sharesHealth reports whether the director sends health reports of caches, and therefore receives the aggregated health.
 func (w *watcher) sharesHealth() bool {
 	announcement := w.request.Announcement
 	return announcement != nil && len(announcement.HealthReport) > 0
 }
 
-// lacksMembership tells whether the director announces itself and has nothing of the membership, though there is one.
+// lacksMembership reports whether the director announces itself and has not received any membership although the log has one.
 func (w *watcher) lacksMembership() bool {
 	announcement := w.request.Announcement
 	return announcement != nil && announcement.MembershipRevision == 0 && w.server.log.HasMembership()
--- a/internal/controlplane/watch/doc.go
+++ b/internal/controlplane/watch/doc.go
@@ -1,16 +1,16 @@
-// Package watch is the server of the discovery protocol's event stream. A director sends a watch request with the revision that it
-// has; the server answers as soon as there is something newer, or when the request's time is over (a long poll). The next request
-// acknowledges the events of the answer. A replica of the control plane and a relay both serve watches with this package; the
-// process that does is the Owner.
+// Package watch implements the server for the event stream of the discovery protocol. A director sends a watch request with the
+// last revision that it has; the server answers as soon as there are newer events, or when the request times out (a long poll). The
+// next request acknowledges the events of the answer. Both replicas of the control plane and relays serve watches with this
+// package; the process that does so implements Owner.
 //
 // # Concurrency
 //
-// The package has no goroutine. A Server belongs to the loop that it was made with: its methods run on it, except those that say
-// otherwise, and so do the methods of the Owner.
+// The package starts no goroutines. A Server belongs to the loop that it was created with: its methods run on that loop unless they
+// say otherwise, and so do the methods of the Owner.
 //
 // # Leases
 //
-// A process may answer watchers only while it has a lease, for otherwise directors might go on with a log that has been replaced. The
-// lease is checked before each answer, and every few milliseconds for watchers that wait. Without a lease the connections are
-// closed, and directors connect to another process.
+// A process may answer watchers only while it holds a lease. Otherwise directors might continue with a log that has been replaced.
+// The lease is checked before each answer, and every few milliseconds for waiting watchers. Without a lease the connections are
+// closed, and the directors connect to another process.
 package watch
--- a/internal/controlplane/watch/drain.go
+++ b/internal/controlplane/watch/drain.go
@@ -9,32 +9,32 @@
 
 const drainInterval = 20 * time.Millisecond
 
-// drain is a server's closing of its watchers before the process ends.
+// drain closes the watchers of a server step by step before the process exits.
 type drain struct {
-	server       *Server
-	initialCount int // watchers at its beginning
-	steps        int
-	stepsLeft    int
-	timer        transport.Timer
-	done         func()
+	server          *Server
+	initialWatchers int // watchers when the drain started
+	steps           int
+	stepsLeft       int
+	timer           transport.Timer
+	done            func()
 }
 
-// Drain admits no new watchers and closes those that there are, spread evenly over a time, so that they do not all connect elsewhere
-// at one moment. done runs on the loop when none is left.
+// Drain stops accepting watchers and closes the existing ones, spread evenly over the given time so that they do not all reconnect
+// elsewhere at once. done is called on the loop after the last one has been closed.
 func (s *Server) Drain(over time.Duration, done func()) {
 	slog.Info("watcher.drain_started", "watchers", len(s.watchers), "over_ms", over.Milliseconds())
 	steps := max(1, int(over/drainInterval))
-	d := &drain{server: s, initialCount: len(s.watchers), steps: steps, stepsLeft: steps, done: done}
+	d := &drain{server: s, initialWatchers: len(s.watchers), steps: steps, stepsLeft: steps, done: done}
 	d.timer.Fire = d.step
 	d.step()
 }
 
-// step closes the watchers that are due.
+// step closes the watchers that are due and schedules the next step.
 func (d *drain) step() {
 	s := d.server
-	closed := s.listener.Close() // false where descriptors ran out: the next step tries again
+	closed := s.listener.Close() // false if the process has run out of file descriptors: the next step tries again
 	d.stepsLeft = max(0, d.stepsLeft-1)
-	allowed := d.initialCount * d.stepsLeft / d.steps
+	allowed := d.initialWatchers * d.stepsLeft / d.steps
 	for w := range s.watchers {
 		if len(s.watchers) <= allowed {
 			break
--- a/internal/controlplane/watch/owner.go
+++ b/internal/controlplane/watch/owner.go
@@ -6,21 +6,22 @@
 	"stairvane.org/stairvane/internal/quota"
 )
 
-// Owner is the process that serves watches. Its methods are called on the loop, except those that say otherwise, and must not block.
+// Owner is the process that serves watches. Its methods are called on the loop, except those that say otherwise, and must not
+// block.
 type Owner interface {
-	// MayServe tells whether the process may have watchers at this moment.
+	// MayServe reports whether the process may currently serve watchers.
 	MayServe() bool
 	// RecordAnnouncement records a director's announcement and the revision that its request acknowledges. It returns false if the
 	// process has no capacity for the director, whose request is then rejected.
 	RecordAnnouncement(announcement discovery.Announcement, acknowledged int64) bool
-	// TakeQuotaGrant takes the quota grant for a director, which is given once; nil if there is none.
+	// TakeQuotaGrant removes and returns the pending quota grant for a director; nil if there is none.
 	TakeQuotaGrant(directorID string) *quota.Grant
-	// Health is the aggregated health of caches that a director is to be sent now; nil if nothing in it is new to the director.
+	// Health returns the aggregated health of caches to send to a director now; nil if the director already has the latest result.
 	Health(directorID string) *health.AggregatedHealth
-	// AcknowledgedChanged is called when Server.Acknowledged may have risen.
+	// AcknowledgedChanged is called when the result of Server.Acknowledged may have increased.
 	AcknowledgedChanged()
-	// ClockMS is the time in milliseconds since the Unix epoch. It is called from any goroutine.
+	// ClockMS returns the time in milliseconds since the Unix epoch. It may be called from any goroutine.
 	ClockMS() int64
-	// Failed reports a fault of the program after which no watch can be served.
+	// Failed reports an internal error after which no watch can be served.
 	Failed(err error)
 }
--- a/internal/controlplane/watch/server.go
+++ b/internal/controlplane/watch/server.go
@@ -16,44 +16,44 @@
 )
 
 const (
-	requestTimeout     = 10 * time.Second      // for a request to arrive completely, and for the next one to come
-	rejectionTimeout   = 2 * time.Second       // for a rejected caller to read the answer
-	maxQueuedBytes     = 16 << 20              // that a watcher may leave unread
+	requestTimeout     = 10 * time.Second      // for receiving a complete request, and for the next request to start
+	rejectionTimeout   = 2 * time.Second       // for a rejected client to read the response
+	maxQueuedBytes     = 16 << 20              // unread bytes that may be queued for a watcher
 	leaseCheckInterval = 10 * time.Millisecond // between two checks of the owner's lease
 )
 
-// Settings of a server.
+// Settings are the settings of a Server.
 type Settings struct {
 	Listen      netip.AddrPort
-	Allowed     *bart.Lite // addresses that may watch; nil: only loopback
-	MaxWatchers int        // connections at one time
-	// Gather is for how long after an answer with something new a watcher gets no further one, so that many events in a row cost it
-	// few requests. An event after a quiet time is answered at once. 0: every event is.
+	Allowed     *bart.Lite // addresses that may watch; nil: loopback only
+	MaxWatchers int        // maximum number of concurrent connections
+	// Gather is the minimum time between two answers with new data to one watcher, so that a burst of events costs the watcher only
+	// a few requests. An event after a quiet period is answered immediately. 0: every event is answered immediately.
 	Gather time.Duration
 }
 
-// Server serves watches, each over one connection.
+// Server serves watches. Each watcher has its own connection.
 type Server struct {
-	set           Settings
+	settings      Settings
 	loop          *transport.Loop
 	owner         Owner
 	log           *eventlog.Log
 	listener      *transport.Listener
-	watchers      map[*watcher]struct{} // those that are admitted
+	watchers      map[*watcher]struct{} // admitted watchers
 	lastWatcherID int64
 	headBuffer    []byte
 	leaseTimer    transport.Timer
 
-	mu           sync.Mutex // guards what other goroutines read, too
+	mu           sync.Mutex // guards the fields below, which other goroutines read as well
 	tracker      *acknowledged.Tracker
-	lastRevision int64 // of the log
+	lastRevision int64 // last revision of the log
 }
 
-// New listens on a loop that does not run yet. notifiedWithinMS is in milliseconds: events that a watcher lacked when it left count as
-// acknowledged after that time.
-func New(loop *transport.Loop, set Settings, owner Owner, log *eventlog.Log, notifiedWithinMS int64) (*Server, error) {
+// New creates a server and starts listening on a loop that is not running yet. Events that a watcher lacked when it disconnected
+// count as acknowledged after notifiedWithinMS milliseconds.
+func New(loop *transport.Loop, settings Settings, owner Owner, log *eventlog.Log, notifiedWithinMS int64) (*Server, error) {
 	s := &Server{
-		set:          set,
+		settings:     settings,
 		loop:         loop,
 		owner:        owner,
 		log:          log,
@@ -65,14 +65,14 @@
 	newHandler := func() transport.Handler { return &watcher{server: s} }
 	accept := func(c *transport.Conn, h transport.Handler) { s.accept(c, h.(*watcher)) }
 	var err error
-	s.listener, err = loop.Listen(set.Listen, newHandler, accept)
+	s.listener, err = loop.Listen(settings.Listen, newHandler, accept)
 	return s, err
 }
 
-// Addr is where directors connect.
+// Addr returns the address that directors connect to.
 func (s *Server) Addr() (netip.AddrPort, error) { return s.listener.Addr() }
 
-// accept admits a connection, or has its first request answered with an error.
+// accept admits a connection, or arranges for its first request to be rejected.
 func (s *Server) accept(conn *transport.Conn, w *watcher) {
 	w.conn = conn
 	w.peer = conn.Peer().Addr().Unmap()
@@ -90,7 +90,7 @@
 	s.loop.Set(&w.timer, s.loop.Now()+requestTimeout)
 }
 
-// admit decides whether an address may watch now: the status is OK, or that of the rejection.
+// admit decides whether a client may watch now. It returns http.StatusOK or the status of the rejection.
 func (s *Server) admit(peer netip.Addr) (status int) {
 	switch {
 	case !s.owner.MayServe():
@@ -98,22 +98,22 @@
 	case !s.allows(peer):
 		slog.Warn("watcher.forbidden", "addr", peer.String())
 		return http.StatusForbidden
-	case len(s.watchers) >= s.set.MaxWatchers:
+	case len(s.watchers) >= s.settings.MaxWatchers:
 		slog.Warn("watcher.rejected", "watchers", len(s.watchers))
 		return http.StatusServiceUnavailable
 	}
 	return http.StatusOK
 }
 
-// allows tells whether an address may watch at all.
+// allows reports whether the access list permits an address to watch.
 func (s *Server) allows(peer netip.Addr) bool {
-	if s.set.Allowed == nil {
+	if s.settings.Allowed == nil {
 		return peer.IsLoopback()
 	}
-	return s.set.Allowed.Contains(peer)
+	return s.settings.Allowed.Contains(peer)
 }
 
-// Publish appends durable events to the log and answers the watchers that wait. after is the fleet that the events lead to.
+// Publish appends durable events to the log and answers the waiting watchers. after is the fleet state after these events.
 func (s *Server) Publish(events []fleet.Event, after fleet.Fleet) {
 	if err := s.log.Add(events, after); err != nil {
 		s.owner.Failed(err)
@@ -131,7 +131,7 @@
 	s.owner.AcknowledgedChanged()
 }
 
-// PublishHealth answers the watchers that wait and share in health reports.
+// PublishHealth answers the waiting watchers that send health reports.
 func (s *Server) PublishHealth() {
 	for w := range s.watchers {
 		if w.waiting && w.sharesHealth() {
@@ -151,20 +151,22 @@
 	s.loop.Set(&s.leaseTimer, s.loop.Now()+leaseCheckInterval)
 }
 
-// Replace goes on with another log, which has all events of this one or a snapshot that includes them.
+// Replace replaces the log. The new log must have all events of the current one, or a snapshot that includes them. after is the
+// fleet state at the end of the new log.
 func (s *Server) Replace(log *eventlog.Log, after fleet.Fleet) {
 	s.log = log
 	s.Publish(nil, after)
 }
 
-// Acknowledged is the revision up to which the directors that watch here have all events. It may be called from any goroutine.
+// Acknowledged returns the revision up to which the directors that watch this process have all events. It may be called from any
+// goroutine.
 func (s *Server) Acknowledged() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.tracker.AcknowledgedUpTo(s.lastRevision, s.owner.ClockMS())
 }
 
-// Count is how many directors watch. It may be called from any goroutine.
+// Count returns the number of directors that watch. It may be called from any goroutine.
 func (s *Server) Count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controlplane/watch/watch_test.go
+++ b/internal/controlplane/watch/watch_test.go
@@ -20,7 +20,7 @@
 	"stairvane.org/stairvane/internal/transport"
 )
 
-// testTimeout bounds each wait of a test, in a slow run too.
+// testTimeout limits each wait of a test. It allows for slow runs.
 const testTimeout = 20 * time.Second
 
 func TestMain(m *testing.M) {
@@ -35,7 +35,7 @@
 	}
 }
 
-// testOwner is an owner whose lease and capacity a test sets.
+// testOwner is an Owner whose lease and capacity are set by the test.
 type testOwner struct {
 	t          *testing.T
 	server     *Server
@@ -43,7 +43,7 @@
 	fleet      fleet.Fleet
 	leaseLost  atomic.Bool
 	atCapacity atomic.Bool
-	requests   chan int64 // acknowledged revisions, as requests come
+	requests   chan int64 // acknowledged revisions in the order of the requests
 }
 
 func (p *testOwner) MayServe() bool { return !p.leaseLost.Load() }
@@ -57,17 +57,17 @@
 func (p *testOwner) ClockMS() int64                         { return time.Now().UnixMilli() }
 func (p *testOwner) Failed(err error)                       { p.t.Error(err) }
 
-// serve starts a server on a loop of its own.
-func serve(t *testing.T, set Settings) *testOwner {
+// startServer starts a server on its own loop.
+func startServer(t *testing.T, settings Settings) *testOwner {
 	p := &testOwner{t: t, requests: make(chan int64, 1000)}
 	var err error
 	p.loop, err = transport.NewLoop()
 	check(t, err)
 	log, err := eventlog.New(1, nil, p.fleet, 100)
 	check(t, err)
-	set.Listen = netip.MustParseAddrPort("127.0.0.1:0")
-	set.MaxWatchers = 100
-	p.server, err = New(p.loop, set, p, log, 0)
+	settings.Listen = netip.MustParseAddrPort("127.0.0.1:0")
+	settings.MaxWatchers = 100
+	p.server, err = New(p.loop, settings, p, log, 0)
 	check(t, err)
 	p.server.CheckLease()
 	ended := make(chan error, 1)
@@ -79,7 +79,7 @@
 	return p
 }
 
-// publishPurges publishes so many purges, one at a time.
+// publishPurges publishes count purges, one at a time.
 func (p *testOwner) publishPurges(count int) {
 	done := make(chan struct{})
 	p.loop.Post(func() {
@@ -97,7 +97,7 @@
 	<-done
 }
 
-// director is a client whose requests must be sent and answered.
+// director is a client whose requests must succeed: a transport error fails the test.
 type director struct {
 	*watchtest.Client
 	t *testing.T
@@ -112,14 +112,14 @@
 	return director{c, p.t}
 }
 
-// request asks for the events after the last one and waits until the server has the request.
+// request sends a request for the events after the last one and waits until the server has received it.
 func (p *testOwner) request(d director, wait time.Duration) {
 	p.t.Helper()
 	check(p.t, d.SendRequest(wait))
 	<-p.requests
 }
 
-// answer reads an answer: its status and how many events it has.
+// answer reads an answer and returns its status and number of events.
 func (d director) answer() (status, events int) {
 	d.t.Helper()
 	status, response, err := d.ReadAnswer()
@@ -127,45 +127,45 @@
 	return status, len(response.Events)
 }
 
-// Events that follow an answer closely come in one answer. An event after a quiet time is answered at once.
+// Events that occur shortly after an answer are sent in one answer. An event after a quiet period is answered immediately.
 func TestGatherBatchesEventsInARow(t *testing.T) {
 	const gather = time.Second
-	p := serve(t, Settings{Gather: gather})
+	p := startServer(t, Settings{Gather: gather})
 	d := p.director("d")
 	p.publishPurges(1)
 	p.request(d, testTimeout)
 	if _, n := d.answer(); n == 0 {
-		t.Fatal("the first request was not answered with the events that there are")
+		t.Fatal("the answer to the first request has no events, want the existing event")
 	}
 	answered := time.Now()
 	p.request(d, testTimeout)
 	p.publishPurges(3)
 	p.publishPurges(2)
 	if _, n := d.answer(); n != 5 {
-		t.Errorf("%d events in the answer that follows an answer: 5 came", n)
+		t.Errorf("got %d events in the second answer, want 5", n)
 	}
 	if took := time.Since(answered); took < gather*9/10 {
-		t.Errorf("answered again after %v, gathering for %v", took, gather)
+		t.Errorf("second answer after %v, want at least 90 %% of %v", took, gather)
 	}
-	p.request(d, gather+gather/4) // a time without events
+	p.request(d, gather+gather/4) // a wait without events
 	if _, n := d.answer(); n != 0 {
-		t.Fatalf("%d events, none came", n)
+		t.Fatalf("got %d events, want none", n)
 	}
 	p.request(d, testTimeout)
 	came := time.Now()
 	p.publishPurges(1)
 	if _, n := d.answer(); n != 1 {
-		t.Errorf("%d events in the answer, 1 came", n)
+		t.Errorf("got %d events in the answer, want 1", n)
 	}
 	if took := time.Since(came); took > gather/2 {
-		t.Errorf("an event after a quiet time was answered after %v", took)
+		t.Errorf("an event after a quiet period was answered after %v", took)
 	}
 }
 
-// Gathering does not make a wait longer than the caller has asked for.
+// Settings.Gather must not extend a wait beyond the time that the client requested.
 func TestGatherDoesNotExtendTheWait(t *testing.T) {
 	const gather = 5 * time.Second
-	p := serve(t, Settings{Gather: gather})
+	p := startServer(t, Settings{Gather: gather})
 	d := p.director("d")
 	p.publishPurges(1)
 	p.request(d, testTimeout)
@@ -174,7 +174,7 @@
 	p.publishPurges(1)
 	began := time.Now()
 	if _, n := d.answer(); n != 1 {
-		t.Errorf("%d events at the end of the wait, 1 had come", n)
+		t.Errorf("got %d events at the end of the wait, want 1", n)
 	}
 	if took := time.Since(began); took > gather/2 {
 		t.Errorf("the wait of 100 ms took %v", took)
@@ -182,7 +182,7 @@
 }
 
 func TestWatchersAreClosedWithoutLease(t *testing.T) {
-	p := serve(t, Settings{})
+	p := startServer(t, Settings{})
 	d := p.director("d")
 	p.request(d, testTimeout)
 	p.leaseLost.Store(true)
@@ -192,23 +192,23 @@
 	late := p.director("late")
 	check(t, late.SendRequest(0))
 	if status, _ := late.answer(); status != 503 {
-		t.Errorf("a new watcher got %d", status)
+		t.Errorf("a new watcher got status %d, want 503", status)
 	}
 }
 
 func TestDirectorBeyondCapacityIsRejected(t *testing.T) {
-	p := serve(t, Settings{})
+	p := startServer(t, Settings{})
 	p.atCapacity.Store(true)
 	d := p.director("d")
 	p.request(d, testTimeout)
 	if status, _ := d.answer(); status != 503 {
-		t.Errorf("it got %d", status)
+		t.Errorf("got status %d, want 503", status)
 	}
 }
 
 func TestDrainSpreadsClosures(t *testing.T) {
 	const over, watchers = time.Second, 20
-	p := serve(t, Settings{})
+	p := startServer(t, Settings{})
 	ends := make(chan time.Duration, watchers)
 	var all []director
 	for i := range watchers {
@@ -241,10 +241,10 @@
 	}
 }
 
-// A caller that is not admitted is answered once its request is complete, and not before: an HTTP client that is answered before it
-// has sent a request takes the connection for broken.
+// A client that is not admitted is answered only once its request is complete: an HTTP client that receives a response before it
+// has sent a request treats the connection as broken.
 func TestRejectionAnswersTheRequest(t *testing.T) {
-	p := serve(t, Settings{})
+	p := startServer(t, Settings{})
 	p.leaseLost.Store(true)
 	addr, err := p.server.Addr()
 	check(t, err)
@@ -253,21 +253,21 @@
 	defer func() { _ = early.Close() }() // the server may have closed it
 	_, err = early.Write([]byte("GET /bulletins?after=0 HT"))
 	check(t, err)
-	later, err := watchtest.Dial(addr, "later", testTimeout) // its answer shows that the server has read what came before
+	later, err := watchtest.Dial(addr, "later", testTimeout) // its answer shows that the server has read the earlier data
 	check(t, err)
 	defer later.Close()
 	if status, _, err := later.Poll(0); status != 503 || err != nil {
-		t.Errorf("%d, %v", status, err)
+		t.Errorf("status %d, error %v", status, err)
 	}
 	check(t, early.SetReadDeadline(time.Now().Add(time.Millisecond)))
 	if n, err := early.Read(make([]byte, 1)); n > 0 || !os.IsTimeout(err) {
-		t.Errorf("%d bytes before the request, %v", n, err)
+		t.Errorf("got %d bytes before the request was complete, error %v", n, err)
 	}
 	check(t, early.SetDeadline(time.Now().Add(testTimeout)))
 	_, err = early.Write([]byte("TP/1.1\r\n\r\n"))
 	check(t, err)
 	answer := make([]byte, 12)
 	if _, err = io.ReadFull(early, answer); string(answer) != "HTTP/1.1 503" {
-		t.Errorf("%q, %v", answer, err)
+		t.Errorf("got %q, error %v", answer, err)
 	}
 }
--- a/internal/controlplane/watch/watcher.go
+++ b/internal/controlplane/watch/watcher.go
@@ -12,20 +12,20 @@
 	"stairvane.org/stairvane/internal/transport"
 )
 
-// watcher is one connection of a director. It implements transport.Handler.
+// watcher is the connection of a director. It implements transport.Handler.
 type watcher struct {
-	server  *Server
-	conn    *transport.Conn
-	peer    netip.Addr
-	id      int64
-	request discovery.WatchRequest // the last one
-	waiting bool                   // the request is not answered yet
-	ended   bool                   // it is no watcher any more, or was never admitted
-	// rejection is the status that answers the first request; 0: the caller is admitted.
-	rejection int
-	timer     transport.Timer // ends the wait, or a connection on which no request comes
-	waitEnd   time.Duration   // when the request is answered at the latest, by the loop's clock
-	nextReady time.Duration   // before which nothing new is answered, see Settings.Gather
+	server       *Server
+	conn         *transport.Conn
+	peer         netip.Addr
+	id           int64
+	request      discovery.WatchRequest // the last request
+	waiting      bool                   // the request has not been answered yet
+	unregistered bool                   // the connection has been removed from the server's watchers, or was never admitted
+	// rejection is the status with which the first request is rejected; 0: the client is admitted.
+	rejection    int
+	timer        transport.Timer // fires when the wait ends, or when no request arrives in time
+	waitDeadline time.Duration   // when the request must be answered, by the loop's clock
+	nextAnswerAt time.Duration   // earliest time of the next answer with new data, see Settings.Gather
 }
 
 // Opened implements transport.Handler.
@@ -36,11 +36,11 @@
 
 // Closed implements transport.Handler.
 func (w *watcher) Closed(err error) {
-	if !errors.Is(err, io.EOF) && !w.ended {
+	if !errors.Is(err, io.EOF) && !w.unregistered {
 		slog.Info("watcher.lost", "addr", w.peer.String(), "err", err)
 	}
 	w.timer.Stop()
-	w.leave()
+	w.unregister()
 }
 
 // Data implements transport.Handler.
@@ -48,17 +48,17 @@
 	if w.rejection != 0 {
 		return w.readRejected(b)
 	}
-	if w.ended {
+	if w.unregistered {
 		return len(b), 0, nil
 	}
 	request, used, need, err := discovery.ParseWatchRequest(b)
 	if err == nil && (w.waiting || used > 0 && used < len(b)) {
-		err = &discovery.RequestError{Status: http.StatusBadRequest, Message: "a second request before the answer to the first"}
+		err = &discovery.RequestError{Status: http.StatusBadRequest, Message: "received a second request before the first was answered"}
 	}
 	var malformed *discovery.RequestError
 	if errors.As(err, &malformed) {
 		slog.Info("watcher.malformed", "addr", w.peer.String(), "err", malformed.Message)
-		w.leave()
+		w.unregister()
 		w.reject(malformed.Status)
 		return len(b), 0, nil
 	}
@@ -66,14 +66,15 @@
 		return 0, need, nil
 	}
 	w.request = request
-	w.begin()
+	w.handleRequest()
 	return used, 0, nil
 }
 
-// begin takes a request in: the revision in it acknowledges all events up to it. It is answered at once if there is something newer.
-func (w *watcher) begin() {
+// handleRequest handles the current request. The revision in the request acknowledges all events up to it. If there is newer data,
+// the request is answered as soon as Settings.Gather permits.
+func (w *watcher) handleRequest() {
 	s := w.server
-	if !s.owner.MayServe() { // it may have ended while the process was paused
+	if !s.owner.MayServe() { // the lease may have expired while the process was paused
 		w.close()
 		return
 	}
@@ -86,7 +87,7 @@
 	s.mu.Unlock()
 	if a := w.request.Announcement; a != nil && !s.owner.RecordAnnouncement(*a, w.request.After) {
 		slog.Warn("watcher.rejected", "watchers", len(s.watchers))
-		w.leave()
+		w.unregister()
 		w.reject(http.StatusServiceUnavailable)
 		return
 	}
@@ -94,14 +95,14 @@
 		s.owner.AcknowledgedChanged()
 	}
 	w.waiting = true
-	w.waitEnd = s.loop.Now() + time.Duration(w.request.TimeoutMS)*time.Millisecond
-	s.loop.Set(&w.timer, w.waitEnd)
+	w.waitDeadline = s.loop.Now() + time.Duration(w.request.TimeoutMS)*time.Millisecond
+	s.loop.Set(&w.timer, w.waitDeadline)
 	if isBehind {
 		w.answerWhenDue()
 	}
 }
 
-// timeout ends a wait with what there is, or a connection on which no request comes.
+// timeout ends the wait with an answer, or closes a connection on which no request arrived in time.
 func (w *watcher) timeout() {
 	if w.waiting {
 		w.answer()
@@ -110,18 +111,18 @@
 	w.close()
 }
 
-// close ends the connection without an answer.
+// close closes the connection without an answer.
 func (w *watcher) close() {
 	w.conn.Close()
-	w.leave()
+	w.unregister()
 }
 
-// leave takes the watcher out of the server's account.
-func (w *watcher) leave() {
-	if w.ended {
+// unregister removes the watcher from the server. Further calls have no effect.
+func (w *watcher) unregister() {
+	if w.unregistered {
 		return
 	}
-	w.ended = true
+	w.unregistered = true
 	w.timer.Stop()
 	s := w.server
 	delete(s.watchers, w)
@@ -131,16 +132,16 @@
 	s.owner.AcknowledgedChanged()
 }
 
-// rejectFirstRequest has the first request of a caller that is not admitted answered with an error. It is not answered before: an
-// HTTP client that is answered before it has sent a request takes the connection for broken.
+// rejectFirstRequest arranges for the first request of a client that is not admitted to be answered with an error. The error is not
+// sent before the request: an HTTP client that receives a response before it has sent a request treats the connection as broken.
 func (w *watcher) rejectFirstRequest(status int) {
-	w.ended = true
+	w.unregistered = true
 	w.rejection = status
-	w.timer.Fire = w.conn.Close // if no request comes
+	w.timer.Fire = w.conn.Close // if no request arrives
 	w.server.loop.Set(&w.timer, w.server.loop.Now()+rejectionTimeout)
 }
 
-// readRejected reads the request of a caller that is not admitted, and answers it.
+// readRejected reads the request of a client that is not admitted and rejects it.
 func (w *watcher) readRejected(b []byte) (used, need int, err error) {
 	_, used, need, err = discovery.ParseWatchRequest(b)
 	if err == nil && used == 0 {
@@ -152,12 +153,12 @@
 	return len(b), 0, nil
 }
 
-// reject answers with an error and closes the connection once the caller has read it.
+// reject answers with an error, and closes the connection once the client has read it or rejectionTimeout has passed.
 func (w *watcher) reject(status int) {
-	w.ended = true
+	w.unregistered = true
 	body := []byte(`{"no":0,"items":[]}`)
 	w.conn.Write(discovery.AppendResponseHead(nil, status, len(body), true), body)
 	w.conn.CloseAfterFlush(0)
-	w.timer.Fire = w.conn.Close // if the caller does not read
+	w.timer.Fire = w.conn.Close // if the client does not read the response
 	w.server.loop.Set(&w.timer, w.server.loop.Now()+rejectionTimeout)
 }
--- a/internal/controlplane/watch/watchtest/watchtest.go
+++ b/internal/controlplane/watch/watchtest/watchtest.go
@@ -1,4 +1,4 @@
-// Package watchtest is a client of a watch server that behaves as a director does, for tests.
+// Package watchtest provides a client of a watch server for tests. The client behaves like a director.
 package watchtest
 
 import (
@@ -16,12 +16,12 @@
 // Client is the connection of one director. It is not safe for concurrent use.
 type Client struct {
 	Name     string
-	Revision int64 // revision that it has
+	Revision int64 // last revision that it has
 	conn     net.Conn
 	in       *bufio.Reader
 }
 
-// Dial connects a director with a name. All requests of the client must be over within a time.
+// Dial connects a director with the given name. The timeout applies to all requests of the client together, starting now.
 func Dial(addr netip.AddrPort, name string, within time.Duration) (*Client, error) {
 	conn, err := net.Dial("tcp", addr.String())
 	if err != nil {
@@ -30,17 +30,17 @@
 	return &Client{Name: name, conn: conn, in: bufio.NewReader(conn)}, conn.SetDeadline(time.Now().Add(within))
 }
 
-// Close ends the connection.
-func (c *Client) Close() { _ = c.conn.Close() } // the server may have closed it
+// Close closes the connection.
+func (c *Client) Close() { _ = c.conn.Close() } // the server may have closed the connection
 
-// SendRequest sends a request for the events after the last one. The server may wait for them for a time.
+// SendRequest sends a request for the events after the last one. wait is how long the server may wait for events.
 func (c *Client) SendRequest(wait time.Duration) error {
 	_, err := fmt.Fprintf(c.conn, "GET /bulletins?after=%d&patience=%d HTTP/1.1\r\n%s: {\"name\":%q,\"inc\":\"1\",\"roll\":%d}\r\n\r\n",
 		c.Revision, wait.Milliseconds(), discovery.AnnounceHeader, c.Name, c.Revision)
 	return err
 }
 
-// ReadAnswer reads the answer to a request. The status is that of HTTP.
+// ReadAnswer reads the answer to a request. status is the HTTP status.
 func (c *Client) ReadAnswer() (status int, response discovery.WatchResponse, err error) {
 	res, err := http.ReadResponse(c.in, nil)
 	if err != nil {
