--- a/internal/protocol/discovery/client.go
+++ b/internal/protocol/discovery/client.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Limits of a response.
+// Size limits of a response, in bytes.
 const (
 	maxHead = 16 << 10
 	maxBody = 4 << 20
@@ -18,10 +18,10 @@
 const StatusOK = 200
 
 var (
-	errMalformedHead  = errors.New("discovery: malformed head of the response")
-	errNoLength       = errors.New("discovery: the response has no length")
-	errMalformedChunk = errors.New("discovery: a chunk is not as long as it says")
-	errNoChunkSize    = errors.New("discovery: a chunk has no size")
+	errMalformedHead     = errors.New("discovery: malformed response header")
+	errNoLength          = errors.New("discovery: response has neither a Content-Length nor chunked encoding")
+	errUnterminatedChunk = errors.New("discovery: chunk data does not end at its declared size")
+	errNoChunkSize       = errors.New("discovery: chunk size line is missing or too long")
 )
 
 const (
@@ -29,7 +29,7 @@
 	lineEnd = "\r\n"
 )
 
-// AppendRequest appends the poll for all events after a revision. announcement is an Announcement as JSON; empty: none.
+// AppendRequest appends a watch request for all events after a revision. announcement is an Announcement as JSON; it may be empty.
 func AppendRequest(b []byte, host string, after int64, timeoutMS int64, announcement []byte) []byte {
 	b = fmt.Appendf(b, "GET %s?%s=%d&%s=%d HTTP/1.1\r\nHost: %s\r\nAccept: application/json\r\n",
 		pollPath, keyAfter, after, keyTimeoutMS, timeoutMS, host)
@@ -42,15 +42,15 @@
 	return append(b, lineEnd...)
 }
 
-// HTTPResponse is an HTTP response.
+// HTTPResponse is a parsed HTTP response.
 type HTTPResponse struct {
 	Status int
 	Body   []byte
-	Close  bool // the server closes the connection after it
+	Close  bool // the server closes the connection after this response
 }
 
-// ParseResponse reads a response from the start of b. used is 0 while the response is incomplete; then need is how many
-// bytes must be there before it can be complete.
+// ParseResponse parses a response at the start of b. If the response is incomplete, used is 0 and need is the minimum length of b
+// with which it could be complete.
 func ParseResponse(b []byte) (r HTTPResponse, used, need int, err error) {
 	end := bytes.Index(b, []byte(headEnd))
 	if end < 0 {
@@ -99,14 +99,14 @@
 		if !found {
 			return responseHead{}, errMalformedHead
 		}
-		if err := head.set(name, strings.TrimSpace(value)); err != nil {
+		if err := head.setHeader(name, strings.TrimSpace(value)); err != nil {
 			return responseHead{}, err
 		}
 	}
 	return head, nil
 }
 
-func (h *responseHead) set(name, value string) error {
+func (h *responseHead) setHeader(name, value string) error {
 	switch {
 	case strings.EqualFold(name, "Content-Length"):
 		length, err := strconv.Atoi(value)
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// parseChunks joins the chunks of a body that starts at an offset.
+// parseChunks parses a chunked body that starts at an offset of b and joins its chunks. used and need are as in ParseResponse.
 func parseChunks(b []byte, start int) (body []byte, used, need int, err error) {
 	for at := start; ; {
 		end := bytes.Index(b[at:], []byte(lineEnd))
@@ -145,7 +145,7 @@
 		body = append(body, b[at:at+size]...)
 		at += size
 		if string(b[at:at+len(lineEnd)]) != lineEnd {
-			return nil, 0, 0, errMalformedChunk
+			return nil, 0, 0, errUnterminatedChunk
 		}
 		at += len(lineEnd)
 		if size == 0 {
--- a/internal/protocol/discovery/client_test.go
+++ b/internal/protocol/discovery/client_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Guards against a response that is misread when it comes in pieces.
+// A response that arrives in pieces must be parsed correctly.
 func TestResponseInAnyPieces(t *testing.T) {
 	for _, text := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 21\r\n\r\n{\"no\":4,\"items\":[]}  ",
@@ -26,7 +26,7 @@
 	}
 }
 
-// Guards against a malformed response that is accepted, or waited for without end.
+// A malformed response must be neither accepted nor treated as incomplete forever.
 func TestMalformedResponses(t *testing.T) {
 	for _, text := range []string{
 		"SMTP 200\r\n\r\n", "HTTP/1.1 abc\r\n\r\n", "HTTP/1.1 200 OK\r\nno colon\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\n",
@@ -54,7 +54,7 @@
 	})
 }
 
-// Guards against a malformed event that hides others: each event of the text is either decoded or reported as malformed.
+// A malformed event must not hide other events: each event is either decoded or reported as malformed.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`{"no":3,"items":[{"no":1,"roster":{"seq":1,"whole":true,"hosts":[]}},{"no":2,"recall":{"lot":"x"}},{"no":3}]}`))
 	f.Add([]byte(`{"no":1,"items":[7,{"no":"one"},null]}`))
@@ -66,15 +66,15 @@
 		}
 		if err != nil {
 			if len(got.Events)+len(got.Malformed) > 0 {
-				t.Errorf("%v, and %d events", err, len(got.Events))
+				t.Errorf("error %v, but got %d events", err, len(got.Events))
 			}
 			return
 		}
 		if err := json.Unmarshal(b, &text); err != nil {
-			t.Fatalf("decoded, but it is no response: %v", err)
+			t.Fatalf("Decode accepted an invalid response: %v", err)
 		}
 		if n := len(got.Events) + len(got.Malformed); n != len(text.Items) {
-			t.Errorf("%d events of %d", n, len(text.Items))
+			t.Errorf("got %d events, want %d", n, len(text.Items))
 		}
 	})
 }
--- a/internal/protocol/discovery/compatibility_test.go
+++ b/internal/protocol/discovery/compatibility_test.go
@@ -6,7 +6,7 @@
 	"stairvane.org/stairvane/internal/tools/golden"
 )
 
-// TestLandedForms guards the event stream and what directors say of themselves: an older version must read it.
+// TestLandedForms guards the event stream and the directors' announcements, which must stay readable for older versions.
 func TestLandedForms(t *testing.T) {
 	golden.JSON[WatchResponse](t, "feed")
 	golden.JSON[Announcement](t, "announcement")
--- a/internal/protocol/discovery/messages.go
+++ b/internal/protocol/discovery/messages.go
@@ -1,8 +1,10 @@
-// Package discovery is the protocol by which directors watch the event stream of the control plane: numbered events with
-// changes of the endpoint list, purges and changes of the membership, as JSON in HTTP/1.1 responses to long polls.
+// Package discovery implements the protocol with which directors watch the event stream of the control plane. Events are numbered
+// and contain changes of the endpoint list, purges and changes of the membership. They are sent as JSON in HTTP/1.1 responses to
+// watch requests, which are long polls.
 //
-// The package parses and encodes messages and does no I/O. It is the one place where the names on the wire are mapped to
-// those of the code, by struct tags and constants. client.go is the director's side, server.go the control plane's.
+// The package parses and encodes messages and performs no I/O. Struct tags and constants in this package are the only place that
+// maps the names on the wire to the names in the code. client.go implements the director's side, server.go the control plane's
+// side.
 package discovery
 
 import (
@@ -11,40 +13,40 @@
 	"time"
 )
 
-// MembershipLease is how long a director may act as a member after it sent the poll that was answered last, by its own clock. The
-// control plane counts it from after its answer, with a margin for drift.
+// MembershipLease is how long a director may act as a member after it sent the last watch request that was answered, measured by
+// its own clock. The control plane starts the lease only after its answer and adds a margin for clock drift.
 const MembershipLease = 400 * time.Millisecond
 
-// ClockDrift is the most by which two clocks run apart, as a share. The time of day does not matter.
+// ClockDrift is the maximum rate difference between two clocks, as a fraction. Differences in the time of day do not matter.
 const ClockDrift = 0.02
 
-// The path and the query keys of a poll.
+// Path and query keys of a watch request.
 const (
 	pollPath     = "/bulletins"
-	keyAfter     = "after"    // the last revision that the caller has applied
-	keyTimeoutMS = "patience" // for which the poll may wait for events
+	keyAfter     = "after"    // the last revision that the client has applied
+	keyTimeoutMS = "patience" // the longest time to wait for events, in milliseconds
 )
 
 // AnnounceHeader is the HTTP header that carries an Announcement as JSON.
 const AnnounceHeader = "Stairvane-Director"
 
-// The values of Endpoint.Health.
+// Values of Endpoint.Health.
 const (
 	InService   = "in_service"
 	Terminating = "terminating"
 	Terminated  = "terminated"
 )
 
-// WatchResponse is the response to a poll. The events of a director's start have the same form.
+// WatchResponse is the response to a watch request. The events that a director loads when it starts have the same form.
 type WatchResponse struct {
 	LastRevision     int64           `json:"no"`
 	Events           []Event         `json:"items"`
-	QuotaGrant       json.RawMessage `json:"turns,omitempty"`   // for the caller alone; see package quota
-	AggregatedHealth json.RawMessage `json:"signals,omitempty"` // for callers that send health reports; see package health
-	Malformed        []error         `json:"-"`                 // one for each event that was malformed and is not in Events
+	QuotaGrant       json.RawMessage `json:"turns,omitempty"`   // for this client only; see package quota
+	AggregatedHealth json.RawMessage `json:"signals,omitempty"` // for clients that send health reports; see package health
+	Malformed        []error         `json:"-"`                 // one error per malformed event, which is not in Events
 }
 
-// Event is a change of the endpoint list, or a purge. Directors that announce themselves get changes of the membership.
+// Event is a change of the endpoint list or a purge. Directors that announce themselves also receive changes of the membership.
 type Event struct {
 	Revision   int64         `json:"no"`
 	Endpoints  *EndpointList `json:"roster"`
@@ -52,14 +54,14 @@
 	Membership *Membership   `json:"roll,omitempty"`
 }
 
-// EndpointList is a snapshot of the endpoints, or the entries that changed.
+// EndpointList is a snapshot of all endpoints, or the entries that changed.
 type EndpointList struct {
 	Sequence  int64      `json:"seq"`
 	Snapshot  bool       `json:"whole"`
 	Endpoints []Endpoint `json:"hosts"`
 }
 
-// Endpoint is one entry of an endpoint list.
+// Endpoint is an entry of an endpoint list.
 type Endpoint struct {
 	Name        string  `json:"host"`
 	Address     string  `json:"dial"`
@@ -67,18 +69,18 @@
 	Class       string  `json:"class"`
 	Cell        int     `json:"block"`  // the cell within the site
 	Health      string  `json:"health"` // InService, Terminating or Terminated
-	Weight      float64 `json:"share"`  // its weight
+	Weight      float64 `json:"share"`
 	StartedAtMS float64 `json:"born_ms"`
 }
 
-// Purge voids an object, or a group of objects, that was generated before IssuedMS of Unix time.
+// Purge invalidates an object or a purge group if its content was generated before IssuedMS, in milliseconds since the Unix epoch.
 type Purge struct {
 	Object   string  `json:"item"`
 	Group    *int    `json:"lot"`
 	IssuedMS float64 `json:"issued"`
 }
 
-// Membership is a snapshot of the directors and of the claim shards' replicas, or what changed of it.
+// Membership is a snapshot of the directors and of the replicas of the claim shards, or the changes to them.
 type Membership struct {
 	Snapshot bool       `json:"whole,omitempty"`
 	Joined   []Director `json:"joined,omitempty"`
@@ -86,7 +88,7 @@
 	Shards   []Shard    `json:"slots,omitempty"`
 }
 
-// Director is a member.
+// Director describes a director process.
 type Director struct {
 	Name        string `json:"name"`
 	Incarnation string `json:"inc"`
@@ -94,14 +96,14 @@
 	Machine     string `json:"machine,omitempty"`
 	Site        string `json:"site,omitempty"`
 	Version     string `json:"version,omitempty"`
-	Claims      string `json:"claims,omitempty"` // address for claims; empty: it accepts none
+	Claims      string `json:"claims,omitempty"` // address for claim messages; empty: it accepts none
 }
 
 // ID identifies the process.
 func (d Director) ID() string { return d.Name + "/" + d.Incarnation }
 
-// Shard says which directors are the replicas of a claim shard from an event on. With ReadyEpoch it says that the replicas
-// of that epoch have all claims of the shard.
+// Shard sets the replicas of a claim shard, starting with this event. If ReadyEpoch is set, the replicas of that epoch have all
+// claims of the shard.
 type Shard struct {
 	Number           int      `json:"slot"`
 	Epoch            int64    `json:"epoch,omitempty"`
@@ -110,18 +112,19 @@
 	ReadyEpoch       int64    `json:"complete,omitempty"`
 }
 
-// Announcement is what a director announces with each poll.
+// Announcement is how a director describes itself in each watch request.
 type Announcement struct {
 	Director
-	MembershipRevision int64           `json:"roll"`               // of the last applied membership event; 0: none
-	Config             string          `json:"config,omitempty"`   // fingerprint: equal for equal configurations
-	Leaving            bool            `json:"leaving,omitempty"`  // nothing is in flight, and nothing new begins
+	MembershipRevision int64           `json:"roll"`               // revision of the last applied membership event; 0: none
+	Config             string          `json:"config,omitempty"`   // fingerprint; equal configurations have equal fingerprints
+	Leaving            bool            `json:"leaving,omitempty"`  // nothing is in flight and no new work will start
 	QuotaRenewal       json.RawMessage `json:"turns,omitempty"`    // see package quota
 	HealthReport       json.RawMessage `json:"signals,omitempty"`  // see package health
 	ReadyShards        []int64         `json:"complete,omitempty"` // pairs of a shard's number and the epoch in which it is ready
 }
 
-// Decode reads a WatchResponse. A malformed event does not hold up those that follow; it is reported in Malformed.
+// Decode decodes a WatchResponse. A malformed event does not prevent the other events from being decoded; it is reported in
+// Malformed.
 func Decode(b []byte) (WatchResponse, error) {
 	var r WatchResponse
 	err := json.Unmarshal(b, &r)
@@ -133,7 +136,7 @@
 		Events []json.RawMessage `json:"items"`
 	}
 	if json.Unmarshal(b, &raw) != nil {
-		return WatchResponse{}, fmt.Errorf("discovery: decode the response: %w", err)
+		return WatchResponse{}, fmt.Errorf("discovery: decode response: %w", err)
 	}
 	r = raw.WatchResponse
 	r.Events = nil
--- a/internal/protocol/discovery/server.go
+++ b/internal/protocol/discovery/server.go
@@ -9,21 +9,21 @@
 	"strings"
 )
 
-// MaxPollTimeoutMS is the longest time, in milliseconds, for which a poll may wait for events.
+// MaxPollTimeoutMS is the maximum time, in milliseconds, for which a watch request may wait for events.
 const MaxPollTimeoutMS = 5000
 
-// maxRequest is the most bytes of a poll.
-const maxRequest = 32 << 10
+// maxRequestHead is the maximum size of a watch request in bytes.
+const maxRequestHead = 32 << 10
 
-// WatchRequest is a poll.
+// WatchRequest is a parsed watch request (a long poll).
 type WatchRequest struct {
-	After        int64         // the last revision that the caller has applied
-	TimeoutMS    int64         // for which the poll may wait for events
-	Close        bool          // the caller closes the connection after the response
-	Announcement *Announcement // nil: the caller does not announce itself
+	After        int64         // the last revision that the client has applied
+	TimeoutMS    int64         // how long the request may wait for events
+	Close        bool          // the client closes the connection after the response
+	Announcement *Announcement // nil: the client does not announce itself
 }
 
-// RequestError is why a poll cannot be served. The connection is closed after the response with the status.
+// RequestError describes why a watch request cannot be served. The connection is closed after a response with Status.
 type RequestError struct {
 	Status  int
 	Message string
@@ -35,22 +35,22 @@
 	return &RequestError{Status: status, Message: fmt.Sprintf(format, args...)}
 }
 
-// ParseWatchRequest reads a poll from the start of b. used is 0 while it is incomplete; then need is how many bytes must be
-// there before it can be complete. Errors are *RequestError.
+// ParseWatchRequest parses a watch request at the start of b. If the request is incomplete, used is 0 and need is the minimum
+// length of b with which it could be complete. Errors are of type *RequestError.
 func ParseWatchRequest(b []byte) (r WatchRequest, used, need int, err error) {
 	end := bytes.Index(b, []byte(headEnd))
-	if end > maxRequest || end < 0 && len(b) > maxRequest {
-		return r, 0, 0, requestError(431, "the head is longer than %d bytes", maxRequest)
+	if end > maxRequestHead || end < 0 && len(b) > maxRequestHead {
+		return r, 0, 0, requestError(431, "request header exceeds %d bytes", maxRequestHead)
 	}
 	if end < 0 {
 		return r, 0, len(b) + 1, nil
 	}
 	lines := strings.Split(string(b[:end]), lineEnd)
-	words := strings.Split(lines[0], " ")
-	if len(words) != 3 || !strings.HasPrefix(words[2], "HTTP/1.") {
+	fields := strings.Split(lines[0], " ")
+	if len(fields) != 3 || !strings.HasPrefix(fields[2], "HTTP/1.") {
 		return r, 0, 0, requestError(400, "malformed request line")
 	}
-	method, target, proto := words[0], words[1], words[2]
+	method, target, proto := fields[0], fields[1], fields[2]
 	r.Close = proto == "HTTP/1.0"
 	for _, line := range lines[1:] {
 		if err := r.setHeader(line); err != nil {
@@ -58,7 +58,7 @@
 		}
 	}
 	if method != "GET" {
-		return r, 0, 0, requestError(405, "only GET is served here")
+		return r, 0, 0, requestError(405, "only the GET method is supported")
 	}
 	if err := r.setTarget(target); err != nil {
 		return r, 0, 0, err
@@ -73,7 +73,7 @@
 	case !found || name == "" || strings.ContainsAny(name, " \t\r\n") || strings.ContainsAny(value, "\r\n"):
 		return requestError(400, "malformed header")
 	case strings.EqualFold(name, "Content-Length") && value != "0", strings.EqualFold(name, "Transfer-Encoding"):
-		return requestError(400, "a call has no body")
+		return requestError(400, "a watch request must not have a body")
 	case strings.EqualFold(name, AnnounceHeader):
 		r.Announcement = &Announcement{}
 		err := json.Unmarshal([]byte(value), r.Announcement)
@@ -89,7 +89,7 @@
 func (r *WatchRequest) setTarget(target string) error {
 	path, query, _ := strings.Cut(target, "?")
 	if path != pollPath {
-		return requestError(404, "only %s is served here", pollPath)
+		return requestError(404, "only the path %s is supported", pollPath)
 	}
 	r.TimeoutMS = MaxPollTimeoutMS
 	for part := range strings.SplitSeq(query, "&") {
@@ -99,7 +99,7 @@
 		}
 		n, err := strconv.ParseInt(value, 10, 64)
 		if err != nil || n < 0 {
-			return requestError(400, "%s is no number from 0 up", key)
+			return requestError(400, "%s must be a non-negative integer", key)
 		}
 		if key == keyAfter {
 			r.After = n
@@ -120,7 +120,8 @@
 	503:      "Service Unavailable",
 }
 
-// AppendResponseHead appends the head of a response with a body of some bytes. last says that the connection is closed after it.
+// AppendResponseHead appends the status line and header of a response. length is the size of the body in bytes. If last is true,
+// the connection is closed after the response.
 func AppendResponseHead(b []byte, status, length int, last bool) []byte {
 	b = fmt.Appendf(b, "HTTP/1.1 %d %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n", status, statusTexts[status], length)
 	if last {
@@ -129,18 +130,18 @@
 	return append(b, lineEnd...)
 }
 
-// ResponseStart is the start of a WatchResponse, up to the events. Commas stand between the events, and Closing ends the
-// response.
+// ResponseStart returns the start of an encoded WatchResponse, up to the events. Events are separated by commas, and ResponseEnd
+// ends the response.
 func ResponseStart(lastRevision int64) []byte {
 	return fmt.Appendf(nil, `{"no":%d,"items":[`, lastRevision)
 }
 
-// ResponseEnd is the end of a WatchResponse.
+// ResponseEnd is the end of an encoded WatchResponse.
 const ResponseEnd = "]}"
 
-var errMalformedEvent = errors.New("discovery: an event has either an endpoint list or a purge")
+var errMalformedEvent = errors.New("discovery: an event must have either an endpoint list or a purge")
 
-// EncodeEvent encodes an event as it stands between Opening and Closing.
+// EncodeEvent encodes an event in the form that a WatchResponse contains between ResponseStart and ResponseEnd.
 func EncodeEvent(e Event) ([]byte, error) {
 	if (e.Endpoints == nil) == (e.Purge == nil) {
 		return nil, errMalformedEvent
@@ -171,7 +172,7 @@
 func marshal(v any) ([]byte, error) {
 	b, err := json.Marshal(v)
 	if err != nil {
-		return nil, fmt.Errorf("discovery: encode an event: %w", err)
+		return nil, fmt.Errorf("discovery: encode event: %w", err)
 	}
 	return b, nil
 }
--- a/internal/protocol/discovery/server_test.go
+++ b/internal/protocol/discovery/server_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Guards against a poll that is misread when it comes in pieces.
+// A watch request that arrives in pieces must be parsed correctly.
 func TestWatchRequestInAnyPieces(t *testing.T) {
 	text := string(AppendRequest(nil, "127.0.0.1:8500", 41, 7000, nil))
 	for n := range len(text) {
@@ -19,7 +19,7 @@
 	}
 }
 
-// Guards against a malformed poll that is accepted or rejected with another status.
+// A malformed watch request must be rejected with the expected status.
 func TestRejectedWatchRequests(t *testing.T) {
 	for text, status := range map[string]int{
 		"GET /bulletins HTTP/1.1\r\nContent-Length: 3\r\n\r\n":    400,
@@ -30,7 +30,7 @@
 		"POST /bulletins HTTP/1.1\r\n\r\n":                        405,
 		"GET /other HTTP/1.1\r\n\r\n":                             404,
 		"hello\r\n\r\n":                                           400,
-		string(make([]byte, maxRequest+1)):                        431,
+		string(make([]byte, maxRequestHead+1)):                    431,
 	} {
 		var e *RequestError
 		if _, used, _, err := ParseWatchRequest([]byte(text)); !errors.As(err, &e) || e.Status != status || used != 0 {
@@ -39,7 +39,7 @@
 	}
 }
 
-// Guards against events that the control plane encodes and directors cannot decode.
+// Directors must be able to decode the events that the control plane encodes.
 func TestEventsAreDecodedAsEncoded(t *testing.T) {
 	group := 17
 	var body []byte
