--- a/internal/controlplane/membership/sessions.go
+++ b/internal/controlplane/membership/sessions.go
@@ -12,7 +12,7 @@
 // session is the leader's state of a relay's session.
 type session struct {
 	registration uint64
-	update       Update        // the last update, without its changes
+	lastUpdate   Update        // the last update, without its changes
 	renewed      time.Duration // when the last update was accepted
 	// coveredUntil is the time up to which every director that called the relay has been reported.
 	coveredUntil      time.Duration
@@ -48,7 +48,7 @@
 	if err != nil {
 		return UpdateResult{}, err
 	}
-	answerReceived := u.Answered > 0 && u.Answered == s.update.Sequence
+	answerReceived := u.Answered > 0 && u.Answered == s.lastUpdate.Sequence
 	previousRenewed := s.renewed
 	s.renew(u, now)
 	registered := u.Registration == s.registration
@@ -82,7 +82,7 @@
 	case s == nil:
 		s = &session{registration: random, directors: map[string]*sessionMember{}}
 		t.sessions[u.Session] = s
-	case u.Sequence <= s.update.Sequence:
+	case u.Sequence <= s.lastUpdate.Sequence:
 		return nil, ErrOldUpdate
 	case len(s.directors)+len(u.Joined) > MaxSessionDirectors+MaxUpdateChanges:
 		return nil, ErrUpdateTooLarge
@@ -95,7 +95,7 @@
 	u.Joined = nil
 	u.Left = nil
 	u.Lost = nil
-	s.update = u
+	s.lastUpdate = u
 	s.renewed = now
 }
 
@@ -161,7 +161,7 @@
 		return
 	}
 	delete(s.directors, id)
-	d.applied = max(d.applied, s.update.Acknowledged)
+	d.applied = max(d.applied, s.lastUpdate.Acknowledged)
 	d.sessions = slices.DeleteFunc(d.sessions, func(o *session) bool { return o == s })
 	d.servedUntil = max(d.servedUntil, s.renewed)
 	if len(d.sessions) == 0 {
--- a/internal/controlplane/membership/status.go
+++ b/internal/controlplane/membership/status.go
@@ -38,13 +38,13 @@
 }
 
 // Observe updates for how long directors and sessions have lacked the last event. It must be called many times a second. It skips
-// directors that are served by relays, whose sessions are measured instead.
+// directors that are served by relays; their relays' sessions are measured instead.
 func (t *Tracker) Observe(last int64, now time.Duration) {
 	for _, d := range t.withoutSession {
 		d.behindFor = d.lag.Observe(d.applied, last, now)
 	}
 	for _, s := range t.sessions {
-		s.behindFor = s.lag.Observe(s.update.Current, last, now)
+		s.behindFor = s.lag.Observe(s.lastUpdate.Current, last, now)
 	}
 }
 
@@ -64,16 +64,16 @@
 		v := Version{Applied: d.applied, Config: d.config, Behind: d.behindFor}
 		if n := len(d.sessions); n > 0 {
 			s := d.sessions[n-1]
-			v.Applied = max(d.applied, s.update.Current)
-			v.Relay = s.update.Relay.ID()
+			v.Applied = max(d.applied, s.lastUpdate.Current)
+			v.Relay = s.lastUpdate.Relay.ID()
 			v.Behind = s.behindFor
 		}
 		versions[id] = v
 	}
 	for _, s := range t.sessions {
-		for _, stale := range s.update.Stale {
+		for _, stale := range s.lastUpdate.Stale {
 			v, known := versions[stale.ID]
-			if !known || v.Relay != s.update.Relay.ID() {
+			if !known || v.Relay != s.lastUpdate.Relay.ID() {
 				continue
 			}
 			v.Applied = stale.Revision
@@ -117,7 +117,7 @@
 func (t *Tracker) Sessions(now time.Duration) (all []Session) {
 	for _, s := range t.sessions {
 		all = append(all, Session{
-			Update:    s.update,
+			Update:    s.lastUpdate,
 			Renewed:   now - s.renewed,
 			Directors: len(s.directors),
 			Behind:    s.behindFor,
@@ -133,7 +133,7 @@
 // HasRelaySession reports whether the relay with the given ID has a session.
 func (t *Tracker) HasRelaySession(id string) bool {
 	for _, s := range t.sessions {
-		if s.update.Relay.ID() == id {
+		if s.lastUpdate.Relay.ID() == id {
 			return true
 		}
 	}
--- a/internal/controlplane/relaysession/session.go
+++ b/internal/controlplane/relaysession/session.go
@@ -50,8 +50,8 @@
 	answeredSequence uint64               // sequence of the last request whose answer was applied
 	registration     uint64               // from the last applied answer
 	sendFull         bool                 // the next request starts a full list
-	reports          []Report
-	readyShards      map[int]int64 // epoch by shard
+	reports          []Report             // queued for the leader
+	readyShards      map[int]int64        // epoch by shard
 	notifier         *health.Notifier
 	healthEpoch      int64 // epoch of the aggregated health
 	healthSeq        uint64
@@ -75,28 +75,28 @@
 // already serves MaxDirectors directors; the request must then be rejected.
 func (s *Session) RecordWatchRequest(a discovery.Announcement, acknowledged int64, now time.Duration) bool {
 	id := a.ID()
-	known := s.directors[id]
-	if known == nil && !a.Leaving && len(s.directors) >= MaxDirectors {
+	d := s.directors[id]
+	if d == nil && !a.Leaving && len(s.directors) >= MaxDirectors {
 		return false
 	}
 	s.recordReadyShards(a.ReadyShards)
 	s.queueReport(a)
 	grant := s.renewQuota(a, now)
 	switch {
-	case a.Leaving && known == nil:
+	case a.Leaving && d == nil:
 	case a.Leaving:
 		delete(s.directors, id)
 		s.changes[id] = change{kind: directorLeft}
 	default:
-		if known == nil {
-			known = &director{}
-			s.directors[id] = known
+		if d == nil {
+			d = &director{}
+			s.directors[id] = d
 		}
-		if known.recordCall(a, acknowledged, now) {
+		if d.recordCall(a, acknowledged, now) {
 			s.changes[id] = change{kind: directorJoined}
 		}
 		if grant != nil {
-			known.grant = grant
+			d.grant = grant
 		}
 	}
 	return true
@@ -139,12 +139,12 @@
 
 // TakeGrant removes and returns the pending quota grant for a director; nil if there is none.
 func (s *Session) TakeGrant(directorID string) *quota.Grant {
-	known := s.directors[directorID]
-	if known == nil {
+	d := s.directors[directorID]
+	if d == nil {
 		return nil
 	}
-	grant := known.grant
-	known.grant = nil
+	grant := d.grant
+	d.grant = nil
 	return grant
 }
 
@@ -157,7 +157,7 @@
 	return &h
 }
 
-// Request returns the next request to the leader. revision is that of the relay's last event; acknowledged is the lowest revision
+// Request returns the next request to the leader. revision is that of the relay's last event. acknowledged is the lowest revision
 // of all its watchers, including those that do not announce themselves and those that have left recently.
 func (s *Session) Request(revision, acknowledged int64, now time.Duration) Request {
 	s.expireDirectors(now)
--- a/internal/controlplane/relaysession/session_test.go
+++ b/internal/controlplane/relaysession/session_test.go
@@ -120,8 +120,8 @@
 		a := announcement(i)
 		a.HealthReport, _ = json.Marshal(health.Report{Holder: a.ID(), Seq: 1, Caches: []health.Outcomes{{Cache: "b", Attempts: 1}}})
 		a.ReadyShards = []int64{int64(i), 7}
-		if taken := s.RecordWatchRequest(a, 1, now); taken != (i < MaxDirectors) {
-			t.Fatalf("director %d: accepted %v", i, taken)
+		if accepted := s.RecordWatchRequest(a, 1, now); accepted != (i < MaxDirectors) {
+			t.Fatalf("director %d: accepted %v", i, accepted)
 		}
 	}
 	joined, reports := map[string]bool{}, 0
--- a/internal/controlplane/watch/drain.go
+++ b/internal/controlplane/watch/drain.go
@@ -7,6 +7,7 @@
 	"stairvane.org/stairvane/internal/transport"
 )
 
+// drainInterval is the time between two steps of a drain.
 const drainInterval = 20 * time.Millisecond
 
 // drain closes the watchers of a server step by step before the process exits.
@@ -21,9 +22,9 @@
 
 // Drain stops accepting watchers and closes the existing ones, spread evenly over the given time so that they do not all reconnect
 // elsewhere at once. done is called on the loop after the last one has been closed.
-func (s *Server) Drain(over time.Duration, done func()) {
-	slog.Info("watcher.drain_started", "watchers", len(s.watchers), "over_ms", over.Milliseconds())
-	steps := max(1, int(over/drainInterval))
+func (s *Server) Drain(duration time.Duration, done func()) {
+	slog.Info("watcher.drain_started", "watchers", len(s.watchers), "over_ms", duration.Milliseconds())
+	steps := max(1, int(duration/drainInterval))
 	d := &drain{server: s, initialWatchers: len(s.watchers), steps: steps, stepsLeft: steps, done: done}
 	d.timer.Fire = d.step
 	d.step()
--- a/internal/controlplane/watch/watch_test.go
+++ b/internal/controlplane/watch/watch_test.go
@@ -189,9 +189,9 @@
 	if _, _, err := d.ReadAnswer(); err == nil {
 		t.Error("a watcher was answered without a lease")
 	}
-	late := p.director("late")
-	check(t, late.SendRequest(0))
-	if status, _ := late.answer(); status != 503 {
+	newWatcher := p.director("late")
+	check(t, newWatcher.SendRequest(0))
+	if status, _ := newWatcher.answer(); status != 503 {
 		t.Errorf("a new watcher got status %d, want 503", status)
 	}
 }
--- a/internal/controlplane/watch/watchtest/watchtest.go
+++ b/internal/controlplane/watch/watchtest/watchtest.go
@@ -21,7 +21,7 @@
 	in       *bufio.Reader
 }
 
-// Dial connects a director with the given name. The timeout applies to all requests of the client together, starting now.
+// Dial connects a director with the given name. All requests of the client must complete within the given time, starting now.
 func Dial(addr netip.AddrPort, name string, within time.Duration) (*Client, error) {
 	conn, err := net.Dial("tcp", addr.String())
 	if err != nil {
