--- a/internal/tools/capacity/capacity_test.go
+++ b/internal/tools/capacity/capacity_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-const root = "../../../"
+const repositoryRoot = "../../../"
 
-// The design's values are those of the program's constants.
-func TestDesignIsTheProgram(t *testing.T) {
+// TestDesignMatchesProgramConstants guards against a constant of the program that changes while CurrentDesign keeps the old value.
+func TestDesignMatchesProgramConstants(t *testing.T) {
 	d := CurrentDesign()
 	milliseconds := func(t time.Duration) string { return strconv.FormatInt(t.Milliseconds(), 10) }
 	microseconds := func(t time.Duration) string { return strconv.FormatInt(t.Microseconds(), 10) }
@@ -32,7 +32,7 @@
 		{"internal/fleet/event.go", `PurgeKeepMS = (\d+) \* 60 \* 1000`, strconv.Itoa(int(d.PurgeRetention.Minutes()))},
 		{"internal/protocol/discovery/client.go", `maxBody = (\d+) << 20`, strconv.Itoa(int(d.MaxAnswerBytes) >> 20)},
 	} {
-		text, err := os.ReadFile(root + x.file)
+		text, err := os.ReadFile(repositoryRoot + x.file)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/tools/capacity/design.go
+++ b/internal/tools/capacity/design.go
@@ -2,38 +2,38 @@
 
 import "time"
 
-// Design is what the program fixes by its constants and defaults, and how the control plane is laid out.
+// Design holds the constants and defaults of the program that determine costs, and the layout of the control plane.
 type Design struct {
-	Replicas       int `json:"Replicas"`       // that store the event log; one of them leads
-	Relays         int `json:"Relays"`         // between directors and the leader
-	ColdCaches     int `json:"ColdCaches"`     // caches with quotas, which a director renews at the same time
-	ReportedCaches int `json:"ReportedCaches"` // caches in one health report of a director
+	Replicas       int `json:"Replicas"`       // replicas of the event log, the leader included
+	Relays         int `json:"Relays"`         // relays between the directors and the leader
+	ColdCaches     int `json:"ColdCaches"`     // caches that are warming up, for each of which a director renews a quota
+	ReportedCaches int `json:"ReportedCaches"` // caches in one health report
 
-	WatchTimeout         time.Duration `json:"WatchPatience"` // after which a watch request is answered without an event
-	RelayGatherTime      time.Duration `json:"RelayGather"`   // for which a relay gathers events after an answer to a director
-	ReplicaLease         time.Duration `json:"ReplicaLease"`  // of a replica at the leader
-	LeaseInterval        time.Duration `json:"LeaseEvery"`    // from one lease renewal of a replica to the next
-	HealthReportInterval time.Duration `json:"HealthEvery"`   // from one health report with evidence to the next, where nothing fails
-	// HealthAggregationInterval is the shortest interval from one aggregation of all health reports to the next.
+	WatchTimeout         time.Duration `json:"WatchPatience"` // time after which a watch request is answered without an event
+	RelayGatherTime      time.Duration `json:"RelayGather"`   // time for which a relay batches events after an answer to a director
+	ReplicaLease         time.Duration `json:"ReplicaLease"`  // duration of the lease that the leader grants a replica
+	LeaseInterval        time.Duration `json:"LeaseEvery"`    // interval between two lease renewals of a replica
+	HealthReportInterval time.Duration `json:"HealthEvery"`   // interval between two health reports while nothing fails
+	// HealthAggregationInterval is the minimum interval between two aggregations of all health reports.
 	HealthAggregationInterval time.Duration `json:"HealthFoundEvery"`
-	HealthPerDirector         time.Duration `json:"HealthFoundEach"` // the part of that interval for each director
-	MembershipTick            time.Duration `json:"TickEvery"`       // of the membership service
-	MembershipEventInterval   time.Duration `json:"GatherEvery"`     // the shortest interval from one membership event to the next
-	ReconnectRetry            time.Duration `json:"ReconnectRetry"`  // the longest backoff of a single director that has lost its watch
-	ReconnectSpread           time.Duration `json:"ReconnectSpread"` // by which that backoff grows for each further director
-	// ReconnectSpreadMax bounds that growth for a director with several addresses.
+	HealthPerDirector         time.Duration `json:"HealthFoundEach"` // added to the aggregation interval for each director
+	MembershipTick            time.Duration `json:"TickEvery"`       // interval between two ticks of the membership service
+	MembershipEventInterval   time.Duration `json:"GatherEvery"`     // minimum interval between two membership events
+	ReconnectRetry            time.Duration `json:"ReconnectRetry"`  // maximum backoff after a lost watch in a deployment of one director
+	ReconnectSpread           time.Duration `json:"ReconnectSpread"` // added to that backoff for each further director
+	// ReconnectSpreadMax limits the total that ReconnectSpread adds, for a director with several control plane addresses.
 	ReconnectSpreadMax   time.Duration `json:"ReconnectSpreadMax"`
-	PurgeRetention       time.Duration `json:"PurgeKept"`        // for which the control plane retains a purge for directors that come back
-	LongestDeadline      time.Duration `json:"LongestDeadline"`  // of a class of requests; the operators' classes decide it
-	HistoryLength        int           `json:"HistoryKept"`      // events that a replica retains for directors that were away
-	AppliedRecordLength  int           `json:"AdoptionKept"`     // events of which the leader records when each director applied them
-	MaxAnswerBytes       float64       `json:"LargestAnswer"`    // bytes of one answer that a director accepts
-	PurgeRetentionFactor float64       `json:"PurgeKeepFactor"`  // multiple of Size.PurgeWithin for which a director retains a purge
-	LoopCores            float64       `json:"LoopCores"`        // cores that one loop, or the work under one lock, can use
-	EventsPerRestart     float64       `json:"EventsPerRestart"` // membership events for each restart of a machine: it leaves and joins
+	PurgeRetention       time.Duration `json:"PurgeKept"`        // time for which the control plane retains a purge for reconnections
+	LongestDeadline      time.Duration `json:"LongestDeadline"`  // longest deadline of a request class; set by the operators' classes
+	HistoryLength        int           `json:"HistoryKept"`      // events that a replica retains for reconnecting directors
+	AppliedRecordLength  int           `json:"AdoptionKept"`     // latest events for which the leader records when directors applied them
+	MaxAnswerBytes       float64       `json:"LargestAnswer"`    // maximum size of an answer that a director accepts, in bytes
+	PurgeRetentionFactor float64       `json:"PurgeKeepFactor"`  // a director retains a purge for this multiple of Size.PurgeWithin
+	LoopCores            float64       `json:"LoopCores"`        // maximum cores that one event loop, or the work under one lock, can use
+	EventsPerRestart     float64       `json:"EventsPerRestart"` // membership events caused by a machine restart: one leave and one join
 }
 
-// CurrentDesign is the design as the program has it, with a relay for each region.
+// CurrentDesign returns the design of the current program, with one relay for each region.
 func CurrentDesign() Design {
 	return Design{
 		Replicas:       3,
@@ -64,7 +64,7 @@
 	}
 }
 
-// settings are the values of a design that Set changes.
+// settings returns the values of the design that Set can change, by name.
 func (d *Design) settings() map[string]setting {
 	return map[string]setting{
 		"replicas":         positiveInt(&d.Replicas),
@@ -80,5 +80,6 @@
 	}
 }
 
-// Set sets a value by its name, such as relays or history-kept. An error is ErrUnknownSetting or ErrInvalidSetting.
-func (d *Design) Set(name, value string) error { return set(d.settings(), name, value) }
+// Set parses value and stores it under a name such as relays or history-kept. It returns an error that wraps ErrUnknownSetting or
+// ErrInvalidSetting.
+func (d *Design) Set(name, value string) error { return setByName(d.settings(), name, value) }
--- a/internal/tools/capacity/director.go
+++ b/internal/tools/capacity/director.go
@@ -7,38 +7,39 @@
 func directorBytesBudget(s Size, _ Design) float64  { return s.DirectorBytesPerSecond }
 func answerBudget(_ Size, d Design) float64         { return d.MaxAnswerBytes }
 
-// directorCallCores is the processor time of a director's watch requests.
+// directorCallCores returns the processor time of a director's watch requests, in cores.
 func (c *calculation) directorCallCores(s scenario) float64 {
 	return c.calls(s) * c.valueAt(lawDirectorCallTime, float64(c.coldCaches(s)))
 }
 
-// directorEventCores is the processor time in which a director applies all events.
+// directorEventCores returns the processor time that a director spends on applying events, in cores.
 func (c *calculation) directorEventCores() float64 {
-	return c.PurgesPerSecond*c.valueAt(lawPurgeTime, c.openRequests()) +
+	return c.PurgesPerSecond*c.valueAt(lawPurgeTime, c.maxOpenRequests()) +
 		c.changesPerSecond()*c.valueAt(lawHostChangeTime, float64(c.Caches)) +
-		c.membershipPerSecond()*c.valueAt(lawMemberChangeTime, c.directors())
+		c.membershipChangesPerSecond()*c.valueAt(lawMemberChangeTime, c.directorCount())
 }
 
-// callBytes is what a director's watch requests cost without events, both ways, a second.
-func (c *calculation) callBytes(s scenario) float64 {
+// callBytesPerSecond returns the traffic of a director's watch requests and answers without events, in bytes per second, both
+// directions together.
+func (c *calculation) callBytesPerSecond(s scenario) float64 {
 	coldCaches := float64(c.coldCaches(s))
 	return c.calls(s) * (c.valueAt(lawCallBytes, coldCaches) + c.valueAt(lawAnswerBytes, coldCaches))
 }
 
-// eventBytes is what all events cost each director, a second.
-func (c *calculation) eventBytes() float64 {
+// eventBytesPerSecond returns the traffic of all events to one director, in bytes per second.
+func (c *calculation) eventBytesPerSecond() float64 {
 	return c.PurgesPerSecond*c.slope(lawPurgeBytes) + c.changesPerSecond()*c.slope(lawHostBytes) +
-		c.membershipPerSecond()*(c.slope(lawMemberJoinedBytes)+c.slope(lawMemberLeftBytes))/2
+		c.membershipChangesPerSecond()*(c.slope(lawMemberJoinedBytes)+c.slope(lawMemberLeftBytes))/2
 }
 
-// reportBytes is what a director's health reports cost, a second.
-func (c *calculation) reportBytes() float64 {
+// reportBytesPerSecond returns the traffic of a director's health reports, in bytes per second.
+func (c *calculation) reportBytesPerSecond() float64 {
 	return perSecond(c.HealthReportInterval) * c.valueAt(lawReportBytes, float64(c.ReportedCaches))
 }
 
-// controlBytes is all that control costs a director, both ways, a second.
-func (c *calculation) controlBytes(s scenario) float64 {
-	return c.callBytes(s) + c.eventBytes() + c.reportBytes()
+// controlBytesPerSecond returns all control traffic of a director, in bytes per second, both directions together.
+func (c *calculation) controlBytesPerSecond(s scenario) float64 {
+	return c.callBytesPerSecond(s) + c.eventBytesPerSecond() + c.reportBytesPerSecond()
 }
 
 var directorFormulas = slices.Concat(
@@ -86,21 +87,21 @@
 		unit:      Bytes,
 		mechanism: "every cache of all zones is kept twice: in routing with its links, and in the decision module",
 		working:   "by caches",
-		value:     timesCaches(lawHostMemory),
+		value:     slopeTimesCaches(lawHostMemory),
 	},
 	{
 		name:      "memory of purges",
 		unit:      Bytes,
 		mechanism: "kept for twice the time in which a purge is done everywhere, and the longest deadline; then dropped each 0.5 s",
 		working:   "purges/s x kept time x memory of one",
-		value:     func(c *calculation) float64 { return c.slope(lawPurgeMemory) * c.directorPurges() },
+		value:     func(c *calculation) float64 { return c.slope(lawPurgeMemory) * c.purgesRetainedByDirector() },
 	},
 	{
 		name:      "memory of the membership",
 		unit:      Bytes,
 		mechanism: "the ID and location of every director",
 		working:   "by directors",
-		value:     func(c *calculation) float64 { return c.slope(lawMembershipMemory) * c.directors() },
+		value:     func(c *calculation) float64 { return c.slope(lawMembershipMemory) * c.directorCount() },
 	},
 	{
 		name:      "memory of control, in the heap",
@@ -109,8 +110,8 @@
 		mechanism: "the three above and the process without any of them",
 		working:   "host list (with the process itself) + purges + membership",
 		value: func(c *calculation) float64 {
-			return c.valueAt(lawHostMemory, float64(c.Caches)) + c.slope(lawPurgeMemory)*c.directorPurges() +
-				c.slope(lawMembershipMemory)*c.directors()
+			return c.valueAt(lawHostMemory, float64(c.Caches)) + c.slope(lawPurgeMemory)*c.purgesRetainedByDirector() +
+				c.slope(lawMembershipMemory)*c.directorCount()
 		},
 	},
 }
@@ -128,21 +129,21 @@
 		unit:      BytesPerSecond,
 		mechanism: "a JSON header announces the director anew with each call, its quota renewal in it",
 		working:   "calls/s x (call + answer with quotas of so many cold caches)",
-	}, (*calculation).callBytes),
+	}, (*calculation).callBytesPerSecond),
 	[]formula{
 		{
 			name:      "bytes of events",
 			unit:      BytesPerSecond,
 			mechanism: "each event goes to each director",
 			working:   "purges/s + host changes/s + membership changes/s, by their bytes",
-			value:     (*calculation).eventBytes,
+			value:     (*calculation).eventBytesPerSecond,
 		},
 		{
 			name:      "bytes of health reports",
 			unit:      BytesPerSecond,
 			mechanism: "in the same header; each 0.5 s where nothing fails",
 			working:   "reports/s x report on the caches of one zone",
-			value:     (*calculation).reportBytes,
+			value:     (*calculation).reportBytesPerSecond,
 		},
 	},
 	forScenarios(allScenarios, formula{
@@ -151,7 +152,7 @@
 		budget:    directorBytesBudget,
 		mechanism: "the three above; TCP and IP headers are not in it",
 		working:   "calls + events + reports",
-	}, (*calculation).controlBytes),
+	}, (*calculation).controlBytesPerSecond),
 	processFormulas(allScenarios, formula{
 		name:      "bytes of a hollow director's watch",
 		unit:      BytesPerSecond,
@@ -174,14 +175,14 @@
 		unit:      Bytes,
 		mechanism: "a line of JSON for each cache of all zones",
 		working:   "by caches",
-		value:     timesCaches(lawSnapshotCacheBytes),
+		value:     slopeTimesCaches(lawSnapshotCacheBytes),
 	},
 	{
 		name:      "memory of open requests",
 		unit:      Bytes,
 		mechanism: "no control: a request is kept until its deadline at the latest",
 		working:   "requests/s of one director x longest deadline x memory of one",
-		value:     func(c *calculation) float64 { return c.slope(lawOpenMemory) * c.openRequests() },
+		value:     func(c *calculation) float64 { return c.slope(lawOpenMemory) * c.maxOpenRequests() },
 	},
 	{
 		name:      "growth for each object served",
--- a/internal/tools/capacity/failures.go
+++ b/internal/tools/capacity/failures.go
@@ -1,15 +1,15 @@
 package capacity
 
-// reconnectLongest is the longest backoff before a director that has lost its watch connects again, in seconds. The formula is that
-// of WatchTiming.Pause in internal/director/timing.go.
-func (c *calculation) reconnectLongest() float64 {
+// maxReconnectDelay returns the maximum backoff, in seconds, before a director that has lost its watch reconnects. The formula is
+// the one of WatchTiming.Pause in internal/director/timing.go.
+func (c *calculation) maxReconnectDelay() float64 {
 	spread := min(float64(c.Directors-1)*c.ReconnectSpread.Seconds(), c.ReconnectSpreadMax.Seconds())
 	return 1.5*c.ReconnectRetry.Seconds() + spread
 }
 
-// leaveAndJoinBytes is what it costs all directors together, in bytes, that a number of directors leave and join again.
+// leaveAndJoinBytes returns how many bytes all directors together receive when the given number of directors leave and rejoin.
 func (c *calculation) leaveAndJoinBytes(leaving float64) float64 {
-	return c.directors() * leaving * (c.slope(lawMemberJoinedBytes) + c.slope(lawMemberLeftBytes))
+	return c.directorCount() * leaving * (c.slope(lawMemberJoinedBytes) + c.slope(lawMemberLeftBytes))
 }
 
 func noEventMissedBudget(Size, Design) float64 { return 1 }
@@ -64,7 +64,9 @@
 		mechanism: "directors that come between two events share one encoding; the next event makes it anew, " +
 			"on the loop that serves all",
 		working: "events/s x encoding the first answer",
-		value:   func(c *calculation) float64 { return c.eventsPerSecond() * c.valueAt(lawSnapshotTime, c.directors()) },
+		value: func(c *calculation) float64 {
+			return c.eventsPerSecond() * c.valueAt(lawSnapshotTime, c.directorCount())
+		},
 	},
 	{
 		name:   "a relay or a replica is lost: longest time to another",
@@ -73,7 +75,7 @@
 		mechanism: "the pause before a lost watch is dialled again widens by 2.5 ms for each director of the configuration, " +
 			"by 200 ms at most; no measurement, the program's constants",
 		working: "1.5 x 40 ms + (directors - 1) x 2.5 ms, of that 200 ms at most",
-		value:   (*calculation).reconnectLongest,
+		value:   (*calculation).maxReconnectDelay,
 	},
 	{
 		name:      "regions apart for an hour: longest wait for a purge",
--- a/internal/tools/capacity/figure_tables.go
+++ b/internal/tools/capacity/figure_tables.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// TableRows is all figures as the rows of one table for a terminal, role by role.
+// TableRows returns the figures as rows of a table for the terminal.
 func TableRows(figures []Figure) [][]string {
 	rows := [][]string{}
 	for _, f := range figures {
@@ -46,7 +46,7 @@
 			f.Name,
 			valueText(f),
 			budgetText(f),
-			significant(f.BudgetRatio()) + " times",
+			formatSignificant(f.BudgetRatio()) + " times",
 		})
 	}
 	return markdownTable([]string{"role", "figure", "at size", "budget", "over it"}, rows)
@@ -72,20 +72,20 @@
 	if f.Verdict == Collapsed && len(f.Terms) == 0 {
 		return "-"
 	}
-	return quantity(f.Value, f.Unit)
+	return formatQuantity(f.Value, f.Unit)
 }
 
 func budgetText(f Figure) string {
 	if f.Budget == 0 {
 		return "-"
 	}
-	return quantity(f.Budget, f.Unit)
+	return formatQuantity(f.Budget, f.Unit)
 }
 
 func verdictText(f Figure) string {
 	switch f.Verdict {
 	case OverBudget:
-		return "**broken**, " + significant(f.BudgetRatio()) + " times"
+		return "**broken**, " + formatSignificant(f.BudgetRatio()) + " times"
 	case Collapsed:
 		return "**collapsed** at " + strconv.Itoa(f.CollapsedAt) + " directors"
 	default:
@@ -93,7 +93,7 @@
 	}
 }
 
-// termsText names the laws that a figure reads, and where; those that are missing too.
+// termsText returns the laws that a figure reads, with the sizes at which it reads them, and the laws that are missing.
 func termsText(f Figure) string {
 	var texts []string
 	for _, t := range f.Terms {
@@ -113,17 +113,17 @@
 
 func (t Term) text() string {
 	if t.Row != "" {
-		return fmt.Sprintf("no law; as measured at %s directors in `%s`", significant(t.X), t.Row)
+		return fmt.Sprintf("no law; as measured at %s directors in `%s`", formatSignificant(t.X), t.Row)
 	}
-	text := fmt.Sprintf("`%s`(%s)", t.Law, significant(t.X))
+	text := fmt.Sprintf("`%s`(%s)", t.Law, formatSignificant(t.X))
 	if t.Slope {
 		text = fmt.Sprintf("`%s`, slope", t.Law)
 	}
 	if t.Beyond > 0 {
-		text += fmt.Sprintf(", %s times beyond its points", significant(t.Beyond))
+		text += fmt.Sprintf(", %s times beyond its points", formatSignificant(t.Beyond))
 	}
 	if t.Measured != 0 {
-		text += ", where " + quantity(t.Measured, t.Unit) + " was measured"
+		text += ", where " + formatQuantity(t.Measured, t.Unit) + " was measured"
 	}
 	if t.Below {
 		text += ", below its points"
--- a/internal/tools/capacity/figure_test.go
+++ b/internal/tools/capacity/figure_test.go
@@ -11,7 +11,7 @@
 	return size
 }
 
-// directorCoresFigure is the figure that the law in TestVerdicts is about.
+// directorCoresFigure returns the figure that reads the law of directorCoresLaw.
 func directorCoresFigure(t *testing.T, directors int, laws Laws, rows ...Row) Figure {
 	t.Helper()
 	for _, f := range Figures(expectedSizeWith(directors), CurrentDesign(), Measured{Laws: laws, Rows: rows}) {
@@ -23,7 +23,7 @@
 	return Figure{}
 }
 
-// directorCoresLaw is 0.0001 cores for each director, measured from 100 to 500 directors.
+// directorCoresLaw returns a law of 0.0001 cores per director, measured from 100 to 500 directors.
 func directorCoresLaw(t *testing.T) Laws {
 	t.Helper()
 	name := "process.director.cores.without_relays"
@@ -31,7 +31,7 @@
 	return Laws{name: newTestLaw(t, name, Cores, points)}
 }
 
-// A law that is read beyond its points is marked.
+// TestVerdictByLaw checks verdicts that come from a law, and that a term beyond the measured sizes of its law is marked.
 func TestVerdictByLaw(t *testing.T) {
 	laws := directorCoresLaw(t)
 	f := directorCoresFigure(t, 250, laws)
@@ -54,7 +54,7 @@
 	}
 }
 
-// Guards against a law that is trusted at a size at which a run collapsed.
+// TestVerdictAfterCollapse guards against a verdict that relies on a law at a size at which a scale run has collapsed.
 func TestVerdictAfterCollapse(t *testing.T) {
 	laws := directorCoresLaw(t)
 	collapsed := Row{Directors: 600, Collapsed: []string{"directors lost their leases"}}
@@ -82,7 +82,7 @@
 	}
 }
 
-// Without a law, what a run measured at the size itself counts.
+// TestVerdictByRow checks that without a law, the value that a scale run measured at the same size is used.
 func TestVerdictByRow(t *testing.T) {
 	row := Row{File: "run.json", Replicas: 3, Directors: 1002, DirectorCores: 0.02}
 	f := directorCoresFigure(t, 1000, Laws{}, row)
--- a/internal/tools/capacity/format.go
+++ b/internal/tools/capacity/format.go
@@ -6,29 +6,29 @@
 	"strings"
 )
 
-// significantDigits is how many digits of a value are shown.
+// significantDigits is the number of digits displayed for a value.
 const significantDigits = 3
 
-// quantity is a value with its unit.
-func quantity(value float64, unit Unit) string {
+// formatQuantity formats a value with its unit.
+func formatQuantity(value float64, unit Unit) string {
 	switch unit {
 	case Bytes, BytesPerSecond:
-		return scaled(value, string(unit))
+		return formatWithPrefix(value, string(unit))
 	case Seconds:
-		return duration(value)
+		return formatSeconds(value)
 	case Machines:
-		return significant(value)
+		return formatSignificant(value)
 	case Share:
-		return percent(value)
+		return formatPercent(value)
 	}
 	if value == 1 {
 		return "1 core"
 	}
-	return significant(value) + " " + string(unit)
+	return formatSignificant(value) + " " + string(unit)
 }
 
-// scaled is a value with a decimal prefix of its unit.
-func scaled(value float64, unit string) string {
+// formatWithPrefix formats a value with a decimal prefix (k, M, G or T) before its unit.
+func formatWithPrefix(value float64, unit string) string {
 	prefix := ""
 	for _, next := range []string{"k", "M", "G", "T"} {
 		if math.Abs(value) < 1000 {
@@ -37,10 +37,10 @@
 		value /= 1000
 		prefix = next
 	}
-	return strings.TrimSpace(significant(value) + " " + prefix + unit)
+	return strings.TrimSpace(formatSignificant(value) + " " + prefix + unit)
 }
 
-func duration(seconds float64) string {
+func formatSeconds(seconds float64) string {
 	for _, unit := range []struct {
 		name    string
 		seconds float64
@@ -50,16 +50,16 @@
 		{"us", 1e-6},
 	} {
 		if math.Abs(seconds) >= unit.seconds {
-			return significant(seconds/unit.seconds) + " " + unit.name
+			return formatSignificant(seconds/unit.seconds) + " " + unit.name
 		}
 	}
-	return significant(seconds/1e-9) + " ns"
+	return formatSignificant(seconds/1e-9) + " ns"
 }
 
-func percent(share float64) string { return significant(100*share) + " %" }
+func formatPercent(share float64) string { return formatSignificant(100*share) + " %" }
 
-// significant is a number in three significant digits, without an exponent.
-func significant(value float64) string {
+// formatSignificant formats a number with three significant digits and no exponent.
+func formatSignificant(value float64) string {
 	if value == 0 {
 		return "0"
 	}
--- a/internal/tools/capacity/format_test.go
+++ b/internal/tools/capacity/format_test.go
@@ -16,7 +16,7 @@
 		{-12, Bytes, "-12 B"},
 		{0, Bytes, "0 B"},
 	} {
-		if got := quantity(c.value, c.unit); got != c.want {
+		if got := formatQuantity(c.value, c.unit); got != c.want {
 			t.Errorf("%v %s is %q, not %q", c.value, c.unit, got, c.want)
 		}
 	}
--- a/internal/tools/capacity/formula.go
+++ b/internal/tools/capacity/formula.go
@@ -5,20 +5,20 @@
 	"slices"
 )
 
-// sameSizeTolerance is by which share two sizes may differ and still count as the same.
+// sameSizeTolerance is the relative difference up to which two sizes are considered equal.
 const sameSizeTolerance = 0.01
 
-// formula is how a figure is worked out.
+// formula describes how a figure is computed.
 type formula struct {
 	name      string
 	unit      Unit
-	budget    func(Size, Design) float64 // nil where there is none
+	budget    func(Size, Design) float64 // nil if there is none
 	mechanism string
 	working   string
 	value     func(*calculation) float64
 }
 
-// evaluate works out the figure with a calculation that no other formula has used.
+// evaluate computes the figure. It requires a new calculation, because the calculation records the terms of one formula.
 func (f formula) evaluate(role Role, c *calculation) Figure {
 	figure := Figure{
 		Role:      role,
@@ -51,7 +51,7 @@
 	return figure
 }
 
-// calculation reads laws for one formula and records which.
+// calculation evaluates laws for one formula and records which laws it has read.
 type calculation struct {
 	Size
 	Design
@@ -59,10 +59,11 @@
 	rows        []Row
 	terms       []Term
 	missing     []string
-	collapsedAt int // directors; 0 if no run collapsed
+	collapsedAt int // number of directors; 0 if no run collapsed
 }
 
-// valueAt is a law's value at x; 0 if there is no such law.
+// valueAt returns the value of the named law at x and records the term. If there is no such law, it records the name as missing and
+// returns 0.
 func (c *calculation) valueAt(name string, x float64) float64 {
 	law, isKnown := c.laws[name]
 	if !isKnown {
@@ -89,7 +90,8 @@
 	return term.Y
 }
 
-// slope is what one more costs by a law; 0 if there is no such law.
+// slope returns the slope of the named law and records the term. If there is no such law, it records the name as missing and
+// returns 0.
 func (c *calculation) slope(name string) float64 {
 	law, isKnown := c.laws[name]
 	if !isKnown {
@@ -100,23 +102,23 @@
 	return law.Slope
 }
 
-// isSameSize tells whether a measured size is the wanted one.
+// isSameSize reports whether a measured size equals the wanted one within sameSizeTolerance.
 func isSameSize(measured, wanted float64) bool {
 	return math.Abs(measured-wanted) <= sameSizeTolerance*wanted
 }
 
-// atDirectors reads a law at the number of all directors.
-func atDirectors(law string) func(*calculation) float64 {
-	return func(c *calculation) float64 { return c.valueAt(law, c.directors()) }
+// valueAtDirectors returns a function that evaluates a law at the total number of directors.
+func valueAtDirectors(law string) func(*calculation) float64 {
+	return func(c *calculation) float64 { return c.valueAt(law, c.directorCount()) }
 }
 
-// timesCaches is a law's slope for each of all caches.
-func timesCaches(law string) func(*calculation) float64 {
+// slopeTimesCaches returns a function that multiplies the slope of a law by the number of caches.
+func slopeTimesCaches(law string) func(*calculation) float64 {
 	return func(c *calculation) float64 { return c.slope(law) * float64(c.Caches) }
 }
 
-// loopBudget is the processor time of one loop, or of the work under one lock.
+// loopBudget returns the maximum processor time of one event loop, or of the work under one lock, in cores.
 func loopBudget(_ Size, d Design) float64 { return d.LoopCores }
 
-// purgeBudget is the time within which a purge must be done everywhere, in seconds.
+// purgeBudget returns the time within which a purge must be complete on all directors, in seconds.
 func purgeBudget(s Size, _ Design) float64 { return s.PurgeWithin.Seconds() }
--- a/internal/tools/capacity/input_tables.go
+++ b/internal/tools/capacity/input_tables.go
@@ -10,21 +10,24 @@
 
 func sizeTable(s Size) string {
 	directorBudget := fmt.Sprintf("%s of a core, %s, %s",
-		percent(s.DirectorCores),
-		scaled(s.DirectorBytes, "B"),
-		scaled(s.DirectorBytesPerSecond, "B/s"),
+		formatPercent(s.DirectorCores),
+		formatWithPrefix(s.DirectorBytes, "B"),
+		formatWithPrefix(s.DirectorBytesPerSecond, "B/s"),
 	)
 	rows := [][]string{
 		{"directors, at so many sites", fmt.Sprintf("%d, %d", s.Directors, s.Sites)},
 		{"caches", strconv.Itoa(s.Caches)},
 		{"regions, zones", fmt.Sprintf("%d, %d", s.Regions, s.Zones)},
-		{"requests and bits a second, at the peak", scaled(s.RequestsPerSecond, "") + ", " + scaled(s.BitsPerSecond, "bit/s")},
-		{"objects", scaled(s.Objects, "")},
-		{"purges a second, each done everywhere within", fmt.Sprintf("%s, %s", significant(s.PurgesPerSecond), s.PurgeWithin)},
-		{"configuration changes a day, each in force within", fmt.Sprintf("%s, %s", significant(s.ChangesPerDay), s.ChangeWithin)},
+		{
+			"requests and bits a second, at the peak",
+			formatWithPrefix(s.RequestsPerSecond, "") + ", " + formatWithPrefix(s.BitsPerSecond, "bit/s"),
+		},
+		{"objects", formatWithPrefix(s.Objects, "")},
+		{"purges a second, each done everywhere within", fmt.Sprintf("%s, %s", formatSignificant(s.PurgesPerSecond), s.PurgeWithin)},
+		{"configuration changes a day, each in force within", fmt.Sprintf("%s, %s", formatSignificant(s.ChangesPerDay), s.ChangeWithin)},
 		{
 			"machines that fail a day; that are restarted or replaced",
-			significant(s.FailuresPerDay) + "; " + significant(s.RestartsPerDay),
+			formatSignificant(s.FailuresPerDay) + "; " + formatSignificant(s.RestartsPerDay),
 		},
 		{"regions lose each other for", s.PartitionDuration.String()},
 		{"a director spends on control at most", directorBudget},
@@ -33,7 +36,7 @@
 	return markdownTable([]string{"what", "the operators' size"}, rows)
 }
 
-// runTable lists the rows of scale runs as they were measured.
+// runTable renders the measured rows of scale runs as a table.
 func runTable(measured []Row) string {
 	var rows [][]string
 	for _, r := range measured {
@@ -43,15 +46,15 @@
 			strconv.Itoa(r.Directors),
 			strconv.Itoa(r.JoinsPerSecond) + "/s",
 			r.leaderText(),
-			quantity(r.ReplicaCores, Cores),
+			formatQuantity(r.ReplicaCores, Cores),
 			r.relayText(),
 			usageText(r.DirectorCores, r.DirectorMemory),
-			significant(r.DirectorCalls) + "/s, " + quantity(r.DirectorBytes, BytesPerSecond),
-			quantity(r.PurgeP99, Seconds),
-			quantity(r.PurgeLastP99, Seconds),
-			quantity(r.PurgeLongest, Seconds),
+			formatSignificant(r.DirectorCalls) + "/s, " + formatQuantity(r.DirectorBytes, BytesPerSecond),
+			formatQuantity(r.PurgeP99, Seconds),
+			formatQuantity(r.PurgeLastP99, Seconds),
+			formatQuantity(r.PurgeLongest, Seconds),
 			r.outcomeText(),
-			significant(r.Load),
+			formatSignificant(r.Load),
 			"`" + r.File + "`",
 		})
 	}
@@ -62,7 +65,7 @@
 }
 
 func usageText(cores, memory float64) string {
-	return quantity(cores, Cores) + ", " + quantity(memory, Bytes)
+	return formatQuantity(cores, Cores) + ", " + formatQuantity(memory, Bytes)
 }
 
 func (r Row) leaderText() string {
@@ -79,7 +82,7 @@
 	return usageText(r.RelayCores, r.RelayMemory)
 }
 
-// outcomeText tells whether the control plane bore the size, and which fault the run injected.
+// outcomeText describes whether the control plane sustained the size, and the fault that the run injected, if any.
 func (r Row) outcomeText() string {
 	text := "yes"
 	if r.hasCollapsed() {
@@ -90,12 +93,13 @@
 	}
 	text += "; with the fault " + r.Fault
 	if r.Recovery > 0 {
-		text += ", after which all watched again in " + quantity(r.Recovery, Seconds)
+		text += ", after which all watched again in " + formatQuantity(r.Recovery, Seconds)
 	}
 	return text
 }
 
-// lawTable lists laws with their points, and after them the commands that gave these, by the numbers in the table.
+// lawTable renders a table of laws with their points, followed by a numbered list of the commands that measured them. The table
+// refers to the commands by number.
 func lawTable(laws Laws) string {
 	var rows [][]string
 	var commands []string
@@ -109,9 +113,9 @@
 		rows = append(rows, []string{
 			"`" + law.Name + "`",
 			law.About,
-			quantity(law.Constant, law.Unit) + " + " + quantity(law.Slope, law.Unit) + " per " + law.XUnit,
+			formatQuantity(law.Constant, law.Unit) + " + " + formatQuantity(law.Slope, law.Unit) + " per " + law.XUnit,
 			law.pointsText(),
-			quantity(law.Residual, law.Unit) + " (" + percent(law.ResidualShare()) + ")",
+			formatQuantity(law.Residual, law.Unit) + " (" + formatPercent(law.ResidualShare()) + ")",
 			fmt.Sprintf("%s UTC, command %d, %s", measuredAt, index+1, law.Source.Machine),
 		})
 	}
@@ -128,7 +132,7 @@
 func (l Law) pointsText() string {
 	var points []string
 	for _, p := range l.Points {
-		points = append(points, fmt.Sprintf("%s: %s", significant(p.X), quantity(p.Y, l.Unit)))
+		points = append(points, fmt.Sprintf("%s: %s", formatSignificant(p.X), formatQuantity(p.Y, l.Unit)))
 	}
 	return strings.Join(points, "; ")
 }
--- a/internal/tools/capacity/keys_test.go
+++ b/internal/tools/capacity/keys_test.go
@@ -20,7 +20,7 @@
 		"PurgeKeepFactor":2,"LoopCores":1,"EventsPerRestart":2}`
 )
 
-// Guards the keys of `stairvane capacity -o json`: scripts read them, and the fields have other names.
+// TestSizeAndDesignKeepTheirKeys guards the keys of `stairvane capacity -o json`, which scripts read. The Go fields have other names.
 func TestSizeAndDesignKeepTheirKeys(t *testing.T) {
 	for _, c := range []struct {
 		name  string
--- a/internal/tools/capacity/law.go
+++ b/internal/tools/capacity/law.go
@@ -7,39 +7,39 @@
 	"time"
 )
 
-// MinPoints is at how many sizes a law must have been measured.
+// MinPoints is the minimum number of distinct sizes at which a law must have been measured.
 const MinPoints = 5
 
 const (
-	// roundingTolerance is what of a residual comes from floating point alone, as a share of the values.
+	// roundingTolerance is the relative residual up to which a deviation is attributed to floating-point rounding.
 	roundingTolerance = 1e-12
-	// storedTolerance is by how much a stored law may differ from a new fit, as a share of its largest value.
+	// storedTolerance is the maximum difference between a stored law and a new fit, relative to the largest value.
 	storedTolerance = 1e-6
 )
 
 var (
-	// ErrTooFewPoints tells that a law rests on too few sizes.
+	// ErrTooFewPoints is returned if a law was measured at fewer than MinPoints sizes.
 	ErrTooFewPoints = errors.New("too few measured sizes")
-	// ErrNotFitted tells that a law's line is not the one that its points give.
-	ErrNotFitted = errors.New("constant, slope or residual are not those of the points")
-	// ErrNoSource tells that a law does not say how it was measured.
-	ErrNoSource = errors.New("no source")
+	// ErrNotFitted is returned if a stored law differs from the least-squares fit of its points.
+	ErrNotFitted = errors.New("constant, slope or residual does not match the points")
+	// ErrNoSource is returned if a law lacks the command or the time of its measurement.
+	ErrNoSource = errors.New("source command or time is missing")
 )
 
-// Point is one measurement.
+// Point is one measured value Y at size X.
 type Point struct {
 	X float64 `json:"x"`
 	Y float64 `json:"y"`
 }
 
-// Source is where the points of a law come from.
+// Source describes how the points of a law were measured.
 type Source struct {
 	Command string    `json:"command"`
 	At      time.Time `json:"at"`
-	Machine string    `json:"machine"` // cores and load while it was measured
+	Machine string    `json:"machine"` // cores and load average during the measurement
 }
 
-// Law is y = Constant + Slope*x, by least squares over its points.
+// Law is the linear model y = Constant + Slope*x, fitted to its points by least squares.
 type Law struct {
 	Name     string  `json:"name"`
 	About    string  `json:"about"`
@@ -47,12 +47,12 @@
 	Unit     Unit    `json:"unit"`
 	Constant float64 `json:"constant"`
 	Slope    float64 `json:"slope"`
-	Residual float64 `json:"residual"` // the largest distance of a point from the line, in Unit
+	Residual float64 `json:"residual"` // maximum vertical distance of a point from the line, in Unit
 	Points   []Point `json:"points"`
 	Source   Source  `json:"source"`
 }
 
-// NewLaw fits a law to points. It returns ErrTooFewPoints where there are fewer than MinPoints sizes.
+// NewLaw fits a law to points. It returns ErrTooFewPoints if there are fewer than MinPoints distinct sizes.
 func NewLaw(name, about, xUnit string, unit Unit, points []Point, source Source) (Law, error) {
 	law := Law{
 		Name:   name,
@@ -62,7 +62,7 @@
 		Points: points,
 		Source: source,
 	}
-	fitted, err := fit(points)
+	fitted, err := fitLine(points)
 	if err != nil {
 		return law, fmt.Errorf("law %s: %w", name, err)
 	}
@@ -72,10 +72,10 @@
 	return law, nil
 }
 
-// At is the law's value at x.
+// At returns the value of the law at x.
 func (l Law) At(x float64) float64 { return l.Constant + l.Slope*x }
 
-// Range is the smallest and the largest size at which the law was measured.
+// Range returns the smallest and the largest size at which the law was measured.
 func (l Law) Range() (smallest, largest float64) {
 	smallest = math.Inf(1)
 	for _, p := range l.Points {
@@ -85,7 +85,7 @@
 	return smallest, largest
 }
 
-// ResidualShare is the largest residual as a share of the largest measured value.
+// ResidualShare returns the residual as a fraction of the largest measured value.
 func (l Law) ResidualShare() float64 {
 	largest := 0.0
 	for _, p := range l.Points {
@@ -97,9 +97,10 @@
 	return l.Residual / largest
 }
 
-// check tells whether the law's line is the one that its points give. Its errors are ErrTooFewPoints, ErrNotFitted and ErrNoSource.
+// check verifies that the law matches the fit of its points and has a source. It returns an error that wraps ErrTooFewPoints,
+// ErrNotFitted or ErrNoSource.
 func (l Law) check() error {
-	fitted, err := fit(l.Points)
+	fitted, err := fitLine(l.Points)
 	if err != nil {
 		return fmt.Errorf("law %s: %w", l.Name, err)
 	}
@@ -117,15 +118,15 @@
 	return nil
 }
 
-// line is a line through points, with the largest distance of one of them from it.
+// line is a line fitted to points, with the maximum vertical distance of a point from it.
 type line struct {
 	constant float64
 	slope    float64
 	residual float64
 }
 
-// fit is the line of least squares. It returns ErrTooFewPoints where there are fewer than MinPoints sizes.
-func fit(points []Point) (line, error) {
+// fitLine returns the least-squares line through points. It returns ErrTooFewPoints if there are fewer than MinPoints distinct sizes.
+func fitLine(points []Point) (line, error) {
 	sizes := map[float64]bool{}
 	var meanX, meanY float64
 	for _, p := range points {
--- a/internal/tools/capacity/law_names.go
+++ b/internal/tools/capacity/law_names.go
@@ -1,6 +1,6 @@
 package capacity
 
-// Names of laws that the package measure gives.
+// Names of laws that the package measure produces.
 const (
 	lawHostMemory       = "director.memory.hosts"
 	lawPurgeMemory      = "director.memory.purges"
@@ -55,15 +55,15 @@
 	lawStateAnswerBytes    = "operator.bytes.world"
 )
 
-// processCost is what a law of real processes is about; processLawName gives the law's name. Scale runs give these laws.
+// processCost identifies a cost of real processes, which scale runs measure. processLawName returns the name of its law.
 type processCost string
 
 const (
 	processDirectorCores  processCost = "director.cores"
 	processDirectorMemory processCost = "director.memory"
 	processDirectorBytes  processCost = "director.bytes"
-	processRelayCores     processCost = "relay.cores"  // by directors of one relay
-	processRelayMemory    processCost = "relay.memory" // by directors of one relay
+	processRelayCores     processCost = "relay.cores"  // as a function of the directors of one relay
+	processRelayMemory    processCost = "relay.memory" // as a function of the directors of one relay
 	processReplicaCores   processCost = "replica.cores"
 	processReplicaMemory  processCost = "replica.memory"
 	processLeaderCores    processCost = "leader.cores"
--- a/internal/tools/capacity/law_test.go
+++ b/internal/tools/capacity/law_test.go
@@ -21,7 +21,7 @@
 func TestFit(t *testing.T) {
 	points := []Point{{1, 13}, {2, 15}, {3, 17}, {4, 19}, {5, 26}}
 	law := newTestLaw(t, "l", Bytes, points)
-	// By hand: the means are 3 and 18, the sum of products 30, that of squares 10; the last point is 2 over its line.
+	// The means are 3 and 18, the sum of products is 30 and the sum of squares 10. The last point is 2 above the line.
 	if law.Slope != 3 || math.Abs(law.Constant-9) > 1e-9 || math.Abs(law.Residual-2) > 1e-9 {
 		t.Errorf("constant %v, slope %v, residual %v", law.Constant, law.Slope, law.Residual)
 	}
@@ -33,14 +33,15 @@
 	}
 }
 
-// Guards against a file whose laws were edited by hand: Read rejects what the points do not give, and ReadPoints corrects it.
-func TestReadRejectsWhatPointsDoNotGive(t *testing.T) {
+// TestReadRejectsLawsThatDoNotMatchTheirPoints guards against a file whose laws were edited by hand: Read rejects a law that does
+// not match its points, and ReadPoints fits it again.
+func TestReadRejectsLawsThatDoNotMatchTheirPoints(t *testing.T) {
 	law := newTestLaw(t, "l", Bytes, []Point{{1, 3}, {2, 5}, {3, 7}, {4, 9}, {5, 11}})
 	for _, c := range []struct {
 		name        string
 		change      func(*Law)
-		want        error // of Read; nil if it accepts the law
-		isCorrected bool  // by ReadPoints, to the law before the change
+		want        error // returned by Read; nil if it accepts the law
+		isCorrected bool  // whether ReadPoints restores the original law
 	}{
 		{name: "unchanged", change: func(*Law) {}, isCorrected: true},
 		{name: "slope", change: func(l *Law) { l.Slope *= 0.99 }, want: ErrNotFitted, isCorrected: true},
--- a/internal/tools/capacity/leader.go
+++ b/internal/tools/capacity/leader.go
@@ -7,69 +7,71 @@
 
 func leaseBudget(_ Size, d Design) float64 { return d.ReplicaLease.Seconds() }
 
-// relayRequestCores is the leader's processor time for the requests of all relays.
+// relayRequestCores returns the leader's processor time for the requests of all relays, in cores.
 func (c *calculation) relayRequestCores() float64 {
 	return float64(c.Relays) * c.leasesPerSecond() * c.valueAt(lawRelayRequestTime, c.directorsPer(c.Relays))
 }
 
-// heartbeatCores is the leader's processor time for the lease renewals of all replicas, which carry the heartbeats of directors.
+// heartbeatCores returns the leader's processor time for the lease renewals of all replicas, in cores. The renewals carry the
+// heartbeats of directors.
 func (c *calculation) heartbeatCores() float64 {
 	return float64(c.Replicas) * c.leasesPerSecond() * c.valueAt(lawLeaseTime, c.directorsPer(c.Replicas))
 }
 
-// renewalCores is the processor time of quota renewals: each of the holders renews at the rate, in renewals a second.
+// renewalCores returns the processor time of quota renewals, in cores. Each holder renews at the given rate, in renewals per second.
 func (c *calculation) renewalCores(law string, holders, rate float64) float64 {
 	return holders * rate * c.valueAt(law, holders)
 }
 
-// unlimitedRenewalCores is the time for renewals of directors without relays, while no cache limits them.
+// unlimitedRenewalCores returns the leader's processor time for quota renewals of directors without relays and without limits, in
+// cores.
 func (c *calculation) unlimitedRenewalCores() float64 {
-	return c.renewalCores(lawUnlimitedRenewalTime, c.directors(), c.renewalsPerSecond())
+	return c.renewalCores(lawUnlimitedRenewalTime, c.directorCount(), c.renewalsPerSecond())
 }
 
-// limitedRenewalCores is the time for renewals of directors without relays, with 8 limits.
+// limitedRenewalCores returns the leader's processor time for quota renewals of directors without relays, with 8 limits, in cores.
 func (c *calculation) limitedRenewalCores() float64 {
-	return c.renewalCores(lawLimitedRenewalTime, c.directors(), c.renewalsPerSecond())
+	return c.renewalCores(lawLimitedRenewalTime, c.directorCount(), c.renewalsPerSecond())
 }
 
-// limitedRenewalCoresOfRelays is the time for renewals of relays, with 8 limits.
+// limitedRenewalCoresOfRelays returns the leader's processor time for quota renewals of relays with 8 limits, in cores.
 func (c *calculation) limitedRenewalCoresOfRelays() float64 {
 	return c.renewalCores(lawLimitedRenewalOfRelaysTime, float64(c.Relays), c.leasesPerSecond())
 }
 
-// healthCores is the processor time for health reports and their aggregation.
+// healthCores returns the leader's processor time for health reports and their aggregation, in cores.
 func (c *calculation) healthCores() float64 {
-	reports := c.directors() * perSecond(c.HealthReportInterval) * c.valueAt(lawReportTime, c.directors())
+	reports := c.directorCount() * perSecond(c.HealthReportInterval) * c.valueAt(lawReportTime, c.directorCount())
 	aggregationInterval := max(c.HealthAggregationInterval, time.Duration(c.Directors)*c.HealthPerDirector)
-	return reports + perSecond(aggregationInterval)*c.valueAt(lawHealthTime, c.directors())
+	return reports + perSecond(aggregationInterval)*c.valueAt(lawHealthTime, c.directorCount())
 }
 
-// membershipCores is the processor time of the membership service.
+// membershipCores returns the processor time of the membership service, in cores.
 func (c *calculation) membershipCores() float64 {
-	return perSecond(c.MembershipTick)*c.valueAt(lawTickTime, c.directors()) +
-		perSecond(c.MembershipEventInterval)*c.valueAt(lawMembershipEventTime, c.directors())
+	return perSecond(c.MembershipTick)*c.valueAt(lawTickTime, c.directorCount()) +
+		perSecond(c.MembershipEventInterval)*c.valueAt(lawMembershipEventTime, c.directorCount())
 }
 
-// lockedCores is the leader's processor time under one lock, without relays.
-func (c *calculation) lockedCores() float64 {
+// lockedCoresWithoutRelays returns the leader's processor time under its lock without relays, in cores.
+func (c *calculation) lockedCoresWithoutRelays() float64 {
 	renewals := c.limitedRenewalCores()
 	return c.heartbeatCores() + renewals + c.healthCores() + c.membershipCores()
 }
 
-// lockedCoresWithRelays is the leader's processor time under one lock, with relays.
+// lockedCoresWithRelays returns the leader's processor time under its lock with relays, in cores.
 func (c *calculation) lockedCoresWithRelays() float64 {
 	renewals := c.limitedRenewalCoresOfRelays()
 	return c.relayRequestCores() + renewals + c.healthCores() + c.membershipCores()
 }
 
-// appliedMemory is the record of when each director applied the last events.
+// appliedMemory returns the memory of the record of when each director applied the latest events, in bytes.
 func (c *calculation) appliedMemory() float64 {
-	return c.valueAt(lawAppliedMemory, c.directors()*float64(c.AppliedRecordLength))
+	return c.valueAt(lawAppliedMemory, c.directorCount()*float64(c.AppliedRecordLength))
 }
 
-// sessionMemory is the leader's state of health and membership.
+// sessionMemory returns the memory of the leader's health and membership state, in bytes.
 func (c *calculation) sessionMemory() float64 {
-	return c.valueAt(lawHealthMemory, c.directors()) + c.valueAt(lawMembershipServiceMemory, c.directors())
+	return c.valueAt(lawHealthMemory, c.directorCount()) + c.valueAt(lawMembershipServiceMemory, c.directorCount())
 }
 
 var leaderFormulas = slices.Concat(
@@ -153,7 +155,7 @@
 		budget:    loopBudget,
 		mechanism: "heartbeats, renewals, reports and ticks wait for each other: all but reading JSON is under one lock",
 		working:   "the sum of the four",
-		value:     (*calculation).lockedCores,
+		value:     (*calculation).lockedCoresWithoutRelays,
 	},
 	{
 		name:      "the four together, with 8 limits, with relays",
@@ -169,7 +171,7 @@
 		budget:    leaseBudget,
 		mechanism: "finding what all see goes over all evidence in one piece, and every lease call waits for it",
 		working:   "by directors; against the replica's lease",
-		value:     atDirectors(lawHealthTime),
+		value:     valueAtDirectors(lawHealthTime),
 	},
 }
 
@@ -194,7 +196,7 @@
 		unit:      Bytes,
 		mechanism: "a holder for each director and limit",
 		working:   "by directors",
-		value:     atDirectors(lawQuotaMemory),
+		value:     valueAtDirectors(lawQuotaMemory),
 	},
 	{
 		name:      "memory of health and membership, with relays or without",
--- a/internal/tools/capacity/measured.go
+++ b/internal/tools/capacity/measured.go
@@ -10,37 +10,39 @@
 	"slices"
 )
 
-// ErrDuplicateLaw tells that a file has two laws of a name, or one without a name.
-var ErrDuplicateLaw = errors.New("duplicate or empty name")
+// ErrDuplicateLaw is returned if a file contains two laws with the same name, or a law without a name.
+var ErrDuplicateLaw = errors.New("name is a duplicate or empty")
 
-// Laws are laws by their names.
+// Laws maps names to laws.
 type Laws map[string]Law
 
-// Sorted are the laws in the order of their names.
+// Sorted returns the laws sorted by name.
 func (l Laws) Sorted() []Law {
 	return slices.SortedFunc(maps.Values(l), func(a, b Law) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// Measured is all that was measured.
+// Measured holds all measurements.
 type Measured struct {
 	Laws Laws
-	Rows []Row // of scale runs, run after run
+	Rows []Row // of all scale runs, grouped by run
 }
 
-// document is the file of laws and rows.
+// document is the file format of laws and rows.
 type document struct {
 	Laws []Law `json:"laws"`
 	Rows []Row `json:"rows,omitempty"`
 }
 
-// Read reads laws and rows. It rejects a law whose line is not the one that its points give; see Law for the errors.
+// Read decodes laws and rows. It rejects a law that does not match the fit of its points or lacks a source, with an error that wraps
+// ErrTooFewPoints, ErrNotFitted or ErrNoSource. A duplicate or empty name is ErrDuplicateLaw.
 func Read(r io.Reader) (Measured, error) {
-	return read(r, func(law Law) (Law, error) { return law, law.check() })
+	return readMeasured(r, func(law Law) (Law, error) { return law, law.check() })
 }
 
-// ReadPoints reads laws in the same form and fits them to their points. The constants, slopes and residuals of the file don't count.
+// ReadPoints decodes laws and rows like Read, but fits each law to its points again and ignores the constants, slopes and residuals
+// in the file.
 func ReadPoints(r io.Reader) (Measured, error) {
-	return read(r, func(law Law) (Law, error) {
+	return readMeasured(r, func(law Law) (Law, error) {
 		fitted, err := NewLaw(law.Name, law.About, law.XUnit, law.Unit, law.Points, law.Source)
 		if err != nil {
 			return fitted, err
@@ -49,7 +51,7 @@
 	})
 }
 
-func read(r io.Reader, accept func(Law) (Law, error)) (Measured, error) {
+func readMeasured(r io.Reader, accept func(Law) (Law, error)) (Measured, error) {
 	var d document
 	decoder := json.NewDecoder(r)
 	decoder.DisallowUnknownFields()
@@ -70,14 +72,15 @@
 	return Measured{Laws: laws, Rows: d.Rows}, nil
 }
 
-// Write writes laws in the order of their names, and rows.
+// Write encodes the laws, sorted by name, and the rows.
 func (m Measured) Write(w io.Writer) error {
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", " ")
 	return encoder.Encode(document{Laws: m.Laws.Sorted(), Rows: m.Rows})
 }
 
-// AddRows replaces the rows of a scale run, which all have the same file, and fits the laws of all rows of its layout again.
+// AddRows replaces the rows of one scale run and refits the laws of its layout to the rows of all runs with that layout. All given
+// rows must have the same File.
 func (m *Measured) AddRows(rows []Row) {
 	if len(rows) == 0 {
 		return
@@ -86,6 +89,6 @@
 	m.Rows = slices.DeleteFunc(slices.Clone(m.Rows), func(r Row) bool { return r.File == added.File })
 	m.Rows = append(m.Rows, rows...)
 	slices.SortStableFunc(m.Rows, func(a, b Row) int { return cmp.Compare(a.File, b.File) })
-	sameLayout := slices.DeleteFunc(slices.Clone(m.Rows), func(r Row) bool { return !r.hasLayoutOf(added) })
+	sameLayout := slices.DeleteFunc(slices.Clone(m.Rows), func(r Row) bool { return !r.hasSameLayout(added) })
 	maps.Copy(m.Laws, processLaws(sameLayout))
 }
--- a/internal/tools/capacity/operator.go
+++ b/internal/tools/capacity/operator.go
@@ -11,14 +11,14 @@
 			unit:      Bytes,
 			mechanism: "one JSON answer with all directors",
 			working:   "by directors",
-			value:     atDirectors(lawMembersAnswerBytes),
+			value:     valueAtDirectors(lawMembersAnswerBytes),
 		},
 		{
 			name:      "answer of `stairvane audit` for one event",
 			unit:      Bytes,
 			mechanism: "one JSON answer with when each director applied it",
 			working:   "by directors",
-			value:     atDirectors(lawAdoptionAnswerBytes),
+			value:     valueAtDirectors(lawAdoptionAnswerBytes),
 		},
 		{
 			name:      "answer of `stairvane world`",
--- a/internal/tools/capacity/page.go
+++ b/internal/tools/capacity/page.go
@@ -8,46 +8,46 @@
 	"strings"
 )
 
-// A generated part of a page stands between these markers, with the part's name in the first.
+// A generated part of a page is enclosed in a begin and an end marker. The begin marker contains the name of the part.
 const (
-	markerBegin = "<!-- capacity: "
-	markerStop  = " -->\n"
-	markerEnd   = "<!-- capacity end -->"
+	beginMarkerPrefix = "<!-- capacity: "
+	beginMarkerSuffix = " -->\n"
+	endMarker         = "<!-- capacity end -->"
 )
 
-// ErrMarkers tells that the markers of a page do not name each part once.
-var ErrMarkers = errors.New("the page's markers are not right")
+// ErrMarkers is returned if the markers of a page do not enclose each generated part exactly once.
+var ErrMarkers = errors.New("invalid page markers")
 
-// Rewrite replaces the generated parts between a page's markers: size, runs, a part for each role, broken, missing and laws. It
-// returns ErrMarkers unless each part is there once.
+// Rewrite replaces the generated parts between the markers of a page: size, runs, a part for each role, broken, missing and laws.
+// It returns ErrMarkers unless the page contains each part exactly once.
 func Rewrite(page string, size Size, design Design, measured Measured) (string, error) {
 	parts := generatedParts(size, design, measured)
 	var rewritten strings.Builder
 	rest := page
 	for {
-		before, after, hasMarker := strings.Cut(rest, markerBegin)
+		before, after, hasMarker := strings.Cut(rest, beginMarkerPrefix)
 		rewritten.WriteString(before)
 		if !hasMarker {
 			break
 		}
-		name, body, isNamed := strings.Cut(after, markerStop)
-		_, next, isClosed := strings.Cut(body, markerEnd)
+		name, body, isNamed := strings.Cut(after, beginMarkerSuffix)
+		_, next, isClosed := strings.Cut(body, endMarker)
 		part, isKnown := parts[name]
 		if !isNamed || !isClosed || !isKnown {
 			return "", fmt.Errorf("capacity: %w: %.40q", ErrMarkers, name)
 		}
 		delete(parts, name)
-		rewritten.WriteString(markerBegin + name + markerStop + part + markerEnd)
+		rewritten.WriteString(beginMarkerPrefix + name + beginMarkerSuffix + part + endMarker)
 		rest = next
 	}
 	if len(parts) > 0 {
 		first := slices.Min(slices.Collect(maps.Keys(parts)))
-		return "", fmt.Errorf("capacity: %w: there is no part %q", ErrMarkers, first)
+		return "", fmt.Errorf("capacity: %w: part %q is missing", ErrMarkers, first)
 	}
 	return rewritten.String(), nil
 }
 
-// generatedParts are the generated parts of a page by their names.
+// generatedParts returns the generated parts of a page by name.
 func generatedParts(size Size, design Design, measured Measured) map[string]string {
 	figures := Figures(size, design, measured)
 	parts := map[string]string{
@@ -69,7 +69,7 @@
 	return parts
 }
 
-// markdownTable escapes the separators in cells.
+// markdownTable renders a Markdown table. It escapes separators in cells.
 func markdownTable(head []string, rows [][]string) string {
 	var table strings.Builder
 	table.WriteString("| " + strings.Join(head, " | ") + " |\n")
--- a/internal/tools/capacity/page_test.go
+++ b/internal/tools/capacity/page_test.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	slopesFile = root + "docs/design/capacity-slopes.json"
-	pageFile   = root + "docs/CAPACITY.md"
+	slopesFile = repositoryRoot + "docs/design/capacity-slopes.json"
+	pageFile   = repositoryRoot + "docs/CAPACITY.md"
 )
 
-func load(t *testing.T) (measured Measured, page string) {
+func loadLawsAndPage(t *testing.T) (measured Measured, page string) {
 	t.Helper()
 	laws, err := os.ReadFile(slopesFile)
 	if err != nil {
@@ -30,37 +30,38 @@
 	return measured, string(text)
 }
 
-// Guards against a page that was not generated again after a measurement or a change of a formula.
-func TestPageIsWhatTheLawsGive(t *testing.T) {
-	measured, page := load(t)
+// TestPageMatchesLaws guards against a page that was not regenerated after a measurement or a change to a formula.
+func TestPageMatchesLaws(t *testing.T) {
+	measured, page := loadLawsAndPage(t)
 	want, err := Rewrite(page, ExpectedSize(), CurrentDesign(), measured)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if page != want {
-		t.Errorf("docs/CAPACITY.md is not what its laws give: run stairvane capacity --write docs/CAPACITY.md")
+		t.Errorf("docs/CAPACITY.md does not match the stored laws: run stairvane capacity --write docs/CAPACITY.md")
 	}
 }
 
-// A figure comes from laws that are there, or it says which are missing, or that it comes from constants alone. Read has rejected
-// laws with fewer than five sizes, without a source, or with other slopes than their points give.
-func TestNoFigureLacksItsPoints(t *testing.T) {
-	measured, _ := load(t)
+// TestEveryFigureHasLawsOrConstants checks that each figure reads existing laws or rows, names the laws that are missing, or is
+// marked as computed from constants alone. Read has already rejected laws with fewer than five sizes, without a source, or with
+// slopes that do not match their points.
+func TestEveryFigureHasLawsOrConstants(t *testing.T) {
+	measured, _ := loadLawsAndPage(t)
 	readLaws := map[string]bool{}
 	for _, f := range Figures(ExpectedSize(), CurrentDesign(), measured) {
 		isOfConstants := strings.Contains(f.Mechanism, "no measurement") || f.Unit == Machines
 		if len(f.Terms) == 0 && len(f.Missing) == 0 && f.CollapsedAt == 0 && !isOfConstants {
-			t.Errorf("%s, %s rests on nothing", f.Role, f.Name)
+			t.Errorf("%s, %s has no law, row or constant as input", f.Role, f.Name)
 		}
 		for _, term := range f.Terms {
 			readLaws[term.Law] = true
 			if term.Law == "" && !hasRow(measured, term) {
-				t.Errorf("%s, %s rests on a row that is not there: %+v", f.Role, f.Name, term)
+				t.Errorf("%s, %s reads a row that does not exist: %+v", f.Role, f.Name, term)
 			}
 		}
 		for _, name := range f.Missing {
 			if !strings.HasPrefix(name, "process.") {
-				t.Errorf("%s, %s: the law %s is not there", f.Role, f.Name, name)
+				t.Errorf("%s, %s: the law %s does not exist", f.Role, f.Name, name)
 			}
 		}
 	}
@@ -78,7 +79,7 @@
 }
 
 func TestRewriteRejectsOtherMarkers(t *testing.T) {
-	measured, page := load(t)
+	measured, page := loadLawsAndPage(t)
 	for name, changed := range map[string]string{
 		"a part twice": page + "<!-- capacity: size -->\n<!-- capacity end -->",
 		"unknown":      page + "<!-- capacity: nothing -->\n<!-- capacity end -->",
--- a/internal/tools/capacity/process.go
+++ b/internal/tools/capacity/process.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// processLawName is the name of a law of real processes in a deployment with relays or without, and with a number of cold caches.
+// processLawName returns the name of the law for a cost of real processes, with or without relays and with the given number of cold
+// caches.
 func processLawName(cost processCost, hasRelays bool, coldCaches int) string {
 	name := "process." + string(cost) + ".without_relays"
 	if hasRelays {
@@ -14,12 +15,12 @@
 	return name
 }
 
-// processMeasure is what one law of real processes takes from a row.
+// processMeasure describes one law of real processes and the value that it reads from a row.
 type processMeasure struct {
 	cost       processCost
 	about      string
 	unit       Unit
-	isPerRelay bool // by the directors of one relay
+	isPerRelay bool // x is the number of directors of one relay
 	value      func(Row) float64
 }
 
@@ -88,15 +89,16 @@
 	},
 }
 
-// processFormulas are the figures of real processes for each of several scenarios, by all directors.
+// processFormulas returns a formula of real processes for each scenario, evaluated at the total number of directors.
 func processFormulas(scenarios []scenario, template formula, cost processCost) []formula {
 	template.working = "a run of processes"
 	return forScenarios(scenarios, template, func(c *calculation, s scenario) float64 {
-		return c.processValue(cost, s, c.directors())
+		return c.processValue(cost, s, c.directorCount())
 	})
 }
 
-// relayProcessFormulas are the figures of relay processes, by the directors of one relay.
+// relayProcessFormulas returns a formula of relay processes for each scenario with relays, evaluated at the number of directors of
+// one relay.
 func relayProcessFormulas(template formula, cost processCost) []formula {
 	template.working = "a run of processes, by directors/relays"
 	return forScenarios(relayScenarios, template, func(c *calculation, s scenario) float64 {
@@ -104,9 +106,10 @@
 	})
 }
 
-// processValue is the value of a law of real processes. Where there is no such law, it is what a run measured at the size itself.
+// processValue returns the value of a law of real processes. If there is no such law, it returns the value that a scale run measured
+// at the same size, if any.
 func (c *calculation) processValue(cost processCost, s scenario, directors float64) float64 {
-	c.collapsedAt = c.fewestCollapsed(s)
+	c.collapsedAt = c.minCollapsedDirectors(s)
 	name := processLawName(cost, s.hasRelays, c.coldCaches(s))
 	if _, isKnown := c.laws[name]; !isKnown {
 		if term, isMeasured := c.measuredTerm(cost, s); isMeasured {
@@ -117,10 +120,10 @@
 	return c.valueAt(name, directors)
 }
 
-// measuredTerm is what a run without a collapse measured at the size and the layout that are asked for.
+// measuredTerm returns the value that a scale run measured at the requested size and layout without collapsing.
 func (c *calculation) measuredTerm(cost processCost, s scenario) (term Term, isMeasured bool) {
 	for _, row := range c.rows {
-		if row.hasCollapsed() || !c.isOfScenario(row, s) || !c.isOfLayout(row, s) {
+		if row.hasCollapsed() || !c.matchesScenario(row, s) || !c.matchesLayout(row, s) {
 			continue
 		}
 		for _, m := range processMeasures {
@@ -133,12 +136,12 @@
 	return Term{}, false
 }
 
-// fewestCollapsed is the fewest directors at which a run of a scenario collapsed. It is 0 if none collapsed with at most as many
-// directors as are asked for, or if a run with as many or more did not collapse.
-func (c *calculation) fewestCollapsed(s scenario) int {
+// minCollapsedDirectors returns the smallest number of directors at which a run of the scenario collapsed. It returns 0 if no run
+// collapsed at or below the requested number of directors, or if a run at or above it did not collapse.
+func (c *calculation) minCollapsedDirectors(s scenario) int {
 	fewest := 0
 	for _, row := range c.rows {
-		if !c.isOfScenario(row, s) {
+		if !c.matchesScenario(row, s) {
 			continue
 		}
 		if !row.hasCollapsed() && row.Directors >= c.Directors {
@@ -151,13 +154,13 @@
 	return fewest
 }
 
-// isOfScenario tells whether a row was measured in a scenario, without an injected fault.
-func (c *calculation) isOfScenario(row Row, s scenario) bool {
+// matchesScenario reports whether a row was measured in the scenario without an injected fault.
+func (c *calculation) matchesScenario(row Row, s scenario) bool {
 	return row.ColdCaches == c.coldCaches(s) && (row.Relays > 0) == s.hasRelays && row.Fault == ""
 }
 
-// isOfLayout tells whether a row was measured at the size and with the replicas and relays that are asked for.
-func (c *calculation) isOfLayout(row Row, s scenario) bool {
+// matchesLayout reports whether a row was measured at the requested size, with the requested numbers of replicas and relays.
+func (c *calculation) matchesLayout(row Row, s scenario) bool {
 	hasSameRelays := !s.hasRelays || row.Relays == c.Relays
-	return hasSameRelays && row.Replicas == c.Replicas && isSameSize(float64(row.Directors), c.directors())
+	return hasSameRelays && row.Replicas == c.Replicas && isSameSize(float64(row.Directors), c.directorCount())
 }
--- a/internal/tools/capacity/rates.go
+++ b/internal/tools/capacity/rates.go
@@ -7,39 +7,39 @@
 
 const secondsPerDay = 24 * 60 * 60
 
-// The event log in memory is cut only when it is over what it retains by half, and by a thousand events more; see the package
-// eventlog of the control plane.
+// The in-memory event log is truncated only when it exceeds its retained length by half and by another thousand events; see the
+// package eventlog of the control plane.
 const (
 	historyGrowth = 1.5
 	historyExcess = 1000 // events
 )
 
-// perSecond is how often something happens that happens once in each interval.
+// perSecond returns the rate, per second, of something that occurs once in each interval.
 func perSecond(interval time.Duration) float64 { return 1 / interval.Seconds() }
 
-// leasesPerSecond are the lease renewals of one replica or relay.
+// leasesPerSecond returns the rate of lease renewals of one replica or relay.
 func (c *calculation) leasesPerSecond() float64 { return perSecond(c.LeaseInterval) }
 
-// changesPerSecond are changes of the configuration.
+// changesPerSecond returns the rate of configuration changes.
 func (c *calculation) changesPerSecond() float64 { return c.ChangesPerDay / secondsPerDay }
 
-// restartsPerSecond are restarts of machines.
+// restartsPerSecond returns the rate of machine restarts.
 func (c *calculation) restartsPerSecond() float64 { return c.RestartsPerDay / secondsPerDay }
 
-// membershipPerSecond are changes of the membership: each restarted machine leaves and joins. All machines count as directors,
-// which nearly all are.
-func (c *calculation) membershipPerSecond() float64 {
+// membershipChangesPerSecond returns the rate of membership changes: each restarted machine leaves and rejoins. All machines are
+// counted as directors, since nearly all of them are.
+func (c *calculation) membershipChangesPerSecond() float64 {
 	return c.EventsPerRestart * c.RestartsPerDay / secondsPerDay
 }
 
-// eventsPerSecond are all events of the log.
+// eventsPerSecond returns the rate of all events in the log.
 func (c *calculation) eventsPerSecond() float64 {
-	return c.PurgesPerSecond + c.changesPerSecond() + c.membershipPerSecond()
+	return c.PurgesPerSecond + c.changesPerSecond() + c.membershipChangesPerSecond()
 }
 
-// callsPerSecond are the watch requests of one director to a server that gathers events for the given time. A request ends at its
-// timeout, or with the first event after the gathering. Events come at random moments (a Poisson process). The time on the network
-// is left out, so that the result is an upper bound.
+// callsPerSecond returns the rate of watch requests of one director to a server that batches events for the given time. A request
+// ends at its timeout, or with the first event after the batching time. Events are assumed to form a Poisson process. Network
+// latency is ignored, so the result is an upper bound.
 func (c *calculation) callsPerSecond(gather time.Duration) float64 {
 	events := c.eventsPerSecond()
 	timeout := c.WatchTimeout.Seconds()
@@ -48,42 +48,43 @@
 	return 1 / (gathering + waiting)
 }
 
-// renewalsPerSecond are the quota renewals of one director that reach the leader: a replica forwards only the last one with its next
-// lease renewal.
+// renewalsPerSecond returns the rate of quota renewals of one director that reach the leader. A replica forwards only the latest
+// renewal with its next lease renewal.
 func (c *calculation) renewalsPerSecond() float64 {
 	return min(c.callsPerSecond(0), c.leasesPerSecond())
 }
 
-// directors is the number of all directors.
-func (c *calculation) directors() float64 { return float64(c.Directors) }
+// directorCount returns the total number of directors.
+func (c *calculation) directorCount() float64 { return float64(c.Directors) }
 
-// directorsPer is how many directors each of several servers has.
+// directorsPer returns the number of directors of each server if all directors are spread evenly over the given number of servers.
 func (c *calculation) directorsPer(servers int) float64 {
-	return c.directors() / float64(servers)
+	return c.directorCount() / float64(servers)
 }
 
-// directorPurges is how many purges a director retains: each until it is done everywhere twice over, and until the last answer that
-// may be under way has ended.
-func (c *calculation) directorPurges() float64 {
+// purgesRetainedByDirector returns how many purges a director retains. It retains each purge for twice the time within which a purge
+// must be complete everywhere (PurgeRetentionFactor), plus the longest deadline, by which the last response in flight has ended.
+func (c *calculation) purgesRetainedByDirector() float64 {
 	return c.PurgesPerSecond * (c.PurgeRetentionFactor*c.PurgeWithin.Seconds() + c.LongestDeadline.Seconds())
 }
 
-// controlPlanePurges is how many purges the control plane retains for directors that come back.
-func (c *calculation) controlPlanePurges() float64 {
+// purgesRetainedByControlPlane returns how many purges the control plane retains for directors that reconnect.
+func (c *calculation) purgesRetainedByControlPlane() float64 {
 	return c.PurgesPerSecond * c.PurgeRetention.Seconds()
 }
 
-// openRequests is the most requests that one director has in flight at the peak: each until its deadline.
-func (c *calculation) openRequests() float64 {
-	return c.RequestsPerSecond / c.directors() * c.LongestDeadline.Seconds()
+// maxOpenRequests returns the maximum number of requests in flight at one director at peak load, if each lasts until its deadline.
+func (c *calculation) maxOpenRequests() float64 {
+	return c.RequestsPerSecond / c.directorCount() * c.LongestDeadline.Seconds()
 }
 
-// maxHistoryEvents is the most events that a replica has in memory between two cuts of its log.
+// maxHistoryEvents returns the maximum number of events that a replica has in memory between two truncations of its log.
 func (c *calculation) maxHistoryEvents() float64 {
 	return historyGrowth*float64(c.HistoryLength) + historyExcess
 }
 
-// snapshotBytes is the first answer that a director gets: the complete endpoint list with the membership, and the retained purges.
+// snapshotBytes returns the size, in bytes, of the first answer to a director: the complete endpoint list, the membership and the
+// retained purges.
 func (c *calculation) snapshotBytes() float64 {
-	return c.valueAt(lawSnapshotBytes, c.directors()) + c.slope(lawPurgeBytes)*c.controlPlanePurges()
+	return c.valueAt(lawSnapshotBytes, c.directorCount()) + c.slope(lawPurgeBytes)*c.purgesRetainedByControlPlane()
 }
--- a/internal/tools/capacity/rates_test.go
+++ b/internal/tools/capacity/rates_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Guards the formula's two ends: a relay that gathers for as long as a watch request lasts gets one request of each director in
-// that time; a server that does not gather gets one for each event.
+// TestCallsPerSecond checks both limits of the formula. A relay that batches events for as long as a watch request lasts receives
+// one request of each director in that time; a server that does not batch receives one request for each event.
 func TestCallsPerSecond(t *testing.T) {
 	c := &calculation{Size: ExpectedSize(), Design: CurrentDesign()}
 	events := c.eventsPerSecond()
--- a/internal/tools/capacity/relay.go
+++ b/internal/tools/capacity/relay.go
@@ -4,24 +4,24 @@
 
 func machineBudget(s Size, _ Design) float64 { return float64(s.ControlMachines) }
 
-// watchCores is the processor time of a watch server with a number of directors.
+// watchCores returns the processor time of a watch server with the given number of directors, in cores.
 func (c *calculation) watchCores(s scenario, directors float64) float64 {
 	calls := directors * c.calls(s) * c.valueAt(lawServerCallTime, float64(c.coldCaches(s)))
 	return calls + c.eventsPerSecond()*c.valueAt(lawAnswerTime, directors)
 }
 
-// historyMemory is the event log of a replica or a relay in memory, encoded for answers.
+// historyMemory returns the memory of the event log of a replica or a relay, encoded for answers, in bytes.
 func (c *calculation) historyMemory() float64 {
 	return c.valueAt(lawHistoryMemory, c.maxHistoryEvents())
 }
 
-// relayRenewalCores is the processor time in which a relay divides its quotas among its directors.
+// relayRenewalCores returns the processor time that a relay spends on dividing its quotas among its directors, in cores.
 func (c *calculation) relayRenewalCores() float64 {
 	return c.renewalCores(lawRelayRenewalTime, c.directorsPer(c.Relays), c.callsPerSecond(c.RelayGatherTime))
 }
 
-// relayLeaderBytes is what a relay sends to the leader, a second.
-func (c *calculation) relayLeaderBytes() float64 {
+// relayToLeaderBytesPerSecond returns the traffic from one relay to the leader, in bytes per second.
+func (c *calculation) relayToLeaderBytesPerSecond() float64 {
 	directors := c.directorsPer(c.Relays)
 	return c.leasesPerSecond() * (c.valueAt(lawRelayRequestBytes, directors) + c.valueAt(lawRelayRenewalBytes, directors))
 }
@@ -58,7 +58,7 @@
 			unit:      BytesPerSecond,
 			mechanism: "one session: what has changed, one acknowledged revision, one renewal of the sum; health reports are not in it",
 			working:   "lease calls/s x (request + renewal with 8 limits)",
-			value:     (*calculation).relayLeaderBytes,
+			value:     (*calculation).relayToLeaderBytesPerSecond,
 		},
 		{
 			name:      "memory of the event log",
@@ -74,7 +74,7 @@
 		mechanism: "the unchanged watch protocol; TCP and IP headers are not in it",
 		working:   "directors/relays x bytes of control of a director",
 	}, func(c *calculation, s scenario) float64 {
-		return c.directorsPer(c.Relays) * c.controlBytes(s)
+		return c.directorsPer(c.Relays) * c.controlBytesPerSecond(s)
 	}),
 	relayProcessFormulas(formula{
 		name:      "processor time, whole process",
--- a/internal/tools/capacity/replica.go
+++ b/internal/tools/capacity/replica.go
@@ -2,25 +2,26 @@
 
 import "slices"
 
-// replicaWatchCores is the processor time of a replica's watch server without relays, while directors hold quotas of cold caches.
+// replicaWatchCores returns the processor time of a replica's watch server without relays, while directors hold quotas of cold
+// caches, in cores.
 func (c *calculation) replicaWatchCores() float64 {
 	return c.watchCores(scenario{hasColdCaches: true}, c.directorsPer(c.Replicas))
 }
 
-// leaseCores is the processor time in which a replica writes its lease renewals.
+// leaseCores returns the processor time that a replica spends on encoding its lease renewals, in cores.
 func (c *calculation) leaseCores() float64 {
 	directors := c.directorsPer(c.Replicas)
 	return c.leasesPerSecond() * (c.valueAt(lawLeaseEncodingTime, directors) + c.valueAt(lawAcknowledgedTime, directors))
 }
 
-// leaseBytes is what a replica's lease renewals cost, a second.
-func (c *calculation) leaseBytes() float64 {
+// leaseBytesPerSecond returns the traffic of the lease renewals of a replica, in bytes per second.
+func (c *calculation) leaseBytesPerSecond() float64 {
 	return c.leasesPerSecond() * c.valueAt(lawLeaseBytes, c.directorsPer(c.Replicas))
 }
 
-// replicaLogMemory is the event log of a replica in memory, and its store's own.
+// replicaLogMemory returns the memory of the event log of a replica and of its store, in bytes.
 func (c *calculation) replicaLogMemory() float64 {
-	return c.historyMemory() + c.valueAt(lawStoreMemory, c.controlPlanePurges())
+	return c.historyMemory() + c.valueAt(lawStoreMemory, c.purgesRetainedByControlPlane())
 }
 
 var replicaFormulas = slices.Concat(
@@ -46,7 +47,7 @@
 			unit:      BytesPerSecond,
 			mechanism: "JSON over HTTP to the leader",
 			working:   "lease calls/s x bytes by directors",
-			value:     (*calculation).leaseBytes,
+			value:     (*calculation).leaseBytesPerSecond,
 		},
 		{
 			name: "memory of the event log",
--- a/internal/tools/capacity/scalerun.go
+++ b/internal/tools/capacity/scalerun.go
@@ -10,25 +10,25 @@
 	"time"
 )
 
-// bytesOfMB is what the files of scale runs mean by a megabyte.
+// bytesOfMB is the number of bytes in a megabyte as the files of scale runs define it.
 const bytesOfMB = 1 << 20
 
 const millisecondsPerSecond = 1000
 
-// ErrNoScaleRun tells that a file is JSON, but no scale run with rows.
-var ErrNoScaleRun = errors.New("no scale run with rows")
+// ErrNoScaleRun is returned if a file is valid JSON but does not contain a scale run with rows.
+var ErrNoScaleRun = errors.New("file contains no scale run with rows")
 
-// Row is one size of a scale run: real processes, as they were measured.
+// Row holds the usage of real processes, as measured at one size of a scale run.
 type Row struct {
-	File           string    `json:"file"` // of the run, in docs/design/capacity-runs
+	File           string    `json:"file"` // file of the run in docs/design/capacity-runs
 	At             time.Time `json:"at"`
-	Cores          int       `json:"cores"` // of the machine
-	Load           float64   `json:"load"`  // average of the last minute, at the window's end
+	Cores          int       `json:"cores"` // cores of the machine
+	Load           float64   `json:"load"`  // one-minute load average at the end of the window
 	Replicas       int       `json:"replicas"`
 	Relays         int       `json:"relays"`
 	ColdCaches     int       `json:"cold_caches"`
 	Directors      int       `json:"directors"`
-	JoinsPerSecond int       `json:"joins_per_second"` // simulated directors that begin to watch
+	JoinsPerSecond int       `json:"joins_per_second"` // rate at which simulated directors start
 	LeaderCores    float64   `json:"leader_cores"`
 	LeaderMemory   float64   `json:"leader_memory"` // bytes
 	ReplicaCores   float64   `json:"replica_cores"`
@@ -37,27 +37,27 @@
 	RelayMemory    float64   `json:"relay_memory,omitempty"` // bytes
 	DirectorCores  float64   `json:"director_cores"`
 	DirectorMemory float64   `json:"director_memory"` // bytes
-	DirectorBytes  float64   `json:"director_bytes"`  // a second, both ways
-	DirectorCalls  float64   `json:"director_calls"`  // a second
-	PurgeP99       float64   `json:"purge_p99"`       // seconds from a purge's acceptance to a director, over purges and directors
-	PurgeLastP99   float64   `json:"purge_last_p99"`  // seconds to the last director, over purges
-	PurgeLongest   float64   `json:"purge_longest"`   // seconds, the longest seen
+	DirectorBytes  float64   `json:"director_bytes"`  // bytes per second, both directions together
+	DirectorCalls  float64   `json:"director_calls"`  // watch requests per second
+	PurgeP99       float64   `json:"purge_p99"`       // seconds from acceptance to arrival at a director, over all purges and directors
+	PurgeLastP99   float64   `json:"purge_last_p99"`  // seconds to the arrival at the last director, over all purges
+	PurgeLongest   float64   `json:"purge_longest"`   // seconds, maximum
 	PurgesMissing  int       `json:"purges_missing"`
-	Changes        int       `json:"changes"`             // of the configuration in the window
-	Collapsed      []string  `json:"collapsed,omitempty"` // why the control plane can't bear the size; empty if it can
-	Fault          string    `json:"fault,omitempty"`     // that the run injected in the window
-	Recovery       float64   `json:"recovery,omitempty"`  // seconds from the fault until all directors watched again
+	Changes        int       `json:"changes"`             // configuration changes in the window
+	Collapsed      []string  `json:"collapsed,omitempty"` // reasons why the control plane did not sustain the size; empty if it did
+	Fault          string    `json:"fault,omitempty"`     // fault that the run injected in the window
+	Recovery       float64   `json:"recovery,omitempty"`  // seconds from the fault until all directors had a watch again
 }
 
-// hasCollapsed tells whether the size is more than the control plane bears.
+// hasCollapsed reports whether the control plane failed to sustain the size.
 func (r Row) hasCollapsed() bool { return len(r.Collapsed) > 0 }
 
-// hasLayoutOf tells whether two rows can share a law: only the number of directors may differ.
-func (r Row) hasLayoutOf(other Row) bool {
+// hasSameLayout reports whether two rows can be fitted to one law: they may differ only in the number of directors.
+func (r Row) hasSameLayout(other Row) bool {
 	return r.Replicas == other.Replicas && r.Relays == other.Relays && r.ColdCaches == other.ColdCaches
 }
 
-// scaleRun is what is read of a scale run's file.
+// scaleRun holds the fields that are read from the file of a scale run.
 type scaleRun struct {
 	Settings *scaleRunSettings `json:"settings"`
 	Cores    int               `json:"cores"`
@@ -68,8 +68,8 @@
 	Replicas        int `json:"replicas"`
 	Relays          int `json:"relays"`
 	ColdCaches      int `json:"cold_caches"`
-	Processes       int `json:"processes"`        // of simulated directors
-	StartsPerSecond int `json:"start_per_second"` // in each process
+	Processes       int `json:"processes"`        // processes that simulate directors
+	StartsPerSecond int `json:"start_per_second"` // directors that each process starts per second
 }
 
 type scaleRunRow struct {
@@ -90,7 +90,7 @@
 	RecoverySeconds      float64        `json:"recovery_seconds"`
 }
 
-// roleUsage is what the processes of a role used, each on average.
+// roleUsage is the average usage of one process of a role.
 type roleUsage struct {
 	Role       string  `json:"role"`
 	CPU        float64 `json:"cpu"` // cores
@@ -102,8 +102,8 @@
 	MaxMS float64 `json:"max_ms"`
 }
 
-// ReadScaleRun reads the file that a scale run has saved; file is the name that its rows carry. An error is ErrNoScaleRun, or one of
-// the JSON decoder.
+// ReadScaleRun decodes the file that a scale run has saved. Each row gets the name file. The error wraps ErrNoScaleRun, or it is one
+// of the JSON decoder.
 func ReadScaleRun(r io.Reader, file string) ([]Row, error) {
 	var run scaleRun
 	if err := json.NewDecoder(r).Decode(&run); err != nil {
@@ -147,7 +147,7 @@
 	return row
 }
 
-// setUsage ignores roles that no figure is about.
+// setUsage stores the usage of a role in the row. It ignores roles that no figure covers.
 func (r *Row) setUsage(usage roleUsage) {
 	memory := usage.ResidentMB * bytesOfMB
 	switch Role(usage.Role) {
@@ -166,8 +166,8 @@
 	}
 }
 
-// processLaws fits the laws of rows of one layout, of one run or several. Rows of sizes that collapsed, and of runs that injected a
-// fault, do not count; with fewer than MinPoints other sizes there are no laws.
+// processLaws fits laws to the rows of one layout, from one or more runs. It ignores rows whose size collapsed and rows with an
+// injected fault, and returns no laws if fewer than MinPoints sizes remain.
 func processLaws(rows []Row) Laws {
 	counted := slices.DeleteFunc(slices.Clone(rows), func(r Row) bool { return r.hasCollapsed() || r.Fault != "" })
 	laws := Laws{}
@@ -181,14 +181,14 @@
 		}
 		law, err := m.law(counted)
 		if err != nil {
-			continue // there are too few sizes
+			continue // too few sizes
 		}
 		laws[law.Name] = law
 	}
 	return laws
 }
 
-// law fits one law to rows of one layout. It returns ErrTooFewPoints where there are fewer than MinPoints sizes.
+// law fits one law to rows of one layout. It returns ErrTooFewPoints if there are fewer than MinPoints distinct sizes.
 func (m processMeasure) law(rows []Row) (Law, error) {
 	layout := rows[0]
 	xUnit := "director"
@@ -206,7 +206,7 @@
 	return NewLaw(name, about, xUnit, m.unit, points, sourceOf(rows))
 }
 
-// sourceOf names the runs of rows, with the load at each row.
+// sourceOf returns a source that lists the files of the rows and the load average at each row.
 func sourceOf(rows []Row) Source {
 	var files []string
 	var loads strings.Builder
@@ -214,7 +214,7 @@
 		if !slices.Contains(files, row.File) {
 			files = append(files, row.File)
 		}
-		loads.WriteString(" " + significant(row.Load))
+		loads.WriteString(" " + formatSignificant(row.Load))
 	}
 	return Source{
 		Command: "stairvane scale, saved in docs/design/capacity-runs as " + strings.Join(files, ", "),
--- a/internal/tools/capacity/scalerun_test.go
+++ b/internal/tools/capacity/scalerun_test.go
@@ -9,23 +9,23 @@
 	"testing"
 )
 
-const runText = `{"began":"2026-12-02T05:00:00Z","cores":8,
+const runTemplate = `{"began":"2026-12-02T05:00:00Z","cores":8,
 	"settings":{"replicas":3,"relays":RELAYS,"cold_caches":8,"processes":3,"start_per_second":20},"stopped":"s","rows":[ROWS]}`
 
-func rowText(simulated, leaderCores, more string) string {
+func rowJSON(simulated, leaderCores, more string) string {
 	return `{"began":"2026-12-02T05:00:01Z","hollow_directors":` + simulated + `,"real_directors":2,"load_average":[1,2],
 		"director_up":30,"director_down":12,"purge_delay":{"p99_ms":50},"purge_last":{"p99_ms":60,"max_ms":70},
 		"roles":[{"role":"leader","cpu":` + leaderCores + `,"resident_mb":1},
 		{"role":"relay","cpu":0.5,"resident_mb":2}]` + more + `}`
 }
 
-func runOf(relays string, rows ...string) string {
-	return strings.NewReplacer("RELAYS", relays, "ROWS", strings.Join(rows, ",")).Replace(runText)
+func runJSON(relays string, rows ...string) string {
+	return strings.NewReplacer("RELAYS", relays, "ROWS", strings.Join(rows, ",")).Replace(runTemplate)
 }
 
 func readRun(t *testing.T, file, relays string, rows ...string) []Row {
 	t.Helper()
-	read, err := ReadScaleRun(strings.NewReader(runOf(relays, rows...)), file)
+	read, err := ReadScaleRun(strings.NewReader(runJSON(relays, rows...)), file)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,22 +35,22 @@
 	return read
 }
 
-// fiveRows are of sizes that did not collapse, of 100 to 500 directors.
-func fiveRows() []string {
+// rowsWithoutCollapse returns five rows with 100 to 500 directors that did not collapse.
+func rowsWithoutCollapse() []string {
 	return []string{
-		rowText("98", "0.1", ""),
-		rowText("198", "0.2", ""),
-		rowText("298", "0.3", ""),
-		rowText("398", "0.4", ""),
-		rowText("498", "0.5", ""),
+		rowJSON("98", "0.1", ""),
+		rowJSON("198", "0.2", ""),
+		rowJSON("298", "0.3", ""),
+		rowJSON("398", "0.4", ""),
+		rowJSON("498", "0.5", ""),
 	}
 }
 
-// sixRows are fiveRows and one of a size that collapsed.
-func sixRows(t *testing.T) []Row {
+// rowsWithCollapse returns the rows of rowsWithoutCollapse, followed by a sixth of a size that collapsed.
+func rowsWithCollapse(t *testing.T) []Row {
 	t.Helper()
-	collapsed := rowText("598", "9", `,"collapsed":["directors lost their leases"]`)
-	return readRun(t, "run.json", "4", append(fiveRows(), collapsed)...)
+	collapsed := rowJSON("598", "9", `,"collapsed":["directors lost their leases"]`)
+	return readRun(t, "run.json", "4", append(rowsWithoutCollapse(), collapsed)...)
 }
 
 const (
@@ -59,16 +59,17 @@
 )
 
 func TestReadScaleRun(t *testing.T) {
-	r := sixRows(t)[0]
+	r := rowsWithCollapse(t)[0]
 	if r.Directors != 100 || r.Load != 2 || r.DirectorBytes != 42 || r.LeaderMemory != 1<<20 ||
 		r.JoinsPerSecond != 60 || r.PurgeLastP99 != 0.06 || r.PurgeLongest != 0.07 {
 		t.Errorf("%+v", r)
 	}
 }
 
-// A run's rows become laws over the sizes that did not collapse. Laws of a relay's costs are by the directors of one relay.
+// TestProcessLaws checks that the laws of a run cover the sizes that did not collapse, and that the laws of relays are a function of
+// the directors of one relay.
 func TestProcessLaws(t *testing.T) {
-	rows := sixRows(t)
+	rows := rowsWithCollapse(t)
 	measured := Measured{Laws: Laws{}, Rows: []Row{{File: "run.json"}, {File: "another.json"}}}
 	measured.AddRows(rows)
 	leader := measured.Laws[leaderLawName]
@@ -90,9 +91,9 @@
 	}
 }
 
-// Guards against a law that counts only the sizes of the last run.
+// TestProcessLawsOfTwoRuns guards against a law that is fitted to the sizes of the latest run only.
 func TestProcessLawsOfTwoRuns(t *testing.T) {
-	rows := sixRows(t)
+	rows := rowsWithCollapse(t)
 	measured := Measured{Laws: Laws{}}
 	secondRun := slices.Clone(rows[3:])
 	for i := range secondRun {
@@ -109,15 +110,15 @@
 	}
 }
 
-// Guards against laws over rows that don't count: those with an injected fault, and those of sizes that collapsed.
+// TestProcessLawsOmitFaultsAndCollapses guards against laws fitted to rows with an injected fault or to sizes that collapsed.
 func TestProcessLawsOmitFaultsAndCollapses(t *testing.T) {
-	rows := sixRows(t)
-	faulty := readRun(t, "fault.json", "4", rowText("698", "9", `,"fault":"kill-relay","recovery_seconds":0.2`))
+	rows := rowsWithCollapse(t)
+	faulty := readRun(t, "fault.json", "4", rowJSON("698", "9", `,"fault":"kill-relay","recovery_seconds":0.2`))
 	if faulty[0].Fault != "kill-relay" || faulty[0].Recovery != 0.2 {
 		t.Fatalf("%+v", faulty)
 	}
 	if law := processLaws(append(faulty, rows...))[leaderLawName]; len(law.Points) != 5 || law.Points[0].X != 100 {
-		t.Errorf("a run with a fault counts: %+v", law)
+		t.Errorf("a run with a fault is included in the law: %+v", law)
 	}
 	if few := processLaws(append(rows[:4:4], rows[5])); len(few) != 0 {
 		t.Errorf("four sizes did not collapse, and there are laws: %+v", few)
@@ -125,7 +126,7 @@
 }
 
 func TestProcessLawsWithoutRelays(t *testing.T) {
-	laws := processLaws(readRun(t, "x", "0", fiveRows()...))
+	laws := processLaws(readRun(t, "x", "0", rowsWithoutCollapse()...))
 	if laws["process.leader.cores.without_relays_8_cold"].Name == "" {
 		t.Errorf("there is no law of the leader: %+v", laws)
 	}
@@ -140,8 +141,8 @@
 		text string
 		want func(error) bool
 	}{
-		{"no settings", `{"rows":[` + rowText("98", "0.1", "") + `]}`, isNoScaleRun},
-		{"no rows", runOf("0"), isNoScaleRun},
+		{"no settings", `{"rows":[` + rowJSON("98", "0.1", "") + `]}`, isNoScaleRun},
+		{"no rows", runJSON("0"), isNoScaleRun},
 		{"no JSON", "{", func(err error) bool { return err != nil && !isNoScaleRun(err) }},
 	} {
 		if rows, err := ReadScaleRun(strings.NewReader(c.text), "run.json"); !c.want(err) {
--- a/internal/tools/capacity/scenario.go
+++ b/internal/tools/capacity/scenario.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// scenario is how directors are connected, and whether they hold quotas. Most figures are worked out for several scenarios.
+// scenario describes how directors are connected and whether they hold quotas. Most figures are computed for several scenarios.
 type scenario struct {
-	hasRelays     bool // between directors and the leader
-	hasColdCaches bool // directors hold quotas of Design.ColdCaches caches that are warming up
+	hasRelays     bool // relays connect directors to the leader
+	hasColdCaches bool // directors hold quotas for Design.ColdCaches caches that are warming up
 }
 
 var (
@@ -21,7 +21,7 @@
 	}
 )
 
-// String is the end of a figure's name.
+// String returns the text that is appended to the name of a figure.
 func (s scenario) String() string {
 	name := "without relays"
 	if s.hasRelays {
@@ -33,7 +33,7 @@
 	return name + ", no cold cache"
 }
 
-// coldCaches is how many caches a director holds a quota of.
+// coldCaches returns the number of caches for which a director holds a quota.
 func (c *calculation) coldCaches(s scenario) int {
 	if s.hasColdCaches {
 		return c.ColdCaches
@@ -41,7 +41,7 @@
 	return 0
 }
 
-// calls are the watch requests of one director, a second.
+// calls returns the rate, per second, of watch requests of one director.
 func (c *calculation) calls(s scenario) float64 {
 	gather := time.Duration(0)
 	if s.hasRelays {
@@ -50,7 +50,7 @@
 	return c.callsPerSecond(gather)
 }
 
-// forScenarios makes a formula for each of several scenarios, with the scenario in its name.
+// forScenarios returns a copy of the template for each scenario, with the scenario appended to its name.
 func forScenarios(scenarios []scenario, template formula, value func(*calculation, scenario) float64) []formula {
 	var formulas []formula
 	for _, s := range scenarios {
--- a/internal/tools/capacity/settings.go
+++ b/internal/tools/capacity/settings.go
@@ -8,27 +8,29 @@
 	"time"
 )
 
-// ErrUnknownSetting tells that a size or a design has no value of a name.
+// ErrUnknownSetting is returned if a size or a design has no setting with the given name.
 var ErrUnknownSetting = errors.New("unknown setting")
 
-// ErrInvalidSetting tells that a text is no number or duration over 0.
-var ErrInvalidSetting = errors.New("not a value over 0")
+// ErrInvalidSetting is returned if a text is not a number or a duration greater than 0.
+var ErrInvalidSetting = errors.New("not a value greater than 0")
 
-// setting parses a text and stores its value. It stores nothing when it fails.
+// setting parses a text and stores its value. It stores nothing if it returns an error.
 type setting func(text string) error
 
-func positiveInt(target *int) setting { return positive(target, strconv.Atoi) }
+func positiveInt(target *int) setting { return parsePositive(target, strconv.Atoi) }
 
-func positiveDuration(target *time.Duration) setting { return positive(target, time.ParseDuration) }
+func positiveDuration(target *time.Duration) setting {
+	return parsePositive(target, time.ParseDuration)
+}
 
 func positiveFloat(target *float64) setting {
-	return positive(target, func(text string) (float64, error) { return strconv.ParseFloat(text, 64) })
+	return parsePositive(target, func(text string) (float64, error) { return strconv.ParseFloat(text, 64) })
 }
 
-func positive[T int | float64 | time.Duration](target *T, parse func(string) (T, error)) setting {
+func parsePositive[T int | float64 | time.Duration](target *T, parse func(string) (T, error)) setting {
 	return func(text string) error {
 		value, err := parse(text)
-		isPositive := value > 0 // false for a NaN
+		isPositive := value > 0 // false for NaN
 		if err != nil || !isPositive {
 			return ErrInvalidSetting
 		}
@@ -37,7 +39,7 @@
 	}
 }
 
-func set(settings map[string]setting, name, value string) error {
+func setByName(settings map[string]setting, name, value string) error {
 	store, isKnown := settings[name]
 	if !isKnown {
 		return fmt.Errorf("capacity: %w %q", ErrUnknownSetting, name)
--- a/internal/tools/capacity/size.go
+++ b/internal/tools/capacity/size.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// Size is how large a deployment is and what it may spend, as its operators state it.
+// Size describes the expected load and the budgets of a deployment, as stated by its operators.
 type Size struct {
 	Directors         int           `json:"Directors"`
-	Sites             int           `json:"Sites"` // with directors; a rack or a switch is at most one of them
+	Sites             int           `json:"Sites"` // sites with directors; the failure of a rack or a switch affects at most one site
 	Caches            int           `json:"Caches"`
 	Regions           int           `json:"Regions"`
 	Zones             int           `json:"Zones"`
-	RequestsPerSecond float64       `json:"RequestsPerSecond"` // at the peak, all directors together
-	BitsPerSecond     float64       `json:"BitsPerSecond"`     // at the peak, all caches together
+	RequestsPerSecond float64       `json:"RequestsPerSecond"` // peak rate over all directors
+	BitsPerSecond     float64       `json:"BitsPerSecond"`     // peak traffic over all caches
 	Objects           float64       `json:"Objects"`           // number of distinct objects
 	PurgesPerSecond   float64       `json:"PurgesPerSecond"`
-	PurgeWithin       time.Duration `json:"PurgeWithin"`    // until a purge is done everywhere
-	ChangesPerDay     float64       `json:"ChangesPerDay"`  // of the configuration
-	ChangeWithin      time.Duration `json:"ChangeWithin"`   // until a change is in force everywhere
-	FailuresPerDay    float64       `json:"FailuresPerDay"` // machines
+	PurgeWithin       time.Duration `json:"PurgeWithin"`    // maximum time until a purge is complete on all directors
+	ChangesPerDay     float64       `json:"ChangesPerDay"`  // configuration changes
+	ChangeWithin      time.Duration `json:"ChangeWithin"`   // maximum time until a configuration change is in effect on all directors
+	FailuresPerDay    float64       `json:"FailuresPerDay"` // machine failures
 	RestartsPerDay    float64       `json:"RestartsPerDay"` // machines restarted or replaced
-	PartitionDuration time.Duration `json:"RegionsApart"`   // for which regions lose each other now and then
+	PartitionDuration time.Duration `json:"RegionsApart"`   // duration of an occasional network partition between regions
 
 	ControlMachines        int     `json:"ControlMachines"`
-	DirectorCores          float64 `json:"DirectorCores"`          // cores that a director may spend on control
-	DirectorBytes          float64 `json:"DirectorBytes"`          // bytes of memory that a director may spend on control
-	DirectorBytesPerSecond float64 `json:"DirectorBytesPerSecond"` // that a director may spend on control
+	DirectorCores          float64 `json:"DirectorCores"`          // maximum cores that a director uses for control
+	DirectorBytes          float64 `json:"DirectorBytes"`          // maximum memory that a director uses for control, in bytes
+	DirectorBytesPerSecond float64 `json:"DirectorBytesPerSecond"` // maximum control traffic of a director
 }
 
-// ExpectedSize is the size that the operators expect.
+// ExpectedSize returns the size that the operators expect.
 func ExpectedSize() Size {
 	return Size{
 		Directors:         3500,
@@ -52,7 +52,7 @@
 	}
 }
 
-// settings are the values of a size that Set changes.
+// settings returns the values of the size that Set can change, by name.
 func (s *Size) settings() map[string]setting {
 	return map[string]setting{
 		"directors":                 positiveInt(&s.Directors),
@@ -77,5 +77,6 @@
 	}
 }
 
-// Set sets a value by its name, such as directors or purge-within. An error is ErrUnknownSetting or ErrInvalidSetting.
-func (s *Size) Set(name, value string) error { return set(s.settings(), name, value) }
+// Set parses value and stores it under a name such as directors or purge-within. It returns an error that wraps ErrUnknownSetting or
+// ErrInvalidSetting.
+func (s *Size) Set(name, value string) error { return setByName(s.settings(), name, value) }
