--- a/internal/tools/capacity/measure/decision.go
+++ b/internal/tools/capacity/measure/decision.go
@@ -11,41 +11,41 @@
 
 var decisionMeasures = []Measure{
 	{
-		Name:  "director.time.purge",
-		About: "a purge in the decision module with so many requests open",
-		XUnit: "open request",
-		Unit:  capacity.Seconds,
-		Sizes: []int{250, 500, 1000, 2000, 4000},
-		At:    purgeTime,
+		Name:    "director.time.purge",
+		About:   "a purge in the decision module with so many requests open",
+		XUnit:   "open request",
+		Unit:    capacity.Seconds,
+		Sizes:   []int{250, 500, 1000, 2000, 4000},
+		ValueAt: purgeTime,
 	},
 	{
-		Name:  "director.memory.open",
-		About: "heap of the decision module with so many requests open",
-		XUnit: "open request",
-		Unit:  capacity.Bytes,
-		Sizes: []int{250, 500, 1000, 2000, 4000},
-		At:    openHeap,
+		Name:    "director.memory.open",
+		About:   "heap of the decision module with so many requests open",
+		XUnit:   "open request",
+		Unit:    capacity.Bytes,
+		Sizes:   []int{250, 500, 1000, 2000, 4000},
+		ValueAt: openHeap,
 	},
 	{
-		Name:  "director.memory.served",
-		About: "heap of the decision module that has served so many different objects, one after another",
-		XUnit: "object served",
-		Unit:  capacity.Bytes,
-		Sizes: []int{10_000, 20_000, 40_000, 80_000, 160_000},
-		At:    servedHeap,
+		Name:    "director.memory.served",
+		About:   "heap of the decision module that has served so many different objects, one after another",
+		XUnit:   "object served",
+		Unit:    capacity.Bytes,
+		Sizes:   []int{10_000, 20_000, 40_000, 80_000, 160_000},
+		ValueAt: servedHeap,
 	},
 }
 
-// decisionModule is a router with the caches of one zone, two parents and an origin.
+// decisionModule runs a router with the caches of one zone, two parent caches and an origin.
 type decisionModule struct {
 	router     *decision.Router
 	now        time.Duration
-	nextUpkeep time.Duration // when it asked to be woken next
-	requests   int           // requests so far
+	nextUpkeep time.Duration // when the router's next upkeep is due
+	requests   int           // requests sent so far
 }
 
 func newDecisionModule() *decisionModule {
-	m := &decisionModule{router: decision.NewRouter(settings(expectedDirectors), 1), now: time.Hour}
+	m := &decisionModule{router: decision.NewRouter(directorSettings(expectedDirectors), 1), now: time.Hour}
 	m.handleActions(m.router.Start(m.now))
 	endpoints := []decision.Endpoint{{Host: 900, Zone: "hub", Kind: "origin"}}
 	for i := range 2 {
@@ -66,7 +66,7 @@
 	return m
 }
 
-// handleActions records when the router wants its upkeep, and returns the attempts that it starts.
+// handleActions records when the next upkeep of the router is due, and returns the attempts that the router starts.
 func (m *decisionModule) handleActions(actions []decision.Action) (attempts []decision.StartAttempt) {
 	for _, action := range actions {
 		switch a := action.(type) {
@@ -81,8 +81,8 @@
 	return attempts
 }
 
-// request sends the router a request for an object that was not requested before.
-func (m *decisionModule) request() []decision.StartAttempt {
+// sendRequest sends the router a request for an object that has not been requested before and returns the attempts that it starts.
+func (m *decisionModule) sendRequest() []decision.StartAttempt {
 	m.requests++
 	return m.handleActions(m.router.Handle(m.now, decision.Request{
 		ID:         decision.RequestID(strconv.Itoa(m.requests)),
@@ -94,12 +94,12 @@
 	}))
 }
 
-// openRequests leaves requests in flight, each with an attempt that is not answered.
-func openRequests(count int) (*decisionModule, error) {
+// newModuleWithOpenRequests returns a module with the given number of requests in flight, each with one unanswered attempt.
+func newModuleWithOpenRequests(count int) (*decisionModule, error) {
 	m := newDecisionModule()
 	attempts := 0
 	for range count {
-		attempts += len(m.request())
+		attempts += len(m.sendRequest())
 	}
 	if attempts != count {
 		return nil, fmt.Errorf("%d of %d requests have an open attempt", attempts, count)
@@ -108,11 +108,11 @@
 }
 
 func purgeTime(open int) (float64, error) {
-	m, err := openRequests(open)
+	m, err := newModuleWithOpenRequests(open)
 	if err != nil {
 		return 0, err
 	}
-	return timeOf(func(n int) {
+	return timePerOperation(func(n int) {
 		object := decision.ObjectID(0xd1b54a32d192ed03 * uint64(n%1000+1))
 		m.router.Handle(m.now, decision.Purge{Object: object})
 	}), nil
@@ -120,21 +120,22 @@
 
 func openHeap(open int) (float64, error) {
 	var err error
-	heap := heapOf(func() any {
+	heap := retainedHeap(func() any {
 		var m *decisionModule
-		m, err = openRequests(open)
+		m, err = newModuleWithOpenRequests(open)
 		return m
 	})
 	return heap, err
 }
 
-// servedHeap serves one object after another, each in 1 ms of simulated time, with the router's upkeep.
+// servedHeap returns the heap of a module that has served the given number of objects, one after another, each in 1 ms of simulated
+// time and with the router's upkeep. The result is in bytes.
 func servedHeap(objects int) (float64, error) {
 	var serveErr error
-	heap := heapOf(func() any {
+	heap := retainedHeap(func() any {
 		m := newDecisionModule()
 		for range objects {
-			if serveErr = m.serve(); serveErr != nil {
+			if serveErr = m.serveRequest(); serveErr != nil {
 				break
 			}
 		}
@@ -143,12 +144,13 @@
 	return heap, serveErr
 }
 
-// serve sends the router a request, and answers its attempt after 1 ms.
-func (m *decisionModule) serve() error {
-	attempts := m.request()
+// serveRequest sends the router a request and reports the result of its attempt after 1 ms of simulated time. It runs the upkeep if
+// it is due.
+func (m *decisionModule) serveRequest() error {
+	attempts := m.sendRequest()
 	m.now += time.Millisecond
 	if len(attempts) != 1 {
-		return fmt.Errorf("%d attempts for one request", len(attempts))
+		return fmt.Errorf("router started %d attempts for one request", len(attempts))
 	}
 	m.handleActions(m.router.Handle(m.now, decision.AttemptResult{
 		Request:     attempts[0].Request,
--- a/internal/tools/capacity/measure/director.go
+++ b/internal/tools/capacity/measure/director.go
@@ -17,7 +17,7 @@
 		XUnit: "cache",
 		Unit:  capacity.Bytes,
 		Sizes: cacheCounts,
-		At: func(size int) (float64, error) {
+		ValueAt: func(size int) (float64, error) {
 			return directorHeap(endpointsBody(size))
 		},
 	},
@@ -27,7 +27,7 @@
 		XUnit: "purge kept",
 		Unit:  capacity.Bytes,
 		Sizes: []int{200, 400, 800, 1600, 3200},
-		At: func(size int) (float64, error) {
+		ValueAt: func(size int) (float64, error) {
 			return directorHeap(purgesBody(size))
 		},
 	},
@@ -37,33 +37,33 @@
 		XUnit: "director",
 		Unit:  capacity.Bytes,
 		Sizes: directorCounts,
-		At: func(size int) (float64, error) {
+		ValueAt: func(size int) (float64, error) {
 			return directorHeap(membershipBody(size, 0))
 		},
 	},
 	{
-		Name:  "director.time.host_change",
-		About: "taking in the change of one cache in a list of so many",
-		XUnit: "cache",
-		Unit:  capacity.Seconds,
-		Sizes: cacheCounts,
-		At:    hostChangeTime,
+		Name:    "director.time.host_change",
+		About:   "taking in the change of one cache in a list of so many",
+		XUnit:   "cache",
+		Unit:    capacity.Seconds,
+		Sizes:   cacheCounts,
+		ValueAt: hostChangeTime,
 	},
 	{
-		Name:  "director.time.membership_change",
-		About: "taking in a director that joins among so many",
-		XUnit: "director",
-		Unit:  capacity.Seconds,
-		Sizes: directorCounts,
-		At:    membershipChangeTime,
+		Name:    "director.time.membership_change",
+		About:   "taking in a director that joins among so many",
+		XUnit:   "director",
+		Unit:    capacity.Seconds,
+		Sizes:   directorCounts,
+		ValueAt: membershipChangeTime,
 	},
 	{
-		Name:  "director.time.watch_call",
-		About: "writing a watch call with quotas of so many cold caches, and reading its answer",
-		XUnit: "cold cache",
-		Unit:  capacity.Seconds,
-		Sizes: coldCacheCounts,
-		At:    directorCallTime,
+		Name:    "director.time.watch_call",
+		About:   "writing a watch call with quotas of so many cold caches, and reading its answer",
+		XUnit:   "cold cache",
+		Unit:    capacity.Seconds,
+		Sizes:   coldCacheCounts,
+		ValueAt: directorCallTime,
 	},
 	{
 		Name:  "director.bytes.call",
@@ -71,7 +71,7 @@
 		XUnit: "cold cache",
 		Unit:  capacity.Bytes,
 		Sizes: coldCacheCounts,
-		At: func(size int) (float64, error) {
+		ValueAt: func(size int) (float64, error) {
 			return float64(len(newWatchClient(size).nextRequest())), nil
 		},
 	},
@@ -81,16 +81,16 @@
 		XUnit: "cold cache",
 		Unit:  capacity.Bytes,
 		Sizes: coldCacheCounts,
-		At: func(size int) (float64, error) {
+		ValueAt: func(size int) (float64, error) {
 			return float64(len(newWatchClient(size).answer())), nil
 		},
 	},
 	{
-		Name:  "director.bytes.report",
-		About: "a health report on so many caches, in the call",
-		XUnit: "cache reported",
-		Unit:  capacity.Bytes,
-		Sizes: []int{4, 8, 16, 24, 32},
-		At:    reportBytes,
+		Name:    "director.bytes.report",
+		About:   "a health report on so many caches, in the call",
+		XUnit:   "cache reported",
+		Unit:    capacity.Bytes,
+		Sizes:   []int{4, 8, 16, 24, 32},
+		ValueAt: reportBytes,
 	},
 }
--- a/internal/tools/capacity/measure/director_process.go
+++ b/internal/tools/capacity/measure/director_process.go
@@ -12,7 +12,7 @@
 	"stairvane.org/stairvane/internal/protocol/discovery"
 )
 
-// endpointsBody is the first answer to a director: a list of caches.
+// endpointsBody returns the body of the first answer to a director: a list of caches.
 func endpointsBody(caches int) []byte {
 	return encodeResponse(discovery.Event{
 		Revision: 1,
@@ -24,7 +24,7 @@
 	})
 }
 
-// purgesBody is an answer with purges that were issued just now.
+// purgesBody returns the body of an answer with purges that were issued at the current time.
 func purgesBody(purges int) []byte {
 	var events []discovery.Event
 	now := float64(time.Now().UnixMilli())
@@ -37,7 +37,7 @@
 	return encodeResponse(events...)
 }
 
-// membershipBody is a snapshot of the membership, followed by directors that join in an event each.
+// membershipBody returns the body of an answer with a snapshot of the membership, followed by one event for each director that joins.
 func membershipBody(directors, joining int) []byte {
 	events := []discovery.Event{{
 		Revision:   1,
@@ -46,7 +46,7 @@
 	}}
 	for i := range joining {
 		revision := int64(i + 2)
-		joined := []discovery.Director{discovery.Director(directorOf(directors + i))}
+		joined := []discovery.Director{discovery.Director(newDirector(directors + i))}
 		events = append(events, discovery.Event{
 			Revision:   revision,
 			Endpoints:  &discovery.EndpointList{Sequence: revision},
@@ -60,7 +60,7 @@
 	return mustJSON(discovery.WatchResponse{LastRevision: events[len(events)-1].Revision, Events: events})
 }
 
-// startDirector makes a director process that has applied a response, but serves nobody.
+// startDirector creates a director that has applied a response but serves no requests.
 func startDirector(response discovery.WatchResponse) (*director.Program, error) {
 	loopback := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), 0)
 	unusedPort := netip.AddrPortFrom(loopback.Addr(), 1)
@@ -72,7 +72,7 @@
 		MemoryMB:      192,
 		Sockets:       1024,
 		InitialEvents: response,
-		Settings:      settings(expectedDirectors),
+		Settings:      directorSettings(expectedDirectors),
 		Membership: &config.Membership{
 			Machine:     "machine-0000",
 			Site:        "site-000",
@@ -83,23 +83,23 @@
 	})
 }
 
-// stopDirector shuts a director down, which takes about a second.
+// stopDirector shuts a director down. This takes about a second.
 func stopDirector(p *director.Program) error {
 	p.Post(p.Shutdown)
 	return p.Run()
 }
 
-// directorHeap is the heap of a director process that has applied a body. The decoded body is not counted.
+// directorHeap returns the heap, in bytes, of a director that has applied a response body. The decoded body is not counted.
 func directorHeap(body []byte) (float64, error) {
 	var p *director.Program
 	var err error
-	heap := heapOf(func() any {
+	heap := retainedHeap(func() any {
 		var response discovery.WatchResponse
 		if response, err = discovery.Decode(body); err != nil {
 			return nil
 		}
 		p, err = startDirector(response)
-		clear(response.Events) // the process retains its configuration, and the events with it
+		clear(response.Events) // otherwise the configuration, which the director retains, would keep the events in memory
 		return p
 	})
 	runtime.KeepAlive(body)
@@ -109,26 +109,27 @@
 	return heap, stopDirector(p)
 }
 
-// membershipChangeTime is the difference between starts with and without directors that join after the snapshot.
+// membershipChangeTime returns the processor time of one join, in seconds. It is the difference between startups with and without
+// directors that join after the snapshot, divided by their number.
 func membershipChangeTime(directors int) (float64, error) {
 	const joining = 200
-	without, err := startTime(membershipBody(directors, 0))
+	without, err := startupTime(membershipBody(directors, 0))
 	if err != nil {
 		return 0, err
 	}
-	with, err := startTime(membershipBody(directors, joining))
+	with, err := startupTime(membershipBody(directors, joining))
 	return (with - without) / joining, err
 }
 
-// startTime is the time in which a director process applies a body at its start.
-func startTime(body []byte) (float64, error) {
+// startupTime returns the processor time, in seconds, in which a director applies a response body at startup.
+func startupTime(body []byte) (float64, error) {
 	response, err := discovery.Decode(body)
 	if err != nil {
 		return 0, err
 	}
 	var started []*director.Program
 	var startErr error
-	took := timeOnce(nil, func() {
+	took := timeOfSingleOperation(nil, func() {
 		p, err := startDirector(response)
 		if err != nil {
 			startErr = err
@@ -136,11 +137,11 @@
 		}
 		started = append(started, p)
 	})
-	return took, errors.Join(stopAll(started), startErr)
+	return took, errors.Join(stopDirectors(started), startErr)
 }
 
-// stopAll shuts directors down at the same time.
-func stopAll(started []*director.Program) error {
+// stopDirectors shuts directors down concurrently.
+func stopDirectors(started []*director.Program) error {
 	var group sync.WaitGroup
 	errs := make([]error, len(started))
 	for i, p := range started {
--- a/internal/tools/capacity/measure/director_routing.go
+++ b/internal/tools/capacity/measure/director_routing.go
@@ -8,16 +8,16 @@
 	"stairvane.org/stairvane/internal/transport"
 )
 
-var errNoConnections = errors.New("measure: caches are not connected to")
+var errNoConnections = errors.New("measure: connections to caches are disabled")
 
-// refusingDialer stands for caches that no test connects to.
+// refusingDialer fails all connections, since measurements do not connect to caches.
 type refusingDialer struct{}
 
 func (refusingDialer) Dial(string, time.Duration, routing.ConnHandler) (routing.Conn, error) {
 	return nil, errNoConnections
 }
 
-// hostChangeTime is the time in which routing applies the change of one cache.
+// hostChangeTime returns the processor time, in seconds, in which the routing package applies a change to one cache.
 func hostChangeTime(caches int) (float64, error) {
 	loop, err := transport.NewLoop()
 	if err != nil {
@@ -31,11 +31,11 @@
 		MaxDeadline:    6 * time.Second,
 		PurgeTimeout:   5300 * time.Millisecond,
 	}
-	director := routing.New(loop, settings(expectedDirectors), 1, limits, refusingDialer{})
+	director := routing.New(loop, directorSettings(expectedDirectors), 1, limits, refusingDialer{})
 	director.Start()
 	endpoints := routingEndpoints(caches)
 	director.UpdateEndpoints(1, true, endpoints)
-	return timeOf(func(n int) {
+	return timePerOperation(func(n int) {
 		changed := endpoints[n%caches]
 		changed.Weight = 1 - 0.5*float64(n%2)
 		director.UpdateEndpoints(int64(n+2), false, []routing.Endpoint{changed})
--- a/internal/tools/capacity/measure/director_watch.go
+++ b/internal/tools/capacity/measure/director_watch.go
@@ -11,22 +11,24 @@
 	"stairvane.org/stairvane/internal/quota"
 )
 
-// watchedRevision is the last event that a watch client has applied. Its digits count in the size of requests.
+// watchedRevision is the revision of the last event that a watch client has applied. It has as many digits as real revisions, since
+// they add to the size of requests.
 const watchedRevision = 12345678
 
-// watchClient is a director's side of a watch: what internal/director puts into each request, and reads from each answer.
+// watchClient implements the director's side of a watch: it encodes the same requests as internal/director, and its answers have the
+// same form.
 type watchClient struct {
 	identity discovery.Director
 	holder   *quota.Holder
 	reporter *health.Reporter
 	limits   []string
-	request  []byte // the last one; the next overwrites it
-	sequence uint64 // of the last renewal
+	request  []byte // buffer of the last request, which the next one overwrites
+	sequence uint64 // sequence number of the last quota renewal
 	now      time.Duration
 }
 
 func newWatchClient(coldCaches int) *watchClient {
-	identity := discovery.Director(directorOf(7))
+	identity := discovery.Director(newDirector(7))
 	return &watchClient{
 		identity: identity,
 		holder:   quota.NewHolder(identity.ID(), quotaSettings),
@@ -36,7 +38,7 @@
 	}
 }
 
-// nextRequest writes the next watch request. It is valid until the next call.
+// nextRequest encodes the next watch request. The result is valid until the next call.
 func (c *watchClient) nextRequest() []byte {
 	c.now += 100 * time.Millisecond
 	for _, name := range c.limits {
@@ -55,7 +57,7 @@
 	return c.request
 }
 
-// answer is the answer to the last request of an allocator with 3,500 holders like this one.
+// answer returns the answer to the last request, with a grant of an allocator that has 3,500 holders with equal demand.
 func (c *watchClient) answer() []byte {
 	grant := quota.Grant{Holder: c.identity.ID(), Epoch: 12, Seq: c.sequence, Fallback: 5.714285714285714e-05}
 	for _, name := range c.limits {
@@ -64,7 +66,7 @@
 	return appendGrantAnswer(nil, watchedRevision, grant)
 }
 
-// appendGrantAnswer appends an answer with a grant and no event.
+// appendGrantAnswer appends to dst an answer that contains a grant and no event.
 func appendGrantAnswer(dst []byte, lastRevision int64, grant quota.Grant) []byte {
 	body := append(discovery.ResponseStart(lastRevision), `],"turns":`...)
 	body = append(body, mustJSON(grant)...)
@@ -72,7 +74,7 @@
 	return append(discovery.AppendResponseHead(dst, 200, len(body), false), body...)
 }
 
-// readGrant reads an answer with a grant.
+// readGrant decodes the grant in an answer.
 func readGrant(answer []byte) (quota.Grant, error) {
 	var grant quota.Grant
 	response, used, _, err := discovery.ParseResponse(answer)
@@ -80,7 +82,7 @@
 		return grant, fmt.Errorf("parse answer: %w", err)
 	}
 	if used == 0 {
-		return grant, errors.New("parse answer: it is not complete")
+		return grant, errors.New("parse answer: incomplete")
 	}
 	watchResponse, err := discovery.Decode(response.Body)
 	if err != nil {
@@ -89,13 +91,14 @@
 	return grant, json.Unmarshal(watchResponse.QuotaGrant, &grant)
 }
 
-// directorCallTime reads the same answer after each request, with the sequence number of the request.
+// directorCallTime returns the processor time, in seconds, of encoding a watch request and decoding its answer. It decodes the same
+// answer each time and sets the sequence number of the grant to that of the request.
 func directorCallTime(coldCaches int) (float64, error) {
 	c := newWatchClient(coldCaches)
 	c.nextRequest()
 	answer := c.answer()
 	var readErr error
-	took := timeOf(func(int) {
+	took := timePerOperation(func(int) {
 		c.nextRequest()
 		grant, err := readGrant(answer)
 		if err != nil {
@@ -115,7 +118,7 @@
 }
 
 func reportBytes(caches int) (float64, error) {
-	reporter := health.NewReporter(health.DefaultSettings, directorOf(7).ID())
+	reporter := health.NewReporter(health.DefaultSettings, newDirector(7).ID())
 	empty := len(mustJSON(reporter.Report(0)))
 	for i := range caches {
 		reporter.Record(cacheName(i), 23, 0, 0.0123)
--- a/internal/tools/capacity/measure/event_log.go
+++ b/internal/tools/capacity/measure/event_log.go
@@ -10,7 +10,7 @@
 
 func historyHeap(events int) (float64, error) {
 	var err error
-	heap := heapOf(func() any {
+	heap := retainedHeap(func() any {
 		var log *eventlog.Log
 		log, err = eventlog.New(1, nil, fleet.Fleet{}, unlimitedEvents)
 		for revision := int64(1); err == nil && revision <= int64(events); revision++ {
@@ -21,7 +21,8 @@
 	return heap, err
 }
 
-// answerTime is the time of the watch server for one event: it adds the event and answers all that wait.
+// answerTime returns the processor time of the watch server for one event, in seconds: it appends the event and answers all waiting
+// watchers.
 func answerTime(watchers int) (float64, error) {
 	log, err := eventlog.New(1, nil, fleet.Fleet{}, 10_000)
 	if err != nil {
@@ -29,7 +30,7 @@
 	}
 	var answerErr error
 	var out []byte
-	took := timeOf(func(n int) {
+	took := timePerOperation(func(n int) {
 		revision := int64(n + 1)
 		if err := log.Add([]fleet.Event{purgeEvent(revision)}, fleet.Fleet{Revision: revision}); err != nil {
 			answerErr = err
@@ -54,9 +55,10 @@
 	return took, answerErr
 }
 
-// snapshotTime has the log encode its first answer again, as it does after each event.
+// snapshotTime returns the processor time, in seconds, of encoding the first answer to a director. The log encodes it again after
+// each event.
 func snapshotTime(directors int) (float64, error) {
-	f, err := fleetOf(expectedCaches, directors)
+	f, err := newFleet(expectedCaches, directors)
 	last := int64(expectedCaches + 1 + retainedPurges)
 	for revision := f.Revision + 1; err == nil && revision <= last; revision++ {
 		f, err = f.Apply(purgeEvent(revision))
@@ -69,14 +71,14 @@
 		return 0, err
 	}
 	size := 0
-	took := timeOf(func(int) {
+	took := timePerOperation(func(int) {
 		if err = log.Add(nil, f); err != nil { // discards the encoded answer
 			return
 		}
 		_, size, err = log.Answer(0, true)
 	})
 	if err == nil && size < retainedPurges {
-		err = fmt.Errorf("the first answer has %d bytes", size)
+		err = fmt.Errorf("the first answer has only %d bytes", size)
 	}
 	return took, err
 }
--- a/internal/tools/capacity/measure/fixtures.go
+++ b/internal/tools/capacity/measure/fixtures.go
@@ -11,19 +11,19 @@
 	"stairvane.org/stairvane/internal/quota"
 )
 
-// The operators' sizes, for all that a law is not measured by.
+// The operators' sizes, used for every dimension that a law does not vary.
 const (
 	expectedCaches    = 720
 	expectedZones     = 26
 	cachesPerZone     = expectedCaches / expectedZones
 	expectedDirectors = 3500
-	retainedPurges    = 21 * 600 // of the ten minutes for which the control plane retains a purge
+	retainedPurges    = 21 * 600 // 21 purges per second, each retained by the control plane for ten minutes (600 s)
 	purgeGroups       = 256
 
-	purgeTimeMS = 1_790_000_000_000 // Unix time
+	purgeTimeMS = 1_790_000_000_000 // Unix time in milliseconds
 )
 
-// quotaSettings are those of directors and leader; see internal/director.
+// quotaSettings has the same values as quota.DirectorSettings, which the directors and the leader use.
 var quotaSettings = quota.Settings{
 	Lease:        400 * time.Millisecond,
 	Drift:        0.02,
@@ -33,8 +33,8 @@
 	MinChange:    0.05,
 }
 
-// settings are those of a director of one zone, with the operators' times.
-func settings(directors int) decision.Settings {
+// directorSettings returns the settings of a director in one zone, with the timeouts and deadlines of the operators.
+func directorSettings(directors int) decision.Settings {
 	return decision.Settings{
 		Zone:            zoneName(0),
 		Zones:           []string{zoneName(0)},
@@ -70,7 +70,7 @@
 
 func cacheAddress(i int) string { return fmt.Sprintf("10.%d.%d.7:9000", i/250, i%250) }
 
-// wireEndpoints are caches as the discovery protocol lists them.
+// wireEndpoints returns caches in the form of the discovery protocol.
 func wireEndpoints(caches int) []discovery.Endpoint {
 	endpoints := make([]discovery.Endpoint, 0, caches)
 	for i := range caches {
@@ -87,8 +87,8 @@
 	return endpoints
 }
 
-// directorOf is one director with names as long as real ones.
-func directorOf(i int) fleet.Director {
+// newDirector returns director i, with names as long as in production.
+func newDirector(i int) fleet.Director {
 	return fleet.Director{
 		Name:        fmt.Sprintf("director-%04d", i),
 		Incarnation: fmt.Sprintf("QHTNMB5WJ6RZ3XKDVC2YFA%04d", i),
@@ -99,10 +99,10 @@
 	}
 }
 
-func directorsOf(count int) []fleet.Director {
+func newDirectors(count int) []fleet.Director {
 	all := make([]fleet.Director, 0, count)
 	for i := range count {
-		all = append(all, directorOf(i))
+		all = append(all, newDirector(i))
 	}
 	return all
 }
@@ -110,14 +110,14 @@
 func wireDirectors(count int) []discovery.Director {
 	all := make([]discovery.Director, 0, count)
 	for i := range count {
-		all = append(all, discovery.Director(directorOf(i)))
+		all = append(all, discovery.Director(newDirector(i)))
 	}
 	return all
 }
 
 func objectName(i int) string { return fmt.Sprintf("%016x", 0x9e3779b97f4a7c15*uint64(i+1)) }
 
-// purgeEvent is the purge of an object; one in 64 is the purge of a group.
+// purgeEvent returns an event that purges an object. One in 64 events purges a group instead.
 func purgeEvent(revision int64) fleet.Event {
 	purge := &fleet.Purge{Object: objectName(int(revision)), IssuedMS: purgeTimeMS}
 	if revision%64 == 0 {
@@ -127,7 +127,7 @@
 	return fleet.Event{No: revision, AtMS: purgeTimeMS, Who: "operator@example", Purge: purge}
 }
 
-func hostOf(i int) *fleet.Host {
+func newHost(i int) *fleet.Host {
 	return &fleet.Host{
 		HostSpec: fleet.HostSpec{
 			Name:    cacheName(i),
@@ -143,23 +143,23 @@
 	}
 }
 
-// fleetOf is a fleet of caches and directors. Each of the 256 shards of claims has three directors as replicas.
-func fleetOf(caches, directors int) (fleet.Fleet, error) {
+// newFleet returns a fleet with caches and directors. Each of the 256 claim shards has three directors as replicas.
+func newFleet(caches, directors int) (fleet.Fleet, error) {
 	var f fleet.Fleet
 	var err error
 	for i := range caches {
-		if f, err = applyNext(f, fleet.Event{Host: hostOf(i)}); err != nil {
+		if f, err = applyNext(f, fleet.Event{Host: newHost(i)}); err != nil {
 			return f, err
 		}
 	}
 	if directors == 0 {
 		return f, nil
 	}
-	joined := directorsOf(directors)
-	return applyNext(f, fleet.Event{Membership: &fleet.MembershipChange{Joined: joined, Shards: shardsOf(joined)}})
+	joined := newDirectors(directors)
+	return applyNext(f, fleet.Event{Membership: &fleet.MembershipChange{Joined: joined, Shards: newShardChanges(joined)}})
 }
 
-// applyNext applies an event under the next revision.
+// applyNext applies an event to the fleet as its next revision.
 func applyNext(f fleet.Fleet, event fleet.Event) (fleet.Fleet, error) {
 	event.No = f.Revision + 1
 	event.AtMS = 1
@@ -167,7 +167,7 @@
 	return f.Apply(event)
 }
 
-func shardsOf(directors []fleet.Director) []fleet.ShardChange {
+func newShardChanges(directors []fleet.Director) []fleet.ShardChange {
 	const replicasPerShard = 3
 	var shards []fleet.ShardChange
 	for shard := range fleet.ShardCount {
@@ -180,7 +180,7 @@
 	return shards
 }
 
-// limitNames are the names of quotas of caches that are warming up.
+// limitNames returns the names of the quota limits of caches that are warming up.
 func limitNames(coldCaches int) []string {
 	var names []string
 	for i := range coldCaches {
@@ -189,8 +189,8 @@
 	return names
 }
 
-// renewalOf is a holder's renewal with a demand for each limit.
-func renewalOf(holder string, seq uint64, limits []string) quota.Renewal {
+// newRenewal returns a renewal of a holder with a demand for each limit.
+func newRenewal(holder string, seq uint64, limits []string) quota.Renewal {
 	r := quota.Renewal{Holder: holder, Seq: seq, InUse: seq - 1}
 	for _, name := range limits {
 		r.Wants = append(r.Wants, quota.Want{Limit: name, Kind: quota.Rate, Demand: 0.0123})
@@ -198,7 +198,7 @@
 	return r
 }
 
-// mustJSON encodes a value of texts and numbers, which can't fail.
+// mustJSON encodes a value as JSON. It panics on an error, which cannot occur for the types that are measured.
 func mustJSON(value any) []byte {
 	encoded, err := json.Marshal(value)
 	if err != nil {
--- a/internal/tools/capacity/measure/leader.go
+++ b/internal/tools/capacity/measure/leader.go
@@ -7,14 +7,14 @@
 	"stairvane.org/stairvane/internal/tools/capacity"
 )
 
-// membershipSettings are those of the leader; see internal/controlplane/membership.go.
+// membershipSettings has the same values as the leader; see internal/controlplane/members.go.
 var membershipSettings = membership.Settings{Lease: 600 * time.Millisecond, Drift: 0.02, Gather: 150 * time.Millisecond}
 
 var holderCounts = []int{250, 500, 1000, 2000, 3500}
 
 const (
-	recordedEvents       = 2000 // of which the leader records when each director applied them
-	measuredEvents       = 200  // of the record that is measured
+	recordedEvents       = 2000 // latest events for which the leader records when each director applied them
+	measuredEvents       = 200  // events in the record that is measured
 	healthReportInterval = 500 * time.Millisecond
 	purgeInterval        = 47 * time.Millisecond // at 21 purges a second
 )
@@ -24,10 +24,10 @@
 		Name: "leader.time.lease",
 		About: "taking in a lease call with so many directors, one event applied since the last (renewals " +
 			"are read, not answered)",
-		XUnit: "director",
-		Unit:  capacity.Seconds,
-		Sizes: directorsPerServer,
-		At:    leaseTime,
+		XUnit:   "director",
+		Unit:    capacity.Seconds,
+		Sizes:   directorsPerServer,
+		ValueAt: leaseTime,
 	},
 	{
 		Name:  "leader.time.renewal",
@@ -35,7 +35,7 @@
 		XUnit: "holder",
 		Unit:  capacity.Seconds,
 		Sizes: holderCounts,
-		At: func(size int) (float64, error) {
+		ValueAt: func(size int) (float64, error) {
 			return renewalTime(size, 0)
 		},
 	},
@@ -45,50 +45,50 @@
 		XUnit: "holder",
 		Unit:  capacity.Seconds,
 		Sizes: holderCounts,
-		At: func(size int) (float64, error) {
+		ValueAt: func(size int) (float64, error) {
 			return renewalTime(size, 8)
 		},
 	},
 	{
-		Name:  "leader.time.report",
-		About: "one health report on 27 caches among so many directors",
-		XUnit: "director",
-		Unit:  capacity.Seconds,
-		Sizes: directorCounts,
-		At:    reportTime,
+		Name:    "leader.time.report",
+		About:   "one health report on 27 caches among so many directors",
+		XUnit:   "director",
+		Unit:    capacity.Seconds,
+		Sizes:   directorCounts,
+		ValueAt: reportTime,
 	},
 	{
-		Name:  "leader.time.health",
-		About: "finding from reports on 27 caches of so many directors what all see",
-		XUnit: "director",
-		Unit:  capacity.Seconds,
-		Sizes: directorCounts,
-		At:    healthTime,
+		Name:    "leader.time.health",
+		About:   "finding from reports on 27 caches of so many directors what all see",
+		XUnit:   "director",
+		Unit:    capacity.Seconds,
+		Sizes:   directorCounts,
+		ValueAt: healthTime,
 	},
 	{
 		Name: "leader.time.tick",
 		About: "what is done each 25 ms for so many directors: versions, adoption, and forgetting old " +
 			"evidence and quotas",
-		XUnit: "director",
-		Unit:  capacity.Seconds,
-		Sizes: directorCounts,
-		At:    tickTime,
+		XUnit:   "director",
+		Unit:    capacity.Seconds,
+		Sizes:   directorCounts,
+		ValueAt: tickTime,
 	},
 	{
-		Name:  "leader.time.membership",
-		About: "finding that the membership of so many directors has not changed",
-		XUnit: "director",
-		Unit:  capacity.Seconds,
-		Sizes: directorCounts,
-		At:    membershipCheckTime,
+		Name:    "leader.time.membership",
+		About:   "finding that the membership of so many directors has not changed",
+		XUnit:   "director",
+		Unit:    capacity.Seconds,
+		Sizes:   directorCounts,
+		ValueAt: membershipCheckTime,
 	},
 	{
-		Name:  "leader.memory.adoption",
-		About: "heap of the record of 200 events at 437 to 7,000 directors",
-		XUnit: "director x event",
-		Unit:  capacity.Bytes,
-		Sizes: scaledBy(directorCounts, measuredEvents),
-		At:    appliedHeap,
+		Name:    "leader.memory.adoption",
+		About:   "heap of the record of 200 events at 437 to 7,000 directors",
+		XUnit:   "director x event",
+		Unit:    capacity.Bytes,
+		Sizes:   scaledBy(directorCounts, measuredEvents),
+		ValueAt: appliedHeap,
 	},
 	{
 		Name:  "leader.memory.quota",
@@ -96,8 +96,8 @@
 		XUnit: "holder",
 		Unit:  capacity.Bytes,
 		Sizes: holderCounts,
-		At: func(size int) (float64, error) {
-			return heapOf(func() any { return allocatorOf(size, 8) }), nil
+		ValueAt: func(size int) (float64, error) {
+			return retainedHeap(func() any { return newAllocator(size, 8) }), nil
 		},
 	},
 	{
@@ -106,8 +106,8 @@
 		XUnit: "director",
 		Unit:  capacity.Bytes,
 		Sizes: directorCounts,
-		At: func(size int) (float64, error) {
-			return heapOf(func() any { return newReportingDirectors(size).aggregator }), nil
+		ValueAt: func(size int) (float64, error) {
+			return retainedHeap(func() any { return newReportingDirectors(size).aggregator }), nil
 		},
 	},
 	{
@@ -116,8 +116,8 @@
 		XUnit: "director",
 		Unit:  capacity.Bytes,
 		Sizes: directorCounts,
-		At: func(size int) (float64, error) {
-			return heapOf(func() any { return trackerOf(size) }), nil
+		ValueAt: func(size int) (float64, error) {
+			return retainedHeap(func() any { return newTracker(size) }), nil
 		},
 	},
 }
--- a/internal/tools/capacity/measure/leader_health.go
+++ b/internal/tools/capacity/measure/leader_health.go
@@ -7,18 +7,19 @@
 	"stairvane.org/stairvane/internal/health"
 )
 
-// reportingDirectors report on the caches of their zones in turn, each twice a second. One cache in 50 fails at times.
+// reportingDirectors simulates directors that send health reports on the caches of their zones in turn, each director twice per
+// second. One cache in 50 fails some of its requests.
 type reportingDirectors struct {
 	aggregator *health.Aggregator
 	ids        []string
-	places     []health.ReporterLocation
-	caches     [][]string // by zone
+	locations  []health.ReporterLocation
+	caches     [][]string // names of caches, indexed by zone
 	seq        uint64
 	next       int
 	now        time.Duration
 }
 
-// newReportingDirectors has each director report once.
+// newReportingDirectors returns directors that have each sent one report.
 func newReportingDirectors(directors int) *reportingDirectors {
 	r := &reportingDirectors{
 		aggregator: health.NewAggregator(health.DefaultSettings, 1),
@@ -26,9 +27,9 @@
 		now:        time.Hour,
 	}
 	for i := range directors {
-		d := directorOf(i)
+		d := newDirector(i)
 		r.ids = append(r.ids, d.ID())
-		r.places = append(r.places, health.ReporterLocation{Machine: d.Machine, Location: d.Location})
+		r.locations = append(r.locations, health.ReporterLocation{Machine: d.Machine, Location: d.Location})
 	}
 	for zone := range expectedZones {
 		var names []string
@@ -43,7 +44,7 @@
 	return r
 }
 
-// reportNext has the next director report.
+// reportNext sends the report of the next director to the aggregator.
 func (r *reportingDirectors) reportNext() {
 	director := r.next
 	zone := director % expectedZones
@@ -59,7 +60,7 @@
 		}
 		report.Caches = append(report.Caches, outcomes)
 	}
-	r.aggregator.Apply(report, r.places[director], r.now)
+	r.aggregator.Apply(report, r.locations[director], r.now)
 	r.now += healthReportInterval / time.Duration(len(r.ids))
 	r.next = (r.next + 1) % len(r.ids)
 	if r.next == 0 {
@@ -69,10 +70,11 @@
 
 func reportTime(directors int) (float64, error) {
 	r := newReportingDirectors(directors)
-	return timeOf(func(int) { r.reportNext() }), nil
+	return timePerOperation(func(int) { r.reportNext() }), nil
 }
 
-// healthTime aggregates two seconds after the reports before, because an aggregation is cached for a while.
+// healthTime returns the processor time of one aggregation, in seconds. All directors report again 2 s after the previous reports,
+// because an aggregation is cached for some time.
 func healthTime(directors int) (float64, error) {
 	r := newReportingDirectors(directors)
 	reportAll := func() {
@@ -82,9 +84,9 @@
 		}
 	}
 	failing := 0
-	took := timeOnce(reportAll, func() { failing += len(r.aggregator.Aggregated(r.now).Caches) })
+	took := timeOfSingleOperation(reportAll, func() { failing += len(r.aggregator.Aggregated(r.now).Caches) })
 	if failing == 0 {
-		return 0, fmt.Errorf("%d directors see no cache that fails", directors)
+		return 0, fmt.Errorf("%d directors reported no failing cache", directors)
 	}
 	return took, nil
 }
--- a/internal/tools/capacity/measure/leader_membership.go
+++ b/internal/tools/capacity/measure/leader_membership.go
@@ -13,11 +13,11 @@
 	"stairvane.org/stairvane/internal/quota"
 )
 
-// trackerOf is a tracker that has just recorded a heartbeat of each director.
-func trackerOf(directors int) *membership.Tracker {
+// newTracker returns a tracker that has recorded one heartbeat of each director.
+func newTracker(directors int) *membership.Tracker {
 	tracker := membership.New(membershipSettings)
 	for i := range directors {
-		d := directorOf(i)
+		d := newDirector(i)
 		tracker.RecordHeartbeat(membership.Heartbeat{
 			ID:       d.ID(),
 			Director: &d,
@@ -29,16 +29,17 @@
 	return tracker
 }
 
-// leaseTime is the leader's time for a lease renewal of a replica, without the allocator and the answer.
+// leaseTime returns the leader's processor time for a lease renewal of a replica, in seconds, without the quota allocator and the
+// answer.
 func leaseTime(directors int) (float64, error) {
 	var bodies [][]byte
 	for seq := range 4 {
-		bodies = append(bodies, mustJSON(heartbeatsOf(directors, 8, uint64(seq+1))))
+		bodies = append(bodies, mustJSON(newHeartbeats(directors, 8, uint64(seq+1))))
 	}
-	tracker := trackerOf(directors)
+	tracker := newTracker(directors)
 	record := adoption.New(recordedEvents, 0)
 	var decodeErr error
-	took := timeOf(func(n int) {
+	took := timePerOperation(func(n int) {
 		var heartbeats api.Heartbeats
 		if err := json.Unmarshal(bodies[n%len(bodies)], &heartbeats); err != nil {
 			decodeErr = err
@@ -62,12 +63,12 @@
 	return took, decodeErr
 }
 
-// tickTime is the time of one tick of the leader's membership service.
+// tickTime returns the processor time of one tick of the leader's membership service, in seconds.
 func tickTime(directors int) (float64, error) {
-	tracker := trackerOf(directors)
+	tracker := newTracker(directors)
 	record := adoption.New(recordedEvents, 0)
 	for i := range directors {
-		record.RecordApplied(directorOf(i).ID(), 0, time.Hour)
+		record.RecordApplied(newDirector(i).ID(), 0, time.Hour)
 	}
 	reports := newReportingDirectors(directors)
 	allocator := quota.NewAllocator(quotaSettings, 1, time.Hour, true)
@@ -75,7 +76,7 @@
 		_, isKnown := tracker.LastContact(id)
 		return isKnown
 	}
-	took := timeOf(func(int) {
+	took := timePerOperation(func(int) {
 		allocator.Sweep(time.Hour)
 		reports.aggregator.Sweep(reports.now)
 		record.MarkGone(isMember, time.Hour)
@@ -88,27 +89,28 @@
 }
 
 func membershipCheckTime(directors int) (float64, error) {
-	f, err := fleetOf(0, directors)
+	f, err := newFleet(0, directors)
 	if err != nil {
 		return 0, err
 	}
-	tracker := trackerOf(directors)
+	tracker := newTracker(directors)
 	var changed *fleet.MembershipChange
-	took := timeOf(func(int) { changed = tracker.Change(f, time.Hour) })
+	took := timePerOperation(func(int) { changed = tracker.Change(f, time.Hour) })
 	if changed != nil {
 		return 0, fmt.Errorf("the membership of %d directors has changed", directors)
 	}
 	return took, nil
 }
 
-// appliedHeap is the heap of a record of when directors applied events; the size is their product.
+// appliedHeap returns the heap, in bytes, of a record of when directors applied events. The size is the number of directors times
+// the number of events.
 func appliedHeap(size int) (float64, error) {
 	directors := size / measuredEvents
 	ids := make([]string, 0, directors)
 	for i := range directors {
-		ids = append(ids, directorOf(i).ID())
+		ids = append(ids, newDirector(i).ID())
 	}
-	heap := heapOf(func() any {
+	heap := retainedHeap(func() any {
 		record := adoption.New(recordedEvents, 0)
 		for _, id := range ids {
 			record.RecordApplied(id, 0, time.Hour)
--- a/internal/tools/capacity/measure/measure.go
+++ b/internal/tools/capacity/measure/measure.go
@@ -1,9 +1,9 @@
-// Package measure finds the points of the laws that the package capacity reads. It runs the program's own code at several sizes, in
-// one process and without sockets between directors and the control plane, and records processor time, heap and bytes.
+// Package measure measures the points of the laws that the package capacity evaluates. It runs the production code at several sizes,
+// in one process and without sockets between directors and the control plane, and records processor time, heap and bytes.
 //
-// A time is the processor time of the process for each operation, user and system, with the garbage collector's. It is the least of
-// several rounds, because other processes may use the machine. A heap is what is in use after a collection, with a value and
-// without it. TestMeasureSlopes runs all measures, by command alone.
+// A time is the user and system time of the process per operation, including the garbage collector. It is the minimum of several
+// rounds, because other processes may use the machine. A heap size is the difference between the heap in use after a collection with
+// and without a value. TestMeasureSlopes runs all measures, but only if STAIRVANE_MEASURE is set.
 package measure
 
 import (
@@ -13,21 +13,21 @@
 	"stairvane.org/stairvane/internal/tools/capacity"
 )
 
-// Measure is one law to be measured.
+// Measure describes how to measure one law.
 type Measure struct {
-	Name  string // of the law
-	About string // what the value is
-	XUnit string // unit of a size
-	Unit  capacity.Unit
-	Sizes []int
-	At    func(size int) (float64, error) // the value at a size
+	Name    string // name of the law
+	About   string // description of the value
+	XUnit   string // unit of a size
+	Unit    capacity.Unit
+	Sizes   []int
+	ValueAt func(size int) (float64, error) // measures the value at a size
 }
 
-// Law measures at all sizes and fits the law.
+// Law measures the value at all sizes and fits a law to the points.
 func (m Measure) Law(source capacity.Source) (capacity.Law, error) {
 	var points []capacity.Point
 	for _, size := range m.Sizes {
-		y, err := m.At(size)
+		y, err := m.ValueAt(size)
 		if err != nil {
 			return capacity.Law{}, fmt.Errorf("measure %s at %d: %w", m.Name, size, err)
 		}
@@ -36,7 +36,7 @@
 	return capacity.NewLaw(m.Name, m.About, m.XUnit, m.Unit, points, source)
 }
 
-// All are all measures.
+// All returns all measures.
 func All() []Measure {
 	return slices.Concat(
 		directorMeasures,
--- a/internal/tools/capacity/measure/measure_test.go
+++ b/internal/tools/capacity/measure/measure_test.go
@@ -21,9 +21,9 @@
 	command    = "STAIRVANE_MEASURE=1 go test -run TestMeasureSlopes -v ./internal/tools/capacity/..."
 )
 
-// TestMeasureSlopes is a measurement, by command alone: with STAIRVANE_MEASURE=1 it measures all laws and writes them to
-// docs/design/capacity-slopes.json, where laws of other sources stay. STAIRVANE_ONLY is the beginning of the names of the laws to
-// measure; STAIRVANE_SLOPES is another file to write to.
+// TestMeasureSlopes is a measurement that runs only on demand: with STAIRVANE_MEASURE=1 it measures all laws and writes them to
+// docs/design/capacity-slopes.json, which keeps its laws from other sources. STAIRVANE_ONLY limits the measurement to laws whose
+// names begin with its value. STAIRVANE_SLOPES is the path of another file to write to.
 func TestMeasureSlopes(t *testing.T) {
 	if os.Getenv("STAIRVANE_MEASURE") == "" {
 		t.Skip("a measurement, by command: STAIRVANE_MEASURE=1")
@@ -80,7 +80,7 @@
 	return capacity.Read(bytes.NewReader(text))
 }
 
-// machine is how many cores there are, the load of the last minute and the version of Go.
+// machine describes the machine: the number of cores, the one-minute load average and the Go version.
 func machine() string {
 	load, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
--- a/internal/tools/capacity/measure/meter.go
+++ b/internal/tools/capacity/measure/meter.go
@@ -10,29 +10,29 @@
 
 const (
 	rounds       = 5
-	minRoundTime = 20 * time.Millisecond // of processor time
+	minRoundTime = 20 * time.Millisecond // processor time
 )
 
-// processorTime is what the process has used so far, user and system.
+// processorTime returns the user and system time that the process has used so far.
 func processorTime() time.Duration {
 	var usage unix.Rusage
 	if err := unix.Getrusage(unix.RUSAGE_SELF, &usage); err != nil {
-		panic(err) // every Linux has it
+		panic(err) // getrusage(RUSAGE_SELF) does not fail on Linux
 	}
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// timeOf is the processor time of one operation in seconds: the least of several rounds, each of as many operations as fill it.
-// The operation is given a number that rises from call to call.
-func timeOf(operation func(n int)) float64 {
+// timePerOperation returns the processor time of one operation, in seconds. It is the minimum over several rounds, each of which
+// repeats the operation for at least minRoundTime. The argument n of the operation increases by one with each call.
+func timePerOperation(operation func(n int)) float64 {
 	n := 0
-	return leastOf(func() float64 {
+	return minOfRounds(func() float64 {
 		runtime.GC()
 		begin := processorTime()
 		first := n
 		var took time.Duration
 		for took < minRoundTime {
-			batch := 1 + (n-first)/4 // grows, because reading the clock costs time too
+			batch := 1 + (n-first)/4 // batches grow, because reading the clock takes time as well
 			for range batch {
 				operation(n)
 				n++
@@ -43,10 +43,10 @@
 	})
 }
 
-// timeOnce is the least processor time in seconds of an operation that takes long by itself. prepare runs before each operation and
-// is not counted; it may be nil.
-func timeOnce(prepare, operation func()) float64 {
-	return leastOf(func() float64 {
+// timeOfSingleOperation returns the minimum processor time, in seconds, of an operation that takes long enough to be measured by
+// itself. prepare runs before each operation and is not counted; it may be nil.
+func timeOfSingleOperation(prepare, operation func()) float64 {
+	return minOfRounds(func() float64 {
 		if prepare != nil {
 			prepare()
 		}
@@ -57,7 +57,7 @@
 	})
 }
 
-func leastOf(round func() float64) float64 {
+func minOfRounds(round func() float64) float64 {
 	least := math.Inf(1)
 	for range rounds {
 		least = min(least, round())
@@ -65,8 +65,8 @@
 	return least
 }
 
-// heapOf is how many bytes of heap a value keeps in use.
-func heapOf(build func() any) float64 {
+// retainedHeap returns how many bytes of heap the value that build returns keeps in use.
+func retainedHeap(build func() any) float64 {
 	before := heapInUse()
 	value := build()
 	after := heapInUse()
@@ -76,7 +76,7 @@
 
 func heapInUse() uint64 {
 	var stats runtime.MemStats
-	for range 2 { // the second collection frees what finalizers released in the first
+	for range 2 { // the second collection frees the memory that finalizers released during the first
 		runtime.GC()
 	}
 	runtime.ReadMemStats(&stats)
--- a/internal/tools/capacity/measure/operator.go
+++ b/internal/tools/capacity/measure/operator.go
@@ -12,34 +12,34 @@
 
 var operatorMeasures = []Measure{
 	{
-		Name:  "operator.bytes.members",
-		About: "the answer that lists so many directors",
-		XUnit: "director",
-		Unit:  capacity.Bytes,
-		Sizes: directorCounts,
-		At:    membersAnswerBytes,
+		Name:    "operator.bytes.members",
+		About:   "the answer that lists so many directors",
+		XUnit:   "director",
+		Unit:    capacity.Bytes,
+		Sizes:   directorCounts,
+		ValueAt: membersAnswerBytes,
 	},
 	{
-		Name:  "operator.bytes.adoption",
-		About: "the answer that says when so many directors applied one event",
-		XUnit: "director",
-		Unit:  capacity.Bytes,
-		Sizes: directorCounts,
-		At:    adoptionAnswerBytes,
+		Name:    "operator.bytes.adoption",
+		About:   "the answer that says when so many directors applied one event",
+		XUnit:   "director",
+		Unit:    capacity.Bytes,
+		Sizes:   directorCounts,
+		ValueAt: adoptionAnswerBytes,
 	},
 	{
-		Name:  "operator.bytes.world",
-		About: "the answer that shows so many caches, declared and observed",
-		XUnit: "cache",
-		Unit:  capacity.Bytes,
-		Sizes: cacheCounts,
-		At:    stateAnswerBytes,
+		Name:    "operator.bytes.world",
+		About:   "the answer that shows so many caches, declared and observed",
+		XUnit:   "cache",
+		Unit:    capacity.Bytes,
+		Sizes:   cacheCounts,
+		ValueAt: stateAnswerBytes,
 	},
 }
 
 func membersAnswerBytes(directors int) (float64, error) {
 	answer := api.Members{Revision: watchedRevision}
-	for _, d := range directorsOf(directors) {
+	for _, d := range newDirectors(directors) {
 		answer.Directors = append(answer.Directors, api.MemberStatus{
 			Director:        d,
 			LastHeardMS:     47,
@@ -53,7 +53,7 @@
 
 func adoptionAnswerBytes(directors int) (float64, error) {
 	record := adoption.New(recordedEvents, 0)
-	members := directorsOf(directors)
+	members := newDirectors(directors)
 	for _, d := range members {
 		record.RecordApplied(d.ID(), 0, time.Hour)
 	}
@@ -63,13 +63,13 @@
 	}
 	event, _, _, isRecorded := record.Event(1, time.Hour+time.Second)
 	if !isRecorded || len(event.Applied) != directors {
-		return 0, fmt.Errorf("%d of %d directors have applied it", len(event.Applied), directors)
+		return 0, fmt.Errorf("the record has %d of %d directors that applied the event", len(event.Applied), directors)
 	}
 	return float64(len(mustJSON(event))), nil
 }
 
 func stateAnswerBytes(caches int) (float64, error) {
-	f, err := fleetOf(caches, 0)
+	f, err := newFleet(caches, 0)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/tools/capacity/measure/relay_quota.go
+++ b/internal/tools/capacity/measure/relay_quota.go
@@ -9,18 +9,18 @@
 	"stairvane.org/stairvane/internal/quota"
 )
 
-// quotaTree is a leader's allocator and a relay's node with its directors.
+// quotaTree consists of the allocator of a leader and the node of a relay with its directors.
 type quotaTree struct {
 	root     *quota.Allocator
 	node     *quota.Node
 	renewals []quota.Renewal
 	now      time.Duration
-	renewed  time.Duration // when the node last renewed
+	renewed  time.Duration // time of the node's last renewal
 	granted  float64
 }
 
-// quotaTreeOf is a tree in which all directors have renewed, and have been granted something.
-func quotaTreeOf(directors int) (*quotaTree, error) {
+// newQuotaTree returns a tree in which all directors have renewed their quotas. It returns an error if no quota was granted.
+func newQuotaTree(directors int) (*quotaTree, error) {
 	t := &quotaTree{
 		root: quota.NewAllocator(relaysession.QuotaSettings, 1, time.Hour, true),
 		node: quota.NewNode("relay-1/1", relaysession.QuotaSettings),
@@ -28,8 +28,8 @@
 	}
 	limits := limitNames(limitCount)
 	for i := range directors {
-		renewal := renewalOf(directorOf(i).ID(), 1, limits)
-		demand := float64((i*7919)%directors+1) / float64(directors*directors) // differs from director to director
+		renewal := newRenewal(newDirector(i).ID(), 1, limits)
+		demand := float64((i*7919)%directors+1) / float64(directors*directors) // a different demand for each director
 		for limit := range renewal.Wants {
 			renewal.Wants[limit].Demand = demand
 		}
@@ -37,10 +37,10 @@
 	}
 	t.renewNode()
 	for i := range 3 * directors {
-		t.renew(i)
+		t.renewNextDirector(i)
 	}
 	if t.granted == 0 {
-		return nil, fmt.Errorf("%d directors were granted nothing", directors)
+		return nil, fmt.Errorf("%d directors received no grant", directors)
 	}
 	return t, nil
 }
@@ -50,8 +50,8 @@
 	t.renewed = t.now
 }
 
-// renew has the next director renew, and the node when its interval is over.
-func (t *quotaTree) renew(n int) {
+// renewNextDirector renews the quotas of the next director, after those of the node if its interval has elapsed.
+func (t *quotaTree) renewNextDirector(n int) {
 	t.now += renewalInterval / time.Duration(len(t.renewals))
 	if t.now-t.renewed >= leaseInterval {
 		t.renewNode()
@@ -65,27 +65,28 @@
 }
 
 func relayRenewalTime(directors int) (float64, error) {
-	t, err := quotaTreeOf(directors)
+	t, err := newQuotaTree(directors)
 	if err != nil {
 		return 0, err
 	}
 	t.granted = 0
-	took := timeOf(t.renew)
+	took := timePerOperation(t.renewNextDirector)
 	if t.granted == 0 {
-		return 0, fmt.Errorf("%d directors were granted nothing while it was measured", directors)
+		return 0, fmt.Errorf("%d directors received no grant during the measurement", directors)
 	}
 	return took, nil
 }
 
 func relayRenewalBytes(directors int) (float64, error) {
-	t, err := quotaTreeOf(directors)
+	t, err := newQuotaTree(directors)
 	if err != nil {
 		return 0, err
 	}
 	return float64(len(mustJSON(t.node.Renewal(t.now)))), nil
 }
 
-// renewalOfRelaysTime has relays renew in turn, each once in a lease interval.
+// renewalOfRelaysTime returns the allocator's processor time for one renewal of a relay, in seconds. The relays renew in turn, each
+// once per lease interval.
 func renewalOfRelaysTime(relays int) (float64, error) {
 	allocator := quota.NewAllocator(relaysession.QuotaSettings, 1, time.Hour, true)
 	renewals := make([]quota.Renewal, relays)
@@ -93,7 +94,7 @@
 		renewals[i] = relayRenewal(i, relays)
 	}
 	granted := 0.0
-	took := timeOf(func(n int) {
+	took := timePerOperation(func(n int) {
 		renewal := &renewals[n%relays]
 		renewal.InUse = renewal.Seq
 		renewal.FallbackInUse = renewal.Seq
@@ -107,14 +108,14 @@
 		}
 	})
 	if granted == 0 {
-		return 0, fmt.Errorf("%d relays were granted nothing", relays)
+		return 0, fmt.Errorf("%d relays received no grant", relays)
 	}
 	return took, nil
 }
 
-// relayRenewal is the first renewal of one of several relays, which all have as many directors.
+// relayRenewal returns the first renewal of one of several relays that have equal numbers of directors.
 func relayRenewal(relay, relays int) quota.Renewal {
-	renewal := renewalOf(fmt.Sprintf("relay-%d/1", relay), 1, limitNames(limitCount))
+	renewal := newRenewal(fmt.Sprintf("relay-%d/1", relay), 1, limitNames(limitCount))
 	renewal.Node = true
 	renewal.Leaves = expectedDirectors / relays
 	for limit := range renewal.Wants {
@@ -132,9 +133,9 @@
 	return renewal
 }
 
-// relayAppliedHeap is the heap of a record of when relays applied events.
+// relayAppliedHeap returns the heap, in bytes, of a record of when relays applied events.
 func relayAppliedHeap(relays int) (float64, error) {
-	return heapOf(func() any {
+	return retainedHeap(func() any {
 		record := adoption.New(recordedEvents, 0)
 		for event := int64(0); event <= recordedEvents; event++ {
 			at := time.Hour + time.Duration(event)*purgeInterval
--- a/internal/tools/capacity/measure/store.go
+++ b/internal/tools/capacity/measure/store.go
@@ -12,10 +12,10 @@
 	"stairvane.org/stairvane/internal/fleet"
 )
 
-// storeWriters write at the same time, so that changes share syncs of the disk.
+// storeWriters is the number of concurrent writers, so that several changes share one disk sync.
 const storeWriters = 64
 
-// fillStore has all writers together put purges into a store.
+// fillStore appends purges to a store from storeWriters concurrent goroutines.
 func fillStore(s *store.Store, purges int) error {
 	errs := make([]error, storeWriters)
 	var group sync.WaitGroup
@@ -38,13 +38,13 @@
 	})
 }
 
-// openTemporary opens a store in a folder that remove deletes.
-func openTemporary(options store.Options) (s *store.Store, remove func(), err error) {
+// openTemporaryStore opens a store in a temporary directory, which remove deletes.
+func openTemporaryStore(options store.Options) (s *store.Store, remove func(), err error) {
 	folder, err := os.MkdirTemp("", "capacity-")
 	if err != nil {
 		return nil, nil, err
 	}
-	remove = func() { _ = os.RemoveAll(folder) } // a temporary file that is left does no harm
+	remove = func() { _ = os.RemoveAll(folder) } // a remaining temporary file is harmless
 	s, err = store.Open(filepath.Join(folder, "store"), options)
 	if err != nil {
 		remove()
@@ -53,13 +53,14 @@
 	return s, remove, nil
 }
 
-// storeHeap is the heap of an open store. It is filled in less time than it retains a purge.
+// storeHeap returns the heap of an open store, in bytes. Filling the store takes less time than its retention of a purge, so that it
+// still holds all purges.
 func storeHeap(purges int) (float64, error) {
 	var s *store.Store
 	remove := func() {}
 	var err error
-	heap := heapOf(func() any {
-		s, remove, err = openTemporary(store.Options{KeepEvents: unlimitedEvents, NoSync: true})
+	heap := retainedHeap(func() any {
+		s, remove, err = openTemporaryStore(store.Options{KeepEvents: unlimitedEvents, NoSync: true})
 		if err == nil {
 			err = fillStore(s, purges)
 		}
@@ -72,9 +73,10 @@
 	return heap, errors.Join(err, s.Close())
 }
 
-// commitTime is by the clock, since a sync of the disk takes no processor time.
+// commitTime returns the elapsed time, in seconds, in which purges are committed to a store. It is not processor time, because
+// waiting for a disk sync uses none.
 func commitTime(purges int) (float64, error) {
-	s, remove, err := openTemporary(store.Options{})
+	s, remove, err := openTemporaryStore(store.Options{})
 	if err != nil {
 		return 0, err
 	}
--- a/internal/tools/capacity/measure/watch_server.go
+++ b/internal/tools/capacity/measure/watch_server.go
@@ -14,8 +14,8 @@
 	"stairvane.org/stairvane/internal/quota"
 )
 
-// serverCallTime is the time of a replica that follows for one watch request: it parses the request, records the heartbeat and
-// writes an answer with the grant of the leader.
+// serverCallTime returns the processor time of a follower replica for one watch request, in seconds: it parses the request, records
+// the heartbeat and encodes an answer with the leader's grant.
 func serverCallTime(coldCaches int) (float64, error) {
 	c := newWatchClient(coldCaches)
 	request := slices.Clone(c.nextRequest())
@@ -26,7 +26,7 @@
 	tracker := membership.New(membershipSettings)
 	var callErr error
 	var out []byte
-	took := timeOf(func(n int) {
+	took := timePerOperation(func(n int) {
 		parsed, err := parseRequest(request)
 		if err != nil {
 			callErr = err
@@ -44,7 +44,7 @@
 	return took, callErr
 }
 
-// parseRequest parses a watch request, and the renewal in it as the leader's side does.
+// parseRequest parses a watch request. It also decodes the quota renewal in it, as the leader does.
 func parseRequest(request []byte) (discovery.WatchRequest, error) {
 	parsed, used, _, err := discovery.ParseWatchRequest(request)
 	if err != nil {
@@ -67,7 +67,7 @@
 		tracker.Ack(int64(i), int64(1000+i))
 	}
 	lowest := int64(0)
-	took := timeOf(func(int) { lowest = tracker.AcknowledgedUpTo(1_000_000, 0) })
+	took := timePerOperation(func(int) { lowest = tracker.AcknowledgedUpTo(1_000_000, 0) })
 	if lowest != 1000 {
 		return 0, fmt.Errorf("the lowest acknowledged revision is %d", lowest)
 	}
--- a/internal/tools/capacity/measure/wire.go
+++ b/internal/tools/capacity/measure/wire.go
@@ -13,25 +13,25 @@
 
 var eventCounts = []int{1, 10, 100, 1000, 3000}
 
-// unlimitedEvents is more events than any measure has, so that a log retains them all.
+// unlimitedEvents is a retention length that exceeds the number of events in any measure, so that a log retains all events.
 const unlimitedEvents = 1 << 20
 
 var wireMeasures = []Measure{
 	{
-		Name:  "wire.bytes.purges",
-		About: "the answer with so many purges",
-		XUnit: "purge",
-		Unit:  capacity.Bytes,
-		Sizes: eventCounts,
-		At:    purgeBytes,
+		Name:    "wire.bytes.purges",
+		About:   "the answer with so many purges",
+		XUnit:   "purge",
+		Unit:    capacity.Bytes,
+		Sizes:   eventCounts,
+		ValueAt: purgeBytes,
 	},
 	{
-		Name:  "wire.bytes.hosts",
-		About: "the answer with so many changes of a cache each",
-		XUnit: "host change",
-		Unit:  capacity.Bytes,
-		Sizes: eventCounts,
-		At:    hostBytes,
+		Name:    "wire.bytes.hosts",
+		About:   "the answer with so many changes of a cache each",
+		XUnit:   "host change",
+		Unit:    capacity.Bytes,
+		Sizes:   eventCounts,
+		ValueAt: hostBytes,
 	},
 	{
 		Name:  "wire.bytes.members",
@@ -39,17 +39,17 @@
 		XUnit: "director that joins",
 		Unit:  capacity.Bytes,
 		Sizes: eventCounts,
-		At: func(size int) (float64, error) {
-			return eventBytes(fleet.MembershipChange{Joined: directorsOf(size)})
+		ValueAt: func(size int) (float64, error) {
+			return eventBytes(fleet.MembershipChange{Joined: newDirectors(size)})
 		},
 	},
 	{
-		Name:  "wire.bytes.gone",
-		About: "the answer with so many directors that leave in one event",
-		XUnit: "director that leaves",
-		Unit:  capacity.Bytes,
-		Sizes: eventCounts,
-		At:    membersLeftBytes,
+		Name:    "wire.bytes.gone",
+		About:   "the answer with so many directors that leave in one event",
+		XUnit:   "director that leaves",
+		Unit:    capacity.Bytes,
+		Sizes:   eventCounts,
+		ValueAt: membersLeftBytes,
 	},
 	{
 		Name:  "wire.bytes.whole",
@@ -57,7 +57,7 @@
 		XUnit: "director",
 		Unit:  capacity.Bytes,
 		Sizes: directorCounts,
-		At: func(size int) (float64, error) {
+		ValueAt: func(size int) (float64, error) {
 			return snapshotBytes(expectedCaches, size)
 		},
 	},
@@ -67,23 +67,24 @@
 		XUnit: "cache",
 		Unit:  capacity.Bytes,
 		Sizes: cacheCounts,
-		At: func(size int) (float64, error) {
+		ValueAt: func(size int) (float64, error) {
 			return snapshotBytes(size, 0)
 		},
 	},
 }
 
-// maxOverhead is what an answer has besides its events, in bytes.
+// maxOverhead is the maximum number of bytes in an answer besides its events.
 const maxOverhead = 1000
 
-// logOf is an event log that begins after one event, which the watcher has applied.
-func logOf(events []fleet.Event) (*eventlog.Log, error) {
+// newEventLog returns an event log with one initial event, which the watcher has applied, followed by the given events.
+func newEventLog(events []fleet.Event) (*eventlog.Log, error) {
 	after := fleet.Fleet{Revision: int64(1 + len(events))}
 	base := fleet.Event{No: 1, Rules: &fleet.Rules{}}
 	return eventlog.New(1, append([]fleet.Event{base}, events...), after, unlimitedEvents)
 }
 
-// answerBytes is the size of the answer to a watcher that announces itself and has applied all events up to a revision.
+// answerBytes returns the size, in bytes, of the answer to a watcher that announces itself and has applied all events up to the
+// given revision.
 func answerBytes(log *eventlog.Log, after int64) (float64, error) {
 	_, size, err := log.Answer(after, true)
 	if err == nil && size == 0 {
@@ -97,7 +98,7 @@
 	for i := range count {
 		events = append(events, purgeEvent(int64(i+2)))
 	}
-	return answersOf(events)
+	return eventsAnswerBytes(events)
 }
 
 func hostBytes(count int) (float64, error) {
@@ -107,39 +108,40 @@
 			No:   int64(i + 2),
 			AtMS: 1,
 			Who:  "operator@example",
-			Host: hostOf(i % expectedCaches),
+			Host: newHost(i % expectedCaches),
 		})
 	}
-	return answersOf(events)
+	return eventsAnswerBytes(events)
 }
 
 func membersLeftBytes(count int) (float64, error) {
 	var left []string
-	for _, d := range directorsOf(count) {
+	for _, d := range newDirectors(count) {
 		left = append(left, d.ID())
 	}
 	return eventBytes(fleet.MembershipChange{Left: left})
 }
 
 func eventBytes(change fleet.MembershipChange) (float64, error) {
-	return answersOf([]fleet.Event{{No: 2, AtMS: 1, Who: "leader", Membership: &change}})
+	return eventsAnswerBytes([]fleet.Event{{No: 2, AtMS: 1, Who: "leader", Membership: &change}})
 }
 
-// answersOf is the size of the answer that carries events. It is an error if one answer can't carry them all.
-func answersOf(events []fleet.Event) (float64, error) {
-	log, err := logOf(events)
+// eventsAnswerBytes returns the size, in bytes, of the answer that contains the events. It returns an error if they do not fit into
+// one answer.
+func eventsAnswerBytes(events []fleet.Event) (float64, error) {
+	log, err := newEventLog(events)
 	if err != nil {
 		return 0, err
 	}
 	size, err := answerBytes(log, 1)
 	if err == nil && size > eventlog.MaxAnswer+maxOverhead && len(events) > 1 {
-		err = fmt.Errorf("%d events take more than one answer", len(events))
+		err = fmt.Errorf("%d events do not fit into one answer", len(events))
 	}
 	return size, err
 }
 
 func snapshotBytes(caches, directors int) (float64, error) {
-	f, err := fleetOf(caches, directors)
+	f, err := newFleet(caches, directors)
 	if err != nil {
 		return 0, err
 	}
