--- a/internal/tools/capacity/design.go
+++ b/internal/tools/capacity/design.go
@@ -10,7 +10,7 @@
 	ReportedCaches int `json:"ReportedCaches"` // caches in one health report
 
 	WatchTimeout         time.Duration `json:"WatchPatience"` // time after which a watch request is answered without an event
-	RelayGatherTime      time.Duration `json:"RelayGather"`   // time for which a relay batches events after an answer to a director
+	RelayBatchTime       time.Duration `json:"RelayGather"`   // time for which a relay batches events after an answer to a director
 	ReplicaLease         time.Duration `json:"ReplicaLease"`  // duration of the lease that the leader grants a replica
 	LeaseInterval        time.Duration `json:"LeaseEvery"`    // interval between two lease renewals of a replica
 	HealthReportInterval time.Duration `json:"HealthEvery"`   // interval between two health reports while nothing fails
@@ -42,7 +42,7 @@
 		ReportedCaches: 28,
 
 		WatchTimeout:              100 * time.Millisecond,
-		RelayGatherTime:           100 * time.Millisecond,
+		RelayBatchTime:            100 * time.Millisecond,
 		ReplicaLease:              200 * time.Millisecond,
 		LeaseInterval:             50 * time.Millisecond,
 		HealthReportInterval:      500 * time.Millisecond,
@@ -72,7 +72,7 @@
 		"cold-caches":      positiveInt(&d.ColdCaches),
 		"reported-caches":  positiveInt(&d.ReportedCaches),
 		"watch-patience":   positiveDuration(&d.WatchTimeout),
-		"relay-gather":     positiveDuration(&d.RelayGatherTime),
+		"relay-gather":     positiveDuration(&d.RelayBatchTime),
 		"lease-every":      positiveDuration(&d.LeaseInterval),
 		"history-kept":     positiveInt(&d.HistoryLength),
 		"adoption-kept":    positiveInt(&d.AppliedRecordLength),
--- a/internal/tools/capacity/figure.go
+++ b/internal/tools/capacity/figure.go
@@ -34,7 +34,7 @@
 // Verdict indicates whether a figure is within its budget.
 type Verdict string
 
-// Verdicts.
+// Verdicts of figures.
 const (
 	WithinBudget Verdict = "kept"
 	OverBudget   Verdict = "broken" // the value exceeds the budget
@@ -70,7 +70,7 @@
 	Terms     []Term   `json:"terms,omitempty"`
 	Missing   []string `json:"missing,omitempty"` // names of laws that the formula reads and that do not exist
 	Mechanism string   `json:"mechanism"`
-	// CollapsedAt is the smallest number of directors at which a run collapsed; 0 if the size has fewer directors.
+	// CollapsedAt is the smallest number of directors at which a run collapsed; 0 if the size has fewer directors or no run collapsed.
 	CollapsedAt int `json:"collapsed_at,omitempty"`
 }
 
--- a/internal/tools/capacity/figure_test.go
+++ b/internal/tools/capacity/figure_test.go
@@ -19,7 +19,7 @@
 			return f
 		}
 	}
-	t.Fatal("the figure is not there")
+	t.Fatal("figure not found")
 	return Figure{}
 }
 
@@ -39,14 +39,14 @@
 		t.Errorf("250 directors: %+v", f)
 	}
 	if f.Terms[0].Measured != 0 {
-		t.Errorf("250 directors were not measured: %+v", f)
+		t.Errorf("250 directors have a measured value, but were not measured: %+v", f)
 	}
 	f = directorCoresFigure(t, 1000, laws)
 	if f.Verdict != OverBudget || f.Terms[0].Beyond != 2 || math.Abs(f.BudgetRatio()-0.1/0.039) > 1e-9 {
 		t.Errorf("1,000 directors: %+v", f)
 	}
 	if f := directorCoresFigure(t, 301, laws); f.Terms[0].Measured != 0.03 {
-		t.Errorf("301 directors are 300 as they were measured: %+v", f)
+		t.Errorf("301 directors do not use the value measured at 300: %+v", f)
 	}
 	f = directorCoresFigure(t, 1000, Laws{})
 	if f.Verdict != NotMeasured || f.Value != 0 || len(overBudget([]Figure{f})) != 0 {
--- a/internal/tools/capacity/format_test.go
+++ b/internal/tools/capacity/format_test.go
@@ -17,7 +17,7 @@
 		{0, Bytes, "0 B"},
 	} {
 		if got := formatQuantity(c.value, c.unit); got != c.want {
-			t.Errorf("%v %s is %q, not %q", c.value, c.unit, got, c.want)
+			t.Errorf("%v %s is %q, want %q", c.value, c.unit, got, c.want)
 		}
 	}
 }
--- a/internal/tools/capacity/keys_test.go
+++ b/internal/tools/capacity/keys_test.go
@@ -35,7 +35,7 @@
 			t.Fatal(err)
 		}
 		if want := strings.NewReplacer("\n", "", "\t", "").Replace(c.want); string(got) != want {
-			t.Errorf("%s is\n%s\nnot\n%s", c.name, got, want)
+			t.Errorf("%s is\n%s\nwant\n%s", c.name, got, want)
 		}
 	}
 }
--- a/internal/tools/capacity/measure/director_process.go
+++ b/internal/tools/capacity/measure/director_process.go
@@ -129,7 +129,7 @@
 	}
 	var started []*director.Program
 	var startErr error
-	took := timeOfSingleOperation(nil, func() {
+	seconds := timeOfSingleOperation(nil, func() {
 		p, err := startDirector(response)
 		if err != nil {
 			startErr = err
@@ -137,7 +137,7 @@
 		}
 		started = append(started, p)
 	})
-	return took, errors.Join(stopDirectors(started), startErr)
+	return seconds, errors.Join(stopDirectors(started), startErr)
 }
 
 // stopDirectors shuts directors down concurrently.
--- a/internal/tools/capacity/measure/director_watch.go
+++ b/internal/tools/capacity/measure/director_watch.go
@@ -11,8 +11,8 @@
 	"stairvane.org/stairvane/internal/quota"
 )
 
-// watchedRevision is the revision of the last event that a watch client has applied. It has as many digits as real revisions, since
-// they add to the size of requests.
+// watchedRevision is the revision of the last event that a watch client has applied. Its number of
+// digits contributes to the size of requests.
 const watchedRevision = 12345678
 
 // watchClient implements the director's side of a watch: it encodes the same requests as internal/director, and its answers have the
@@ -98,7 +98,7 @@
 	c.nextRequest()
 	answer := c.answer()
 	var readErr error
-	took := timePerOperation(func(int) {
+	seconds := timePerOperation(func(int) {
 		c.nextRequest()
 		grant, err := readGrant(answer)
 		if err != nil {
@@ -114,7 +114,7 @@
 	if coldCaches > 0 && !c.holder.HasShare(c.limits[0], c.now) {
 		return 0, errors.New("the holder has not applied the grant")
 	}
-	return took, nil
+	return seconds, nil
 }
 
 func reportBytes(caches int) (float64, error) {
--- a/internal/tools/capacity/measure/event_log.go
+++ b/internal/tools/capacity/measure/event_log.go
@@ -30,7 +30,7 @@
 	}
 	var answerErr error
 	var out []byte
-	took := timePerOperation(func(n int) {
+	seconds := timePerOperation(func(n int) {
 		revision := int64(n + 1)
 		if err := log.Add([]fleet.Event{purgeEvent(revision)}, fleet.Fleet{Revision: revision}); err != nil {
 			answerErr = err
@@ -52,7 +52,7 @@
 			}
 		}
 	})
-	return took, answerErr
+	return seconds, answerErr
 }
 
 // snapshotTime returns the processor time, in seconds, of encoding the first answer to a director. The log encodes it again after
@@ -71,7 +71,7 @@
 		return 0, err
 	}
 	size := 0
-	took := timePerOperation(func(int) {
+	seconds := timePerOperation(func(int) {
 		if err = log.Add(nil, f); err != nil { // discards the encoded answer
 			return
 		}
@@ -80,5 +80,5 @@
 	if err == nil && size < retainedPurges {
 		err = fmt.Errorf("the first answer has only %d bytes", size)
 	}
-	return took, err
+	return seconds, err
 }
--- a/internal/tools/capacity/measure/leader_health.go
+++ b/internal/tools/capacity/measure/leader_health.go
@@ -84,9 +84,9 @@
 		}
 	}
 	failing := 0
-	took := timeOfSingleOperation(reportAll, func() { failing += len(r.aggregator.Aggregated(r.now).Caches) })
+	seconds := timeOfSingleOperation(reportAll, func() { failing += len(r.aggregator.Aggregated(r.now).Caches) })
 	if failing == 0 {
 		return 0, fmt.Errorf("%d directors reported no failing cache", directors)
 	}
-	return took, nil
+	return seconds, nil
 }
--- a/internal/tools/capacity/measure/leader_membership.go
+++ b/internal/tools/capacity/measure/leader_membership.go
@@ -39,7 +39,7 @@
 	tracker := newTracker(directors)
 	record := adoption.New(recordedEvents, 0)
 	var decodeErr error
-	took := timePerOperation(func(n int) {
+	seconds := timePerOperation(func(n int) {
 		var heartbeats api.Heartbeats
 		if err := json.Unmarshal(bodies[n%len(bodies)], &heartbeats); err != nil {
 			decodeErr = err
@@ -60,7 +60,7 @@
 			record.RecordApplied(d.ID, applied, at)
 		}
 	})
-	return took, decodeErr
+	return seconds, decodeErr
 }
 
 // tickTime returns the processor time of one tick of the leader's membership service, in seconds.
@@ -76,7 +76,7 @@
 		_, isKnown := tracker.LastContact(id)
 		return isKnown
 	}
-	took := timePerOperation(func(int) {
+	seconds := timePerOperation(func(int) {
 		allocator.Sweep(time.Hour)
 		reports.aggregator.Sweep(reports.now)
 		record.MarkGone(isMember, time.Hour)
@@ -85,7 +85,7 @@
 	if known := len(tracker.Versions()); known != directors {
 		return 0, fmt.Errorf("%d of %d directors have a version", known, directors)
 	}
-	return took, nil
+	return seconds, nil
 }
 
 func membershipCheckTime(directors int) (float64, error) {
@@ -95,11 +95,11 @@
 	}
 	tracker := newTracker(directors)
 	var changed *fleet.MembershipChange
-	took := timePerOperation(func(int) { changed = tracker.Change(f, time.Hour) })
+	seconds := timePerOperation(func(int) { changed = tracker.Change(f, time.Hour) })
 	if changed != nil {
 		return 0, fmt.Errorf("the membership of %d directors has changed", directors)
 	}
-	return took, nil
+	return seconds, nil
 }
 
 // appliedHeap returns the heap, in bytes, of a record of when directors applied events. The size is the number of directors times
--- a/internal/tools/capacity/measure/leader_quota.go
+++ b/internal/tools/capacity/measure/leader_quota.go
@@ -27,7 +27,7 @@
 		renewals[i] = newRenewal(newDirector(i).ID(), 1, limits)
 	}
 	granted := 0.0
-	took := timePerOperation(func(n int) {
+	seconds := timePerOperation(func(n int) {
 		renewal := &renewals[n%holders]
 		renewal.InUse = renewal.Seq
 		renewal.Seq++
@@ -37,5 +37,5 @@
 	if granted <= 0 {
 		return 0, fmt.Errorf("%d holders received no grant", holders)
 	}
-	return took, nil
+	return seconds, nil
 }
--- a/internal/tools/capacity/measure/measure_test.go
+++ b/internal/tools/capacity/measure/measure_test.go
@@ -46,10 +46,10 @@
 		if !strings.HasPrefix(m.Name, prefix) {
 			continue
 		}
-		begin := time.Now()
+		start := time.Now()
 		source := capacity.Source{
 			Command: sourceCommand,
-			At:      begin.UTC().Truncate(time.Second),
+			At:      start.UTC().Truncate(time.Second),
 			Machine: machine(),
 		}
 		law, err := m.Law(source)
@@ -58,7 +58,7 @@
 			continue
 		}
 		measured.Laws[law.Name] = law
-		t.Logf("%-32s %v, in %v", law.Name, law.Points, time.Since(begin).Round(time.Millisecond))
+		t.Logf("%-32s %v, in %v", law.Name, law.Points, time.Since(start).Round(time.Millisecond))
 	}
 	var out bytes.Buffer
 	if err := measured.Write(&out); err != nil {
--- a/internal/tools/capacity/measure/meter.go
+++ b/internal/tools/capacity/measure/meter.go
@@ -28,18 +28,18 @@
 	n := 0
 	return minOfRounds(func() float64 {
 		runtime.GC()
-		begin := processorTime()
+		start := processorTime()
 		first := n
-		var took time.Duration
-		for took < minRoundTime {
+		var elapsed time.Duration
+		for elapsed < minRoundTime {
 			batch := 1 + (n-first)/4 // batches grow, because reading the clock takes time as well
 			for range batch {
 				operation(n)
 				n++
 			}
-			took = processorTime() - begin
+			elapsed = processorTime() - start
 		}
-		return took.Seconds() / float64(n-first)
+		return elapsed.Seconds() / float64(n-first)
 	})
 }
 
@@ -51,9 +51,9 @@
 			prepare()
 		}
 		runtime.GC()
-		begin := processorTime()
+		start := processorTime()
 		operation()
-		return (processorTime() - begin).Seconds()
+		return (processorTime() - start).Seconds()
 	})
 }
 
--- a/internal/tools/capacity/measure/relay_quota.go
+++ b/internal/tools/capacity/measure/relay_quota.go
@@ -11,12 +11,12 @@
 
 // quotaTree consists of the allocator of a leader and the node of a relay with its directors.
 type quotaTree struct {
-	root     *quota.Allocator
-	node     *quota.Node
-	renewals []quota.Renewal
-	now      time.Duration
-	renewed  time.Duration // time of the node's last renewal
-	granted  float64
+	root        *quota.Allocator
+	node        *quota.Node
+	renewals    []quota.Renewal
+	now         time.Duration
+	lastRenewal time.Duration // time of the node's last renewal
+	granted     float64
 }
 
 // newQuotaTree returns a tree in which all directors have renewed their quotas. It returns an error if no quota was granted.
@@ -47,13 +47,13 @@
 
 func (t *quotaTree) renewNode() {
 	t.node.Apply(t.root.Renew(t.node.Renewal(t.now), t.now), t.now)
-	t.renewed = t.now
+	t.lastRenewal = t.now
 }
 
 // renewNextDirector renews the quotas of the next director, after those of the node if its interval has elapsed.
 func (t *quotaTree) renewNextDirector(n int) {
 	t.now += renewalInterval / time.Duration(len(t.renewals))
-	if t.now-t.renewed >= leaseInterval {
+	if t.now-t.lastRenewal >= leaseInterval {
 		t.renewNode()
 	}
 	renewal := &t.renewals[n%len(t.renewals)]
@@ -70,11 +70,11 @@
 		return 0, err
 	}
 	t.granted = 0
-	took := timePerOperation(t.renewNextDirector)
+	seconds := timePerOperation(t.renewNextDirector)
 	if t.granted == 0 {
 		return 0, fmt.Errorf("%d directors received no grant during the measurement", directors)
 	}
-	return took, nil
+	return seconds, nil
 }
 
 func relayRenewalBytes(directors int) (float64, error) {
@@ -94,7 +94,7 @@
 		renewals[i] = relayRenewal(i, relays)
 	}
 	granted := 0.0
-	took := timePerOperation(func(n int) {
+	seconds := timePerOperation(func(n int) {
 		renewal := &renewals[n%relays]
 		renewal.InUse = renewal.Seq
 		renewal.FallbackInUse = renewal.Seq
@@ -110,7 +110,7 @@
 	if granted == 0 {
 		return 0, fmt.Errorf("%d relays received no grant", relays)
 	}
-	return took, nil
+	return seconds, nil
 }
 
 // relayRenewal returns the first renewal of one of several relays that have equal numbers of directors.
--- a/internal/tools/capacity/measure/store.go
+++ b/internal/tools/capacity/measure/store.go
@@ -40,12 +40,12 @@
 
 // openTemporaryStore opens a store in a temporary directory, which remove deletes.
 func openTemporaryStore(options store.Options) (s *store.Store, remove func(), err error) {
-	folder, err := os.MkdirTemp("", "capacity-")
+	directory, err := os.MkdirTemp("", "capacity-")
 	if err != nil {
 		return nil, nil, err
 	}
-	remove = func() { _ = os.RemoveAll(folder) } // a remaining temporary file is harmless
-	s, err = store.Open(filepath.Join(folder, "store"), options)
+	remove = func() { _ = os.RemoveAll(directory) } // a remaining temporary file is harmless
+	s, err = store.Open(filepath.Join(directory, "store"), options)
 	if err != nil {
 		remove()
 		return nil, nil, fmt.Errorf("open store: %w", err)
@@ -81,8 +81,8 @@
 		return 0, err
 	}
 	defer remove()
-	begin := time.Now()
+	start := time.Now()
 	err = fillStore(s, purges)
-	took := time.Since(begin)
-	return took.Seconds(), errors.Join(err, s.Close())
+	elapsed := time.Since(start)
+	return elapsed.Seconds(), errors.Join(err, s.Close())
 }
--- a/internal/tools/capacity/measure/watch_server.go
+++ b/internal/tools/capacity/measure/watch_server.go
@@ -26,7 +26,7 @@
 	tracker := membership.New(membershipSettings)
 	var callErr error
 	var out []byte
-	took := timePerOperation(func(n int) {
+	seconds := timePerOperation(func(n int) {
 		parsed, err := parseRequest(request)
 		if err != nil {
 			callErr = err
@@ -41,7 +41,7 @@
 		})
 		out = appendGrantAnswer(out[:0], parsed.After, grant)
 	})
-	return took, callErr
+	return seconds, callErr
 }
 
 // parseRequest parses a watch request. It also decodes the quota renewal in it, as the leader does.
@@ -67,9 +67,9 @@
 		tracker.Ack(int64(i), int64(1000+i))
 	}
 	lowest := int64(0)
-	took := timePerOperation(func(int) { lowest = tracker.AcknowledgedUpTo(1_000_000, 0) })
+	seconds := timePerOperation(func(int) { lowest = tracker.AcknowledgedUpTo(1_000_000, 0) })
 	if lowest != 1000 {
 		return 0, fmt.Errorf("the lowest acknowledged revision is %d", lowest)
 	}
-	return took, nil
+	return seconds, nil
 }
--- a/internal/tools/capacity/page_test.go
+++ b/internal/tools/capacity/page_test.go
@@ -49,8 +49,8 @@
 	measured, _ := loadLawsAndPage(t)
 	readLaws := map[string]bool{}
 	for _, f := range Figures(ExpectedSize(), CurrentDesign(), measured) {
-		isOfConstants := strings.Contains(f.Mechanism, "no measurement") || f.Unit == Machines
-		if len(f.Terms) == 0 && len(f.Missing) == 0 && f.CollapsedAt == 0 && !isOfConstants {
+		usesConstantsOnly := strings.Contains(f.Mechanism, "no measurement") || f.Unit == Machines
+		if len(f.Terms) == 0 && len(f.Missing) == 0 && f.CollapsedAt == 0 && !usesConstantsOnly {
 			t.Errorf("%s, %s has no law, row or constant as input", f.Role, f.Name)
 		}
 		for _, term := range f.Terms {
--- a/internal/tools/capacity/rates.go
+++ b/internal/tools/capacity/rates.go
@@ -40,12 +40,12 @@
 // callsPerSecond returns the rate of watch requests of one director to a server that batches events for the given time. A request
 // ends at its timeout, or with the first event after the batching time. Events are assumed to form a Poisson process. Network
 // latency is ignored, so the result is an upper bound.
-func (c *calculation) callsPerSecond(gather time.Duration) float64 {
+func (c *calculation) callsPerSecond(batchTime time.Duration) float64 {
 	events := c.eventsPerSecond()
 	timeout := c.WatchTimeout.Seconds()
-	gathering := min(gather.Seconds(), timeout)
-	waiting := (math.Exp(-events*gathering) - math.Exp(-events*timeout)) / events
-	return 1 / (gathering + waiting)
+	batching := min(batchTime.Seconds(), timeout)
+	waiting := (math.Exp(-events*batching) - math.Exp(-events*timeout)) / events
+	return 1 / (batching + waiting)
 }
 
 // renewalsPerSecond returns the rate of quota renewals of one director that reach the leader. A replica forwards only the latest
--- a/internal/tools/capacity/rates_test.go
+++ b/internal/tools/capacity/rates_test.go
@@ -12,16 +12,16 @@
 	c := &calculation{Size: ExpectedSize(), Design: CurrentDesign()}
 	events := c.eventsPerSecond()
 	timeout := c.WatchTimeout.Seconds()
-	for gather, want := range map[time.Duration]float64{
+	for batchTime, want := range map[time.Duration]float64{
 		0:                      events / (1 - math.Exp(-events*timeout)),
 		100 * time.Millisecond: 10,
 		200 * time.Millisecond: 10,
 	} {
-		if got := c.callsPerSecond(gather); math.Abs(got-want) > 1e-9 {
-			t.Errorf("gathering for %v: %v calls a second, not %v", gather, got, want)
+		if got := c.callsPerSecond(batchTime); math.Abs(got-want) > 1e-9 {
+			t.Errorf("batching for %v: %v calls per second, want %v", batchTime, got, want)
 		}
 	}
 	if between := c.callsPerSecond(50 * time.Millisecond); between <= 10 || between >= c.callsPerSecond(0) {
-		t.Errorf("gathering for 50 ms: %v calls a second", between)
+		t.Errorf("batching for 50 ms: %v calls per second, want a value between those of both limits", between)
 	}
 }
--- a/internal/tools/capacity/relay.go
+++ b/internal/tools/capacity/relay.go
@@ -17,7 +17,7 @@
 
 // relayRenewalCores returns the processor time that a relay spends on dividing its quotas among its directors, in cores.
 func (c *calculation) relayRenewalCores() float64 {
-	return c.renewalCores(lawRelayRenewalTime, c.directorsPer(c.Relays), c.callsPerSecond(c.RelayGatherTime))
+	return c.renewalCores(lawRelayRenewalTime, c.directorsPer(c.Relays), c.callsPerSecond(c.RelayBatchTime))
 }
 
 // relayToLeaderBytesPerSecond returns the traffic from one relay to the leader, in bytes per second.
--- a/internal/tools/capacity/scalerun.go
+++ b/internal/tools/capacity/scalerun.go
@@ -169,17 +169,17 @@
 // processLaws fits laws to the rows of one layout, from one or more runs. It ignores rows whose size collapsed and rows with an
 // injected fault, and returns no laws if fewer than MinPoints sizes remain.
 func processLaws(rows []Row) Laws {
-	counted := slices.DeleteFunc(slices.Clone(rows), func(r Row) bool { return r.hasCollapsed() || r.Fault != "" })
+	usable := slices.DeleteFunc(slices.Clone(rows), func(r Row) bool { return r.hasCollapsed() || r.Fault != "" })
 	laws := Laws{}
-	if len(counted) == 0 {
+	if len(usable) == 0 {
 		return laws
 	}
-	hasRelays := counted[0].Relays > 0
+	hasRelays := usable[0].Relays > 0
 	for _, m := range processMeasures {
 		if m.isPerRelay && !hasRelays {
 			continue
 		}
-		law, err := m.law(counted)
+		law, err := m.law(usable)
 		if err != nil {
 			continue // too few sizes
 		}
--- a/internal/tools/capacity/scalerun_test.go
+++ b/internal/tools/capacity/scalerun_test.go
@@ -86,8 +86,8 @@
 	if err := measured.Write(&text); err != nil {
 		t.Fatal(err)
 	}
-	if again, err := Read(&text); err != nil || len(again.Rows) != 7 || len(again.Laws) != len(measured.Laws) {
-		t.Errorf("%+v, %v", again, err)
+	if decoded, err := Read(&text); err != nil || len(decoded.Rows) != 7 || len(decoded.Laws) != len(measured.Laws) {
+		t.Errorf("%+v, %v", decoded, err)
 	}
 }
 
@@ -101,12 +101,12 @@
 	}
 	measured.AddRows(rows[:3])
 	if len(measured.Laws) != 0 {
-		t.Errorf("three sizes did not collapse, and there are laws: %+v", measured.Laws)
+		t.Errorf("laws were fitted to three sizes: %+v", measured.Laws)
 	}
 	measured.AddRows(secondRun)
 	law := measured.Laws[leaderLawName]
 	if len(law.Points) != 5 || !strings.HasSuffix(law.Source.Command, "run.json, second.json") {
-		t.Errorf("five sizes of two runs: %+v", law)
+		t.Errorf("law of five sizes from two runs: %+v", law)
 	}
 }
 
@@ -121,17 +121,17 @@
 		t.Errorf("a run with a fault is included in the law: %+v", law)
 	}
 	if few := processLaws(append(rows[:4:4], rows[5])); len(few) != 0 {
-		t.Errorf("four sizes did not collapse, and there are laws: %+v", few)
+		t.Errorf("laws were fitted to four sizes: %+v", few)
 	}
 }
 
 func TestProcessLawsWithoutRelays(t *testing.T) {
 	laws := processLaws(readRun(t, "x", "0", rowsWithoutCollapse()...))
 	if laws["process.leader.cores.without_relays_8_cold"].Name == "" {
-		t.Errorf("there is no law of the leader: %+v", laws)
+		t.Errorf("the law of the leader is missing: %+v", laws)
 	}
 	if laws["process.relay.cores.without_relays_8_cold"].Name != "" {
-		t.Errorf("there is a law of a relay: %+v", laws)
+		t.Errorf("a law of a relay was fitted without relays: %+v", laws)
 	}
 }
 
--- a/internal/tools/capacity/scenario.go
+++ b/internal/tools/capacity/scenario.go
@@ -43,11 +43,11 @@
 
 // calls returns the rate, per second, of watch requests of one director.
 func (c *calculation) calls(s scenario) float64 {
-	gather := time.Duration(0)
+	batchTime := time.Duration(0)
 	if s.hasRelays {
-		gather = c.RelayGatherTime
+		batchTime = c.RelayBatchTime
 	}
-	return c.callsPerSecond(gather)
+	return c.callsPerSecond(batchTime)
 }
 
 // forScenarios returns a copy of the template for each scenario, with the scenario appended to its name.
--- a/internal/tools/capacity/settings.go
+++ b/internal/tools/capacity/settings.go
@@ -11,7 +11,7 @@
 // ErrUnknownSetting is returned if a size or a design has no setting with the given name.
 var ErrUnknownSetting = errors.New("unknown setting")
 
-// ErrInvalidSetting is returned if a text is not a number or a duration greater than 0.
+// ErrInvalidSetting is returned if a text is not a valid number or duration, or if its value is not greater than 0.
 var ErrInvalidSetting = errors.New("not a value greater than 0")
 
 // setting parses a text and stores its value. It stores nothing if it returns an error.
