--- a/internal/tools/capacity/design.go
+++ b/internal/tools/capacity/design.go
@@ -16,11 +16,11 @@
 	HealthReportInterval time.Duration `json:"HealthEvery"`   // interval between two health reports while nothing fails
 	// HealthAggregationInterval is the minimum interval between two aggregations of all health reports.
 	HealthAggregationInterval time.Duration `json:"HealthFoundEvery"`
-	HealthPerDirector         time.Duration `json:"HealthFoundEach"` // added to the aggregation interval for each director
+	HealthPerDirector         time.Duration `json:"HealthFoundEach"` // minimum of that interval for each director, if the product is longer
 	MembershipTick            time.Duration `json:"TickEvery"`       // interval between two ticks of the membership service
 	MembershipEventInterval   time.Duration `json:"GatherEvery"`     // minimum interval between two membership events
-	ReconnectRetry            time.Duration `json:"ReconnectRetry"`  // maximum backoff after a lost watch in a deployment of one director
-	ReconnectSpread           time.Duration `json:"ReconnectSpread"` // added to that backoff for each further director
+	ReconnectRetry            time.Duration `json:"ReconnectRetry"`  // maximum retry time after a lost watch, without the spread
+	ReconnectSpread           time.Duration `json:"ReconnectSpread"` // added to that time for each further director
 	// ReconnectSpreadMax limits the total that ReconnectSpread adds, for a director with several control plane addresses.
 	ReconnectSpreadMax   time.Duration `json:"ReconnectSpreadMax"`
 	PurgeRetention       time.Duration `json:"PurgeKept"`        // time for which the control plane retains a purge for reconnections
--- a/internal/tools/capacity/measure/director_watch.go
+++ b/internal/tools/capacity/measure/director_watch.go
@@ -11,12 +11,12 @@
 	"stairvane.org/stairvane/internal/quota"
 )
 
-// watchedRevision is the revision of the last event that a watch client has applied. Its number of
-// digits contributes to the size of requests.
+// watchedRevision is the revision of the last event that a watch client has applied. Its number of digits contributes
+// to the size of requests.
 const watchedRevision = 12345678
 
-// watchClient implements the director's side of a watch: it encodes the same requests as internal/director, and its answers have the
-// same form.
+// watchClient implements the director's side of a watch: it encodes the contents of requests and applies those of answers as
+// internal/director does.
 type watchClient struct {
 	identity discovery.Director
 	holder   *quota.Holder
--- a/internal/tools/capacity/process.go
+++ b/internal/tools/capacity/process.go
@@ -107,7 +107,7 @@
 }
 
 // processValue returns the value of a law of real processes. If there is no such law, it returns the value that a scale run measured
-// at the same size, if any.
+// at the same size, or else records the law as missing. It also records whether a run of the scenario collapsed.
 func (c *calculation) processValue(cost processCost, s scenario, directors float64) float64 {
 	c.collapsedAt = c.minCollapsedDirectors(s)
 	name := processLawName(cost, s.hasRelays, c.coldCaches(s))
