--- a/internal/tools/capacity/design.go
+++ b/internal/tools/capacity/design.go
@@ -16,7 +16,7 @@
 	HealthReportInterval time.Duration `json:"HealthEvery"`   // interval between two health reports while nothing fails
 	// HealthAggregationInterval is the minimum interval between two aggregations of all health reports.
 	HealthAggregationInterval time.Duration `json:"HealthFoundEvery"`
-	HealthPerDirector         time.Duration `json:"HealthFoundEach"` // minimum of that interval for each director, if the product is longer
+	HealthPerDirector         time.Duration `json:"HealthFoundEach"` // times the number of directors: a second minimum of that interval
 	MembershipTick            time.Duration `json:"TickEvery"`       // interval between two ticks of the membership service
 	MembershipEventInterval   time.Duration `json:"GatherEvery"`     // minimum interval between two membership events
 	ReconnectRetry            time.Duration `json:"ReconnectRetry"`  // maximum retry time after a lost watch, without the spread
