--- a/internal/controlplane/members.go
+++ b/internal/controlplane/members.go
@@ -68,7 +68,7 @@
 func (s *memberService) startLeading(f fleet.Fleet, now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tracker.Begin(f, now)
+	s.tracker.Reset(f, now)
 	s.isLeader = true
 }
 
@@ -158,7 +158,7 @@
 func (s *memberService) nextChange(f fleet.Fleet, now time.Duration) *fleet.MembershipChange {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := s.tracker.Change(f, now)
+	c := s.tracker.NextChange(f, now)
 	s.tracker.Observe(f.Revision, now)
 	return c
 }
--- a/internal/controlplane/watchowner.go
+++ b/internal/controlplane/watchowner.go
@@ -36,8 +36,8 @@
 // MayServe implements watch.Owner.
 func (o watchOwner) MayServe() bool { return o.server.hasLease() }
 
-// ObserveDirector implements watch.Owner. It always admits the director, because maxWatchers already limits the number of watchers.
-func (o watchOwner) ObserveDirector(announcement discovery.Announcement, acknowledged int64) bool {
+// RecordAnnouncement implements watch.Owner. It always admits the director, because maxWatchers already limits the number of watchers.
+func (o watchOwner) RecordAnnouncement(announcement discovery.Announcement, acknowledged int64) bool {
 	o.server.directors.recordAnnouncement(announcement, acknowledged)
 	return true
 }
--- a/internal/tools/capacity/capacity_test.go
+++ b/internal/tools/capacity/capacity_test.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-const root = "../../../"
+const repositoryRoot = "../../../"
 
-// The design's values are those of the program's constants.
-func TestDesignIsTheProgram(t *testing.T) {
+// TestDesignMatchesProgramConstants guards against a constant of the program that changes while CurrentDesign keeps the old value.
+func TestDesignMatchesProgramConstants(t *testing.T) {
 	d := CurrentDesign()
 	milliseconds := func(t time.Duration) string { return strconv.FormatInt(t.Milliseconds(), 10) }
 	microseconds := func(t time.Duration) string { return strconv.FormatInt(t.Microseconds(), 10) }
 	for _, x := range []struct{ file, pattern, value string }{
-		{"internal/operatorconfig/relay.go", `Gather: +(\d+) \* time.Millisecond`, milliseconds(d.RelayGatherTime)},
+		{"internal/operatorconfig/relay.go", `Gather: +(\d+) \* time.Millisecond`, milliseconds(d.RelayBatchTime)},
 		{"internal/director/timing.go", `announcedPollTimeout = (\d+) \* time.Millisecond`, milliseconds(d.WatchTimeout)},
 		{"internal/director/timing.go", `RetryMax: +(\d+) \* time.Millisecond, // during an election`, milliseconds(d.ReconnectRetry)},
 		{"internal/director/timing.go", `watchRetrySpread = (\d+) \* time.Microsecond`, microseconds(d.ReconnectSpread)},
@@ -32,13 +32,13 @@
 		{"internal/fleet/event.go", `PurgeKeepMS = (\d+) \* 60 \* 1000`, strconv.Itoa(int(d.PurgeRetention.Minutes()))},
 		{"internal/protocol/discovery/client.go", `maxBody = (\d+) << 20`, strconv.Itoa(int(d.MaxAnswerBytes) >> 20)},
 	} {
-		text, err := os.ReadFile(root + x.file)
+		text, err := os.ReadFile(repositoryRoot + x.file)
 		if err != nil {
 			t.Fatal(err)
 		}
 		found := regexp.MustCompile(x.pattern).FindStringSubmatch(string(text))
 		if found == nil || found[1] != x.value {
-			t.Errorf("%s: %s is %v, the design has %s", x.file, x.pattern, found, x.value)
+			t.Errorf("%s: %s matches %v, but the design has %s", x.file, x.pattern, found, x.value)
 		}
 	}
 }
--- a/internal/tools/capacity/keys_test.go
+++ b/internal/tools/capacity/keys_test.go
@@ -20,7 +20,7 @@
 		"PurgeKeepFactor":2,"LoopCores":1,"EventsPerRestart":2}`
 )
 
-// Guards the keys of `stairvane capacity -o json`: scripts read them, and the fields have other names.
+// TestSizeAndDesignKeepTheirKeys guards the keys of `stairvane capacity -o json`, which scripts read. The Go fields have other names.
 func TestSizeAndDesignKeepTheirKeys(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -35,7 +35,7 @@
 			t.Fatal(err)
 		}
 		if want := strings.NewReplacer("\n", "", "\t", "").Replace(c.want); string(got) != want {
-			t.Errorf("%s is\n%s\nnot\n%s", c.name, got, want)
+			t.Errorf("%s is\n%s\nwant\n%s", c.name, got, want)
 		}
 	}
 }
--- a/internal/tools/capacity/measure/measure_test.go
+++ b/internal/tools/capacity/measure/measure_test.go
@@ -21,9 +21,9 @@
 	command    = "STAIRVANE_MEASURE=1 go test -run TestMeasureSlopes -v ./internal/tools/capacity/..."
 )
 
-// TestMeasureSlopes is a measurement, by command alone: with STAIRVANE_MEASURE=1 it measures all laws and writes them to
-// docs/design/capacity-slopes.json, where laws of other sources stay. STAIRVANE_ONLY is the beginning of the names of the laws to
-// measure; STAIRVANE_SLOPES is another file to write to.
+// TestMeasureSlopes is a measurement that runs only on demand: with STAIRVANE_MEASURE=1 it measures all laws and writes them to
+// docs/design/capacity-slopes.json, which keeps its laws from other sources. STAIRVANE_ONLY limits the measurement to laws whose
+// names begin with its value. STAIRVANE_SLOPES is the path of another file to write to.
 func TestMeasureSlopes(t *testing.T) {
 	if os.Getenv("STAIRVANE_MEASURE") == "" {
 		t.Skip("a measurement, by command: STAIRVANE_MEASURE=1")
@@ -46,10 +46,10 @@
 		if !strings.HasPrefix(m.Name, prefix) {
 			continue
 		}
-		begin := time.Now()
+		start := time.Now()
 		source := capacity.Source{
 			Command: sourceCommand,
-			At:      begin.UTC().Truncate(time.Second),
+			At:      start.UTC().Truncate(time.Second),
 			Machine: machine(),
 		}
 		law, err := m.Law(source)
@@ -58,7 +58,7 @@
 			continue
 		}
 		measured.Laws[law.Name] = law
-		t.Logf("%-32s %v, in %v", law.Name, law.Points, time.Since(begin).Round(time.Millisecond))
+		t.Logf("%-32s %v, in %v", law.Name, law.Points, time.Since(start).Round(time.Millisecond))
 	}
 	var out bytes.Buffer
 	if err := measured.Write(&out); err != nil {
@@ -80,7 +80,7 @@
 	return capacity.Read(bytes.NewReader(text))
 }
 
-// machine is how many cores there are, the load of the last minute and the version of Go.
+// machine describes the machine: the number of cores, the one-minute load average and the Go version.
 func machine() string {
 	load, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
