--- a/internal/decision/admission_test.go
+++ b/internal/decision/admission_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-func TestFullCachesRejectAtOnce(t *testing.T) {
+func TestRequestIsRejectedWhenAllCachesAreFull(t *testing.T) {
 	r := startRouter(t, testSettings())
 	for _, h := range r.router.endpoints.caches {
 		h.limit = exhaustedLimit()
--- a/internal/decision/attempts.go
+++ b/internal/decision/attempts.go
@@ -22,8 +22,8 @@
 	ended               bool
 	mayHaveRun          bool
 	cacheFailed         bool                // the request must not be sent to this cache again
-	knownMiss           fetchDepth          // deepest level at which the attempt found the object not to be cached
-	countedAgainstCache bool                // an overdue attempt was recorded as a failure of its cache; a later success is not recorded
+	knownMiss           fetchDepth          // deepest level at which the attempt found the object missing; 0: it found no miss
+	countedAgainstCache bool                // the overdue attempt was recorded as a failure of its cache; a later success is not recorded
 	limits              []*concurrencyLimit // shared limits that the attempt counts against while in flight
 	limitsUpdated       bool                // the shared limits already reflect the outcome of the attempt
 }
--- a/internal/decision/coalescing_test.go
+++ b/internal/decision/coalescing_test.go
@@ -31,7 +31,7 @@
 			t.Fatalf("the second request was sent: %v", got)
 		}
 		actions := r.endAttempt("a", first, 0, end, CacheStatusNone)
-		second := slices.IndexFunc(actionsOf[StartAttempt](actions), func(o StartAttempt) bool { return o.Request == "b" })
+		second := slices.IndexFunc(actionsOf[StartAttempt](actions), func(a StartAttempt) bool { return a.Request == "b" })
 		if end == OK && (second < 0 || actionsOf[StartAttempt](actions)[second].Host != first.Host) {
 			t.Errorf("served: the second request was not sent to the cache that has the object: %v", actions)
 		}
--- a/internal/decision/example_test.go
+++ b/internal/decision/example_test.go
@@ -18,7 +18,7 @@
 			Idempotency: decision.Idempotent,
 		}},
 	}, 42)
-	began := time.Now()
+	start := time.Now()
 	execute := func(actions []decision.Action) {
 		for _, action := range actions {
 			switch a := action.(type) {
@@ -31,8 +31,8 @@
 			}
 		}
 	}
-	execute(router.Start(time.Since(began)))
-	execute(router.Handle(time.Since(began), decision.EndpointUpdate{
+	execute(router.Start(time.Since(start)))
+	execute(router.Handle(time.Since(start), decision.EndpointUpdate{
 		Kind: decision.UpdateSnapshot,
 		Endpoints: []decision.Endpoint{
 			{Host: 11, Zone: "west", Kind: "cache", Readiness: decision.Ready},
@@ -40,7 +40,7 @@
 			{Host: 31, Zone: "hub", Kind: "origin", Readiness: decision.Ready},
 		},
 	}))
-	execute(router.Handle(time.Since(began), decision.Request{
+	execute(router.Handle(time.Since(start), decision.Request{
 		ID: "r1", Object: 7, Class: "clips", SizeKB: 900, TimeLeft: 5 * time.Second,
 	}))
 	// Output: ask 11 for r1, fill from 21
--- a/internal/decision/large_requests_test.go
+++ b/internal/decision/large_requests_test.go
@@ -27,58 +27,58 @@
 	answered bool
 }
 
-func (w *linkSimulation) execute(actions []Action) {
+func (l *linkSimulation) execute(actions []Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
 		case SetTimer:
-			w.after(a.Delay, func() { w.execute(w.router.Handle(w.now, TimerFired{a.Timer})) })
+			l.after(a.Delay, func() { l.execute(l.router.Handle(l.now, TimerFired{a.Timer})) })
 		case StartAttempt:
-			w.serve(a)
+			l.serve(a)
 		}
 	}
 }
 
-func (w *linkSimulation) serve(a StartAttempt) {
-	q := w.router.requests[a.Request]
+func (l *linkSimulation) serve(a StartAttempt) {
+	q := l.router.requests[a.Request]
 	number := len(q.attempts) - 1
-	sentAt := w.now
-	w.attemptsInFlight[a.Host]++
-	slowdown := max(1, w.attemptsInFlight[a.Host]/w.linkTransfers)
+	sentAt := l.now
+	l.attemptsInFlight[a.Host]++
+	slowdown := max(1, l.attemptsInFlight[a.Host]/l.linkTransfers)
 	took := 20*time.Millisecond + time.Duration(slowdown*float64(q.sendTime))
 	deadline := q.deadline
-	w.after(min(took, deadline-w.now), func() {
-		w.attemptsInFlight[a.Host]--
+	l.after(min(took, deadline-l.now), func() {
+		l.attemptsInFlight[a.Host]--
 		status := OK
-		if w.now >= deadline && took > deadline-sentAt {
+		if l.now >= deadline && took > deadline-sentAt {
 			status = TimedOut
 		}
-		if _, isOpen := w.router.requests[a.Request]; isOpen && status == OK {
-			w.requests[w.index[a.Request]].answered = true
+		if _, isOpen := l.router.requests[a.Request]; isOpen && status == OK {
+			l.requests[l.index[a.Request]].answered = true
 		}
-		w.execute(w.router.Handle(w.now, AttemptResult{
+		l.execute(l.router.Handle(l.now, AttemptResult{
 			Request: a.Request, Terminal: status == OK, Host: a.Host, Attempt: number, Status: status, CacheStatus: CacheStatusHit,
-			Elapsed: w.now - sentAt,
+			Elapsed: l.now - sentAt,
 		}))
 	})
 }
 
-// Guards against starvation of large requests. For the largest tenth of a class, the share of
-// requests that are answered must be at least two thirds of the class's share under low load, and at
-// least half of it while links are full or overloaded.
+// Guards against starvation of large requests. For the largest tenth of a class and for the next
+// fifth, the share of requests that are answered must be at least two thirds of the class's share
+// under low load, and at least half of it while links are full or overloaded.
 func TestLargeRequestsGetTheirShare(t *testing.T) {
-	for _, day := range []struct {
+	for _, scenario := range []struct {
 		name     string
 		load     float64 // as a multiple of the capacity of the links
 		minShare float64 // answered share of the largest requests, as a multiple of that of the class
-	}{{"calm", 0.5, 2. / 3}, {"full", 1, 0.5}, {"short", 1.6, 0.5}} {
-		t.Run(day.name, func(t *testing.T) {
+	}{{"low load", 0.5, 2. / 3}, {"full links", 1, 0.5}, {"overload", 1.6, 0.5}} {
+		t.Run(scenario.name, func(t *testing.T) {
 			var shares []float64
 			for seed := range uint64(5) {
 				s := testSettings()
 				s.HedgedRequests = false
 				s.Directors = 1
 				s.DirectorsByZone = []int{0, 1}
-				w := &linkSimulation{
+				sim := &linkSimulation{
 					simulation:       simulation{now: time.Hour},
 					router:           NewRouter(s, seed),
 					random:           rand.New(rand.NewPCG(seed, 11)),
@@ -86,27 +86,27 @@
 					linkTransfers:    6,
 					index:            map[RequestID]int{},
 				}
-				w.execute(w.router.Start(w.now))
-				w.execute(w.router.Handle(w.now, EndpointUpdate{Kind: UpdateCached, Endpoints: testEndpoints()}))
-				until := w.now + 40*time.Second
-				rate := day.load * 3 * w.linkTransfers / meanSendTime.Seconds()
+				sim.execute(sim.router.Start(sim.now))
+				sim.execute(sim.router.Handle(sim.now, EndpointUpdate{Kind: UpdateCached, Endpoints: testEndpoints()}))
+				until := sim.now + 40*time.Second
+				rate := scenario.load * 3 * sim.linkTransfers / meanSendTime.Seconds()
 				var arrive func()
 				arrive = func() {
 					const sigma = 1.1
-					sizeKB := min(meanSendTime.Seconds()*s.FlowKBPerS*math.Exp(sigma*w.random.NormFloat64()-sigma*sigma/2), 2000)
-					id := RequestID(fmt.Sprint(len(w.requests)))
-					w.index[id] = len(w.requests)
-					w.requests = append(w.requests, sizedRequest{sizeKB: sizeKB})
-					w.execute(w.router.Handle(w.now, Request{
-						ID: id, Object: ObjectID(w.random.Uint64()), Class: "clip", SizeKB: sizeKB, TimeLeft: 4 * time.Second,
+					sizeKB := min(meanSendTime.Seconds()*s.FlowKBPerS*math.Exp(sigma*sim.random.NormFloat64()-sigma*sigma/2), 2000)
+					id := RequestID(fmt.Sprint(len(sim.requests)))
+					sim.index[id] = len(sim.requests)
+					sim.requests = append(sim.requests, sizedRequest{sizeKB: sizeKB})
+					sim.execute(sim.router.Handle(sim.now, Request{
+						ID: id, Object: ObjectID(sim.random.Uint64()), Class: "clip", SizeKB: sizeKB, TimeLeft: 4 * time.Second,
 					}))
-					if w.now < until {
-						w.after(time.Duration(w.random.ExpFloat64()/rate*float64(time.Second)), arrive)
+					if sim.now < until {
+						sim.after(time.Duration(sim.random.ExpFloat64()/rate*float64(time.Second)), arrive)
 					}
 				}
 				arrive()
-				w.run(until + 5*time.Second)
-				slices.SortFunc(w.requests, func(a, b sizedRequest) int { return int(math.Copysign(1, b.sizeKB-a.sizeKB)) })
+				sim.run(until + 5*time.Second)
+				slices.SortFunc(sim.requests, func(a, b sizedRequest) int { return int(math.Copysign(1, b.sizeKB-a.sizeKB)) })
 				share := func(part []sizedRequest) float64 {
 					n := 0.0
 					for _, x := range part {
@@ -114,11 +114,11 @@
 					}
 					return n / float64(len(part))
 				}
-				all := share(w.requests)
-				tenth := share(w.requests[:len(w.requests)/10])
-				fifth := share(w.requests[len(w.requests)/10 : len(w.requests)*3/10])
+				all := share(sim.requests)
+				tenth := share(sim.requests[:len(sim.requests)/10])
+				fifth := share(sim.requests[len(sim.requests)/10 : len(sim.requests)*3/10])
 				shares = append(shares, math.Round(100*all)/100, math.Round(100*tenth/all)/100, math.Round(100*fifth/all)/100)
-				if min(tenth, fifth) < day.minShare*all {
+				if min(tenth, fifth) < scenario.minShare*all {
 					t.Errorf("seed %d: answered shares: %.2f of all requests, %.2f of the largest tenth, %.2f of the next fifth",
 						seed, all, tenth, fifth)
 				}
--- a/internal/decision/limits.go
+++ b/internal/decision/limits.go
@@ -16,8 +16,8 @@
 
 const (
 	limitLateShareThreshold  = 0.2 // share of late or rejected requests above which a limit is introduced
-	limitIncrease            = 0.2 // share of the sending time of each request that meets its objective
-	limitDecrease            = 0.6 // share of the sending time of each request that misses it; the limit is stable if a quarter miss
+	limitIncrease            = 0.2 // a request that meets its objective increases the limit by this share of its sending time
+	limitDecrease            = 0.6 // a request that misses it decreases the limit by this share; the limit is stable if a quarter miss
 	limitRemovalFactor       = 4   // a limit above this many times the mean sending time in flight is removed
 	lateFillLinkUseThreshold = 2   // link use from which a late fill counts against the link; below it, hosts behind the link may be slow
 
@@ -122,9 +122,9 @@
 	}
 }
 
-// updateSharedLimits adjusts the shared limits of an attempt, at most once per attempt. The limit on
-// fills protects the location's link: a late fill does not decrease it if load reports show that the
-// link is not full, or if only the source of the fill has stopped responding.
+// updateSharedLimits adjusts the shared limits that an attempt counts against, at most once per
+// attempt. The limit on fills protects the location's link: a late fill does not decrease it if load
+// reports show that the link is not full, or if only the source of the fill has stopped responding.
 func (r *Router) updateSharedLimits(a *attempt, metObjective bool) {
 	if a.limitsUpdated {
 		return
--- a/internal/decision/limits_test.go
+++ b/internal/decision/limits_test.go
@@ -36,13 +36,13 @@
 
 func TestLimitsByCacheStatus(t *testing.T) {
 	late := func(r *testRouter, status CacheStatus) (fills, fetches, link float64) {
-		o := r.onlyAttempt(r.request("a", 1))
+		a := r.onlyAttempt(r.request("a", 1))
 		r.now += 2 * time.Second
 		for _, p := range r.router.endpoints.parents {
 			p.lastAnswerAt = r.now
 		}
-		r.handle(AttemptResult{Request: "a", Terminal: true, Host: o.Host, Status: OK, CacheStatus: status, Elapsed: 2 * time.Second})
-		return r.router.limits.fills.lateShare, r.router.limits.fetches.lateShare, r.router.endpoints.byID[o.Host].limit.lateShare
+		r.handle(AttemptResult{Request: "a", Terminal: true, Host: a.Host, Status: OK, CacheStatus: status, Elapsed: 2 * time.Second})
+		return r.router.limits.fills.lateShare, r.router.limits.fetches.lateShare, r.router.endpoints.byID[a.Host].limit.lateShare
 	}
 	for status, want := range map[CacheStatus][3]bool{
 		CacheStatusHit: {false, false, true}, CacheStatusFilled: {true, false, false},
@@ -68,8 +68,8 @@
 			t.Fatalf("still limited to %v after %d fetches in time", r.router.limits.fetches.limit, i)
 		}
 		id := fmt.Sprint("q", i)
-		o := r.onlyAttempt(r.request(id, ObjectID(i)))
-		again := r.onlyAttempt(r.endAttempt(id, o, 0, Miss, CacheStatusNone)) // the parents miss it too
+		a := r.onlyAttempt(r.request(id, ObjectID(i)))
+		again := r.onlyAttempt(r.endAttempt(id, a, 0, Miss, CacheStatusNone)) // the parents miss it too
 		r.endAttempt(id, again, 1, OK, CacheStatusFilled)
 	}
 }
@@ -90,10 +90,10 @@
 func TestOneSilentParentDoesNotDecreaseFillLimit(t *testing.T) {
 	for _, alone := range []bool{true, false} {
 		r := startRouter(t, testSettings())
-		o := r.onlyAttempt(r.request("a", 1))
+		a := r.onlyAttempt(r.request("a", 1))
 		r.now += time.Second
 		if alone {
-			r.router.endpoints.byID[1001-o.Source].lastAnswerAt = r.now // the other of 500 and 501
+			r.router.endpoints.byID[1001-a.Source].lastAnswerAt = r.now // the other of 500 and 501
 		}
 		r.handle(TimerFired{Timer{Kind: TimerObjectiveMissed, Request: "a"}})
 		if got := r.router.limits.fills.lateShare > 0; got == alone {
@@ -108,9 +108,9 @@
 		r := startRouter(t, testSettings())
 		for i := range 30 { // every answer carries a load report
 			id := fmt.Sprint("q", i)
-			o := r.onlyAttempt(r.request(id, ObjectID(i)))
+			a := r.onlyAttempt(r.request(id, ObjectID(i)))
 			r.handle(AttemptResult{
-				Request: RequestID(id), Terminal: true, Host: o.Host, Status: OK, CacheStatus: CacheStatusHit,
+				Request: RequestID(id), Terminal: true, Host: a.Host, Status: OK, CacheStatus: CacheStatusHit,
 				Elapsed: 110 * ms, Load: &LoadReport{LinkUse: use, HasLinkUse: true},
 			})
 		}
--- a/internal/decision/load.go
+++ b/internal/decision/load.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Load meters measure the demanded and the served load, in seconds of sending time per second. Slow
-// start derives from them the capacity of hosts whose endpoints do not list it.
+// Load meters measure the demanded and the served load, in seconds of sending time per second. If the
+// endpoint list does not give the capacity of a host, slow start derives it from the measured load.
 
 const (
 	rateInterval    = 2 * time.Second // averaging time of the rates; long enough for a few large answers
--- a/internal/decision/outliers.go
+++ b/internal/decision/outliers.go
@@ -12,7 +12,7 @@
 //
 // The inputs are the results of attempts at the host, overdue attempts, and the failure share
 // aggregated over all directors. An ejection lasts for the shortest deadline of all classes times
-// the number of consecutive ejections, up to maxEjectionSteps. After that the host is on probation:
+// the number of consecutive ejections, up to maxEjectionSteps. When it ends, the host is on probation:
 // it receives one attempt at a time, a failure that is its fault ejects it again, and a success
 // while its failure share is low ends the probation. An overdue attempt without any response ejects
 // the host only the second time, also on probation. A restart of the host clears its record. The
@@ -22,7 +22,7 @@
 	outlierFailureShare    = 0.4 // share of failures above which a host is ejected, if most of its peers have less than half of its share
 	maxUnansweredOverdue   = 2   // overdue attempts in a row, without any response from the host, that eject it
 	maxEjectedShare        = 0.5 // share of a host's peers that may be ejected at the same time, as the others must take over their load
-	maxEjectionSteps       = 3   // number of consecutive ejections after which an ejection no longer lasts longer than the one before
+	maxEjectionSteps       = 3   // number of consecutive ejections up to which each ejection is longer than the one before
 	slowOverheadDeviations = 2   // mean deviations above the mean overhead beyond which a cache is slow instead of only losing answers
 
 	// A full cache rejects immediately, while a rejection by its source arrives over a connection. A
--- a/internal/decision/outliers_test.go
+++ b/internal/decision/outliers_test.go
@@ -93,7 +93,7 @@
 		}
 	}
 	if slices.ContainsFunc(r.router.endpoints.parents, func(p *host) bool { return r.now < p.health.ejectedUntil }) {
-		t.Error("ejected for what all suffer")
+		t.Error("ejected although all peers fail as well")
 	}
 }
 
@@ -104,12 +104,12 @@
 		s := testSettings()
 		s.CacheStatusMode = CacheStatusModeHits
 		r := startRouter(t, s)
-		o := r.onlyAttempt(r.request("a", 1))
-		cache := r.router.endpoints.byID[o.Host]
-		source := r.router.endpoints.byID[o.Source]
+		a := r.onlyAttempt(r.request("a", 1))
+		cache := r.router.endpoints.byID[a.Host]
+		source := r.router.endpoints.byID[a.Source]
 		source.health.failureShare = 0.4
 		r.now += elapsed
-		r.handle(AttemptResult{Request: "a", Host: o.Host, Status: Full, Elapsed: elapsed})
+		r.handle(AttemptResult{Request: "a", Host: a.Host, Status: Full, Elapsed: elapsed})
 		if (cache.health.failureShare == 0) != isSources {
 			t.Errorf("after %v: the cache's failure share is %v", elapsed, cache.health.failureShare)
 		}
@@ -156,18 +156,18 @@
 		p.health.failureShare = 0.3
 	}
 	if r.router.recordOutcome(suspect, true); !r.router.isHealthy(suspect) {
-		t.Error("ejected for what all suffer")
+		t.Error("ejected although all peers fail as well")
 	}
 	r.handle(AggregatedHealth{Host: suspect.Host})
 	if drawn() == 0 {
 		t.Error("the parent is never selected although its aggregated failures are gone")
 	}
-	m := testEndpoints()
-	for i := range m {
-		m[i].StartedAt = r.now
+	restarted := testEndpoints()
+	for i := range restarted {
+		restarted[i].StartedAt = r.now
 	}
 	r.handle(AggregatedHealth{Host: suspect.Host, FailureShare: 0.6})
-	r.handle(EndpointUpdate{Kind: UpdateSnapshot, Version: 9, Endpoints: m})
+	r.handle(EndpointUpdate{Kind: UpdateSnapshot, Version: 9, Endpoints: restarted})
 	if r.router.endpoints.byID[suspect.Host].health.aggregatedFailures != 0 {
 		t.Error("a restarted host kept the aggregated failures of the previous process")
 	}
--- a/internal/decision/placement_test.go
+++ b/internal/decision/placement_test.go
@@ -142,8 +142,8 @@
 		if !hasCapacity {
 			r.router.limits.fetches = exhaustedLimit()
 		}
-		if o := r.onlyAttempt(r.request("a", 1)); (o.Source == o.Host) == hasCapacity {
-			t.Errorf("capacity %v: cache %d, source %d", hasCapacity, o.Host, o.Source)
+		if a := r.onlyAttempt(r.request("a", 1)); (a.Source == a.Host) == hasCapacity {
+			t.Errorf("capacity %v: cache %d, source %d", hasCapacity, a.Host, a.Source)
 		}
 	}
 }
@@ -192,8 +192,8 @@
 	r.router.estimates.overhead.mean = 0
 	for i := range 20 {
 		id := strconv.Itoa(i)
-		o := shortDeadline(id)
-		r.handle(AttemptResult{Request: RequestID(id), Host: o.Host, Status: TimedOut, Elapsed: 120 * ms})
+		a := shortDeadline(id)
+		r.handle(AttemptResult{Request: RequestID(id), Host: a.Host, Status: TimedOut, Elapsed: 120 * ms})
 	}
 	if r.router.limits.fills.limit > 0 || r.router.limits.fetches.limit > 0 {
 		t.Errorf("limits on fills %+v and fetches %+v, want none", r.router.limits.fills, r.router.limits.fetches)
--- a/internal/decision/requests.go
+++ b/internal/decision/requests.go
@@ -48,8 +48,8 @@
 	return slices.ContainsFunc(q.attempts, func(a *attempt) bool { return a.source == h })
 }
 
-// knownMiss returns the deepest level at which the last attempt found the object not to be cached, or
-// 0 if it found no miss. If cache is not nil, only an attempt at that cache counts.
+// knownMiss returns the deepest level at which the last attempt found the object missing, or 0 if it
+// found no miss. If cache is not nil, only an attempt at that cache counts.
 func (q *request) knownMiss(cache *host) fetchDepth {
 	n := len(q.attempts)
 	if n > 0 && (cache == nil || q.attempts[n-1].cache == cache) {
@@ -83,13 +83,13 @@
 	q.objective = c.LatencyObjective + time.Duration(c.ObjectiveStretch*float64(q.sendTime))
 	q.objectiveAt = min(r.now+q.objective, q.deadline)
 	r.load.demand.add(q.sendTime)
-	r.retryBudget.earn(r.directorsInZone)
+	r.retryBudget.refill(r.directorsInZone)
 	r.route(q)
 }
 
-// requiredHeadroom returns the geometric mean of the request's sending time and, counted twice, the
-// mean sending time of its class, but at most the former. Under a tight limit, a large request would
-// hardly ever find its full sending time free.
+// requiredHeadroom returns the cube root of the request's sending time times the square of the mean
+// sending time of its class, but at most the request's sending time. Under a tight limit, the full
+// sending time of a large request would hardly ever be free.
 func (r *Router) requiredHeadroom(q *request) time.Duration {
 	mean := r.estimates.meanSend[q.classIndex]
 	return min(q.sendTime, seconds(math.Cbrt(q.sendTime.Seconds()*(mean*mean))))
--- a/internal/decision/retries.go
+++ b/internal/decision/retries.go
@@ -33,7 +33,7 @@
 	return max(minRetryTokens, zoneRetryTokens/directorsInZone)
 }
 
-func (b *retryBudget) earn(directorsInZone float64) {
+func (b *retryBudget) refill(directorsInZone float64) {
 	b.tokens = min(b.tokens+retryTokensPerRequest, maxRetryTokens(directorsInZone))
 }
 
--- a/internal/decision/retries_test.go
+++ b/internal/decision/retries_test.go
@@ -73,10 +73,10 @@
 		s.Classes[0].Idempotency = c.idempotency
 		s.Classes[0].DedupScope = ScopeAll
 		r := startRouter(t, s)
-		o := r.onlyAttempt(r.request("a", 7))
+		a := r.onlyAttempt(r.request("a", 7))
 		r.now += 10 * ms
 		other := r.onlyAttempt(r.request("b", 7)) // at the same cache, which responds to it
-		if other.Host != o.Host {
+		if other.Host != a.Host {
 			t.Fatal("the requests were sent to different caches")
 		}
 		r.now += c.after
--- a/internal/decision/router_test.go
+++ b/internal/decision/router_test.go
@@ -139,32 +139,32 @@
 		case 6:
 			execute(r.handle(Purge{Object: ObjectID(rng.IntN(5)), Group: rng.IntN(3), ByGroup: rng.IntN(2) == 0}))
 		case 7:
-			m := all[rng.IntN(len(all))]
-			m.Readiness = []Readiness{Ready, Draining, Gone}[rng.IntN(3)]
+			e := all[rng.IntN(len(all))]
+			e.Readiness = []Readiness{Ready, Draining, Gone}[rng.IntN(3)]
 			if rng.IntN(3) == 0 {
-				m.StartedAt = r.now
+				e.StartedAt = r.now
 			}
-			drained[m.Host] = m.Readiness != Ready
-			execute(r.handle(EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{m}}))
+			drained[e.Host] = e.Readiness != Ready
+			execute(r.handle(EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{e}}))
 		case 8: // all caches of a cell start to drain, go away or restart
 			cell := rng.IntN(4)
 			state := []Readiness{Ready, Draining, Gone}[rng.IntN(3)]
 			var cellEndpoints []Endpoint
-			for _, m := range all {
-				if m.Kind == "cache" && m.Cell == cell {
-					m.Readiness = state
-					m.StartedAt = r.now
-					drained[m.Host] = state != Ready
-					cellEndpoints = append(cellEndpoints, m)
+			for _, e := range all {
+				if e.Kind == "cache" && e.Cell == cell {
+					e.Readiness = state
+					e.StartedAt = r.now
+					drained[e.Host] = state != Ready
+					cellEndpoints = append(cellEndpoints, e)
 				}
 			}
 			execute(r.handle(EndpointUpdate{Kind: UpdateDelta, Endpoints: cellEndpoints}))
 		case 9: // a snapshot removes or restores caches, parents or the origin
 			var snapshot []Endpoint
-			for _, m := range all {
-				drained[m.Host] = rng.IntN(4) == 0
-				if !drained[m.Host] {
-					snapshot = append(snapshot, m)
+			for _, e := range all {
+				drained[e.Host] = rng.IntN(4) == 0
+				if !drained[e.Host] {
+					snapshot = append(snapshot, e)
 				}
 			}
 			execute(r.handle(EndpointUpdate{Kind: UpdateSnapshot, Endpoints: snapshot}))
--- a/internal/decision/slowstart.go
+++ b/internal/decision/slowstart.go
@@ -15,11 +15,14 @@
 // share of the total capacity, which is divided by the number of such hosts.
 
 const (
-	slowStartSafety     = 0.5  // share of the budget that is used, since the capacity is an estimate and all directors act alike
+	slowStartSafety     = 0.5  // share of the budget that is used, since the capacity is an estimate and all directors decide alike
 	slowStartBurst      = 0.4  // share of a window's budget that may be spent in one burst
 	unmeasuredMissShare = 0.35 // assumed share of misses if answers do not report hits
 	missShareMargin     = 1.5  // safety factor on the share of misses
-	unservedDemandShare = 0.3  // share of the demand assumed as capacity before any load was served, as rejected clients retry
+
+	// Share of the demand that is assumed as capacity before load was served. It is well below 1,
+	// because rejected clients retry and so inflate the demand.
+	unservedDemandShare = 0.3
 )
 
 // tokenBucket limits what this director sends to a host in slow start.
--- a/internal/decision/slowstart_test.go
+++ b/internal/decision/slowstart_test.go
@@ -20,8 +20,8 @@
 		r.router.load.peakServed = served
 		r.request(fmt.Sprint("q", i), ObjectID(i))
 	}
-	for _, o := range actionsOf[StartAttempt](r.actions) {
-		if o.Host == fresh.Host {
+	for _, a := range actionsOf[StartAttempt](r.actions) {
+		if a.Host == fresh.Host {
 			spent += 0.1
 		}
 	}
@@ -36,10 +36,10 @@
 	s := testSettings()
 	r := startRouter(t, s)
 	var restarted []Endpoint
-	for _, m := range testEndpoints() {
-		if m.Kind == "cache" {
-			m.StartedAt = r.now
-			restarted = append(restarted, m)
+	for _, e := range testEndpoints() {
+		if e.Kind == "cache" {
+			e.StartedAt = r.now
+			restarted = append(restarted, e)
 		}
 	}
 	r.handle(EndpointUpdate{Kind: UpdateDelta, Endpoints: restarted})
@@ -48,8 +48,8 @@
 	for i := range 200 {
 		r.now += 5 * ms
 		r.router.load.peakServed = served
-		for _, o := range actionsOf[StartAttempt](r.request(fmt.Sprint("q", i), ObjectID(i))) {
-			sent[o.Host] += 0.1
+		for _, a := range actionsOf[StartAttempt](r.request(fmt.Sprint("q", i), ObjectID(i))) {
+			sent[a.Host] += 0.1
 		}
 	}
 	if len(sent) != len(restarted) {
@@ -100,11 +100,11 @@
 		if lookup {
 			r.router.limits.fills = concurrencyLimit{limit: float64(time.Hour)}
 		}
-		o := r.onlyAttempt(r.request("a", 1))
+		a := r.onlyAttempt(r.request("a", 1))
 		if lookup {
-			o = r.onlyAttempt(r.endAttempt("a", o, 0, Miss, CacheStatusNone))
+			a = r.onlyAttempt(r.endAttempt("a", a, 0, Miss, CacheStatusNone))
 		}
-		p := r.router.endpoints.byID[o.Source]
+		p := r.router.endpoints.byID[a.Source]
 		full := p.slowStart.tokens
 		r.router.spendSlowStart(p, r.router.requests["a"], -1)
 		one := p.slowStart.tokens - full
--- a/internal/decision/upkeep.go
+++ b/internal/decision/upkeep.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// upkeepInterval is the interval of upkeep, which does nothing urgent.
+// upkeepInterval is the interval at which upkeep runs. None of its work is urgent.
 const upkeepInterval = 250 * time.Millisecond
 
 // upkeep measures the load rates, removes expired state and schedules the next upkeep.
