--- a/internal/director/cores/budget/ledger.go
+++ b/internal/director/cores/budget/ledger.go
@@ -1,8 +1,8 @@
 // Package budget limits the total slow start budget of a process with several cores to the budget of a process with one
 // core.
 //
-// The decision module of each core derives the budget of a cache that is warming up from the best rate that the core has
-// recently served. If load moves from core to core, each core remembers its own best rate, and the sum of these rates
+// The decision module of each core derives the budget of a cache that is warming up from the peak rate that the core has
+// recently served. If load moves from core to core, each core remembers its own peak rate, and the sum of these rates
 // exceeds what the process has ever served. The Ledger tells each core which share of its budget it may spend.
 package budget
 
@@ -16,43 +16,43 @@
 // use and lock-free.
 type Ledger struct {
 	current   []atomic.Uint64 // rate by core, as float bits
-	best      []atomic.Uint64 // rate by core, as float bits
-	bestTotal atomic.Pointer[totalRate]
+	peak      []atomic.Uint64 // rate by core, as float bits
+	peakTotal atomic.Pointer[totalRate]
 	decayTime time.Duration
 }
 
-// totalRateWindow is the time for which a total rate must last to be recorded as the best. Cores publish one after another,
+// totalRateWindow is the time for which a total rate must last to be recorded as the peak. Cores publish one after another,
 // so load that moves is briefly counted on both its old and its new core.
 const totalRateWindow = 200 * time.Millisecond
 
-// totalRate holds the best total rate of the process, and the lowest total in the current window.
+// totalRate holds the peak total rate of the process, and the lowest total in the current window.
 type totalRate struct {
-	best        float64
-	recordedAt  time.Duration // when best was computed
+	peak        float64
+	recordedAt  time.Duration // when peak was computed
 	lowest      float64
 	windowStart time.Duration
 }
 
-// New returns a Ledger for the given number of cores. decayTime is the time in which a best rate decays to 1/e; it must
+// New returns a Ledger for the given number of cores. decayTime is the time in which a peak rate decays to 1/e; it must
 // equal the one that the cores use.
 func New(cores int, decayTime time.Duration) *Ledger {
 	l := &Ledger{
 		current:   make([]atomic.Uint64, cores),
-		best:      make([]atomic.Uint64, cores),
+		peak:      make([]atomic.Uint64, cores),
 		decayTime: decayTime,
 	}
-	l.bestTotal.Store(&totalRate{})
+	l.peakTotal.Store(&totalRate{})
 	return l
 }
 
-// Publish records a core's current rate and its recent best rate.
-func (l *Ledger) Publish(core int, current, best float64, at time.Duration) {
+// Publish records a core's current rate and its recent peak rate at time at.
+func (l *Ledger) Publish(core int, current, peak float64, at time.Duration) {
 	l.current[core].Store(math.Float64bits(current))
-	l.best[core].Store(math.Float64bits(max(current, best)))
+	l.peak[core].Store(math.Float64bits(max(current, peak)))
 	total := sum(l.current)
 	for {
-		old := l.bestTotal.Load()
-		if l.bestTotal.CompareAndSwap(old, l.nextTotal(old, total, at)) {
+		old := l.peakTotal.Load()
+		if l.peakTotal.CompareAndSwap(old, l.nextTotal(old, total, at)) {
 			return
 		}
 	}
@@ -60,18 +60,18 @@
 
 // nextTotal returns the state that replaces old when the cores publish the given total rate at time at.
 func (l *Ledger) nextTotal(old *totalRate, total float64, at time.Duration) *totalRate {
-	decayed := old.best
+	decayed := old.peak
 	if l.decayTime > 0 && at > old.recordedAt {
 		decayed *= math.Exp(-float64(at-old.recordedAt) / float64(l.decayTime))
 	}
 	nextTotal := &totalRate{
-		best:        decayed,
+		peak:        decayed,
 		recordedAt:  max(at, old.recordedAt),
 		lowest:      min(old.lowest, total),
 		windowStart: old.windowStart,
 	}
 	if at-old.windowStart >= totalRateWindow {
-		nextTotal.best = max(decayed, nextTotal.lowest)
+		nextTotal.peak = max(decayed, nextTotal.lowest)
 		nextTotal.lowest = total
 		nextTotal.windowStart = at
 	}
@@ -81,12 +81,12 @@
 // Share returns the share of its own budget, from 0 to 1, that each core may spend so that all cores together do not exceed
 // the budget of the process.
 func (l *Ledger) Share() float64 {
-	sumOfBests := sum(l.best)
-	total := l.bestTotal.Load().best
-	if sumOfBests <= 0 || total <= 0 { // no rate has been recorded yet
+	sumOfPeaks := sum(l.peak)
+	total := l.peakTotal.Load().peak
+	if sumOfPeaks <= 0 || total <= 0 { // no rate has been recorded yet
 		return 1
 	}
-	return min(1, total/sumOfBests)
+	return min(1, total/sumOfPeaks)
 }
 
 func sum(rates []atomic.Uint64) (total float64) {
--- a/internal/director/cores/budget/ledger_test.go
+++ b/internal/director/cores/budget/ledger_test.go
@@ -16,7 +16,7 @@
 		decayTime = 24 * time.Second
 	)
 	l := New(cores, decayTime)
-	bests := make([]float64, cores)
+	peaks := make([]float64, cores)
 	for step := range 600 { // of 0.1 s
 		at := time.Duration(step+1) * 100 * time.Millisecond
 		busy := step / 10 % cores
@@ -25,12 +25,12 @@
 			if c == busy {
 				current = load
 			}
-			bests[c] = max(current, bests[c]*math.Exp(-0.1/decayTime.Seconds()))
-			l.Publish(c, current, bests[c], at)
+			peaks[c] = max(current, peaks[c]*math.Exp(-0.1/decayTime.Seconds()))
+			l.Publish(c, current, peaks[c], at)
 		}
 		budgets := 0.0
 		for c := range cores {
-			budgets += bests[c] * share(l)
+			budgets += peaks[c] * share(l)
 		}
 		worst = max(worst, budgets/load)
 	}
@@ -61,10 +61,10 @@
 	if share := New(2, time.Second).Share(); share != 1 {
 		t.Errorf("share %v before anything was served", share)
 	}
-	// The best total must decay at the same rate as the best rates of the cores.
+	// The peak total must decay at the same rate as the peak rates of the cores.
 	l.Publish(0, 0, 5*math.Exp(-3), 73*time.Second)
-	if total := l.bestTotal.Load().best; total > 15.01 {
-		t.Errorf("best total %v", total)
+	if total := l.peakTotal.Load().peak; total > 15.01 {
+		t.Errorf("peak total %v", total)
 	}
 }
 
--- a/internal/director/cores/events/log.go
+++ b/internal/director/cores/events/log.go
@@ -1,7 +1,8 @@
 // Package events distributes events from the core that watches the event stream to all cores of a process, without locks.
 //
 // The log is an append-only linked list of immutable values. Each core reads it with its own cursor. A core that was stalled
-// later reads all events that it missed, in order. The garbage collector frees the values that all cursors have read.
+// reads all events that it missed, in order, once it runs again. The garbage collector frees the values that all cursors have
+// read.
 package events
 
 import "sync/atomic"
--- a/internal/director/cores/owners/owners_test.go
+++ b/internal/director/cores/owners/owners_test.go
@@ -20,7 +20,7 @@
 func TestAcquireAndReleaseAreLinearizable(t *testing.T) {
 	seed := uint64(1)
 	t.Logf("seed %d", seed)
-	table, begin := New(), time.Now()
+	table, start := New(), time.Now()
 	var mu sync.Mutex
 	var ops []porcupine.Operation
 	var wg sync.WaitGroup
@@ -29,13 +29,13 @@
 		wg.Go(func() {
 			for range 300 {
 				in := operation{id: rng.IntN(3), core: core, release: rng.IntN(2) == 0}
-				call, out := time.Since(begin).Nanoseconds(), true
+				call, out := time.Since(start).Nanoseconds(), true
 				if in.release {
 					table.Release(fmt.Sprint(in.id), core)
 				} else {
 					out = table.Acquire(fmt.Sprint(in.id), core)
 				}
-				end := time.Since(begin).Nanoseconds()
+				end := time.Since(start).Nanoseconds()
 				mu.Lock()
 				ops = append(ops, porcupine.Operation{ClientId: core, Input: in, Call: call, Output: out, Return: end})
 				mu.Unlock()
