--- a/internal/director/routing/attempts.go
+++ b/internal/director/routing/attempts.go
@@ -107,11 +107,11 @@
 		d.hooks.BeforeSend()
 	}
 	// Sending an attempt, or ending one before it is sent, may enqueue more.
-	for next := 0; next < len(d.sendQueue) || len(d.hostsToRetry) > 0; {
-		if n := len(d.hostsToRetry); n > 0 {
-			h := d.hostsToRetry[n-1]
-			d.hostsToRetry = d.hostsToRetry[:n-1]
-			h.retryScheduled = false
+	for next := 0; next < len(d.sendQueue) || len(d.hostsToSendWaiting) > 0; {
+		if n := len(d.hostsToSendWaiting); n > 0 {
+			h := d.hostsToSendWaiting[n-1]
+			d.hostsToSendWaiting = d.hostsToSendWaiting[:n-1]
+			h.sendWaitingScheduled = false
 			h.sendWaiting()
 			continue
 		}
--- a/internal/director/routing/conn.go
+++ b/internal/director/routing/conn.go
@@ -75,7 +75,7 @@
 // isUnused reports whether the connection has no attempts in flight and no unanswered pings.
 func (c *pooledConn) isUnused() bool { return len(c.inFlight)+len(c.pings) == 0 }
 
-func (c *pooledConn) closeIfIdle() {
+func (c *pooledConn) closeIfUnused() {
 	if c.isUnused() {
 		c.closeAndRemove()
 	}
@@ -100,7 +100,7 @@
 // Connected implements ConnHandler.
 func (c *pooledConn) Connected() {
 	c.connected = true
-	c.host.scheduleRetry()
+	c.host.scheduleSendWaiting()
 }
 
 // Flushed implements ConnHandler.
@@ -111,7 +111,7 @@
 		d := c.host.director
 		d.loop.Set(&a.timer, d.attemptDeadline(a, d.loop.Now()))
 	}
-	c.host.scheduleRetry()
+	c.host.scheduleSendWaiting()
 }
 
 // Received implements ConnHandler.
@@ -127,9 +127,9 @@
 	c.endAttempt(a, d.loop.Now())
 	d.Counters.countStatus(r.Status)
 	d.endAttempt(a, r)
-	c.host.scheduleRetry()
+	c.host.scheduleSendWaiting()
 	if c.retired {
-		c.closeIfIdle()
+		c.closeIfUnused()
 	}
 }
 
@@ -240,5 +240,5 @@
 		}
 	}
 	c.host.failWaitingIfUnreachable()
-	c.host.scheduleRetry()
+	c.host.scheduleSendWaiting()
 }
--- a/internal/director/routing/conn_test.go
+++ b/internal/director/routing/conn_test.go
@@ -137,9 +137,9 @@
 			}
 		}
 		for _, conn := range dialer.conns {
-			for _, o := range conn.requests {
+			for _, upstream := range conn.requests {
 				if !conn.closed {
-					conn.handler.Received([]byte(o.ID), &Response{Status: decision.OK})
+					conn.handler.Received([]byte(upstream.ID), &Response{Status: decision.OK})
 				}
 			}
 		}
--- a/internal/director/routing/director.go
+++ b/internal/director/routing/director.go
@@ -22,21 +22,21 @@
 	// isReadyCache reports whether an endpoint is a cache that is ready to serve clients.
 	isReadyCache func(Endpoint) bool
 
-	hosts            map[decision.HostID]*host
-	byName           map[string]*host
-	conns            int           // to all hosts
-	pingsSent        int64         // makes the tags of pings unique
-	notifiedAt       time.Duration // see SetNotifiedAt
-	listVersion      int64         // version of the newest endpoint list that was applied
-	purges           purgeLog
-	maintenanceTimer transport.Timer
-	freeTimers       []*moduleTimer
-	events           []decision.Event // events that the module has not handled yet
-	handling         bool
-	requests         map[decision.RequestID]*clientRequest
-	inFlight         int        // unanswered requests, including waiting resubmissions
-	sendQueue        []*attempt // attempts to send at the end of the round
-	hostsToRetry     []*host    // hosts whose waiting attempts may get a connection now
+	hosts              map[decision.HostID]*host
+	byName             map[string]*host
+	conns              int           // to all hosts
+	pingsSent          int64         // makes the tags of pings unique
+	notifiedAt         time.Duration // see SetNotifiedAt
+	listVersion        int64         // version of the newest endpoint list that was applied
+	purges             purgeLog
+	maintenanceTimer   transport.Timer
+	freeTimers         []*moduleTimer
+	events             []decision.Event // events that the module has not handled yet
+	handling           bool
+	requests           map[decision.RequestID]*clientRequest
+	inFlight           int        // unanswered requests, including waiting resubmissions
+	sendQueue          []*attempt // attempts to send at the end of the round
+	hostsToSendWaiting []*host    // hosts whose waiting attempts may get a connection now
 
 	flushScheduled     bool
 	flushSendQueueFunc func() // the method value flushSendQueue, allocated once
--- a/internal/director/routing/endpoints.go
+++ b/internal/director/routing/endpoints.go
@@ -15,11 +15,11 @@
 // host is an endpoint together with the connections to it and the attempts that wait for a connection.
 type host struct {
 	Endpoint
-	director       *Director
-	readinessSince time.Duration // when its current readiness reached the process
-	conns          []*pooledConn
-	waiting        []*attempt
-	retryScheduled bool // the host is in Director.hostsToRetry
+	director             *Director
+	readinessSince       time.Duration // when its current readiness reached the process
+	conns                []*pooledConn
+	waiting              []*attempt
+	sendWaitingScheduled bool // the host is in Director.hostsToSendWaiting
 }
 
 // incarnationName returns the host's name followed by "@" and its start time in Unix milliseconds, which identifies the
@@ -38,8 +38,8 @@
 	}
 }
 
-// isDraining reports whether no new attempts may be sent to the host. It does so from half of the grace period on: the
-// second half is reserved for the time that an attempt takes to reach the host.
+// isDraining reports whether no new attempts may be sent to the host: it is not ready, and half of the grace period has
+// passed. The second half is reserved for the time that an attempt takes to reach the host.
 func (h *host) isDraining(now, grace time.Duration) bool {
 	return h.Readiness != decision.Ready && now >= h.readinessSince+grace/2
 }
@@ -145,7 +145,7 @@
 	for _, c := range slices.Clone(h.conns) {
 		if addressChanged || c.connectStartedAt < startedAt {
 			c.retired = true
-			c.closeIfIdle()
+			c.closeIfUnused()
 		}
 	}
 }
--- a/internal/director/routing/fleet.go
+++ b/internal/director/routing/fleet.go
@@ -19,9 +19,9 @@
 	return d.loop.Now()
 }
 
-// ServedRate returns the current and the recent best rate at which the module has served, in seconds of sending time per
+// ServedRate returns the current and the recent peak rate at which the module has served, in seconds of sending time per
 // second.
-func (d *Director) ServedRate() (now, best float64) { return d.module.ServedRate() }
+func (d *Director) ServedRate() (current, peak float64) { return d.module.ServedRate() }
 
 // SlowStartDemand calls f for each host that is warming up, with the share of the host's capacity that this director would
 // use.
--- a/internal/director/routing/guards_test.go
+++ b/internal/director/routing/guards_test.go
@@ -27,8 +27,8 @@
 	d.PurgeGroup(3, d.loop.Now()-time.Second)
 	dialer.conns[0].handler.Connected()
 	for _, conn := range dialer.conns {
-		for _, o := range conn.requests {
-			if o.MaxAge == 0 {
+		for _, upstream := range conn.requests {
+			if upstream.MaxAge == 0 {
 				t.Fatal("sent with the age limit from before the purge")
 			}
 		}
--- a/internal/director/routing/pool.go
+++ b/internal/director/routing/pool.go
@@ -102,13 +102,13 @@
 	}
 }
 
-// scheduleRetry schedules sendWaiting for the end of the round.
-func (h *host) scheduleRetry() {
-	if len(h.waiting) == 0 || h.retryScheduled {
+// scheduleSendWaiting schedules sendWaiting for the end of the round.
+func (h *host) scheduleSendWaiting() {
+	if len(h.waiting) == 0 || h.sendWaitingScheduled {
 		return
 	}
-	h.retryScheduled = true
-	h.director.hostsToRetry = append(h.director.hostsToRetry, h)
+	h.sendWaitingScheduled = true
+	h.director.hostsToSendWaiting = append(h.director.hostsToSendWaiting, h)
 	h.director.scheduleFlush()
 }
 
--- a/internal/director/routing/requests.go
+++ b/internal/director/routing/requests.go
@@ -167,7 +167,7 @@
 		d.hooks.Claims.Release(q.IdempotencyKey, q.ID)
 	}
 	delete(d.requests, q.key)
-	d.rememberCancelled(q)
+	d.storeCancelled(q)
 	d.releaseID(q)
 	if next := d.removeResubmission(q); next != nil {
 		d.accept(next.Request, next.deadline)
--- a/internal/director/routing/resubmissions.go
+++ b/internal/director/routing/resubmissions.go
@@ -79,9 +79,9 @@
 	}
 }
 
-// rememberCancelled stores the state that a resubmission needs of a request that is being released, if the request was
+// storeCancelled stores the state that a resubmission needs of a request that is being released, if the request was
 // cancelled.
-func (d *Director) rememberCancelled(q *clientRequest) {
+func (d *Director) storeCancelled(q *clientRequest) {
 	if !q.clientGone || len(q.excludedConns) == 0 && q.firstRunAt == 0 {
 		return
 	}
--- a/internal/director/routing/resubmissions_test.go
+++ b/internal/director/routing/resubmissions_test.go
@@ -94,7 +94,7 @@
 }
 
 // Guards against unbounded memory growth from cancelled requests.
-func TestCancelledRequestsAreForgotten(t *testing.T) {
+func TestCancelledRequestsAreBounded(t *testing.T) {
 	d, dialer, responses := newTestDirector(t, defaultLimits, "a")
 	d.Submit(newTestRequest(responses, "r0"))
 	dialer.conns[0].handler.Connected()
