--- a/internal/director/config/config.go
+++ b/internal/director/config/config.go
@@ -147,8 +147,9 @@
 	return int(*value), nil
 }
 
-// Differs returns the keys with a different value in another configuration that a running director cannot change. The
-// address of the event stream can be applied; the seed and the initial events differ at each start and are not compared.
+// Differs returns the keys whose values differ in another configuration and cannot be changed while the director runs. The
+// address of the event stream is not compared, since it can be changed, and neither are the seed and the initial events,
+// which differ at each start.
 func (c Config) Differs(other Config) (keys []string) {
 	sameSettings := reflect.DeepEqual(c.Settings, other.Settings) && reflect.DeepEqual(c.Connections, other.Connections)
 	for _, k := range []struct {
--- a/internal/director/config/config_test.go
+++ b/internal/director/config/config_test.go
@@ -31,7 +31,7 @@
 }
 
 // Guards against an error that does not name the invalid key.
-func TestFaultsNameTheirKey(t *testing.T) {
+func TestErrorsNameTheirKey(t *testing.T) {
 	for key, change := range map[string][2]string{
 		"listen":                  {`"127.0.0.1:9090"`, `"nowhere"`},
 		"bulletin":                {`"127.0.0.1:8500"`, `"127.0.0.1"`},
--- a/internal/director/config/operator.go
+++ b/internal/director/config/operator.go
@@ -26,7 +26,7 @@
 	Machine, Site string        // failure domains of the director
 	Incarnation   string        // random, chosen at each start
 	Version       string        // of the program
-	MaxStaleness  time.Duration // maximum age of the events by which the director starts attempts; 0: unlimited
+	MaxStaleness  time.Duration // maximum age of its events at which a director still starts attempts; 0: unlimited
 	Health        bool          // whether the director sends health reports and gets the aggregated health
 }
 
