--- a/internal/transport/buffer_pool.go
+++ b/internal/transport/buffer_pool.go
@@ -16,25 +16,25 @@
 
 // get returns an empty buffer with a capacity of at least n bytes.
 func (p *bufferPool) get(n int) []byte {
-	size := max(bits.Len(uint(max(n, 1)-1)), minBufferBits)
-	if size > maxBufferBits {
+	sizeBits := max(bits.Len(uint(max(n, 1)-1)), minBufferBits)
+	if sizeBits > maxBufferBits {
 		return make([]byte, 0, n)
 	}
-	if pooled := p.free[size]; len(pooled) > 0 {
+	if pooled := p.free[sizeBits]; len(pooled) > 0 {
 		b := pooled[len(pooled)-1]
-		p.free[size] = pooled[:len(pooled)-1]
+		p.free[sizeBits] = pooled[:len(pooled)-1]
 		p.pooledBytes -= cap(b)
 		return b[:0]
 	}
-	return make([]byte, 0, 1<<size)
+	return make([]byte, 0, 1<<sizeBits)
 }
 
 // put returns a buffer to the pool. It drops the buffer if the pool is full or does not hold buffers of its size.
 func (p *bufferPool) put(b []byte) {
-	size := bits.Len(uint(cap(b))) - 1
-	if size < minBufferBits || size > maxBufferBits || cap(b) != 1<<size || p.pooledBytes+cap(b) > maxPooledBytes {
+	sizeBits := bits.Len(uint(cap(b))) - 1
+	if sizeBits < minBufferBits || sizeBits > maxBufferBits || cap(b) != 1<<sizeBits || p.pooledBytes+cap(b) > maxPooledBytes {
 		return
 	}
-	p.free[size] = append(p.free[size], b)
+	p.free[sizeBits] = append(p.free[sizeBits], b)
 	p.pooledBytes += cap(b)
 }
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -165,7 +165,7 @@
 		c.loop.buffers.put(b)
 	}
 	c.output = nil
-	c.storeUnused(nil)
+	c.storeUnconsumed(nil)
 }
 
 func (c *Conn) fail(err error) {
--- a/internal/transport/conn_io.go
+++ b/internal/transport/conn_io.go
@@ -148,7 +148,7 @@
 // consume passes data to the handler and stores the unconsumed rest. It reports whether the connection is still open.
 func (c *Conn) consume(data []byte) bool {
 	if len(data) < c.inputNeeded {
-		c.storeUnused(data)
+		c.storeUnconsumed(data)
 		return true
 	}
 	used, need, err := c.handler.Data(data)
@@ -160,12 +160,12 @@
 		return false
 	}
 	c.inputNeeded = need
-	c.storeUnused(data[used:])
+	c.storeUnconsumed(data[used:])
 	return true
 }
 
-// storeUnused stores unconsumed bytes, or returns the buffer to the pool if there are none.
-func (c *Conn) storeUnused(rest []byte) {
+// storeUnconsumed stores unconsumed bytes, or returns the buffer to the pool if there are none.
+func (c *Conn) storeUnconsumed(rest []byte) {
 	switch {
 	case len(rest) == 0:
 		if c.input != nil {
