--- a/internal/director/cache_conn_test.go
+++ b/internal/director/cache_conn_test.go
@@ -11,9 +11,9 @@
 	for _, how := range []string{"end", "reset"} {
 		t.Run(how, func(t *testing.T) {
 			c := newScriptedCache(t)
-			w := newTestDirector(t, c.host("s-1", "in_service"))
-			client, upstream := w.warmUp(c)
-			release := w.blockLoop()
+			d := newTestDirector(t, c.host("s-1", "in_service"))
+			client, upstream := d.warmUp(c)
+			release := d.blockLoop()
 			client.submit(requestA, objectB) // arrives first
 			waitAcknowledged(t, client.conn)
 			if how == "reset" {
@@ -25,8 +25,8 @@
 			id, _ := upstream.request()
 			upstream.answer(id, "OK", "n=local", "x")
 			client.want(2, 0, "x")
-			w.onLoop(func() {
-				if n := w.program.director.Counters.Reset; n != 0 {
+			d.onLoop(func() {
+				if n := d.program.director.Counters.Reset; n != 0 {
 					t.Errorf("%d attempts were reset", n)
 				}
 			})
@@ -47,8 +47,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := newScriptedCache(t)
-			w := newTestDirector(t, c.host("s-1", "in_service"))
-			client := w.client()
+			d := newTestDirector(t, c.host("s-1", "in_service"))
+			client := d.client()
 			client.submit(requestA, objectA)
 			upstream := c.accept()
 			upstream.request()
@@ -65,11 +65,11 @@
 
 // Guards against confusing a cache with its replacement at the same address.
 func TestCacheReplacedAtSameAddress(t *testing.T) {
-	c, b := newScriptedCache(t), newScriptedControlPlane(t)
-	w := &testDirector{t: t}
-	w.start(testSettings, b.addr(), 1024, c.host("s-1", "in_service"))
-	p := b.acceptPoll(1)
-	client := w.client()
+	c, controlPlane := newScriptedCache(t), newScriptedControlPlane(t)
+	d := &testDirector{t: t}
+	d.start(testSettings, controlPlane.addr(), 1024, c.host("s-1", "in_service"))
+	p := controlPlane.acceptPoll(1)
+	client := d.client()
 	client.submit(requestA, objectA)
 	upstream := c.accept()
 	upstream.request()
--- a/internal/director/client_conn_test.go
+++ b/internal/director/client_conn_test.go
@@ -14,21 +14,21 @@
 // Guards against losing answers already written when a connection is closed because of malformed input.
 func TestAnswersBeforeMalformedInputReachTheClient(t *testing.T) {
 	c := newScriptedCache(t)
-	w := newTestDirector(t, c.host("s-1", "in_service"))
-	client, upstream := w.warmUp(c)
+	d := newTestDirector(t, c.host("s-1", "in_service"))
+	client, upstream := d.warmUp(c)
 	client.submit(requestA, objectB)
 	upstream.request()
 	must(t, client.conn.(*net.TCPConn).SetReadBuffer(4096)) // so that most of the answer is queued in the director
 	body := strings.Repeat("x", 200_000)
 	upstream.answer(requestA, "OK", "n=local", body)
 	for inFlight := 1; inFlight > 0; {
-		w.onLoop(func() { inFlight = w.program.director.InFlight() })
+		d.onLoop(func() { inFlight = d.program.director.InFlight() })
 	}
 	client.write(strings.Repeat("no frame", 2_000))
 	for seen := int64(0); seen == 0; {
-		w.onLoop(func() { seen = w.program.frontend.Counters.Malformed })
+		d.onLoop(func() { seen = d.program.frontend.Counters.Malformed })
 	}
-	w.waitRound()                    // a connection closed immediately would be closed by now,
+	d.waitRound()                    // a connection closed immediately would be closed by now,
 	client.write("and some more...") // and these bytes would reset it
 	waitAcknowledged(t, client.conn)
 	client.want(2, 0, body)
@@ -40,13 +40,13 @@
 	for _, how := range []string{"end", "revoke"} {
 		t.Run(how, func(t *testing.T) {
 			c := newScriptedCache(t)
-			w := newTestDirector(t, c.host("s-1", "in_service"))
-			_, upstream := w.warmUp(c)
-			client := w.client()
+			d := newTestDirector(t, c.host("s-1", "in_service"))
+			_, upstream := d.warmUp(c)
+			client := d.client()
 			// The request is so large and its timeout so long that only the client ends it.
 			client.write(client.submitText(requestA, objectA, time.Minute, "mem", "90000"))
 			upstream.request()
-			w.fillQueue(client, upstream, 1)
+			d.fillQueue(client, upstream, 1)
 			client.submit(requestC, objectA) // it is shed at once instead of being read later
 			if how == "end" {
 				must(t, client.conn.(*net.TCPConn).CloseWrite())
@@ -58,7 +58,7 @@
 					t.Fatalf("request %q", cmd)
 				}
 			}
-			w.wantNothingSentBefore(upstream, requestB)
+			d.wantNothingSentBefore(upstream, requestB)
 		})
 	}
 }
@@ -66,17 +66,17 @@
 // Guards against evicting a client in the round in which its request arrives.
 func TestClientWithArrivingRequestIsNotEvicted(t *testing.T) {
 	c := newScriptedCache(t)
-	w := newTestDirector(t, c.host("s-1", "in_service"))
-	busy, upstream := w.warmUp(c)
-	resting := w.client()
-	resting.submit(requestB, objectB)
+	d := newTestDirector(t, c.host("s-1", "in_service"))
+	busy, upstream := d.warmUp(c)
+	idle := d.client()
+	idle.submit(requestB, objectB)
 	id, _ := upstream.request()
 	upstream.answer(id, "OK", "n=local", "r")
-	resting.want(1, 0, "r")
-	addr, err := w.program.Addr()
+	idle.want(1, 0, "r")
+	addr, err := d.program.Addr()
 	must(t, err)
-	w.onLoop(func() { w.program.frontend.maxClients = 2 })
-	release := w.blockLoop()
+	d.onLoop(func() { d.program.frontend.maxClients = 2 })
+	release := d.blockLoop()
 	conn, err := net.Dial("tcp", addr.String()) // arrives first; busy has been unused the longest
 	must(t, err)
 	busy.submit(requestA, objectB)
@@ -85,8 +85,8 @@
 	id, _ = upstream.request()
 	upstream.answer(id, "OK", "n=local", "a")
 	busy.want(2, 0, "a")
-	if rest := resting.readToEnd(); rest != "" {
-		t.Errorf("the resting client got %q", rest)
+	if rest := idle.readToEnd(); rest != "" {
+		t.Errorf("the idle client got %q", rest)
 	}
 	late := newScriptedConn(t, conn)
 	late.submit(requestC, objectB)
@@ -98,28 +98,28 @@
 // Guards against a close that truncates a large answer which the client has not read yet.
 func TestLargeAnswerIsNotTruncatedByClose(t *testing.T) {
 	c := newScriptedCache(t)
-	w := newTestDirector(t, c.host("s-1", "in_service"))
-	client, upstream := w.warmUp(c)
+	d := newTestDirector(t, c.host("s-1", "in_service"))
+	client, upstream := d.warmUp(c)
 	client.submit(requestA, objectB)
 	upstream.request()
 	body := strings.Repeat("y", 100_000) // it fits into the socket buffers
 	upstream.answer(requestA, "OK", "n=local", body)
 	for queued := -1; queued != 0; {
-		w.onLoop(func() {
-			queued = int(1 - w.program.director.Counters.OK/2)
-			for f := range w.program.frontend.clients {
+		d.onLoop(func() {
+			queued = int(1 - d.program.director.Counters.OK/2)
+			for f := range d.program.frontend.clients {
 				queued += f.conn.Queued()
 			}
 		})
 	}
-	w.onLoop(func() {
-		for f := range w.program.frontend.clients {
+	d.onLoop(func() {
+		for f := range d.program.frontend.clients {
 			f.closeIfUnused()
 		}
 	})
 	client.write(client.call(1, "heartbeat", "\x02\x00\x01\x01")) // arrives after the close
 	waitAcknowledged(t, client.conn)
-	w.waitRound()
+	d.waitRound()
 	client.want(2, 0, body)
 	client.readToEnd()
 }
@@ -127,17 +127,17 @@
 // Guards against a descriptor leak caused by a client that does not close its end.
 func TestLingeringClientIsClosed(t *testing.T) {
 	c := newScriptedCache(t)
-	w := newTestDirector(t, c.host("s-1", "in_service"))
-	client, _ := w.warmUp(c)
-	w.onLoop(func() {
-		for f := range w.program.frontend.clients {
+	d := newTestDirector(t, c.host("s-1", "in_service"))
+	client, _ := d.warmUp(c)
+	d.onLoop(func() {
+		for f := range d.program.frontend.clients {
 			f.closeGracefully()
 		}
 	})
 	client.readToEnd()
 	left := 1
 	for until := time.Now().Add(4 * lingerTimeout); left > 0 && time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
-		w.onLoop(func() { left = len(w.program.frontend.clients) + len(w.program.frontend.lingering) })
+		d.onLoop(func() { left = len(d.program.frontend.clients) + len(d.program.frontend.lingering) })
 	}
 	if left > 0 {
 		t.Error("the client is still registered")
@@ -148,9 +148,9 @@
 // remain.
 func TestFloodingClientLeavesNoRequests(t *testing.T) {
 	c := newScriptedCache(t)
-	w := newTestDirector(t, c.host("s-1", "in_service"))
-	client, upstream := w.warmUp(c)
-	flood := w.client()
+	d := newTestDirector(t, c.host("s-1", "in_service"))
+	client, upstream := d.warmUp(c)
+	flood := d.client()
 	var text strings.Builder
 	for i := range 5000 {
 		text.WriteString(flood.submitBody(fmt.Sprintf("%016x", 0xf0000+i), objectA, 5*time.Second, "a body"))
@@ -166,7 +166,7 @@
 		for cmd := upstream.command(); cmd[0] != "do" || cmd[1] != id; cmd = upstream.command() {
 		}
 		since := time.Now()
-		w.onLoop(func() {})
+		d.onLoop(func() {})
 		slowest = max(slowest, time.Since(since))
 		upstream.answer(id, "OK", "n=local", "x")
 		client.want(int32(i+2), 0, "x")
@@ -178,14 +178,14 @@
 		if time.Now().After(until) {
 			t.Fatalf("%d clients are still registered", left)
 		}
-		w.onLoop(func() { left = len(w.program.frontend.clients) })
+		d.onLoop(func() { left = len(d.program.frontend.clients) })
 	}
-	w.onLoop(func() {
-		if n := w.program.director.InFlight(); n != 0 {
+	d.onLoop(func() {
+		if n := d.program.director.InFlight(); n != 0 {
 			t.Errorf("%d requests are in flight", n)
 		}
-		if w.program.frontend.bodyBytes != 0 || w.program.loop.Queued() != 0 {
-			t.Errorf("%d bytes of bodies, %d queued", w.program.frontend.bodyBytes, w.program.loop.Queued())
+		if d.program.frontend.bodyBytes != 0 || d.program.loop.Queued() != 0 {
+			t.Errorf("%d bytes of bodies, %d queued", d.program.frontend.bodyBytes, d.program.loop.Queued())
 		}
 	})
 }
@@ -193,10 +193,10 @@
 // Guards against memory that fills up with answers and rejections for a client that sends but never reads.
 func TestClientThatNeverReadsIsClosed(t *testing.T) {
 	c := newScriptedCache(t)
-	w := newTestDirector(t, c.host("s-1", "in_service"))
-	_, upstream := w.warmUp(c)
-	flood := w.client()
-	w.fillQueue(flood, upstream, 0)
+	d := newTestDirector(t, c.host("s-1", "in_service"))
+	_, upstream := d.warmUp(c)
+	flood := d.client()
+	d.fillQueue(flood, upstream, 0)
 	var text strings.Builder
 	for i := range maxShedInARow + 100 {
 		text.WriteString(flood.submitText(fmt.Sprintf("%016x", 0xf0000+i), objectA, 5*time.Second))
@@ -206,17 +206,17 @@
 		if time.Now().After(until) {
 			t.Fatal("the client is never closed")
 		}
-		w.onLoop(func() { stuck = w.program.frontend.Counters.Stuck })
+		d.onLoop(func() { stuck = d.program.frontend.Counters.Stuck })
 	}
-	w.onLoop(func() {
-		if n := w.program.frontend.Counters.Shed; n != maxShedInARow+1 {
+	d.onLoop(func() {
+		if n := d.program.frontend.Counters.Shed; n != maxShedInARow+1 {
 			t.Errorf("%d requests were shed", n)
 		}
-		if n := w.program.loop.Queued(); n != 0 {
+		if n := d.program.loop.Queued(); n != 0 {
 			t.Errorf("%d bytes are still queued", n)
 		}
 	})
-	w.wantNothingSentBefore(upstream, requestB)
+	d.wantNothingSentBefore(upstream, requestB)
 }
 
 // Guards against memory that fills up with answers for clients that do not read.
@@ -277,9 +277,9 @@
 // Guards against rejecting new clients while others hold unused connections.
 func TestUnusedConnectionIsEvicted(t *testing.T) {
 	c := newScriptedCache(t)
-	w := newTestDirector(t, c.host("s-1", "in_service"))
-	w.program.Post(func() { w.program.frontend.maxClients = 2 })
-	waiting, unused := w.client(), w.client()
+	d := newTestDirector(t, c.host("s-1", "in_service"))
+	d.program.Post(func() { d.program.frontend.maxClients = 2 })
+	waiting, unused := d.client(), d.client()
 	waiting.submit(requestA, objectA)
 	upstream := c.accept()
 	upstream.request()
@@ -287,7 +287,7 @@
 	id, _ := upstream.request()
 	upstream.answer(id, "OK", "n=local", "b")
 	unused.want(1, 0, "b")
-	late := w.client()
+	late := d.client()
 	late.submit(requestC, objectB)
 	id, _ = upstream.request()
 	upstream.answer(id, "OK", "n=local", "c")
--- a/internal/director/core.go
+++ b/internal/director/core.go
@@ -47,8 +47,8 @@
 	p.frontend.isHealthy = c.group.healthy.Load
 	c.heartbeatTimer.Fire = func() {
 		c.heartbeats.Add(1)
-		now, best := p.director.ServedRate()
-		c.group.slowStartBudget.Publish(c.index, now, best, p.loop.Now())
+		current, peak := p.director.ServedRate()
+		c.group.slowStartBudget.Publish(c.index, current, peak, p.loop.Now())
 		p.loop.Set(&c.heartbeatTimer, p.loop.Now()+heartbeatInterval)
 	}
 	p.loop.Set(&c.heartbeatTimer, p.loop.Now())
--- a/internal/director/frontend.go
+++ b/internal/director/frontend.go
@@ -31,8 +31,8 @@
 	// closeRaceWindow is the time for which a request sent before the client noticed the close may still arrive. After that,
 	// the lingering connection may be closed to admit a new one.
 	closeRaceWindow = 50 * time.Millisecond
-	// lingeringDivisor: lingering connections may use the clients' descriptors divided by this, in addition to those of open
-	// clients.
+	// lingeringDivisor limits lingering connections: they may use the number of clients' descriptors divided by it, in addition
+	// to the descriptors of open clients.
 	lingeringDivisor = 8
 	// Answers queued for slow clients may use the memory limit divided by queuedMemoryDivisor, and bodies of requests in flight
 	// the limit divided by bodyMemoryDivisor. Together they leave most of the memory for everything else.
--- a/internal/director/group.go
+++ b/internal/director/group.go
@@ -26,9 +26,9 @@
 	stallCheckInterval = 100 * time.Millisecond
 	// stallTimeout is the time without a heartbeat after which a core counts as stalled.
 	stallTimeout = time.Second
-	// bestRateDecayDeadlines is the time in which the best served rate decays to 1/e, as a multiple of the longest deadline. The
+	// peakRateDecayDeadlines is the time in which the peak served rate decays to 1/e, as a multiple of the longest deadline. The
 	// decision module uses the same value.
-	bestRateDecayDeadlines = 4
+	peakRateDecayDeadlines = 4
 	// seedStep is 2^64 divided by the golden ratio. It distributes the seeds of the cores over all 64 bits.
 	seedStep   = 0x9e3779b97f4a7c15
 	stackBytes = 64 << 10 // limit of the stacks of all goroutines that are logged with a stalled core
@@ -57,7 +57,7 @@
 	g := &Group{
 		events:          events.New[publishedEvents](),
 		owners:          owners.New(),
-		slowStartBudget: budget.New(cores, bestRateDecayDeadlines*maxDeadline),
+		slowStartBudget: budget.New(cores, peakRateDecayDeadlines*maxDeadline),
 	}
 	g.healthy.Store(true)
 	if cores == 1 {
@@ -146,7 +146,7 @@
 // is closed.
 func (g *Group) checkStalls(stop <-chan struct{}) {
 	detector := stalls.New(len(g.cores), stallTimeout)
-	begin := time.Now()
+	start := time.Now()
 	heartbeats := make([]int64, len(g.cores))
 	ticker := time.NewTicker(stallCheckInterval)
 	defer ticker.Stop()
@@ -159,7 +159,7 @@
 		for i, c := range g.cores {
 			heartbeats[i] = c.heartbeats.Load()
 		}
-		stalled, recovered := detector.Check(heartbeats, time.Since(begin))
+		stalled, recovered := detector.Check(heartbeats, time.Since(start))
 		for _, i := range stalled {
 			stacks := make([]byte, stackBytes)
 			slog.Error("core.stalled", "core", i, "stacks", string(stacks[:runtime.Stack(stacks, true)]))
@@ -194,10 +194,10 @@
 	first.Post(func() { first.Reload(c) })
 }
 
-// PrintCounts logs the sum of the counters of all cores.
-func (g *Group) PrintCounts() {
+// LogCounters logs the sum of the counters of all cores.
+func (g *Group) LogCounters() {
 	if len(g.cores) == 1 {
-		g.cores[0].prog.Post(g.cores[0].prog.PrintCounts)
+		g.cores[0].prog.Post(g.cores[0].prog.LogCounters)
 		return
 	}
 	var mu sync.Mutex
--- a/internal/director/group_harness_test.go
+++ b/internal/director/group_harness_test.go
@@ -40,10 +40,10 @@
 	t.Cleanup(func() { close(stop); controlPlane.Close() })
 	var hosts []string
 	for i := range caches {
-		b, err := fakes.NewCache("127.0.0.1:0")
+		cache, err := fakes.NewCache("127.0.0.1:0")
 		must(t, err)
-		t.Cleanup(b.Close)
-		c.caches = append(c.caches, b)
+		t.Cleanup(cache.Close)
+		c.caches = append(c.caches, cache)
 		hosts = append(hosts, c.host(i, "in_service"))
 	}
 	conf, err := config.Parse(fmt.Appendf(nil, `{"name":"n","listen":"127.0.0.1:0","seed":"1","bulletin":%q,
--- a/internal/director/group_test.go
+++ b/internal/director/group_test.go
@@ -42,8 +42,8 @@
 			}
 			latest := time.Duration(0)
 			busy := 0
-			for _, o := range c.caches[0].Attempts() {
-				latest = max(latest, o.At.Sub(published))
+			for _, attempt := range c.caches[0].Attempts() {
+				latest = max(latest, attempt.At.Sub(published))
 			}
 			if latest > 500*time.Millisecond {
 				t.Errorf("sent %v after the event", latest)
@@ -139,8 +139,8 @@
 		t.Errorf("%+v", sum)
 	}
 	var at []time.Duration // times of the attempts at the cache that is warming up, since its start
-	for _, o := range c.caches[1].Attempts() {
-		if since := o.At.Sub(started); since > 50*time.Millisecond { // the event has reached all cores by then
+	for _, attempt := range c.caches[1].Attempts() {
+		if since := attempt.At.Sub(started); since > 50*time.Millisecond { // the event has reached all cores by then
 			at = append(at, since)
 		}
 	}
--- a/internal/director/integration_test.go
+++ b/internal/director/integration_test.go
@@ -13,8 +13,8 @@
 // Guards against a not-modified answer for a different ETag than the client's.
 func TestNotModifiedRequiresTheClientsETag(t *testing.T) {
 	c := newScriptedCache(t)
-	w := newTestDirector(t, c.host("s-1", "in_service"))
-	client, upstream := w.warmUp(c)
+	d := newTestDirector(t, c.host("s-1", "in_service"))
+	client, upstream := d.warmUp(c)
 	client.submit(requestA, objectA, "have", "4be0c1927d55a6f3")
 	upstream.request()
 	upstream.answer(requestA, "SAME", "n=local,rev=0000000000000001", "")
@@ -29,8 +29,8 @@
 // Guards against requests that time out because connections to one cache are never established.
 func TestRequestsAvoidCacheThatAcceptsNoConnections(t *testing.T) {
 	full, c := newFullListenerCache(t), newScriptedCache(t)
-	w := newTestDirector(t, full.host("s-1", "in_service"), c.host("s-2", "in_service"))
-	client := w.client()
+	d := newTestDirector(t, full.host("s-1", "in_service"), c.host("s-2", "in_service"))
+	client := d.client()
 	var upstream *scriptedConn
 	since := time.Now()
 	for i := range 8 {
@@ -51,8 +51,8 @@
 	if took := time.Since(since); took > 2*time.Second {
 		t.Errorf("it took %v; the dial timeout is 0.4 s", took)
 	}
-	w.onLoop(func() {
-		if w.program.director.Counters.ConnectFailed == 0 {
+	d.onLoop(func() {
+		if d.program.director.Counters.ConnectFailed == 0 {
 			t.Error("no request was routed to the cache whose connections are never established")
 		}
 	})
@@ -152,10 +152,10 @@
 // Guards against forwarding a response that predates a purge, whatever the cache responds.
 func TestPurgedResponseIsWithheld(t *testing.T) {
 	c := newScriptedCache(t)
-	w := newTestDirector(t, c.host("s-1", "in_service"))
-	client := w.client()
+	d := newTestDirector(t, c.host("s-1", "in_service"))
+	client := d.client()
 	issued := time.Now().UnixMilli()
-	w.publish(2, fmt.Sprintf(`"recall":{"lot":5,"issued":%d}`, issued))
+	d.publish(2, fmt.Sprintf(`"recall":{"lot":5,"issued":%d}`, issued))
 	client.submit(requestA, objectA)
 	upstream := c.accept()
 	if _, f := upstream.request(); f["cap"] == "" {
@@ -188,7 +188,7 @@
 		settings = strings.Replace(settings, change[0], change[1], 1)
 	}
 	c := newScriptedCache(t)
-	w := newTestDirectorWith(t, settings, c.host("s-1", "in_service"))
+	d := newTestDirectorWith(t, settings, c.host("s-1", "in_service"))
 	for _, key := range []string{
 		"settings.Balancers",
 		"settings.Limits.Multiplex",
@@ -199,19 +199,19 @@
 			t.Errorf("%s is not named in %s", key, log.String())
 		}
 	}
-	w.wantServedBy(c)
+	d.wantServedBy(c)
 }
 
 // Guards against requests that wait for their timeout although no cache is available.
 func TestRejectedAtOnceWithRetryAfter(t *testing.T) {
 	c := newScriptedCache(t)
-	w := newTestDirector(t, c.host("s-1", "in_service"))
-	client := w.client()
+	d := newTestDirector(t, c.host("s-1", "in_service"))
+	client := d.client()
 	client.write(client.call(1, "heartbeat", "\x02\x00\x01\x01"))
 	if !client.want(1, 0, "").good {
 		t.Error("a cache is ready, but the heartbeat is not good")
 	}
-	w.publish(2, `"roster":{"seq":2,"whole":false,"hosts":[`+c.host("s-1", "terminating")+`]}`)
+	d.publish(2, `"roster":{"seq":2,"whole":false,"hosts":[`+c.host("s-1", "terminating")+`]}`)
 	client.submit(requestA, objectA)
 	if r := client.want(2, 1, ""); r.fields["backoff"] == "" {
 		t.Errorf("no Retry-After: %v", r.fields)
@@ -225,8 +225,8 @@
 // Guards against malformed input that affects connections or requests other than those of its sender.
 func TestMalformedInputAffectsItsSenderOnly(t *testing.T) {
 	c := newScriptedCache(t)
-	w := newTestDirector(t, c.host("s-1", "in_service"))
-	bad, client := w.client(), w.client()
+	d := newTestDirector(t, c.host("s-1", "in_service"))
+	bad, client := d.client(), d.client()
 	bad.write("GET / HTTP/1.1\r\n\r\n")
 	if _, err := bad.reader.ReadByte(); err == nil {
 		t.Error("malformed input was answered")
--- a/internal/director/limits.go
+++ b/internal/director/limits.go
@@ -46,7 +46,7 @@
 // programLimits are the limits of one Program.
 type programLimits struct {
 	routing     routing.Limits
-	directors   int           // that share common limits
+	directors   int           // number of directors that share common limits
 	idleTimeout time.Duration // of clients' connections
 	maxClients  int
 }
--- a/internal/director/program.go
+++ b/internal/director/program.go
@@ -21,8 +21,8 @@
 	membership *membershipClient // nil: the director does not announce itself
 
 	shutdownTimer    transport.Timer
-	idleSince        time.Duration // during shutdown, since when no request is in flight; 0: some are
-	announceDeadline time.Duration // until which the shutdown waits for the control plane to acknowledge the leave
+	idleSince        time.Duration // during shutdown: the time since which no request is in flight; 0: some are in flight
+	announceDeadline time.Duration // time until which the shutdown waits for the control plane to acknowledge the leave
 }
 
 // New returns a director that runs on one core. It already listens for clients; Run serves them.
@@ -102,7 +102,7 @@
 	}
 	slog.Info("director.started", "name", p.config.Name, "addr", addr.String())
 	err = p.loop.Run()
-	p.PrintCounts()
+	p.LogCounters()
 	return err
 }
 
@@ -119,7 +119,7 @@
 	slog.Info("reload.applied")
 }
 
-// PrintCounts logs the counters.
-func (p *Program) PrintCounts() {
+// LogCounters logs the counters.
+func (p *Program) LogCounters() {
 	slog.Info("counts", "front", p.frontend.Counters, "director", p.director.Counters, "bulletin_unreadable", p.watch.malformedEvents)
 }
--- a/internal/director/request_races_test.go
+++ b/internal/director/request_races_test.go
@@ -14,12 +14,12 @@
 		t.Run(how, func(t *testing.T) {
 			full := newFullListenerCache(t)
 			settings := strings.Replace(testSettings, `"DialTimeout":400`, `"DialTimeout":8000`, 1)
-			w := newTestDirectorWith(t, settings, full.host("s-1", "in_service"))
-			client := w.client()
+			d := newTestDirectorWith(t, settings, full.host("s-1", "in_service"))
+			client := d.client()
 			client.submit(requestA, objectA)
 			client.write(client.call(1, "heartbeat", "\x02\x00\x01\x01")) // once this is answered, the request has been accepted
 			client.want(2, 0, "")
-			release := w.blockLoop()
+			release := d.blockLoop()
 			upstream := full.acceptNext() // the connection is established, but the director has not processed that
 			switch how {
 			case "end":
@@ -33,10 +33,10 @@
 				waitAcknowledged(t, client.conn)
 			}
 			release(nil)
-			w.wantNothingSentBefore(upstream, requestB)
-			w.onLoop(func() {
-				if w.program.director.Counters.Cancelled != 1 || w.program.director.InFlight() != 0 {
-					t.Errorf("%+v, %d in flight", w.program.director.Counters, w.program.director.InFlight())
+			d.wantNothingSentBefore(upstream, requestB)
+			d.onLoop(func() {
+				if d.program.director.Counters.Cancelled != 1 || d.program.director.InFlight() != 0 {
+					t.Errorf("%+v, %d in flight", d.program.director.Counters, d.program.director.InFlight())
 				}
 			})
 		})
@@ -48,15 +48,15 @@
 	for _, how := range []string{"end", "revoke"} {
 		t.Run(how, func(t *testing.T) {
 			c, other := newScriptedCache(t), newScriptedCache(t)
-			w := newTestDirector(t, other.host("s-2", "in_service"))
-			_, second := w.warmUp(other)
-			w.publish(2, `"roster":{"seq":2,"whole":false,"hosts":[`+c.host("s-1", "in_service")+`,`+other.host("s-2", "terminating")+`]}`)
-			client := w.client()
+			d := newTestDirector(t, other.host("s-2", "in_service"))
+			_, second := d.warmUp(other)
+			d.publish(2, `"roster":{"seq":2,"whole":false,"hosts":[`+c.host("s-1", "in_service")+`,`+other.host("s-2", "terminating")+`]}`)
+			client := d.client()
 			client.submit(requestA, objectA)
 			upstream := c.accept()
 			upstream.request()
-			w.publish(3, `"roster":{"seq":3,"whole":false,"hosts":[`+other.host("s-2", "in_service")+`]}`)
-			release := w.blockLoop()
+			d.publish(3, `"roster":{"seq":3,"whole":false,"hosts":[`+other.host("s-2", "in_service")+`]}`)
+			release := d.blockLoop()
 			upstream.answer(requestA, "ERR", "-", "") // arrives first
 			waitAcknowledged(t, upstream.conn)
 			if how == "end" {
@@ -66,11 +66,11 @@
 			}
 			waitAcknowledged(t, client.conn)
 			release(nil)
-			w.waitRound()
-			w.publish(4, `"roster":{"seq":4,"whole":false,"hosts":[`+c.host("s-1", "terminating")+`]}`)
-			w.wantNothingSentBefore(second, requestB)
-			w.onLoop(func() {
-				if n := w.program.director.Counters.Attempts; n != 3 {
+			d.waitRound()
+			d.publish(4, `"roster":{"seq":4,"whole":false,"hosts":[`+c.host("s-1", "terminating")+`]}`)
+			d.wantNothingSentBefore(second, requestB)
+			d.onLoop(func() {
+				if n := d.program.director.Counters.Attempts; n != 3 {
 					t.Errorf("%d attempts for three requests", n)
 				}
 			})
@@ -83,13 +83,13 @@
 	for _, first := range []string{"the end", "the resubmission"} {
 		t.Run(first+" first", func(t *testing.T) {
 			c := newScriptedCache(t)
-			w := newTestDirector(t, c.host("s-1", "in_service"))
-			_, upstream := w.warmUp(c)
-			old, again := w.client(), w.client()
+			d := newTestDirector(t, c.host("s-1", "in_service"))
+			_, upstream := d.warmUp(c)
+			old, again := d.client(), d.client()
 			old.submit(requestA, objectA)
 			upstream.request()
 			again.heartbeat() // its connection has been accepted
-			release := w.blockLoop()
+			release := d.blockLoop()
 			end := func() {
 				must(t, old.conn.(*net.TCPConn).CloseWrite())
 				waitAcknowledged(t, old.conn)
@@ -112,7 +112,7 @@
 			}
 			upstream.answer(requestA, "OK", "n=local", "to the first")
 			waitAcknowledged(t, upstream.conn)
-			w.waitRound()
+			d.waitRound()
 			second.answer(requestA, "OK", "n=local", "to the second")
 			again.want(2, 0, "to the second")
 		})
@@ -122,8 +122,8 @@
 // Guards against a client that uses up connections by repeatedly submitting and cancelling one ID.
 func TestResubmissionsOfOneIDAreLimited(t *testing.T) {
 	c := newScriptedCache(t)
-	w := newTestDirector(t, c.host("s-1", "in_service"))
-	client, upstream := w.warmUp(c)
+	d := newTestDirector(t, c.host("s-1", "in_service"))
+	client, upstream := d.warmUp(c)
 	for i := range 5 {
 		client.submit(requestA, objectA)
 		if i > 2 {
@@ -144,10 +144,10 @@
 // Guards against a duplicate response of a cache that ends the next attempt.
 func TestDuplicateResponseDoesNotEndTheRetry(t *testing.T) {
 	c := newScriptedCache(t)
-	w := newTestDirector(t, c.host("s-1", "in_service"))
-	client, upstream := w.warmUp(c)
+	d := newTestDirector(t, c.host("s-1", "in_service"))
+	client, upstream := d.warmUp(c)
 	issued := time.Now().UnixMilli()
-	w.publish(2, fmt.Sprintf(`"recall":{"lot":5,"issued":%d}`, issued))
+	d.publish(2, fmt.Sprintf(`"recall":{"lot":5,"issued":%d}`, issued))
 	client.submit(requestA, objectA)
 	upstream.request()
 	twice := respArray(requestA, "OK", fmt.Sprintf("n=local,since=%d", issued-1), "old") // withheld and retried
@@ -156,9 +156,9 @@
 	second.request()
 	upstream.write(twice)
 	waitAcknowledged(t, upstream.conn)
-	w.waitRound()
-	w.onLoop(func() {
-		if n := w.program.director.Counters.Attempts; n != 3 {
+	d.waitRound()
+	d.onLoop(func() {
+		if n := d.program.director.Counters.Attempts; n != 3 {
 			t.Errorf("%d attempts", n)
 		}
 	})
@@ -169,11 +169,11 @@
 // Guards against two answers, or a timeout, if the response arrives in time but is handled in the round of the timeout.
 func TestResponseAndTimeoutInOneRound(t *testing.T) {
 	c := newScriptedCache(t)
-	w := newTestDirector(t, c.host("s-1", "in_service"))
-	client, upstream := w.warmUp(c)
+	d := newTestDirector(t, c.host("s-1", "in_service"))
+	client, upstream := d.warmUp(c)
 	client.write(client.submitText(requestA, objectA, 200*time.Millisecond))
 	upstream.request()
-	release := w.blockLoop()
+	release := d.blockLoop()
 	upstream.answer(requestA, "OK", "n=local", "just")
 	waitAcknowledged(t, upstream.conn)
 	time.Sleep(250 * time.Millisecond) // the request's timeout passes while the loop is blocked
@@ -185,23 +185,23 @@
 
 // Guards against sending an attempt to a host whose drain arrives in the round in which the connection is established.
 func TestDrainRacingConnect(t *testing.T) {
-	full, b := newFullListenerCache(t), newScriptedControlPlane(t)
-	w := &testDirector{t: t}
+	full, controlPlane := newFullListenerCache(t), newScriptedControlPlane(t)
+	d := &testDirector{t: t}
 	noGrace := strings.NewReplacer(`"DialTimeout":400`, `"DialTimeout":8000`, `"DrainGrace":500`, `"DrainGrace":0`).Replace(testSettings)
-	w.start(noGrace, b.addr(), 1024, full.host("s-1", "in_service"))
-	p := b.acceptPoll(1)
-	client := w.client()
+	d.start(noGrace, controlPlane.addr(), 1024, full.host("s-1", "in_service"))
+	p := controlPlane.acceptPoll(1)
+	client := d.client()
 	client.submit(requestA, objectA)
 	client.write(client.call(1, "heartbeat", "\x02\x00\x01\x01"))
 	client.want(2, 0, "")
-	release := w.blockLoop()
+	release := d.blockLoop()
 	upstream := full.acceptNext()
 	p.write(watchResponse(2, endpointDelta(2, full.host("s-1", "terminating"))))
 	waitAcknowledged(t, p.conn)
 	release(nil)
 	client.want(1, 1, "") // rejected: there is no other cache
-	w.onLoop(func() {
-		if n := w.program.director.Counters.Attempts; n != 0 {
+	d.onLoop(func() {
+		if n := d.program.director.Counters.Attempts; n != 0 {
 			t.Errorf("%d attempts", n)
 		}
 	})
--- a/internal/director/scripted_control_plane_test.go
+++ b/internal/director/scripted_control_plane_test.go
@@ -21,15 +21,15 @@
 	return &scriptedControlPlane{t, ln}
 }
 
-func (b *scriptedControlPlane) addr() string { return b.listener.Addr().String() }
+func (s *scriptedControlPlane) addr() string { return s.listener.Addr().String() }
 
 // acceptPoll accepts the director's next connection and reads its poll, which must request the events after a revision.
-func (b *scriptedControlPlane) acceptPoll(after int) *scriptedConn {
-	b.t.Helper()
-	must(b.t, b.listener.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout)))
-	conn, err := b.listener.Accept()
-	must(b.t, err)
-	p := newScriptedConn(b.t, conn)
+func (s *scriptedControlPlane) acceptPoll(after int) *scriptedConn {
+	s.t.Helper()
+	must(s.t, s.listener.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout)))
+	conn, err := s.listener.Accept()
+	must(s.t, err)
+	p := newScriptedConn(s.t, conn)
 	p.wantPoll(after)
 	return p
 }
--- a/internal/director/serve.go
+++ b/internal/director/serve.go
@@ -55,7 +55,7 @@
 	for s := range signals {
 		switch s {
 		case syscall.SIGUSR1:
-			g.PrintCounts()
+			g.LogCounters()
 		case syscall.SIGHUP:
 			// The file is read outside the loop. If it is malformed, the running configuration stays in force.
 			if c, err := config.Load(); err != nil {
--- a/internal/director/shutdown.go
+++ b/internal/director/shutdown.go
@@ -48,7 +48,7 @@
 	p.loop.Stop()
 }
 
-// clientsDone reports whether all requests have been answered, and the clients have disconnected or lastAnswerTimeout is over.
+// clientsDone reports whether all requests have been answered, and the clients have disconnected or lastAnswerTimeout has passed.
 func (p *Program) clientsDone(now time.Duration) bool {
 	if p.idleSince == 0 {
 		return false
--- a/internal/director/shutdown_test.go
+++ b/internal/director/shutdown_test.go
@@ -10,12 +10,12 @@
 // Guards against losing a request that arrived before its idle connection was closed.
 func TestRequestRacingShutdownCloseIsServed(t *testing.T) {
 	c := newScriptedCache(t)
-	w := newTestDirector(t, c.host("s-1", "in_service"))
-	client, upstream := w.warmUp(c)
-	release := w.blockLoop()
+	d := newTestDirector(t, c.host("s-1", "in_service"))
+	client, upstream := d.warmUp(c)
+	release := d.blockLoop()
 	client.submit(requestA, objectB)
 	waitAcknowledged(t, client.conn)
-	release(w.finishDraining)
+	release(d.finishDraining)
 	id, _ := upstream.request()
 	if id != requestA {
 		t.Fatalf("request %s", id)
@@ -30,25 +30,25 @@
 // Guards against running a request that arrived after the close: its client sends it again.
 func TestRequestAfterShutdownCloseIsNotForwarded(t *testing.T) {
 	c := newScriptedCache(t)
-	w := newTestDirector(t, c.host("s-1", "in_service"))
-	client, upstream := w.warmUp(c)
-	stays := w.client()
+	d := newTestDirector(t, c.host("s-1", "in_service"))
+	client, upstream := d.warmUp(c)
+	stays := d.client()
 	stays.submit(requestB, objectB) // keeps the director running
 	id, _ := upstream.request()
-	w.onLoop(w.finishDraining)
+	d.onLoop(d.finishDraining)
 	if rest := client.readToEnd(); rest != "" {
 		t.Fatalf("received %q before the end of the connection", rest)
 	}
 	client.submit(requestA, objectB)
 	waitAcknowledged(t, client.conn)
-	w.waitRound() // the input is read in this round or the one before
-	w.waitRound()
+	d.waitRound() // the input is read in this round or the one before
+	d.waitRound()
 	upstream.answer(id, "OK", "n=local", "b")
 	stays.want(1, 0, "b")
 	must(t, client.conn.Close())
 	must(t, stays.conn.Close())
-	err := <-w.exited
-	w.exited <- err
+	err := <-d.exited
+	d.exited <- err
 	must(t, err)
 	for open := true; open; {
 		var cmd []string
@@ -56,22 +56,22 @@
 			t.Errorf("request %q", cmd)
 		}
 	}
-	if w.program.frontend.Counters.AfterClose != 1 {
-		t.Errorf("input after the close was counted %d times", w.program.frontend.Counters.AfterClose)
+	if d.program.frontend.Counters.AfterClose != 1 {
+		t.Errorf("input after the close was counted %d times", d.program.frontend.Counters.AfterClose)
 	}
 }
 
 // Guards against closing a connection on which a part of a request has arrived.
 func TestPartialRequestAtShutdownCloseIsAwaited(t *testing.T) {
 	c := newScriptedCache(t)
-	w := newTestDirector(t, c.host("s-1", "in_service"))
-	client, upstream := w.warmUp(c)
+	d := newTestDirector(t, c.host("s-1", "in_service"))
+	client, upstream := d.warmUp(c)
 	text := client.submitText(requestA, objectB, 5*time.Second)
-	release := w.blockLoop()
+	release := d.blockLoop()
 	client.write(text[:20])
 	waitAcknowledged(t, client.conn)
-	release(w.finishDraining)
-	w.waitRound()
+	release(d.finishDraining)
+	d.waitRound()
 	client.write(text[20:])
 	id, _ := upstream.request()
 	upstream.answer(id, "OK", "n=local", "complete")
@@ -82,17 +82,17 @@
 // Guards against losing a connection that is in the accept queue when the listener closes.
 func TestPendingConnectionIsServedAtShutdownClose(t *testing.T) {
 	c := newScriptedCache(t)
-	w := newTestDirector(t, c.host("s-1", "in_service"))
-	_, upstream := w.warmUp(c)
-	addr, err := w.program.Addr()
+	d := newTestDirector(t, c.host("s-1", "in_service"))
+	_, upstream := d.warmUp(c)
+	addr, err := d.program.Addr()
 	must(t, err)
-	release := w.blockLoop()
+	release := d.blockLoop()
 	conn, err := net.Dial("tcp", addr.String())
 	must(t, err)
 	late := newScriptedConn(t, conn)
 	late.submit(requestA, objectB)
 	waitAcknowledged(t, conn)
-	release(w.finishDraining)
+	release(d.finishDraining)
 	id, _ := upstream.request()
 	upstream.answer(id, "OK", "n=local", "late")
 	late.want(1, 0, "late")
@@ -102,19 +102,19 @@
 func TestRepeatedShutdownSignals(t *testing.T) {
 	c := newScriptedCache(t)
 	full := newFullListenerCache(t)
-	w := newTestDirectorWith(t, strings.Replace(testSettings, `"DialTimeout":400`, `"DialTimeout":5000`, 1), c.host("s-1", "in_service"))
-	client, upstream := w.warmUp(c)
-	w.publish(2, `"roster":{"seq":2,"whole":false,"hosts":[`+c.host("s-1", "terminated")+`,`+full.host("s-2", "in_service")+`]}`)
+	d := newTestDirectorWith(t, strings.Replace(testSettings, `"DialTimeout":400`, `"DialTimeout":5000`, 1), c.host("s-1", "in_service"))
+	client, upstream := d.warmUp(c)
+	d.publish(2, `"roster":{"seq":2,"whole":false,"hosts":[`+c.host("s-1", "terminated")+`,`+full.host("s-2", "in_service")+`]}`)
 	client.write(client.submitText(requestA, objectA, 2*time.Second)) // waits for a connection that is never established
 	client.heartbeat()                                                // the request has been accepted by now
-	w.publish(3, `"roster":{"seq":3,"whole":false,"hosts":[`+c.host("s-1", "in_service")+`,`+full.host("s-2", "terminating")+`]}`)
+	d.publish(3, `"roster":{"seq":3,"whole":false,"hosts":[`+c.host("s-1", "in_service")+`,`+full.host("s-2", "terminating")+`]}`)
 	client.write(client.submitText(requestB, objectB, 2*time.Second)) // in flight at a cache that hangs
 	if id, _ := upstream.request(); id != requestB {
 		t.Fatalf("request %s", id)
 	}
-	w.onLoop(w.program.Shutdown)
-	w.onLoop(func() { w.program.Reload(w.program.config) })
-	w.onLoop(w.program.Shutdown)
+	d.onLoop(d.program.Shutdown)
+	d.onLoop(func() { d.program.Reload(d.program.config) })
+	d.onLoop(d.program.Shutdown)
 	seen := map[int32]int{}
 	for range 2 {
 		seen[client.reply().seq]++
@@ -123,8 +123,8 @@
 		t.Errorf("answers by sequence number: %v", seen)
 	}
 	select {
-	case err := <-w.exited:
-		w.exited <- err
+	case err := <-d.exited:
+		d.exited <- err
 		must(t, err)
 	case <-time.After(testTimeout):
 		t.Fatal("the shutdown does not complete")
@@ -137,19 +137,19 @@
 // Guards against a shutdown that rejects requests which wait for the fill of another request.
 func TestCoalescedRequestsAreAnsweredDuringShutdown(t *testing.T) {
 	c := newScriptedCache(t)
-	w := newTestDirectorWith(t, strings.Replace(testSettings, `"Joins":true`, `"Joins":false`, 1), c.host("s-1", "in_service"))
-	client, upstream := w.warmUp(c)
+	d := newTestDirectorWith(t, strings.Replace(testSettings, `"Joins":true`, `"Joins":false`, 1), c.host("s-1", "in_service"))
+	client, upstream := d.warmUp(c)
 	client.submit(requestA, objectA, "mem", "9000")
 	if id, _ := upstream.request(); id != requestA {
 		t.Fatalf("request %s", id)
 	}
 	client.submit(requestB, objectA, "mem", "9000") // same object, so it is coalesced with the first request
 	client.heartbeat()
-	w.onLoop(func() {
-		if n, inFlight := w.program.director.Counters.Attempts, w.program.director.InFlight(); n != 2 || inFlight != 2 {
+	d.onLoop(func() {
+		if n, inFlight := d.program.director.Counters.Attempts, d.program.director.InFlight(); n != 2 || inFlight != 2 {
 			t.Errorf("%d attempts, %d in flight", n, inFlight)
 		}
-		w.finishDraining()
+		d.finishDraining()
 	})
 	upstream.answer(requestA, "OK", "n=local", "a")
 	client.want(2, 0, "a")
@@ -164,13 +164,13 @@
 // Guards against a shutdown that rejects new connections too early or completes before all requests are answered.
 func TestShutdownAnswersEverything(t *testing.T) {
 	c := newScriptedCache(t)
-	w := newTestDirector(t, c.host("s-1", "in_service"))
-	client := w.client()
+	d := newTestDirector(t, c.host("s-1", "in_service"))
+	client := d.client()
 	client.submit(requestA, objectA, "mem", "9000") // large enough not to time out during the test
 	upstream := c.accept()
 	upstream.request()
-	w.program.Post(w.program.Shutdown)
-	late := w.client()
+	d.program.Post(d.program.Shutdown)
+	late := d.client()
 	late.submit(requestB, objectB)
 	id, _ := upstream.request()
 	upstream.answer(id, "OK", "n=local", "b")
@@ -186,7 +186,7 @@
 	client.want(1, 0, strings.Repeat("a", 200_000))
 	must(t, client.conn.Close())
 	must(t, late.conn.Close())
-	err := <-w.exited
-	w.exited <- err
+	err := <-d.exited
+	d.exited <- err
 	must(t, err)
 }
--- a/internal/director/timing.go
+++ b/internal/director/timing.go
@@ -20,8 +20,8 @@
 const announcedPollTimeout = 100 * time.Millisecond
 
 // An event counts as acknowledged some seconds after its publication, whether or not it arrived (fleet.Rules.NotifiedWithinMS,
-// 7 s by default). Well before that, a silent stream must have been detected, the pause be over, and a new connection be
-// established, regardless of the number of directors.
+// 7 s by default). Well before that, a silent stream must have been detected, the pause must have ended, and a new connection
+// must have been established, regardless of the number of directors.
 var oneAddressTiming = WatchTiming{
 	PollTimeout:    2 * time.Second,
 	SilenceTimeout: 3 * time.Second,
@@ -31,8 +31,8 @@
 	SpreadMax:      2 * time.Second,
 }
 
-// With several addresses, a silent one is abandoned early enough for a purge to arrive in time through the next. Directors that
-// lost a connection must have reconnected before their membership lease expires.
+// With several addresses, a silent one is abandoned early enough for a purge to arrive in time through the next address. Directors
+// that lost a connection must have reconnected before their membership lease expires.
 var severalAddressesTiming = WatchTiming{
 	PollTimeout:    announcedPollTimeout,
 	SilenceTimeout: 2 * announcedPollTimeout,
--- a/internal/director/timing_test.go
+++ b/internal/director/timing_test.go
@@ -23,8 +23,8 @@
 	perInterval := map[time.Duration]int{}
 	var pauses []time.Duration
 	for i := range directors {
-		f := newWatchClient(loop, nil, make([]netip.AddrPort, 1), directors, uint64(i))
-		p := f.nextPause()
+		w := newWatchClient(loop, nil, make([]netip.AddrPort, 1), directors, uint64(i))
+		p := w.nextPause()
 		perInterval[p/interval]++
 		pauses = append(pauses, p)
 	}
@@ -63,8 +63,8 @@
 	} {
 		longest := time.Duration(0)
 		for seed := range directors {
-			f := newWatchClient(loop, nil, make([]netip.AddrPort, c.addresses), directors, uint64(seed))
-			longest = max(longest, f.nextPause())
+			w := newWatchClient(loop, nil, make([]netip.AddrPort, c.addresses), directors, uint64(seed))
+			longest = max(longest, w.nextPause())
 		}
 		if c.noticed+longest >= c.within {
 			t.Errorf("%d addresses: loss detected after %v, pause up to %v: reconnect after %v", c.addresses, c.noticed, longest, c.within)
--- a/internal/director/watch.go
+++ b/internal/director/watch.go
@@ -33,7 +33,7 @@
 	membership        *membershipClient             // nil: the director does not announce itself
 	requestedAt       time.Duration                 // when the open poll was sent, on the boot clock
 	leaveSent         bool                          // the open poll announces that the director leaves
-	leaveAcknowledged bool                          // a poll that announced it was answered
+	leaveAcknowledged bool                          // a poll that announced that the director leaves was answered
 }
 
 func newWatchClient(loop *transport.Loop, d *routing.Director, addresses []netip.AddrPort, directors int, seed uint64) *watchClient {
--- a/internal/director/watch_test.go
+++ b/internal/director/watch_test.go
@@ -13,12 +13,12 @@
 // Guards against events that are missed or applied twice when the connection is lost.
 func TestWatchResumesAfterConnectionLoss(t *testing.T) {
 	c, other := newScriptedCache(t), newScriptedCache(t)
-	w := newTestDirector(t, c.host("s-1", "in_service"))
-	w.publish(2, `"roster":{"seq":2,"whole":false,"hosts":[`+other.host("s-2", "in_service")+`]}`)
-	w.events <- ""
-	w.wantPoll("2")
-	w.publish(3, `"roster":{"seq":3,"whole":false,"hosts":[`+c.host("s-1", "terminated")+`]}`)
-	w.wantServedBy(other)
+	d := newTestDirector(t, c.host("s-1", "in_service"))
+	d.publish(2, `"roster":{"seq":2,"whole":false,"hosts":[`+other.host("s-2", "in_service")+`]}`)
+	d.events <- ""
+	d.wantPoll("2")
+	d.publish(3, `"roster":{"seq":3,"whole":false,"hosts":[`+c.host("s-1", "terminated")+`]}`)
+	d.wantServedBy(other)
 }
 
 // Guards against detecting a silent event stream only after drains and purges have become due.
@@ -54,19 +54,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c, b := newScriptedCache(t), newScriptedControlPlane(t)
-			w := &testDirector{t: t}
-			w.start(testSettings, b.addr(), 1024, c.host("s-1", "in_service"))
-			p := b.acceptPoll(1)
+			c, controlPlane := newScriptedCache(t), newScriptedControlPlane(t)
+			d := &testDirector{t: t}
+			d.start(testSettings, controlPlane.addr(), 1024, c.host("s-1", "in_service"))
+			p := controlPlane.acceptPoll(1)
 			after := script(p)
 			since := time.Now()
-			again := b.acceptPoll(after)
+			again := controlPlane.acceptPoll(after)
 			if took := time.Since(since); took > 5*time.Second {
 				t.Errorf("the stream was abandoned after %v; events are due within 7 s", took)
 			}
 			again.write(watchResponse(after+1, endpointDelta(9, c.host("s-1", "terminated"))))
 			again.wantPoll(after + 1)
-			client := w.client()
+			client := d.client()
 			client.submit(requestA, objectA)
 			client.want(1, 1, "") // the drain was applied
 		})
@@ -75,17 +75,17 @@
 
 // Guards against losing a response that arrives in the same round as the close of its connection.
 func TestResponseBeforeCloseIsApplied(t *testing.T) {
-	c, b := newScriptedCache(t), newScriptedControlPlane(t)
-	w := &testDirector{t: t}
-	w.start(testSettings, b.addr(), 1024, c.host("s-1", "in_service"))
-	p := b.acceptPoll(1)
-	release := w.blockLoop()
+	c, controlPlane := newScriptedCache(t), newScriptedControlPlane(t)
+	d := &testDirector{t: t}
+	d.start(testSettings, controlPlane.addr(), 1024, c.host("s-1", "in_service"))
+	p := controlPlane.acceptPoll(1)
+	release := d.blockLoop()
 	p.write(watchResponse(2, endpointDelta(2, c.host("s-1", "terminated"))))
 	must(t, p.conn.(*net.TCPConn).CloseWrite())
 	waitAcknowledged(t, p.conn)
 	release(nil)
-	b.acceptPoll(2)
-	client := w.client()
+	controlPlane.acceptPoll(2)
+	client := d.client()
 	client.submit(requestA, objectA)
 	client.want(1, 1, "")
 }
@@ -102,95 +102,95 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c, b := newScriptedCache(t), newScriptedControlPlane(t)
-			w := &testDirector{t: t}
-			w.start(testSettings, b.addr(), 1024, c.host("s-1", "in_service"))
-			p := b.acceptPoll(1)
+			c, controlPlane := newScriptedCache(t), newScriptedControlPlane(t)
+			d := &testDirector{t: t}
+			d.start(testSettings, controlPlane.addr(), 1024, c.host("s-1", "in_service"))
+			p := controlPlane.acceptPoll(1)
 			since := time.Now()
 			p.write(text)
-			b.acceptPoll(1)
+			controlPlane.acceptPoll(1)
 			if took := time.Since(since); took > oneAddressTiming.SilenceTimeout-time.Second/2 {
 				t.Errorf("the connection was closed after %v", took)
 			}
-			w.wantServedBy(c)
+			d.wantServedBy(c)
 		})
 	}
 }
 
 // Guards against a malformed event that prevents the other events of the response from being applied.
 func TestMalformedEventIsSkipped(t *testing.T) {
-	c, other, b := newScriptedCache(t), newScriptedCache(t), newScriptedControlPlane(t)
-	w := &testDirector{t: t}
-	w.start(testSettings, b.addr(), 1024, c.host("s-1", "in_service"))
-	p := b.acceptPoll(1)
+	c, other, controlPlane := newScriptedCache(t), newScriptedCache(t), newScriptedControlPlane(t)
+	d := &testDirector{t: t}
+	d.start(testSettings, controlPlane.addr(), 1024, c.host("s-1", "in_service"))
+	p := controlPlane.acceptPoll(1)
 	p.write(watchResponse(2, `"recall":{"lot":"seven","issued":1}`, endpointDelta(3, other.host("s-2", "in_service")), `"roster":[]`,
 		endpointDelta(4, c.host("s-1", "terminated"))))
 	p.wantPoll(5)
-	w.wantServedBy(other)
-	w.onLoop(func() {
-		if w.program.watch.malformedEvents != 2 {
-			t.Errorf("%d events were skipped", w.program.watch.malformedEvents)
+	d.wantServedBy(other)
+	d.onLoop(func() {
+		if d.program.watch.malformedEvents != 2 {
+			t.Errorf("%d events were skipped", d.program.watch.malformedEvents)
 		}
 	})
 }
 
 // Guards against applying a response from the old address that arrives in the round in which the address changes.
-func TestOldAddressIsIgnoredAfterMove(t *testing.T) {
-	c, old, b := newScriptedCache(t), newScriptedControlPlane(t), newScriptedControlPlane(t)
-	w := &testDirector{t: t}
-	w.start(testSettings, old.addr(), 1024, c.host("s-1", "in_service"))
+func TestOldAddressIsIgnoredAfterAddressChange(t *testing.T) {
+	c, old, controlPlane := newScriptedCache(t), newScriptedControlPlane(t), newScriptedControlPlane(t)
+	d := &testDirector{t: t}
+	d.start(testSettings, old.addr(), 1024, c.host("s-1", "in_service"))
 	p := old.acceptPoll(1)
-	release := w.blockLoop()
+	release := d.blockLoop()
 	text := watchResponse(2, endpointDelta(2, c.host("s-1", "terminated")))
 	p.write(text)
 	waitAcknowledged(t, p.conn)
-	release(func() { w.program.watch.switchAddress(netip.MustParseAddrPort(b.addr())) })
-	b.acceptPoll(1)
-	w.wantServedBy(c)
+	release(func() { d.program.watch.switchAddress(netip.MustParseAddrPort(controlPlane.addr())) })
+	controlPlane.acceptPoll(1)
+	d.wantServedBy(c)
 }
 
 // Guards against treating a partially received response as applied when the address changes.
-func TestMoveDuringPartialResponse(t *testing.T) {
-	c, old, b := newScriptedCache(t), newScriptedControlPlane(t), newScriptedControlPlane(t)
-	w := &testDirector{t: t}
-	w.start(testSettings, old.addr(), 1024, c.host("s-1", "in_service"))
+func TestAddressChangeDuringPartialResponse(t *testing.T) {
+	c, old, controlPlane := newScriptedCache(t), newScriptedControlPlane(t), newScriptedControlPlane(t)
+	d := &testDirector{t: t}
+	d.start(testSettings, old.addr(), 1024, c.host("s-1", "in_service"))
 	p := old.acceptPoll(1)
 	text := watchResponse(2, endpointDelta(2, c.host("s-1", "terminated")))
 	p.write(text[:len(text)/2])
 	waitAcknowledged(t, p.conn)
-	moved := w.program.config
-	moved.Discovery = netip.MustParseAddrPort(b.addr())
-	w.onLoop(func() { w.program.Reload(moved) })
-	next := b.acceptPoll(1)
+	moved := d.program.config
+	moved.Discovery = netip.MustParseAddrPort(controlPlane.addr())
+	d.onLoop(func() { d.program.Reload(moved) })
+	next := controlPlane.acceptPoll(1)
 	next.write(watchResponse(2, endpointDelta(2)))
 	next.wantPoll(2)
-	w.wantServedBy(c)
+	d.wantServedBy(c)
 }
 
 // Guards against the timer of an earlier pause closing the new connection.
-func TestMoveStopsRetryTimer(t *testing.T) {
+func TestAddressChangeStopsRetryTimer(t *testing.T) {
 	loop, err := transport.NewLoop()
 	must(t, err)
 	defer loop.Release()
-	b := newScriptedControlPlane(t)
-	f := newWatchClient(loop, nil, []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1")}, 1, 1)
-	f.retryDelay = time.Second
-	f.handleConnectionLoss(net.ErrClosed)
-	if !f.timer.Active() {
+	controlPlane := newScriptedControlPlane(t)
+	w := newWatchClient(loop, nil, []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1")}, 1, 1)
+	w.retryDelay = time.Second
+	w.handleConnectionLoss(net.ErrClosed)
+	if !w.timer.Active() {
 		t.Fatal("there is no pause")
 	}
-	f.switchAddress(netip.MustParseAddrPort(b.addr()))
-	if f.conn == nil || f.timer.Active() {
-		t.Errorf("connecting %t, the retry timer is active %t", f.conn != nil, f.timer.Active())
+	w.switchAddress(netip.MustParseAddrPort(controlPlane.addr()))
+	if w.conn == nil || w.timer.Active() {
+		t.Errorf("connecting %t, the retry timer is active %t", w.conn != nil, w.timer.Active())
 	}
 }
 
 // Guards against a director that reports ready before it has an endpoint list.
 func TestReadyOnceEndpointListArrived(t *testing.T) {
-	c, b := newScriptedCache(t), newScriptedControlPlane(t)
-	w := &testDirector{t: t}
-	w.start(testSettings, b.addr(), 1024)
-	client := w.client()
+	c, controlPlane := newScriptedCache(t), newScriptedControlPlane(t)
+	d := &testDirector{t: t}
+	d.start(testSettings, controlPlane.addr(), 1024)
+	client := d.client()
 	good := func(seq int32) bool {
 		client.write(client.call(1, "heartbeat", "\x02\x00\x01\x01"))
 		return client.want(seq, 0, "").good
@@ -198,7 +198,7 @@
 	if good(1) {
 		t.Error("ready before it connects")
 	}
-	p := b.acceptPoll(0)
+	p := controlPlane.acceptPoll(0)
 	if good(2) {
 		t.Error("ready without an endpoint list")
 	}
@@ -213,21 +213,21 @@
 	if !good(4) {
 		t.Error("not ready with an endpoint list")
 	}
-	w.wantServedBy(c)
+	d.wantServedBy(c)
 }
 
 // Guards against an older delta that brings back a cache.
 func TestOlderListAfterNewerIsIgnored(t *testing.T) {
-	c, other, b := newScriptedCache(t), newScriptedCache(t), newScriptedControlPlane(t)
-	w := &testDirector{t: t}
-	w.start(testSettings, b.addr(), 1024, c.host("s-1", "in_service"), other.host("s-2", "in_service"))
-	p := b.acceptPoll(1)
+	c, other, controlPlane := newScriptedCache(t), newScriptedCache(t), newScriptedControlPlane(t)
+	d := &testDirector{t: t}
+	d.start(testSettings, controlPlane.addr(), 1024, c.host("s-1", "in_service"), other.host("s-2", "in_service"))
+	p := controlPlane.acceptPoll(1)
 	p.write(watchResponse(2, endpointDelta(5, c.host("s-1", "terminated")), endpointDelta(4, c.host("s-1", "in_service"))))
 	p.wantPoll(3)
-	w.wantServedBy(other)
-	w.onLoop(func() {
-		if w.program.director.Counters.ConnectFailed+w.program.director.Counters.Reset > 0 {
-			t.Errorf("%+v", w.program.director.Counters)
+	d.wantServedBy(other)
+	d.onLoop(func() {
+		if d.program.director.Counters.ConnectFailed+d.program.director.Counters.Reset > 0 {
+			t.Errorf("%+v", d.program.director.Counters)
 		}
 	})
 }
