--- a/cmd/stairvane/reload_test.go
+++ b/cmd/stairvane/reload_test.go
@@ -63,7 +63,7 @@
 			}
 		}
 	}
-	hangUp := func() {
+	sendSIGHUP := func() {
 		if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
@@ -73,7 +73,7 @@
 	go func() { exited <- runDirector() }()
 	wait(polls, "first after 7")
 	write(second, "no number")
-	hangUp()
+	sendSIGHUP()
 	wait(logged, `"reload.rejected","err":"seed`)
 	for event, breakFile := range map[string]func() error{
 		`"reload.rejected","err":"configuration: unexpected end`: func() error { return os.WriteFile(path, nil, 0o600) },
@@ -85,11 +85,11 @@
 		if err := breakFile(); err != nil {
 			t.Fatal(err)
 		}
-		hangUp()
+		sendSIGHUP()
 		wait(logged, event)
 	}
 	write(second, "2")
-	hangUp()
+	sendSIGHUP()
 	wait(polls, "second after 7")
 	if err := syscall.Kill(os.Getpid(), syscall.SIGTERM); err != nil {
 		t.Fatal(err)
--- a/cmd/stairvane/restart_linux_test.go
+++ b/cmd/stairvane/restart_linux_test.go
@@ -82,10 +82,10 @@
 	slowEndpoint := endpoint("s-2", slow.Addr(), "in_service", 8, 0)
 	d := newFakeControlPlane(endpointList(1, true, fastEndpoint, slowEndpoint))
 	controlPlane := serveControlPlane(t, "127.0.0.1:0", d)
-	const nodes, clients = 5, 20
-	procs := make([]*directorProcess, nodes)
-	addrs := make([]string, nodes)
-	for i := range nodes {
+	const directors, clients = 5, 20
+	procs := make([]*directorProcess, directors)
+	addrs := make([]string, directors)
+	for i := range directors {
 		procs[i] = startDirector(t, quickstartConfig(t, controlPlane, 256), 0)
 		addrs[i] = procs[i].waitServing()
 		for good := false; !good; {
@@ -94,14 +94,14 @@
 			}
 		}
 	}
-	until := time.Now().Add(nodes*1500*time.Millisecond + time.Second)
+	until := time.Now().Add(directors*1500*time.Millisecond + time.Second)
 	retrying := make([]*retryingClient, clients)
 	var all sync.WaitGroup
 	for i := range retrying {
 		retrying[i] = &retryingClient{addrs: func() []string { return addrs }}
 		all.Go(func() { retrying[i].run(until, i) })
 	}
-	for i := range nodes {
+	for i := range directors {
 		procs[i].shutDown(8 * time.Second)
 		c := quickstartConfig(t, controlPlane, 256)
 		c["listen"] = addrs[i]
@@ -119,7 +119,7 @@
 		}
 	}
 	t.Logf("%d served, %d crossed a close and were sent again, %d rejected or failed", served, retried, rejectedOrFailed)
-	if served < 500 || rejectedOrFailed > served/20 || retried > nodes*clients {
+	if served < 500 || rejectedOrFailed > served/20 || retried > directors*clients {
 		t.Errorf("%d served, %d sent again, %d rejected or failed", served, retried, rejectedOrFailed)
 	}
 }
--- a/cmd/stairvane/slow_start_linux_test.go
+++ b/cmd/stairvane/slow_start_linux_test.go
@@ -10,7 +10,7 @@
 	"stairvane.org/stairvane/internal/tools/fakes"
 )
 
-func testSlowStartBudget(t *testing.T, nodes int) {
+func testSlowStartBudget(t *testing.T, directors int) {
 	const (
 		warmUp   = 5 * time.Second
 		window   = time.Second
@@ -32,17 +32,17 @@
 	address := serveControlPlane(t, "127.0.0.1:0", d)
 	c := quickstartConfig(t, address, 256)
 	settings := c["settings"].(map[string]any)
-	settings["Balancers"] = nodes
+	settings["Balancers"] = directors
 	family := settings["FamilyInfo"].(map[string]any)
-	family["CountByZone"] = []int{0, nodes}
+	family["CountByZone"] = []int{0, directors}
 	family["OneFlowKbPerS"] = 500
 	rules := settings["Rules"].(map[string]any)
 	rules["Cold"] = warmUp.Milliseconds()
 	rules["ColdFrom"] = from
 	rules["Fall"] = window.Milliseconds()
 	rules["TipMultiple"] = multiple
-	addrs := make([]string, nodes)
-	procs := make([]*directorProcess, nodes)
+	addrs := make([]string, directors)
+	procs := make([]*directorProcess, directors)
 	var mu sync.Mutex
 	start := func(i int) {
 		p := startDirector(t, c, 0)
@@ -54,7 +54,7 @@
 	}
 	var launched sync.WaitGroup
 	directorBinary(t)
-	for i := range nodes {
+	for i := range directors {
 		launched.Go(func() { start(i) })
 	}
 	launched.Wait()
@@ -64,11 +64,11 @@
 	startedAt := time.Now()
 	d.publish(endpointList(2, false, endpoint("s-1", caches[0].Addr(), "in_service", weight, startedAt.UnixMilli())))
 	var load sync.WaitGroup
-	for i := range nodes {
+	for i := range directors {
 		load.Go(func() {
-			perSecond := 80 / nodes
+			perSecond := 80 / directors
 			if i%5 == 0 { // a fifth of them get 240 requests/s in total, half of them for the cache that is warming up
-				perSecond = 240 / ((nodes + 4) / 5)
+				perSecond = 240 / ((directors + 4) / 5)
 			}
 			for until := startedAt.Add(warmUp); time.Now().Before(until); {
 				mu.Lock()
@@ -78,7 +78,7 @@
 			}
 		})
 	}
-	kills := (nodes + 3) / 4
+	kills := (directors + 3) / 4
 	for i := range kills {
 		time.Sleep(time.Until(startedAt.Add(time.Duration(i+1) * warmUp * 3 / 4 / time.Duration(kills))))
 		_ = procs[4*i].cmd.Process.Kill()
@@ -93,8 +93,8 @@
 	windows := 0
 	for w := time.Duration(0); w+window <= warmUp; w += 20 * time.Millisecond {
 		n := 0.0
-		for _, o := range attempts {
-			if age := o.At.Sub(startedAt); age >= w && age < w+window {
+		for _, attempt := range attempts {
+			if age := attempt.At.Sub(startedAt); age >= w && age < w+window {
 				n++
 			}
 		}
@@ -117,10 +117,10 @@
 // Guards against overloading a cache that is warming up with the combined load of directors that do not communicate. A fifth of
 // them get most of the demand, and a quarter are killed and restarted during the test.
 func TestSlowStartBudgetOfManyProcesses(t *testing.T) {
-	for _, nodes := range []int{1, 4, 20, 30} {
-		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
+	for _, directors := range []int{1, 4, 20, 30} {
+		t.Run(fmt.Sprint(directors), func(t *testing.T) {
 			t.Parallel()
-			testSlowStartBudget(t, nodes)
+			testSlowStartBudget(t, directors)
 		})
 	}
 }
--- a/cmd/stairvane/startup_linux_test.go
+++ b/cmd/stairvane/startup_linux_test.go
@@ -11,8 +11,8 @@
 	"stairvane.org/stairvane/internal/tools/fakes"
 )
 
-// Guards against directors that start at the same time without an endpoint list and are not ready in time: nine in ten must be
-// within 10 s, counting their start and the time after the list was published.
+// Guards against directors that become ready too late when many start at the same time without an endpoint list. The time from
+// start to listening plus the time from the publication of the list to readiness must be at most 10 s for nine in ten directors.
 func TestThirtyDirectorsAreReadyInTime(t *testing.T) {
 	cache, err := fakes.NewCache("127.0.0.1:0")
 	if err != nil {
@@ -24,11 +24,11 @@
 	directorBinary(t) // built before the measurement starts
 	const directors = 30
 	started := time.Now()
-	nodes := make([]*directorProcess, directors)
-	for i := range nodes {
-		nodes[i] = startDirector(t, quickstartConfig(t, addr, 256), 0)
+	procs := make([]*directorProcess, directors)
+	for i := range procs {
+		procs[i] = startDirector(t, quickstartConfig(t, addr, 256), 0)
 	}
-	for _, p := range nodes {
+	for _, p := range procs {
 		if good, err := heartbeat(p.waitServing()); err != nil || good {
 			t.Fatalf("ready without an endpoint list: %t, %v", good, err)
 		}
@@ -37,7 +37,7 @@
 	d.publish(endpointList(1, true, endpoint("s-1", cache.Addr(), "in_service", 8, 0)))
 	published := time.Now()
 	var took []time.Duration
-	for _, p := range nodes {
+	for _, p := range procs {
 		for {
 			good, err := heartbeat(p.addr)
 			if err != nil {
--- a/cmd/stairvane/trace_linux_amd64_test.go
+++ b/cmd/stairvane/trace_linux_amd64_test.go
@@ -21,9 +21,9 @@
 	flags  uint64 // of clone and clone3
 }
 
-// refusedCalls are the system calls that the platform forbids. clone is not among them: its flags decide whether it creates a
+// forbiddenCalls are the system calls that the platform forbids. clone is not among them: its flags decide whether it creates a
 // process or a thread.
-var refusedCalls = map[uint64]string{
+var forbiddenCalls = map[uint64]string{
 	unix.SYS_FORK:              "fork",
 	unix.SYS_VFORK:             "vfork",
 	unix.SYS_EXECVE:            "execve",
@@ -56,7 +56,7 @@
 			return "opens " + c.path + " to write"
 		}
 	}
-	return refusedCalls[c.number]
+	return forbiddenCalls[c.number]
 }
 
 // trace runs a command under ptrace until it exits. It returns the system calls of all its threads since its last exec, and the
