--- a/internal/decision/events.go
+++ b/internal/decision/events.go
@@ -69,7 +69,7 @@
 	Miss          Status = "miss"           // the object is not cached at the depth that the attempt may fetch from
 )
 
-// CacheStatus tells how a request was served, or why it failed, as reported in the answer.
+// CacheStatus is how a request was served, or why it failed, as reported in the answer.
 type CacheStatus int
 
 // The cache statuses.
--- a/internal/decision/settings.go
+++ b/internal/decision/settings.go
@@ -52,7 +52,7 @@
 	Uncacheable      bool          // answers are never cached; the origin generates each one
 }
 
-// Idempotency tells whether a class of requests may be repeated.
+// Idempotency specifies whether requests of a class may be repeated.
 type Idempotency string
 
 // The kinds of idempotency.
--- a/internal/director/cores/budget/ledger.go
+++ b/internal/director/cores/budget/ledger.go
@@ -3,7 +3,7 @@
 //
 // The decision module of each core derives the budget of a cache that is warming up from the peak rate that the core has
 // recently served. If load moves from core to core, each core remembers its own peak rate, and the sum of these rates
-// exceeds what the process has ever served. The Ledger tells each core which share of its budget it may spend.
+// exceeds what the process has ever served. The Ledger computes the share of its budget that each core may spend.
 package budget
 
 import (
--- a/internal/director/routing/claims.go
+++ b/internal/director/routing/claims.go
@@ -159,7 +159,7 @@
 	d.handleConfirmation(a)
 }
 
-// adoptPriorClaim tells the decision module where the request was executed under an earlier claim, and reports whether the
+// adoptPriorClaim informs the decision module where the request was executed under an earlier claim, and reports whether the
 // attempt may proceed.
 func (d *Director) adoptPriorClaim(a *attempt, group string, o ClaimOutcome, now time.Duration) bool {
 	q := a.request
