--- a/internal/director/cache_conn_test.go
+++ b/internal/director/cache_conn_test.go
@@ -12,7 +12,7 @@
 		t.Run(how, func(t *testing.T) {
 			c := newScriptedCache(t)
 			d := newTestDirector(t, c.host("s-1", "in_service"))
-			client, upstream := d.warmUp(c)
+			client, upstream := d.serveFirstRequest(c)
 			release := d.blockLoop()
 			client.submit(requestA, objectB) // arrives first
 			waitAcknowledged(t, client.conn)
--- a/internal/director/client_conn_test.go
+++ b/internal/director/client_conn_test.go
@@ -15,7 +15,7 @@
 func TestAnswersBeforeMalformedInputReachTheClient(t *testing.T) {
 	c := newScriptedCache(t)
 	d := newTestDirector(t, c.host("s-1", "in_service"))
-	client, upstream := d.warmUp(c)
+	client, upstream := d.serveFirstRequest(c)
 	client.submit(requestA, objectB)
 	upstream.request()
 	must(t, client.conn.(*net.TCPConn).SetReadBuffer(4096)) // so that most of the answer is queued in the director
@@ -41,7 +41,7 @@
 		t.Run(how, func(t *testing.T) {
 			c := newScriptedCache(t)
 			d := newTestDirector(t, c.host("s-1", "in_service"))
-			_, upstream := d.warmUp(c)
+			_, upstream := d.serveFirstRequest(c)
 			client := d.client()
 			// The request is so large and its timeout so long that only the client ends it.
 			client.write(client.submitText(requestA, objectA, time.Minute, "mem", "90000"))
@@ -67,7 +67,7 @@
 func TestClientWithArrivingRequestIsNotEvicted(t *testing.T) {
 	c := newScriptedCache(t)
 	d := newTestDirector(t, c.host("s-1", "in_service"))
-	busy, upstream := d.warmUp(c)
+	busy, upstream := d.serveFirstRequest(c)
 	idle := d.client()
 	idle.submit(requestB, objectB)
 	id, _ := upstream.request()
@@ -99,7 +99,7 @@
 func TestLargeAnswerIsNotTruncatedByClose(t *testing.T) {
 	c := newScriptedCache(t)
 	d := newTestDirector(t, c.host("s-1", "in_service"))
-	client, upstream := d.warmUp(c)
+	client, upstream := d.serveFirstRequest(c)
 	client.submit(requestA, objectB)
 	upstream.request()
 	body := strings.Repeat("y", 100_000) // it fits into the socket buffers
@@ -128,7 +128,7 @@
 func TestLingeringClientIsClosed(t *testing.T) {
 	c := newScriptedCache(t)
 	d := newTestDirector(t, c.host("s-1", "in_service"))
-	client, _ := d.warmUp(c)
+	client, _ := d.serveFirstRequest(c)
 	d.onLoop(func() {
 		for f := range d.program.frontend.clients {
 			f.closeGracefully()
@@ -149,7 +149,7 @@
 func TestFloodingClientLeavesNoRequests(t *testing.T) {
 	c := newScriptedCache(t)
 	d := newTestDirector(t, c.host("s-1", "in_service"))
-	client, upstream := d.warmUp(c)
+	client, upstream := d.serveFirstRequest(c)
 	flood := d.client()
 	var text strings.Builder
 	for i := range 5000 {
@@ -194,7 +194,7 @@
 func TestClientThatNeverReadsIsClosed(t *testing.T) {
 	c := newScriptedCache(t)
 	d := newTestDirector(t, c.host("s-1", "in_service"))
-	_, upstream := d.warmUp(c)
+	_, upstream := d.serveFirstRequest(c)
 	flood := d.client()
 	d.fillQueue(flood, upstream, 0)
 	var text strings.Builder
--- a/internal/director/director_harness_test.go
+++ b/internal/director/director_harness_test.go
@@ -20,11 +20,11 @@
 
 // testDirector is a director whose clients, caches and control plane are scripted by the test.
 type testDirector struct {
-	t       *testing.T
-	program *Program
-	exited  chan error
-	polls   chan string // the revision of each poll
-	events  chan string // bodies of the responses; empty: the connection is closed
+	t         *testing.T
+	program   *Program
+	exited    chan error
+	polls     chan string // the revision of each poll
+	responses chan string // bodies of the responses; empty: the connection is closed
 }
 
 // blockLoop blocks the director's loop until release is called. Everything that peers send in between is handled in one round,
@@ -80,8 +80,8 @@
 	}
 }
 
-// warmUp serves the first request of a client over an upstream connection that stays open.
-func (d *testDirector) warmUp(c *scriptedCache) (client, upstream *scriptedConn) {
+// serveFirstRequest serves the first request of a client over an upstream connection that stays open.
+func (d *testDirector) serveFirstRequest(c *scriptedCache) (client, upstream *scriptedConn) {
 	d.t.Helper()
 	client = d.client()
 	client.submit("00000000000000ff", objectB)
@@ -92,8 +92,8 @@
 	return client, upstream
 }
 
-// finishDraining starts a shutdown and skips drainAcceptTime.
-func (d *testDirector) finishDraining() {
+// shutdownWithoutDrainTime starts a shutdown and skips drainAcceptTime.
+func (d *testDirector) shutdownWithoutDrainTime() {
 	d.program.Shutdown()
 	d.program.shutdownStep()
 }
@@ -128,12 +128,12 @@
 }
 
 func newTestDirectorWith(t *testing.T, settings string, hosts ...string) *testDirector {
-	d := &testDirector{t: t, polls: make(chan string, 64), events: make(chan string, 8)}
+	d := &testDirector{t: t, polls: make(chan string, 64), responses: make(chan string, 8)}
 	stop := make(chan struct{})
 	controlPlane := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		d.polls <- r.URL.Query().Get("after")
 		select {
-		case text := <-d.events:
+		case text := <-d.responses:
 			if text == "" {
 				panic(http.ErrAbortHandler)
 			}
@@ -189,7 +189,7 @@
 // publish answers the open poll with an event and waits until the director polls again.
 func (d *testDirector) publish(number int, event string) {
 	d.t.Helper()
-	d.events <- fmt.Sprintf(`{"no":%d,"items":[{"no":%d,%s}]}`, number, number, event)
+	d.responses <- fmt.Sprintf(`{"no":%d,"items":[{"no":%d,%s}]}`, number, number, event)
 	d.wantPoll(strconv.Itoa(number))
 }
 
--- a/internal/director/group_harness_test.go
+++ b/internal/director/group_harness_test.go
@@ -13,14 +13,14 @@
 	"stairvane.org/stairvane/internal/tools/fakes"
 )
 
-// testGroup is a director on several cores with fake caches and a control plane whose events the test supplies.
+// testGroup is a director on several cores with fake caches and a control plane whose responses the test supplies.
 type testGroup struct {
-	t      *testing.T
-	group  *Group
-	addr   string
-	caches []*fakes.Cache
-	events chan string
-	exited chan error
+	t         *testing.T
+	group     *Group
+	addr      string
+	caches    []*fakes.Cache
+	responses chan string
+	exited    chan error
 }
 
 func newTestGroup(t *testing.T, cores, caches int) *testGroup {
@@ -28,11 +28,11 @@
 }
 
 func newTestGroupWith(t *testing.T, cores, caches int, settings string) *testGroup {
-	c := &testGroup{t: t, events: make(chan string, 8), exited: make(chan error, 1)}
+	g := &testGroup{t: t, responses: make(chan string, 8), exited: make(chan error, 1)}
 	stop := make(chan struct{})
 	controlPlane := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		select {
-		case text := <-c.events:
+		case text := <-g.responses:
 			_, _ = fmt.Fprint(w, text) // the director polls again if it is lost
 		case <-stop:
 		}
@@ -43,48 +43,48 @@
 		cache, err := fakes.NewCache("127.0.0.1:0")
 		must(t, err)
 		t.Cleanup(cache.Close)
-		c.caches = append(c.caches, cache)
-		hosts = append(hosts, c.host(i, "in_service"))
+		g.caches = append(g.caches, cache)
+		hosts = append(hosts, g.host(i, "in_service"))
 	}
 	conf, err := config.Parse(fmt.Appendf(nil, `{"name":"n","listen":"127.0.0.1:0","seed":"1","bulletin":%q,
 		"limits":{"memory_mb":192,"sockets":2048},
 		"known":{"no":1,"items":[{"no":1,"roster":{"seq":1,"whole":true,"hosts":[%s]}}]},"settings":%s}`,
 		controlPlane.Listener.Addr(), strings.Join(hosts, ","), settings), "", "")
 	must(t, err)
-	c.group, err = NewGroup(conf, cores)
+	g.group, err = NewGroup(conf, cores)
 	must(t, err)
-	addr, err := c.group.Addr()
+	addr, err := g.group.Addr()
 	must(t, err)
-	c.addr = addr.String()
-	go func() { c.exited <- c.group.Run() }()
+	g.addr = addr.String()
+	go func() { g.exited <- g.group.Run() }()
 	t.Cleanup(func() {
-		c.group.Shutdown()
-		must(t, <-c.exited)
-		if n := c.group.owners.Len(); n > 0 {
+		g.group.Shutdown()
+		must(t, <-g.exited)
+		if n := g.group.owners.Len(); n > 0 {
 			t.Errorf("%d IDs are in flight after the shutdown", n)
 		}
 	})
-	return c
+	return g
 }
 
-func (c *testGroup) host(i int, health string) string {
-	return fmt.Sprintf(`{"host":"s-%d","dial":%q,"site":"west","class":"std","health":%q,"share":1}`, i, c.caches[i].Addr(), health)
+func (g *testGroup) host(i int, health string) string {
+	return fmt.Sprintf(`{"host":"s-%d","dial":%q,"site":"west","class":"std","health":%q,"share":1}`, i, g.caches[i].Addr(), health)
 }
 
 // load sends requests from several clients and returns the sum of their tallies.
-func (c *testGroup) load(clients, each int, pause time.Duration) (sum fakes.Tally) {
+func (g *testGroup) load(clients, each int, pause time.Duration) (sum fakes.Tally) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for range clients {
 		wg.Go(func() {
-			client, err := fakes.Connect(c.addr)
+			client, err := fakes.Connect(g.addr)
 			if err != nil {
-				c.t.Error(err)
+				g.t.Error(err)
 				return
 			}
 			for i := range each {
 				if err := client.Send(200, 5*time.Second); err != nil {
-					c.t.Error(err)
+					g.t.Error(err)
 					break
 				}
 				if i%16 == 15 { // rarely more than a connection may have in flight
--- a/internal/director/group_test.go
+++ b/internal/director/group_test.go
@@ -16,15 +16,15 @@
 func TestCoresAnswerOnceAndDrainInTime(t *testing.T) {
 	for _, cores := range []int{1, 2, 4} {
 		t.Run(fmt.Sprint(cores), func(t *testing.T) {
-			c := newTestGroup(t, cores, 4)
+			g := newTestGroup(t, cores, 4)
 			got := make(chan fakes.Tally, 1)
-			go func() { got <- c.load(24, 300, 80*time.Millisecond) }()
-			for end := time.Now().Add(testTimeout); len(c.caches[0].Attempts()) < 100; time.Sleep(time.Millisecond) {
+			go func() { got <- g.load(24, 300, 80*time.Millisecond) }()
+			for end := time.Now().Add(testTimeout); len(g.caches[0].Attempts()) < 100; time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatal("no load")
 				}
 			}
-			last := c.group.cores[cores-1].prog
+			last := g.group.cores[cores-1].prog
 			stalled := make(chan struct{})
 			stall := 300 * time.Millisecond
 			if cores > 1 { // longer than the grace period: requests that arrived before the event are read before it
@@ -33,7 +33,8 @@
 			last.Post(func() { close(stalled); time.Sleep(stall) })
 			<-stalled
 			time.Sleep(100 * time.Millisecond)
-			c.events <- fmt.Sprintf(`{"no":2,"items":[{"no":2,"roster":{"seq":2,"whole":false,"hosts":[%s]}}]}`, c.host(0, "terminating"))
+			g.responses <- fmt.Sprintf(`{"no":2,"items":[{"no":2,"roster":{"seq":2,"whole":false,"hosts":[%s]}}]}`,
+				g.host(0, "terminating"))
 			published := time.Now()
 			sum := <-got
 			t.Logf("%+v", sum)
@@ -42,7 +43,7 @@
 			}
 			latest := time.Duration(0)
 			busy := 0
-			for _, attempt := range c.caches[0].Attempts() {
+			for _, attempt := range g.caches[0].Attempts() {
 				latest = max(latest, attempt.At.Sub(published))
 			}
 			if latest > 500*time.Millisecond {
@@ -50,7 +51,7 @@
 			}
 			t.Logf("last attempt at the drained cache %v after the event", latest)
 			counts := make(chan int64, cores)
-			c.group.onAllCores(func(p *Program) { counts <- p.director.Counters.Accepted })
+			g.group.onAllCores(func(p *Program) { counts <- p.director.Counters.Accepted })
 			for range cores {
 				if <-counts > 0 {
 					busy++
@@ -66,11 +67,11 @@
 // Guards against one ID having attempts in flight on two cores.
 func TestIDIsInFlightOnOneCoreOnly(t *testing.T) {
 	silent := newScriptedCache(t) // the test answers
-	c := newTestGroup(t, 4, 1)
-	c.events <- fmt.Sprintf(`{"no":2,"items":[{"no":2,"roster":{"seq":2,"whole":true,"hosts":[%s]}}]}`, silent.host("s-9", "in_service"))
+	g := newTestGroup(t, 4, 1)
+	g.responses <- fmt.Sprintf(`{"no":2,"items":[{"no":2,"roster":{"seq":2,"whole":true,"hosts":[%s]}}]}`, silent.host("s-9", "in_service"))
 	seen := make(chan bool, 4)
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
-		c.group.onAllCores(func(p *Program) { seen <- p.watch.appliedRevision >= 2 })
+		g.group.onAllCores(func(p *Program) { seen <- p.watch.appliedRevision >= 2 })
 		all := true
 		for range 4 {
 			all = <-seen && all
@@ -84,7 +85,7 @@
 	}
 	var peers []*scriptedConn
 	for range 16 {
-		conn, err := net.Dial("tcp", c.addr)
+		conn, err := net.Dial("tcp", g.addr)
 		must(t, err)
 		p := newScriptedConn(t, conn)
 		p.submit(requestA, objectA)
@@ -119,10 +120,10 @@
 		send   = 2 * time.Millisecond // sending time of a request: its size divided by the rate of a transfer
 	)
 	nominal := strings.NewReplacer(`"Zone":"west"`, `"Zone":"west","Weights":"nominal"`, `"Fall":3000`, `"Fall":1000`).Replace(testSettings)
-	c := newTestGroupWith(t, 4, 2, nominal)
+	g := newTestGroupWith(t, 4, 2, nominal)
 	got := make(chan fakes.Tally, 1)
-	go func() { got <- c.load(24, 112, 480*time.Millisecond) }()
-	for end := time.Now().Add(testTimeout); len(c.caches[0].Attempts())+len(c.caches[1].Attempts()) < 200; time.Sleep(time.Millisecond) {
+	go func() { got <- g.load(24, 112, 480*time.Millisecond) }()
+	for end := time.Now().Add(testTimeout); len(g.caches[0].Attempts())+len(g.caches[1].Attempts()) < 200; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("no load")
 		}
@@ -130,16 +131,16 @@
 	started := time.Now()
 	line := func(i int, share float64, startedAtMS int64) string {
 		return fmt.Sprintf(`{"host":"s-%d","dial":%q,"site":"west","class":"std","health":"in_service","share":%g,"born_ms":%d}`,
-			i, c.caches[i].Addr(), share, startedAtMS)
+			i, g.caches[i].Addr(), share, startedAtMS)
 	}
-	c.events <- fmt.Sprintf(`{"no":2,"items":[{"no":2,"roster":{"seq":2,"whole":false,"hosts":[%s,%s]}}]}`,
+	g.responses <- fmt.Sprintf(`{"no":2,"items":[{"no":2,"roster":{"seq":2,"whole":false,"hosts":[%s,%s]}}]}`,
 		line(0, 0.25, 0), line(1, 1, started.UnixMilli()))
 	sum := <-got
 	if sum.Served+sum.Refused+sum.Failed != sum.Sent || sum.Doubled+sum.Lost > 0 || sum.Served < sum.Sent/2 {
 		t.Errorf("%+v", sum)
 	}
 	var at []time.Duration // times of the attempts at the cache that is warming up, since its start
-	for _, attempt := range c.caches[1].Attempts() {
+	for _, attempt := range g.caches[1].Attempts() {
 		if since := attempt.At.Sub(started); since > 50*time.Millisecond { // the event has reached all cores by then
 			at = append(at, since)
 		}
--- a/internal/director/integration_test.go
+++ b/internal/director/integration_test.go
@@ -14,7 +14,7 @@
 func TestNotModifiedRequiresTheClientsETag(t *testing.T) {
 	c := newScriptedCache(t)
 	d := newTestDirector(t, c.host("s-1", "in_service"))
-	client, upstream := d.warmUp(c)
+	client, upstream := d.serveFirstRequest(c)
 	client.submit(requestA, objectA, "have", "4be0c1927d55a6f3")
 	upstream.request()
 	upstream.answer(requestA, "SAME", "n=local,rev=0000000000000001", "")
--- a/internal/director/request_races_test.go
+++ b/internal/director/request_races_test.go
@@ -49,7 +49,7 @@
 		t.Run(how, func(t *testing.T) {
 			c, other := newScriptedCache(t), newScriptedCache(t)
 			d := newTestDirector(t, other.host("s-2", "in_service"))
-			_, second := d.warmUp(other)
+			_, second := d.serveFirstRequest(other)
 			d.publish(2, `"roster":{"seq":2,"whole":false,"hosts":[`+c.host("s-1", "in_service")+`,`+other.host("s-2", "terminating")+`]}`)
 			client := d.client()
 			client.submit(requestA, objectA)
@@ -84,7 +84,7 @@
 		t.Run(first+" first", func(t *testing.T) {
 			c := newScriptedCache(t)
 			d := newTestDirector(t, c.host("s-1", "in_service"))
-			_, upstream := d.warmUp(c)
+			_, upstream := d.serveFirstRequest(c)
 			old, again := d.client(), d.client()
 			old.submit(requestA, objectA)
 			upstream.request()
@@ -123,7 +123,7 @@
 func TestResubmissionsOfOneIDAreLimited(t *testing.T) {
 	c := newScriptedCache(t)
 	d := newTestDirector(t, c.host("s-1", "in_service"))
-	client, upstream := d.warmUp(c)
+	client, upstream := d.serveFirstRequest(c)
 	for i := range 5 {
 		client.submit(requestA, objectA)
 		if i > 2 {
@@ -145,7 +145,7 @@
 func TestDuplicateResponseDoesNotEndTheRetry(t *testing.T) {
 	c := newScriptedCache(t)
 	d := newTestDirector(t, c.host("s-1", "in_service"))
-	client, upstream := d.warmUp(c)
+	client, upstream := d.serveFirstRequest(c)
 	issued := time.Now().UnixMilli()
 	d.publish(2, fmt.Sprintf(`"recall":{"lot":5,"issued":%d}`, issued))
 	client.submit(requestA, objectA)
@@ -170,7 +170,7 @@
 func TestResponseAndTimeoutInOneRound(t *testing.T) {
 	c := newScriptedCache(t)
 	d := newTestDirector(t, c.host("s-1", "in_service"))
-	client, upstream := d.warmUp(c)
+	client, upstream := d.serveFirstRequest(c)
 	client.write(client.submitText(requestA, objectA, 200*time.Millisecond))
 	upstream.request()
 	release := d.blockLoop()
--- a/internal/director/scripted_conn_test.go
+++ b/internal/director/scripted_conn_test.go
@@ -224,32 +224,32 @@
 func (p *scriptedConn) reply() reply {
 	p.t.Helper()
 	b := p.read(int(binary.BigEndian.Uint32([]byte(p.read(4)))))
-	take := func(n int) string {
+	next := func(n int) string {
 		s := b[:n]
 		b = b[n:]
 		return s
 	}
-	num := func() int { return int(binary.BigEndian.Uint32([]byte(take(4)))) }
+	num := func() int { return int(binary.BigEndian.Uint32([]byte(next(4)))) }
 	r := reply{kind: byte(num()), fields: map[string]string{}}
-	take(num())
+	next(num())
 	r.seq = int32(num())
 	if r.kind != 2 {
 		return r
 	}
-	head := take(3)
+	head := next(3)
 	r.result = int(head[2])
-	for kind := take(1); kind != "\x00"; kind = take(1) {
-		take(2)
+	for kind := next(1); kind != "\x00"; kind = next(1) {
+		next(2)
 		switch kind {
 		case "\x0b":
-			r.body = take(num())
+			r.body = next(num())
 		case "\x02":
-			r.good = take(1) == "\x01"
+			r.good = next(1) == "\x01"
 		case "\x0d":
-			take(2)
+			next(2)
 			for range num() {
-				name := take(num())
-				r.fields[name] = take(num())
+				name := next(num())
+				r.fields[name] = next(num())
 			}
 		}
 	}
--- a/internal/director/shutdown_test.go
+++ b/internal/director/shutdown_test.go
@@ -11,11 +11,11 @@
 func TestRequestRacingShutdownCloseIsServed(t *testing.T) {
 	c := newScriptedCache(t)
 	d := newTestDirector(t, c.host("s-1", "in_service"))
-	client, upstream := d.warmUp(c)
+	client, upstream := d.serveFirstRequest(c)
 	release := d.blockLoop()
 	client.submit(requestA, objectB)
 	waitAcknowledged(t, client.conn)
-	release(d.finishDraining)
+	release(d.shutdownWithoutDrainTime)
 	id, _ := upstream.request()
 	if id != requestA {
 		t.Fatalf("request %s", id)
@@ -31,11 +31,11 @@
 func TestRequestAfterShutdownCloseIsNotForwarded(t *testing.T) {
 	c := newScriptedCache(t)
 	d := newTestDirector(t, c.host("s-1", "in_service"))
-	client, upstream := d.warmUp(c)
+	client, upstream := d.serveFirstRequest(c)
 	stays := d.client()
 	stays.submit(requestB, objectB) // keeps the director running
 	id, _ := upstream.request()
-	d.onLoop(d.finishDraining)
+	d.onLoop(d.shutdownWithoutDrainTime)
 	if rest := client.readToEnd(); rest != "" {
 		t.Fatalf("received %q before the end of the connection", rest)
 	}
@@ -65,12 +65,12 @@
 func TestPartialRequestAtShutdownCloseIsAwaited(t *testing.T) {
 	c := newScriptedCache(t)
 	d := newTestDirector(t, c.host("s-1", "in_service"))
-	client, upstream := d.warmUp(c)
+	client, upstream := d.serveFirstRequest(c)
 	text := client.submitText(requestA, objectB, 5*time.Second)
 	release := d.blockLoop()
 	client.write(text[:20])
 	waitAcknowledged(t, client.conn)
-	release(d.finishDraining)
+	release(d.shutdownWithoutDrainTime)
 	d.waitRound()
 	client.write(text[20:])
 	id, _ := upstream.request()
@@ -83,7 +83,7 @@
 func TestPendingConnectionIsServedAtShutdownClose(t *testing.T) {
 	c := newScriptedCache(t)
 	d := newTestDirector(t, c.host("s-1", "in_service"))
-	_, upstream := d.warmUp(c)
+	_, upstream := d.serveFirstRequest(c)
 	addr, err := d.program.Addr()
 	must(t, err)
 	release := d.blockLoop()
@@ -92,7 +92,7 @@
 	late := newScriptedConn(t, conn)
 	late.submit(requestA, objectB)
 	waitAcknowledged(t, conn)
-	release(d.finishDraining)
+	release(d.shutdownWithoutDrainTime)
 	id, _ := upstream.request()
 	upstream.answer(id, "OK", "n=local", "late")
 	late.want(1, 0, "late")
@@ -103,7 +103,7 @@
 	c := newScriptedCache(t)
 	full := newFullListenerCache(t)
 	d := newTestDirectorWith(t, strings.Replace(testSettings, `"DialTimeout":400`, `"DialTimeout":5000`, 1), c.host("s-1", "in_service"))
-	client, upstream := d.warmUp(c)
+	client, upstream := d.serveFirstRequest(c)
 	d.publish(2, `"roster":{"seq":2,"whole":false,"hosts":[`+c.host("s-1", "terminated")+`,`+full.host("s-2", "in_service")+`]}`)
 	client.write(client.submitText(requestA, objectA, 2*time.Second)) // waits for a connection that is never established
 	client.heartbeat()                                                // the request has been accepted by now
@@ -138,7 +138,7 @@
 func TestCoalescedRequestsAreAnsweredDuringShutdown(t *testing.T) {
 	c := newScriptedCache(t)
 	d := newTestDirectorWith(t, strings.Replace(testSettings, `"Joins":true`, `"Joins":false`, 1), c.host("s-1", "in_service"))
-	client, upstream := d.warmUp(c)
+	client, upstream := d.serveFirstRequest(c)
 	client.submit(requestA, objectA, "mem", "9000")
 	if id, _ := upstream.request(); id != requestA {
 		t.Fatalf("request %s", id)
@@ -149,7 +149,7 @@
 		if n, inFlight := d.program.director.Counters.Attempts, d.program.director.InFlight(); n != 2 || inFlight != 2 {
 			t.Errorf("%d attempts, %d in flight", n, inFlight)
 		}
-		d.finishDraining()
+		d.shutdownWithoutDrainTime()
 	})
 	upstream.answer(requestA, "OK", "n=local", "a")
 	client.want(2, 0, "a")
--- a/internal/director/watch_test.go
+++ b/internal/director/watch_test.go
@@ -15,7 +15,7 @@
 	c, other := newScriptedCache(t), newScriptedCache(t)
 	d := newTestDirector(t, c.host("s-1", "in_service"))
 	d.publish(2, `"roster":{"seq":2,"whole":false,"hosts":[`+other.host("s-2", "in_service")+`]}`)
-	d.events <- ""
+	d.responses <- ""
 	d.wantPoll("2")
 	d.publish(3, `"roster":{"seq":3,"whole":false,"hosts":[`+c.host("s-1", "terminated")+`]}`)
 	d.wantServedBy(other)
