--- a/cmd/stairvane/restart_linux_test.go
+++ b/cmd/stairvane/restart_linux_test.go
@@ -23,7 +23,7 @@
 // closeRaceWindow is the time after sending within which a connection error means that the request crossed the close.
 const closeRaceWindow = 50 * time.Millisecond
 
-func (p *retryingClient) run(until time.Time, number int) {
+func (c *retryingClient) run(until time.Time, number int) {
 	var conn net.Conn
 	seq := 0
 	closeConn := func() {
@@ -35,7 +35,7 @@
 	defer closeConn()
 	for next := number; time.Now().Before(until); {
 		if conn == nil {
-			addrs := p.addrs()
+			addrs := c.addrs()
 			var err error
 			if conn, err = net.Dial("tcp", addrs[next%len(addrs)]); err != nil {
 				next++
@@ -49,17 +49,17 @@
 		result, err := sendRequest(conn, seq, fmt.Sprintf("%08x%08x", number, sent.UnixNano()&0xffffffff))
 		switch {
 		case err != nil && time.Since(sent) <= closeRaceWindow:
-			p.retried++
+			c.retried++
 			closeConn()
 			next++
 		case err != nil:
-			p.lost = append(p.lost, fmt.Sprintf("after %v: %v", time.Since(sent), err))
+			c.lost = append(c.lost, fmt.Sprintf("after %v: %v", time.Since(sent), err))
 			closeConn()
 			next++
 		case result == 0:
-			p.served++
+			c.served++
 		default:
-			p.rejectedOrFailed++
+			c.rejectedOrFailed++
 		}
 		time.Sleep(3 * time.Millisecond)
 	}
