--- a/internal/controlplane/replica/cluster_test.go
+++ b/internal/controlplane/replica/cluster_test.go
@@ -123,7 +123,7 @@
 	index := entry.At.Index
 	text := fmt.Sprintf("%d:%s", entry.At.Term, entry.Data)
 	for _, other := range c.replicas {
-		if theirs, is := other.applied[index]; is && theirs != text {
+		if theirs, isApplied := other.applied[index]; isApplied && theirs != text {
 			c.fault = fmt.Sprintf("disk %d applies %q at %d, disk %d has %q", r.disk, text, index, other.disk, theirs)
 		}
 	}
@@ -211,7 +211,7 @@
 		if !s.IsLeader {
 			continue
 		}
-		if other, is := leaders[s.Term]; is {
+		if other, hasLeader := leaders[s.Term]; hasLeader {
 			return fmt.Sprintf("disks %d and %d both lead term %d", other, r.disk, s.Term)
 		}
 		leaders[s.Term] = r.disk
--- a/internal/controlplane/replica/driver_test.go
+++ b/internal/controlplane/replica/driver_test.go
@@ -32,11 +32,11 @@
 	return "", len(c.accepted), trace
 }
 
-func intFromEnv(name string, otherwise int) int {
+func intFromEnv(name string, defaultValue int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return n
 	}
-	return otherwise
+	return defaultValue
 }
 
 // Checks the invariants of the cluster under random orders of delivery, message loss, crashes before
--- a/internal/controlplane/replica/lease.go
+++ b/internal/controlplane/replica/lease.go
@@ -51,7 +51,8 @@
 // NewLessor returns a lessor for a replica that is not the leader.
 func NewLessor(l Lease) *Lessor { return &Lessor{lease: l, grants: map[uint64]*grant{}} }
 
-// SetLeader records that this replica became the leader or ceased to be it.
+// SetLeader records whether this replica is the leader. Becoming the leader deletes all grants and
+// starts the wait for the leases of the earlier leader.
 func (l *Lessor) SetLeader(isLeader bool, now time.Duration) {
 	if isLeader && !l.isLeader {
 		l.leaderSince = now
@@ -69,7 +70,7 @@
 // Acknowledged returns the revision up to which all watchers have acknowledged the events. own is
 // that revision for the leader's own watchers. Watchers of a holder whose lease has expired
 // reconnect elsewhere; after a further departedAfter they count as having acknowledged all events,
-// like any other watchers that left. A new leader returns 0 until the leases that its predecessor
+// as watchers that disconnected do. A new leader returns 0 until the leases that its predecessor
 // may have granted have expired.
 func (l *Lessor) Acknowledged(own int64, now, departedAfter time.Duration) int64 {
 	if !l.isLeader || now < l.leaderSince+l.lease.maxValidity() {
--- a/internal/controlplane/replica/lease_test.go
+++ b/internal/controlplane/replica/lease_test.go
@@ -20,7 +20,9 @@
 	lease := Lease{Length: 200 * time.Millisecond, Drift: 0.02}
 	rate := func() float64 { return 1 + (2*rng.Float64()-1)*lease.Drift }
 	clock := []float64{rate(), rate(), rate()}
-	localTime := func(who int, t time.Duration) time.Duration { return time.Duration(float64(t)*clock[who]) + time.Hour }
+	localTime := func(process int, t time.Duration) time.Duration {
+		return time.Duration(float64(t)*clock[process]) + time.Hour
+	}
 	lessors := []*Lessor{NewLessor(lease), NewLessor(lease)}
 	var holder LeaseHolder
 	lastEvent := int64(1)
--- a/internal/controlplane/replica/membership.go
+++ b/internal/controlplane/replica/membership.go
@@ -42,7 +42,7 @@
 
 func rejectf(format string, args ...any) error { return &RejectedError{fmt.Sprintf(format, args...)} }
 
-// View is the state from which the leader decides about membership changes.
+// View is the state on which the leader bases its decisions about membership changes.
 type View struct {
 	Status
 	Members map[uint64]Member
@@ -71,7 +71,7 @@
 func (v View) isAlive(disk uint64) bool { return disk == v.Status.Disk || v.Progress[disk].IsActive }
 
 // rejectRemoved returns a *RejectedError if a disk was removed from the group. A removal is final,
-// because replicas that are behind may already have told the disk that it was removed.
+// because a replica whose log is behind would go on telling a readmitted disk that it was removed.
 func (v View) rejectRemoved(disk uint64) error {
 	if m := v.Members[disk]; m.Left {
 		return rejectf("disk %x was taken out of the group: start copy %s with --new-disk, and have that let in", disk, m.Name)
--- a/internal/controlplane/replica/membership_test.go
+++ b/internal/controlplane/replica/membership_test.go
@@ -15,21 +15,21 @@
 // more sites, costs the majority.
 func TestValidConfigurationKeepsMajorityAfterOneFault(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.IntRange(1, 9).Draw(t, "copies")
-		var places []ConfiguredReplica
+		n := rapid.IntRange(1, 9).Draw(t, "replicas")
+		var configured []ConfiguredReplica
 		for i := range n {
-			places = append(places, ConfiguredReplica{
+			configured = append(configured, ConfiguredReplica{
 				Name: fmt.Sprintf("c%d", i), Machine: fmt.Sprint("m", rapid.IntRange(0, 11).Draw(t, "machine")),
-				Site: fmt.Sprint("s", rapid.IntRange(0, 3).Draw(t, "site")), IsStandby: rapid.IntRange(0, 9).Draw(t, "spare") == 0,
+				Site: fmt.Sprint("s", rapid.IntRange(0, 3).Draw(t, "site")), IsStandby: rapid.IntRange(0, 9).Draw(t, "standby") == 0,
 			})
 		}
-		if len(ValidateConfigured(places)) > 0 {
+		if len(ValidateConfigured(configured)) > 0 {
 			return
 		}
 		machines := map[string]int{}
 		sites := map[string]int{}
 		serving := 0
-		for _, p := range places {
+		for _, p := range configured {
 			machines[p.Machine]++
 			if !p.IsStandby {
 				sites[p.Site]++
@@ -53,7 +53,7 @@
 }
 
 func TestInvalidConfigurationIsReported(t *testing.T) {
-	for want, places := range map[string][]ConfiguredReplica{
+	for want, configured := range map[string][]ConfiguredReplica{
 		"both on machine m1": {
 			{Name: "a", Machine: "m1", Site: "x"},
 			{Name: "b", Machine: "m1", Site: "y"},
@@ -77,7 +77,7 @@
 			{Name: "e", Machine: "m5", Site: "z"},
 		},
 	} {
-		if got := strings.Join(ValidateConfigured(places), "; "); !strings.Contains(got, want) {
+		if got := strings.Join(ValidateConfigured(configured), "; "); !strings.Contains(got, want) {
 			t.Errorf("%q is not reported: %q", want, got)
 		}
 	}
