--- a/internal/controlplane/store/applies.go
+++ b/internal/controlplane/store/applies.go
@@ -45,8 +45,8 @@
 	return r, t.SetRecord(r)
 }
 
-// KeepApplyLock lets an apply that acquired the apply lock in this change keep it, although its record
-// has ended.
+// KeepApplyLock makes an apply that acquired the apply lock in this change the holder again, after
+// SetRecord has released the lock because another apply ended.
 func (t *Tx) KeepApplyLock(r apply.Record) { t.putNumber(holderKey, r.ID) }
 
 // Fence returns an error that wraps apply.ErrFenced unless the apply holds the apply lock under its
--- a/internal/controlplane/store/batch.go
+++ b/internal/controlplane/store/batch.go
@@ -9,7 +9,7 @@
 	"stairvane.org/stairvane/internal/fleet"
 )
 
-// Request is a change that waits to be committed by the group.
+// Request is a change that is waiting to be committed by the group.
 type Request = request
 
 // Requests returns the channel of waiting changes.
--- a/internal/controlplane/store/compatibility_test.go
+++ b/internal/controlplane/store/compatibility_test.go
@@ -105,36 +105,36 @@
 func readableContent(t *testing.T, s *Store) string {
 	t.Helper()
 	var b strings.Builder
-	show := func(what string, v any) {
+	writeLine := func(what string, v any) {
 		text, err := json.Marshal(v)
 		check(t, err)
 		fmt.Fprintf(&b, "%s %s\n", what, text)
 	}
 	fmt.Fprintf(&b, "chain %x\n", s.Chain())
-	show("fleet", s.Fleet().Dump())
+	writeLine("fleet", s.Fleet().Dump())
 	check(t, s.View(func(v *View) error {
 		events, err := v.Events(0, 1<<20)
 		check(t, err)
-		show("events", events)
+		writeLine("events", events)
 		records, err := v.Records()
 		check(t, err)
-		show("applies", records)
+		writeLine("applies", records)
 		holder, err := v.RunningApply()
 		check(t, err)
-		show("holder", holder)
+		writeLine("holder", holder)
 		byPlan, err := v.LastApplyOfPlan(holder.PlanSum)
 		check(t, err)
-		show("by plan", byPlan)
+		writeLine("by plan", byPlan)
 		before, err := v.DesiredBefore(holder.ID)
 		check(t, err)
-		show("before", before)
+		writeLine("before", before)
 		machine, err := v.Machine(*holder)
 		check(t, err)
-		show("steps", machine.Steps())
+		writeLine("steps", machine.Steps())
 		var outcome int
 		done, err := v.RepeatedWrite(Write{ID: "w3", Body: []byte("body")}, &outcome)
 		check(t, err)
-		show("write", []any{done, outcome})
+		writeLine("write", []any{done, outcome})
 		return nil
 	}))
 	return b.String()
--- a/internal/controlplane/store/raft_log.go
+++ b/internal/controlplane/store/raft_log.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		return p, err
 	}
-	// A write whose final sync failed may be in the file nevertheless.
+	// lastIndex is taken from the file, because a write whose final sync failed may be in it nevertheless.
 	s.replica.lastIndex = p.Compacted.Index
 	if n := len(p.Entries); n > 0 {
 		s.replica.lastIndex = p.Entries[n-1].Index
--- a/internal/controlplane/store/replica.go
+++ b/internal/controlplane/store/replica.go
@@ -14,12 +14,12 @@
 var (
 	ErrNotLeader      = errors.New("this replica is not the leader")
 	ErrOutcomeUnknown = errors.New("outcome of the write unknown: the leader changed during the write; retry it with the same id")
-	ErrClonedStore    = errors.New("the store is a copy of another disk's: it is not what it was when this disk last wrote it")
+	ErrClonedStore    = errors.New("the store is a copy of another disk's: its file is not the one recorded in the disk's identity")
 	ErrInGroup        = errors.New("the store belongs to a group of replicas")
 	errHasEvents      = errors.New("the store has an event log of its own")
 )
 
-// Identity identifies a disk. Inode and BornNS identify the file in which the identity was created;
+// Identity identifies a disk. Inode and BornNS identify the file for which the identity was written;
 // they differ in a copy of the file.
 type Identity struct {
 	Group  uint64 `cbor:"Group"` // 0: the disk is waiting for admission
@@ -65,7 +65,8 @@
 	Entries   []Entry  // the entries after Compacted
 }
 
-// replicaState is the in-memory state of a replica that is not, or not yet, in the file.
+// replicaState is the state of a replica that is kept in memory. Parts of it may not be in the file
+// yet.
 type replicaState struct {
 	applied         AppliedState
 	appliedChanged  bool   // applied differs from the state in the file
@@ -136,7 +137,7 @@
 }
 
 // Identity returns the identity of the disk; the zero Identity if the store was never a replica's.
-// isCloned reports that the file is a copy of the one in which the identity was created.
+// isCloned reports that the file is a copy of the one for which the identity was written.
 func (s *Store) Identity() (identity Identity, isCloned bool) {
 	return *s.identity.Load(), s.isCloned.Load()
 }
--- a/internal/controlplane/store/transfer.go
+++ b/internal/controlplane/store/transfer.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	receivedInfix        = ".incoming-" // between a store's path and a random suffix: file of a snapshot that is received
+	receivedInfix        = ".incoming-" // in the name of a received snapshot's file, between the store's path and a random suffix
 	receivedBytesPerSync = 16 << 20     // bytes between two syncs; a single sync of a large file would block all other writers to the disk
 )
 
--- a/internal/controlplane/store/tx.go
+++ b/internal/controlplane/store/tx.go
@@ -102,10 +102,10 @@
 	return event, stored, err
 }
 
-// Events returns the events with numbers greater than after, at most most of them.
-func (v *View) Events(after int64, most int) (events []fleet.Event, err error) {
+// Events returns the events with numbers greater than after, at most limit of them.
+func (v *View) Events(after int64, limit int) (events []fleet.Event, err error) {
 	c := v.tx.Bucket(eventBucket).Cursor()
-	for k, _ := c.Seek(encodeNumber(after + 1)); k != nil && len(events) < most; k, _ = c.Next() {
+	for k, _ := c.Seek(encodeNumber(after + 1)); k != nil && len(events) < limit; k, _ = c.Next() {
 		raw, err := v.get(eventBucket, k)
 		if err != nil {
 			return nil, err
@@ -116,16 +116,16 @@
 		}
 		events = append(events, event)
 	}
-	return v.appendOverlaidEvents(events, after, most)
+	return v.appendOverlaidEvents(events, after, limit)
 }
 
 // appendOverlaidEvents appends the following events that are committed but not in the file yet.
-func (v *View) appendOverlaidEvents(events []fleet.Event, after int64, most int) ([]fleet.Event, error) {
+func (v *View) appendOverlaidEvents(events []fleet.Event, after int64, limit int) ([]fleet.Event, error) {
 	last := after
 	if len(events) > 0 {
 		last = events[len(events)-1].No
 	}
-	for len(events) < most {
+	for len(events) < limit {
 		raw, isSet := v.overlay.find(eventBucket, encodeNumber(last+1))
 		if !isSet {
 			break
