--- a/internal/controlplane/acknowledged/tracker.go
+++ b/internal/controlplane/acknowledged/tracker.go
@@ -22,8 +22,8 @@
 	requested    bool // whether it has sent a request; until then it is ignored
 }
 
-// departure is a watcher that disconnected and lacks events, or may lack later ones. Within notifiedWithinMS it connects elsewhere, or
-// stops using its state by its own clock.
+// departure is a watcher that disconnected and lacks events, or may lack later ones. Within notifiedWithinMS it either
+// reconnects elsewhere or, by its own clock, stops using its state.
 type departure struct {
 	addr         netip.Addr
 	acknowledged int64
--- a/internal/controlplane/adoption/record_test.go
+++ b/internal/controlplane/adoption/record_test.go
@@ -23,12 +23,12 @@
 			if out := rapid.IntRange(0, 8).Draw(t, "gone"); out < 4 {
 				r.MarkGone(func(id string) bool { return id != fmt.Sprint("d", out) }, now+1)
 			}
-			if rapid.Bool().Draw(t, "told") {
+			if rapid.Bool().Draw(t, "commit") {
 				last += rapid.Int64Range(1, 3).Draw(t, "events")
 				r.RecordCommitted(last, now)
 				continue
 			}
-			id, n := fmt.Sprint("d", rapid.IntRange(0, 3).Draw(t, "director")), rapid.Int64Range(0, last+2).Draw(t, "acts")
+			id, n := fmt.Sprint("d", rapid.IntRange(0, 3).Draw(t, "director")), rapid.Int64Range(0, last+2).Draw(t, "applied")
 			r.RecordApplied(id, n, now-20*ms)
 			if _, known := applied[id]; !known {
 				joined[id] = n
--- a/internal/controlplane/eventlog/log.go
+++ b/internal/controlplane/eventlog/log.go
@@ -117,8 +117,8 @@
 	if after >= l.Last() {
 		return nil, 0, nil
 	}
-	q := answerKey{after: after, membership: announced}
-	if a, found := l.cachedAnswers[q]; found {
+	key := answerKey{after: after, membership: announced}
+	if a, found := l.cachedAnswers[key]; found {
 		return a.parts, a.size, nil
 	}
 	var events [][]byte
@@ -131,7 +131,7 @@
 		events, last = l.eventsAfter(after, announced)
 	}
 	a := newAnswer(events, last)
-	l.cachedAnswers[q] = a
+	l.cachedAnswers[key] = a
 	return a.parts, a.size, nil
 }
 
