--- a/internal/controlplane/apply_test.go
+++ b/internal/controlplane/apply_test.go
@@ -126,9 +126,9 @@
 	}
 }
 
-// TestConcurrentSubmissionsBeginOneApply submits identical and different plans concurrently: exactly one apply starts, and the other
+// TestConcurrentSubmissionsStartOneApply submits identical and different plans concurrently: exactly one apply starts, and the other
 // callers are told which apply holds the lock. Once the apply has ended, a plan that was made before it is stale.
-func TestConcurrentSubmissionsBeginOneApply(t *testing.T) {
+func TestConcurrentSubmissionsStartOneApply(t *testing.T) {
 	_, c := start(t, settingsIn(t.TempDir()))
 	rules := rulesWithoutWaits()
 	check(t, notDone(applyPlan(t, c, planTo(t, c, desiredState(rules, cacheSpec(0, true), cacheSpec(1, true))))))
--- a/internal/controlplane/executor_decisions.go
+++ b/internal/controlplane/executor_decisions.go
@@ -114,7 +114,8 @@
 		reverted.Reason = reason
 		reverted.EndedMS = t.NowMS
 		reverted.RevertedBy = record.ID
-		// SetRecord releases the apply lock of the ended apply, so it must precede the acquisition of the lock by the new apply.
+		// SetRecord releases the apply lock because this apply has ended, although createApply has already passed the lock to the
+		// new apply. KeepApplyLock must therefore follow it.
 		if err := t.SetRecord(reverted); err != nil {
 			return err
 		}
--- a/internal/controlplane/health.go
+++ b/internal/controlplane/health.go
@@ -51,15 +51,15 @@
 	if len(a.HealthReport) == 0 || json.Unmarshal(a.HealthReport, &r) != nil || r.Holder != a.ID() {
 		return
 	}
-	place := health.ReporterLocation{Machine: a.Machine, Location: a.Location}
+	location := health.ReporterLocation{Machine: a.Machine, Location: a.Location}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case s.aggregator != nil:
-		s.aggregator.Apply(r, place, now)
+		s.aggregator.Apply(r, location, now)
 		s.publishIfChanged(s.aggregator.Aggregated(now), now)
 	case len(s.reports) < maxQueuedReports:
-		s.reports = append(s.reports, api.HealthReport{Report: r, ReporterLocation: place})
+		s.reports = append(s.reports, api.HealthReport{Report: r, ReporterLocation: location})
 	}
 }
 
--- a/internal/controlplane/linearizable_test.go
+++ b/internal/controlplane/linearizable_test.go
@@ -51,12 +51,12 @@
 				op := porcupine.Operation{ClientId: id, Input: purgeOp{isRead: own.IntN(3) == 0}, Call: time.Since(begin).Nanoseconds()}
 				var r purgeResult
 				if op.Input.(purgeOp).isRead {
-					w, err := c.State()
+					current, err := c.State()
 					if err != nil { // a read that failed has no outcome
 						time.Sleep(5 * time.Millisecond)
 						continue
 					}
-					r.revision = w.Fleet.Revision
+					r.revision = current.Fleet.Revision
 				} else {
 					p, err := c.Purge(fleet.Purge{Object: fmt.Sprintf("%016x", own.Uint64())})
 					r.revision = p.Revision
--- a/internal/controlplane/membership_write.go
+++ b/internal/controlplane/membership_write.go
@@ -14,7 +14,7 @@
 
 func (w membershipWrite) isEmpty() bool { return w.members == nil && len(w.readyShards) == 0 }
 
-// change returns the event's change for fleet state f, in which the event is written and which may be later than base. claimReplicas is
+// change returns the event's change for fleet state f, to which the event is applied and which may be later than base. claimReplicas is
 // the number of directors that hold each claim shard. It returns nil if another process has written the first membership since base.
 func (w membershipWrite) change(f fleet.Fleet, claimReplicas int) *fleet.MembershipChange {
 	if f.Revision != w.base.Revision && f.Membership() != nil && w.base.Membership() == nil {
@@ -31,9 +31,9 @@
 
 // reassignShards returns the claim shards whose replicas change as a result of a change of the members.
 func reassignShards(f fleet.Fleet, change fleet.MembershipChange, claimReplicas int) []fleet.ShardChange {
-	places := claimCandidates(membersAfter(f, change))
+	candidates := claimCandidates(membersAfter(f, change))
 	shards := make([]claims.ShardState, fleet.ShardCount)
-	inUse := len(places) > 0
+	inUse := len(candidates) > 0
 	for i := range shards {
 		s := f.Shard(i)
 		shards[i] = claims.ShardState{Shard: i, Epoch: s.Epoch, Replicas: s.Replicas, PreviousReplicas: s.PreviousReplicas}
@@ -43,7 +43,7 @@
 		return nil
 	}
 	var changes []fleet.ShardChange
-	for _, s := range claims.Reassign(shards, claimReplicas, places) {
+	for _, s := range claims.Reassign(shards, claimReplicas, candidates) {
 		changes = append(changes, fleet.ShardChange{Shard: s.Shard, Replicas: s.Replicas, PreviousReplicas: s.PreviousReplicas})
 	}
 	return changes
@@ -66,11 +66,11 @@
 
 // claimCandidates returns the members that can hold claims.
 func claimCandidates(members map[string]fleet.Director) []claims.ShardCandidate {
-	var places []claims.ShardCandidate
+	var candidates []claims.ShardCandidate
 	for id, d := range members {
 		if d.Claims != "" {
-			places = append(places, claims.ShardCandidate{ID: id, Name: d.Name, Machine: d.Machine, Site: d.Site})
+			candidates = append(candidates, claims.ShardCandidate{ID: id, Name: d.Name, Machine: d.Machine, Site: d.Site})
 		}
 	}
-	return places
+	return candidates
 }
--- a/internal/controlplane/relay_leases.go
+++ b/internal/controlplane/relay_leases.go
@@ -46,23 +46,24 @@
 }
 
 // acknowledged returns the lowest revision that all watchers of a standalone control plane have acknowledged. own is the revision
-// acknowledged by the watchers of the server itself. Watchers of a relay that has fallen silent count as notified after within.
-func (l *relayLeases) acknowledged(own int64, within time.Duration) int64 {
+// acknowledged by the watchers of the server itself. Watchers of a relay whose lease has expired count as having acknowledged
+// all events after a further notifiedWithin.
+func (l *relayLeases) acknowledged(own int64, notifiedWithin time.Duration) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.lessor.Acknowledged(own, replicas.Now(), within)
+	return l.lessor.Acknowledged(own, replicas.Now(), notifiedWithin)
 }
 
 // acknowledgedRevision returns the revision up to which every director has received all events, including the directors behind relays.
 // It is 0 for a short time after a change of leader, while some directors may still be unknown.
 func (s *Server) acknowledgedRevision() int64 {
 	own := s.watchedRevision()
-	within := time.Duration(s.store.Fleet().Rules().NotifiedWithinMS) * time.Millisecond
-	if s.settings.Relays && within > 0 && !s.directors.earlierLeasesExpired() {
+	notifiedWithin := time.Duration(s.store.Fleet().Rules().NotifiedWithinMS) * time.Millisecond
+	if s.settings.Relays && notifiedWithin > 0 && !s.directors.earlierLeasesExpired() {
 		return 0
 	}
 	if s.group != nil {
 		return own
 	}
-	return s.relayLeases.acknowledged(own, within)
+	return s.relayLeases.acknowledged(own, notifiedWithin)
 }
--- a/internal/controlplane/relay_requests_test.go
+++ b/internal/controlplane/relay_requests_test.go
@@ -109,7 +109,7 @@
 		_, err := c.Purge(fleet.Purge{Object: fmt.Sprintf("%016x", i)})
 		check(t, err)
 	}
-	waitUntil(t, "the membership begins", s.directors.earlierLeasesExpired)
+	waitUntil(t, "the leases of an earlier leader have expired", s.directors.earlierLeasesExpired)
 	r := newTestRelay(t, s, "r1", 7, 40)
 	if a := r.call(); a.Snapshot == nil || a.LeaseMS != 0 || !a.NeedFull {
 		t.Fatalf("%+v", a)
@@ -142,7 +142,7 @@
 // director that lags is reported.
 func TestAcknowledgedWaitsForRelays(t *testing.T) {
 	s, c := start(t, settingsIn(t.TempDir()))
-	waitUntil(t, "the membership begins", s.directors.earlierLeasesExpired)
+	waitUntil(t, "the leases of an earlier leader have expired", s.directors.earlierLeasesExpired)
 	r := newTestRelay(t, s, "r1", 7, 3)
 	r.callUntil("all are members", func() bool { return len(s.directors.Members().Directors) == 3 })
 	r.behind["d-1"] = r.revision
@@ -171,7 +171,7 @@
 // reports are aggregated and answered.
 func TestRelayRequestsRejected(t *testing.T) {
 	s, _ := start(t, settingsIn(t.TempDir()))
-	waitUntil(t, "the membership begins", s.directors.earlierLeasesExpired)
+	waitUntil(t, "the leases of an earlier leader have expired", s.directors.earlierLeasesExpired)
 	r := newTestRelay(t, s, "r1", 7, 1)
 	r.call()
 	kind := func(body []byte, code int) string {
@@ -232,7 +232,7 @@
 	for _, directors := range []int{50, 100, 200, 400, 800} {
 		b.Run(fmt.Sprint(directors), func(b *testing.B) {
 			s, _ := start(b, settingsIn(b.TempDir()))
-			waitUntil(b, "the membership begins", s.directors.earlierLeasesExpired)
+			waitUntil(b, "the leases of an earlier leader have expired", s.directors.earlierLeasesExpired)
 			r := newTestRelay(b, s, "r1", 7, directors)
 			r.callUntil("all are members", func() bool { return len(s.directors.Members().Directors) == directors })
 			size := 0
--- a/internal/controlplane/tls_test.go
+++ b/internal/controlplane/tls_test.go
@@ -145,7 +145,7 @@
 	other.issue("relay", other.cert, other.key)
 	s := startOverTLS(t, own)
 	check(t, storePurge(s.store, 1))
-	begin := func(a *authority, name string) netip.AddrPort {
+	startRelay := func(a *authority, name string) netip.AddrPort {
 		set := operatorconfig.DefaultRelay()
 		set.Name = name
 		set.Listen = loopback()
@@ -158,7 +158,7 @@
 		check(t, err)
 		return addr
 	}
-	untrusted, trusted := begin(other, "strange"), begin(own, "known")
+	untrusted, trusted := startRelay(other, "strange"), startRelay(own, "known")
 	serves := func(addr netip.AddrPort) bool {
 		d, err := watchtest.Dial(addr, "d", testTimeout)
 		check(t, err)
