--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -20,8 +20,8 @@
 }
 
 // Renew handles a renewal and returns the grant to reply with. The grant has no Seq if the renewal is a duplicate or late, or while the
-// allocator waits for the grants of an earlier one to expire. Holders ignore such a grant, so the grants they have stay in force and
-// counted. The cost of a call does not grow with the number of holders, except for semaphores.
+// allocator waits for the grants of an earlier one to expire. Holders ignore such a grant, so their previous grants stay in force and
+// are still counted. The cost of a call does not grow with the number of holders, except for semaphores.
 func (a *Allocator) Renew(r Renewal, now time.Duration) Grant {
 	grant := Grant{Holder: r.Holder, Epoch: a.epoch}
 	if !a.accept(r) {
--- a/internal/quota/holder.go
+++ b/internal/quota/holder.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// Want sets the holder's demand of a limit. A demand of 0 releases the limit.
+// Want sets the holder's demand for a limit. A demand of 0 releases the limit.
 func (h *Holder) Want(w Want) {
 	if w.Demand <= 0 {
 		if _, found := h.wants[w.Limit]; found {
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -13,7 +13,7 @@
 	Semaphore Kind = "turns"
 )
 
-// Want is a holder's demand of a limit. For a rate, Demand is a fraction of the limit. For a semaphore, a Demand above 0 acquires it
+// Want is a holder's demand for a limit. For a rate, Demand is a fraction of the limit. For a semaphore, a Demand above 0 acquires it
 // or waits for it, and 0 releases it.
 type Want struct {
 	Limit      string  `json:"limit"`
@@ -29,7 +29,7 @@
 	InUse uint64 `json:"taken,omitempty"`
 }
 
-// Group is a number of holders with about the same demand of a limit.
+// Group is a number of holders with about the same demand for a limit.
 type Group struct {
 	Demand float64 `json:"demand"` // of each holder, as a fraction of the limit
 	Count  int     `json:"count"`
@@ -82,7 +82,7 @@
 	Fallback float64 `json:"fallback,omitempty"`
 }
 
-// Allocation is a holder's demand and share in force of a limit, as counted by the allocator.
+// Allocation is a holder's demand for a limit and its share in force, as counted by the allocator.
 type Allocation struct {
 	Limit    string        `json:"limit"`
 	Kind     Kind          `json:"kind"`
--- a/internal/quota/node.go
+++ b/internal/quota/node.go
@@ -12,8 +12,8 @@
 //
 // At any time, all holders of the tree together may use at most the shared part of a limit, because
 //   - grants of a node expire before its own lease: it grants nothing when too little of the lease is left;
-//   - after a node's share has decreased, the root counts the old size until the node's renewals name the new grant as in use, which
-//     they do once everything that the node's holders may still use fits into it;
+//   - after a node's share has decreased, the root counts the previous share until the node's renewals name the new grant as in use,
+//     which they do once everything that the node's holders may still use fits into it;
 //   - the fallback granted by the root is a reserve that the node divides by the same rules. It is counted in full for the node's
 //     lease, within which the node grants from it, and decreases from then on, no faster than that of any of the node's holders.
 //
--- a/internal/quota/node_test.go
+++ b/internal/quota/node_test.go
@@ -97,10 +97,10 @@
 	}
 }
 
-// TestSilentShareEndsBySlowestClock checks the share of a leaf that stops sending renewals, and that of a node that stops while its leaf
-// continues. The share must not be granted to another leaf before it expires by the slowest clock, and must be in use by another leaf
-// soon after.
-func TestSilentShareEndsBySlowestClock(t *testing.T) {
+// TestShareOfSilentHolderExpiresBySlowestClock checks the share of a leaf that stops sending renewals, and that of a node that stops
+// while its leaf continues. The share must not be granted to another leaf before it expires by the slowest clock, and must be in use by
+// another leaf soon after.
+func TestShareOfSilentHolderExpiresBySlowestClock(t *testing.T) {
 	for _, behindNode := range []bool{false, true} {
 		tr := newFaultlessTree(1, 2)
 		silent, other := tr.leaves[2], tr.leaves[1]
@@ -213,8 +213,8 @@
 func TestGrantsOfSeveralSources(t *testing.T) {
 	leaf := NewHolder("d", treeSettings())
 	for i, x := range []struct {
-		grant Grant
-		taken bool
+		grant   Grant
+		isInUse bool
 	}{
 		{Grant{Epoch: 2, Seq: 1}, true},
 		{Grant{Epoch: 1, Seq: 2}, false},
@@ -228,8 +228,8 @@
 	} {
 		leaf.Renewal(0)
 		x.grant.Holder = "d"
-		if taken := leaf.Apply(x.grant, 0); taken != x.taken {
-			t.Errorf("%d: %+v: taken %v", i, x.grant, taken)
+		if isInUse := leaf.Apply(x.grant, 0); isInUse != x.isInUse {
+			t.Errorf("%d: %+v: in use %v", i, x.grant, isInUse)
 		}
 	}
 }
--- a/internal/quota/settings.go
+++ b/internal/quota/settings.go
@@ -25,7 +25,7 @@
 	FallbackFade time.Duration
 	// Floor is the minimum share of each holder with a demand, as a fraction of an even share.
 	Floor float64
-	// MinChange is the smallest change of a share that is made, as a fraction of the share.
+	// MinChange is the smallest change for which a holder's share is adjusted, as a fraction of the share.
 	MinChange float64
 	// NodeLease is the lease of nodes for the shares that they get from the allocator and divide. It must exceed Lease by the
 	// time that a reply of the allocator may take plus several renewal intervals. If it is 0, there are no nodes.
--- a/internal/quota/tree_test.go
+++ b/internal/quota/tree_test.go
@@ -124,7 +124,7 @@
 }
 
 // renewRoot sends a renewal to the root or, at random while it still replies, to the previous root.
-func (t *tree) renewRoot(from *process, r Renewal, take func(Grant)) {
+func (t *tree) renewRoot(from *process, r Renewal, apply func(Grant)) {
 	root := t.root
 	if t.now < t.oldRootUntil && t.rng.IntN(2) == 0 {
 		root = t.oldRoot
@@ -132,7 +132,7 @@
 	t.send(from, root, func() {
 		if root == t.root || t.now < t.oldRootUntil {
 			g := root.root.Renew(r, t.clock(root))
-			t.send(root, from, func() { take(g) })
+			t.send(root, from, func() { apply(g) })
 		}
 	})
 }
@@ -151,15 +151,15 @@
 
 func (t *tree) renewLeaf(p *process) {
 	r := t.renewal(p)
-	take := func(g Grant) { p.leaf.Apply(g, t.clock(p)) }
+	apply := func(g Grant) { p.leaf.Apply(g, t.clock(p)) }
 	if p.parent == len(t.nodes) {
-		t.renewRoot(p, r, take)
+		t.renewRoot(p, r, apply)
 		return
 	}
 	node := t.nodes[p.parent]
 	t.send(p, node, func() {
 		g := node.node.Renew(r, t.clock(node))
-		t.send(node, p, func() { take(g) })
+		t.send(node, p, func() { apply(g) })
 	})
 }
 
