--- a/internal/health/messages.go
+++ b/internal/health/messages.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Settings configures aggregation and trackers. They must be the same for the leader and all directors.
+// Settings configures aggregators, reporters and trackers. It must be the same for the leader and all directors.
 type Settings struct {
 	// AttemptWeight is the weight of one attempt in a director's smoothed share of failures. Smoothing is by attempts and not by
 	// time: the last few attempts count, however long ago they were.
--- a/internal/health/vote.go
+++ b/internal/health/vote.go
@@ -15,9 +15,9 @@
 
 // aggregate computes the health of a cache from the votes of machines. enough is false if too few machines report on it.
 //
-// A third of the machines that could report on the cache may be faulty. So that many of the votes, those with the highest shares of
-// failures, are discarded and the rest are averaged: faulty machines alone cannot cause the cache to be suspected. The latest failure
-// times are discarded in the same way, so that faulty machines cannot prolong a suspicion.
+// Fewer than a third of the machines that could report on the cache are assumed to be faulty. That number of votes, those with the
+// highest shares of failures, is discarded and the rest are averaged, so faulty machines alone cannot cause the cache to be suspected.
+// The latest failure times are discarded in the same way, so that faulty machines cannot prolong a suspicion.
 func (a *Aggregator) aggregate(cache string, now time.Duration) (c CacheHealth, enough bool) {
 	votes, reporters := a.votes(cache, now)
 	c = CacheHealth{Cache: cache, Machines: len(votes)}
@@ -69,7 +69,7 @@
 }
 
 // eligibleMachines returns the number of machines that could report on a cache: the active machines of each location where more than a
-// third of them report on it. So a few faulty machines cannot make a location count that does not use the cache.
+// third of them report on it. So a few faulty machines cannot cause a location that does not use the cache to be counted.
 func (a *Aggregator) eligibleMachines(reporters map[ReporterLocation]bool, now time.Duration) int {
 	eligible := 0
 	for location, machines := range a.machines {
