--- a/internal/claims/doc.go
+++ b/internal/claims/doc.go
@@ -1,5 +1,5 @@
-// Package claims manages idempotency claims for requests that carry an idempotency key. A claim ensures that, within its window, a
-// token is executed in only one group of caches, even if the director that sent the request is lost.
+// Package claims manages idempotency claims for requests that carry an idempotency key. A claim ensures that, within its window,
+// requests with the same key (the token) are executed in only one group of caches, even if the director that sent them is lost.
 //
 // Claims are sharded by token. For each epoch of a shard, the event log assigns the directors that are its replicas; the first
 // replica is the primary. Claims themselves are never written to the event log: directors replicate them among themselves.
--- a/internal/claims/messages.go
+++ b/internal/claims/messages.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Claim restricts the execution of a token to one group of caches.
+// Claim restricts the execution of requests with a token to one group of caches.
 type Claim struct {
 	Token   string
 	Object  uint64
--- a/internal/claims/wire.go
+++ b/internal/claims/wire.go
@@ -52,7 +52,7 @@
 		bulks = append(bulks, b)
 	}
 	if len(bulks) > MaxBulks {
-		return nil, fmt.Errorf("claims: %d claims of one shard exceed the size of a message", len(m.Claims))
+		return nil, fmt.Errorf("claims: %d claims of one shard exceed the maximum size of a message", len(m.Claims))
 	}
 	return bulks, nil
 }
