--- a/internal/claims/exploration_test.go
+++ b/internal/claims/exploration_test.go
@@ -9,12 +9,12 @@
 // different groups. Each step is one of several choices: a message arrives or is lost, a director's clock advances, the primary
 // fails, or a director applies the membership change that follows.
 type exploration struct {
-	nodes       map[string]*Node
-	inFlight    []inFlightMessage
-	now         time.Duration
-	primaryDead bool
-	applied     map[string]bool
-	groups      map[string]bool // groups that have executed the token
+	nodes         map[string]*Node
+	inFlight      []inFlightMessage
+	now           time.Duration
+	primaryFailed bool
+	applied       map[string]bool
+	groups        map[string]bool // groups that have executed the token
 }
 
 func newExploration() *exploration {
@@ -66,7 +66,7 @@
 	if c < 2*len(e.inFlight) {
 		f := e.inFlight[c/2]
 		e.inFlight = append(append([]inFlightMessage(nil), e.inFlight[:c/2]...), e.inFlight[c/2+1:]...)
-		if c%2 == 0 && (!e.primaryDead || f.to != "a") {
+		if c%2 == 0 && (!e.primaryFailed || f.to != "a") {
 			e.nodes[f.to].Receive(f.from, f.message, e.now)
 			e.deliver(f.to)
 		}
@@ -76,15 +76,15 @@
 	case c < 3:
 		id := string(rune('a' + c))
 		e.now += 50 * ms
-		if !e.primaryDead || id != "a" {
+		if !e.primaryFailed || id != "a" {
 			e.nodes[id].Tick(e.now)
 			e.deliver(id)
 		}
 	case c == 3:
-		e.primaryDead = true
+		e.primaryFailed = true
 	default: // the primary is removed from the membership only after its lease
 		id := string(rune('b' + c - 4))
-		if e.primaryDead && !e.applied[id] {
+		if e.primaryFailed && !e.applied[id] {
 			e.applied[id] = true
 			next := ShardState{Epoch: 2, Replicas: []string{"b", "c"}, PreviousReplicas: []string{"a", "b"}}
 			e.nodes[id].ApplyMembership(nil, []string{"a"}, false, []ShardState{next}, e.now)
@@ -96,7 +96,7 @@
 // TestNoTokenRunsInTwoGroupsInAnyOrder explores all sequences of choices up to a depth: a token must never be executed in two groups.
 // STAIRVANE_DEPTH overrides the depth.
 func TestNoTokenRunsInTwoGroupsInAnyOrder(t *testing.T) {
-	depth, sequences, most := intFromEnv("STAIRVANE_DEPTH", 5), 0, 0
+	depth, sequences, maxGroups := intFromEnv("STAIRVANE_DEPTH", 5), 0, 0
 	var walk func(path []int)
 	walk = func(path []int) {
 		e := newExploration()
@@ -104,7 +104,7 @@
 			e.apply(c)
 		}
 		sequences++
-		most = max(most, len(e.groups))
+		maxGroups = max(maxGroups, len(e.groups))
 		if len(e.groups) > 1 {
 			t.Fatalf("choices %v: the token is executed in the groups %v", path, e.groups)
 		}
@@ -115,8 +115,8 @@
 		}
 	}
 	walk(nil)
-	t.Logf("%d states", sequences)
-	if most != 1 {
+	t.Logf("%d sequences", sequences)
+	if maxGroups != 1 {
 		t.Error("the token is never executed")
 	}
 }
