--- a/internal/controlplane/membership/changes_test.go
+++ b/internal/controlplane/membership/changes_test.go
@@ -45,8 +45,9 @@
 	return c
 }
 
-// Directors that start together must join with a few events. A silent director is removed once its lease has expired by any clock,
-// and not before; a director that announces that it is leaving is removed immediately.
+// TestChangesAreGatheredAndExpiryFollowsLease checks that directors that start together join with a few events, that a silent
+// director is removed once its lease has expired by any clock and not before, and that a director that announces that it is
+// leaving is removed immediately.
 func TestChangesAreGatheredAndExpiryFollowsLease(t *testing.T) {
 	h := newHarness(t)
 	for i := range 300 {
@@ -80,7 +81,8 @@
 	}
 }
 
-// A second process with the same name must not become a member while the first is one: the first may hold claims.
+// TestSecondProcessUnderOneNameWaits checks that a second process with the same name does not become a member while the first is
+// one: the first may hold claims.
 func TestSecondProcessUnderOneNameWaits(t *testing.T) {
 	h := newHarness(t)
 	h.now += 200 * ms
@@ -102,7 +104,8 @@
 	}
 }
 
-// A change of leader must not remove members by itself: the new leader gives each of them a full lease.
+// TestResetKeepsMembersForOneLease checks that a change of leader does not remove members by itself: the new leader gives each of
+// them a full lease.
 func TestResetKeepsMembersForOneLease(t *testing.T) {
 	h := newHarness(t)
 	h.now += 200 * ms
--- a/internal/controlplane/membership/sessions_test.go
+++ b/internal/controlplane/membership/sessions_test.go
@@ -46,8 +46,8 @@
 
 func noChange(*Update) {}
 
-// A full list that is sent in several updates is complete only after the last of them. Until then, no director that the relay may
-// serve is removed; afterwards, the directors that the list did not include are.
+// TestFullListInSeveralUpdates checks that a full list that is sent in several updates is complete only after the last of them.
+// Until then, no director that the relay may serve is removed; afterwards, the directors that the list did not include are.
 func TestFullListInSeveralUpdates(t *testing.T) {
 	h := newRelayHarness(t)
 	first, second := newRelayClient(h, 1), newRelayClient(h, 2)
@@ -87,7 +87,8 @@
 	}
 }
 
-// A director that leaves is removed immediately, and a relay that it called earlier cannot add it again.
+// TestLeaveThroughRelay checks that a director that leaves is removed immediately, and that a relay that it called earlier cannot
+// add it again.
 func TestLeaveThroughRelay(t *testing.T) {
 	h := newRelayHarness(t)
 	first, second := newRelayClient(h, 1), newRelayClient(h, 2)
@@ -108,7 +109,8 @@
 	}
 }
 
-// Duplicate updates, updates that are too large, and sessions beyond the limit are rejected.
+// TestInvalidUpdatesRejected checks that duplicate updates, updates that are too large, and sessions beyond the limit are
+// rejected.
 func TestInvalidUpdatesRejected(t *testing.T) {
 	h := newRelayHarness(t)
 	for i := range MaxSessions {
@@ -130,7 +132,8 @@
 	}
 }
 
-// A full list that was created for the previous leader must not be applied: later changes were reported to that leader only.
+// TestFullListForPreviousLeaderIgnored checks that a full list that was created for the previous leader is not applied: later
+// changes were reported to that leader only.
 func TestFullListForPreviousLeaderIgnored(t *testing.T) {
 	h := newRelayHarness(t)
 	u := newRelayClient(h, 1)
@@ -147,8 +150,9 @@
 	}
 }
 
-// Two relays lose a director, and the second had not reported that it served the director. The director may have moved from the
-// second relay to a third after the third relay's last update, so it must not be removed before the third relay has reported.
+// TestDirectorLostByUnreportedRelayIsKept covers two relays that lose a director, of which the second had not reported that it
+// served the director. The director may have moved from the second relay to a third after the third relay's last update, so it
+// must not be removed before the third relay has reported.
 func TestDirectorLostByUnreportedRelayIsKept(t *testing.T) {
 	h := newRelayHarness(t)
 	first, second, third := newRelayClient(h, 1), newRelayClient(h, 2), newRelayClient(h, 3)
@@ -191,8 +195,9 @@
 	}
 }
 
-// A director that a relay has lost may have moved to a replica that has not reported it yet, so it is kept for the lease of a
-// replica. A director that returns to a replica after an hour with a relay is removed after the same time as any other.
+// TestLeaseBetweenRelaysAndReplicas checks that a director that a relay has lost is kept for the lease of a replica, because it
+// may have moved to a replica that has not reported it yet. A director that returns to a replica after an hour with a relay must
+// be removed after the same time as any other.
 func TestLeaseBetweenRelaysAndReplicas(t *testing.T) {
 	h := newRelayHarness(t)
 	u := newRelayClient(h, 1)
