--- a/internal/controlplane/relayserver/server_test.go
+++ b/internal/controlplane/relayserver/server_test.go
@@ -153,7 +153,7 @@
 	return nil
 }
 
-// A relay must not answer directors before it has all events and a lease.
+// TestRelayServesOnlyWithAllEventsAndLease checks that a relay does not answer directors before it has all events and a lease.
 func TestRelayServesOnlyWithAllEventsAndLease(t *testing.T) {
 	l := newReplica(t, unavailableAnswer)
 	r := startRelay(t, l)
@@ -177,7 +177,8 @@
 	}
 }
 
-// A snapshot replaces the events that a relay has; later events follow the snapshot.
+// TestSnapshotReplacesEvents checks that a snapshot replaces the events that a relay has, and that later events follow the
+// snapshot.
 func TestSnapshotReplacesEvents(t *testing.T) {
 	source, err := newEventLog(10)
 	check(t, err)
@@ -203,7 +204,8 @@
 	}
 }
 
-// A relay that loses its lease closes its watchers, and serves again once it regains a lease.
+// TestWatchersClosedWithoutLease checks that a relay that loses its lease closes its watchers, and serves again once it regains a
+// lease.
 func TestWatchersClosedWithoutLease(t *testing.T) {
 	l := newReplica(t, leaderAnswer(purges(1, 3), 100))
 	r := startRelay(t, l)
@@ -222,7 +224,7 @@
 	}
 }
 
-// A relay finds the leader among the replicas, also after a change of leader.
+// TestLeaderIsFoundAfterChange checks that a relay finds the leader among the replicas, also after a change of leader.
 func TestLeaderIsFoundAfterChange(t *testing.T) {
 	a, b, c := newReplica(t, notLeaderAnswer), newReplica(t, leaderAnswer(purges(1, 1), 100)), newReplica(t, notLeaderAnswer)
 	r := startRelay(t, a, b, c)
@@ -236,7 +238,8 @@
 	}
 }
 
-// Events after a gap must never be published: the relay closes its watchers and restarts with an empty log.
+// TestGapInEventsIsNotPublished checks that events after a gap are never published: the relay closes its watchers and restarts
+// with an empty log.
 func TestGapInEventsIsNotPublished(t *testing.T) {
 	l := newReplica(t, leaderAnswer(purges(1, 3), 100))
 	r := startRelay(t, l)
@@ -263,7 +266,8 @@
 	}
 }
 
-// A relay that shuts down gracefully closes its watchers without answering them, and stops.
+// TestLeaveClosesWatchersAndEnds checks that a relay that shuts down gracefully closes its watchers without answering them, and
+// stops.
 func TestLeaveClosesWatchersAndEnds(t *testing.T) {
 	l := newReplica(t, leaderAnswer(purges(1, 3), 100))
 	r := startRelay(t, l)
@@ -280,7 +284,7 @@
 	}
 }
 
-// Events that the log already has are skipped. After a gap the log is unchanged.
+// TestEventLogSkipsKnownEvents checks that events that the log already has are skipped, and that the log is unchanged after a gap.
 func TestEventLogSkipsKnownEvents(t *testing.T) {
 	l, err := newEventLog(10)
 	check(t, err)
