--- a/internal/controlplane/watch/watch_test.go
+++ b/internal/controlplane/watch/watch_test.go
@@ -127,7 +127,8 @@
 	return status, len(response.Events)
 }
 
-// Events that occur shortly after an answer are sent in one answer. An event after a quiet period is answered immediately.
+// TestGatherBatchesEventsInARow checks that events that occur shortly after an answer are sent in one answer, and that an event
+// after a quiet period is answered immediately.
 func TestGatherBatchesEventsInARow(t *testing.T) {
 	const gather = time.Second
 	p := startServer(t, Settings{Gather: gather})
@@ -162,7 +163,7 @@
 	}
 }
 
-// Settings.Gather must not extend a wait beyond the time that the client requested.
+// TestGatherDoesNotExtendTheWait checks that Settings.Gather does not extend a wait beyond the time that the client requested.
 func TestGatherDoesNotExtendTheWait(t *testing.T) {
 	const gather = 5 * time.Second
 	p := startServer(t, Settings{Gather: gather})
@@ -241,8 +242,8 @@
 	}
 }
 
-// A client that is not admitted is answered only once its request is complete: an HTTP client that receives a response before it
-// has sent a request treats the connection as broken.
+// TestRejectionAnswersTheRequest checks that a client that is not admitted is answered only once its request is complete: an HTTP
+// client that receives a response before it has sent a request treats the connection as broken.
 func TestRejectionAnswersTheRequest(t *testing.T) {
 	p := startServer(t, Settings{})
 	p.leaseLost.Store(true)
