--- a/internal/controlplane/relaysession/model_test.go
+++ b/internal/controlplane/relaysession/model_test.go
@@ -383,8 +383,9 @@
 	}
 }
 
-// For any sequence of message, relay and leader faults: a director within its lease is never removed, a director that has ended is
-// removed within a bound, and the acknowledged revision never exceeds the revision of any director within its lease.
+// TestModel checks that for any sequence of message, relay and leader faults, a director within its lease is never removed, a
+// director that has stopped is removed within a bounded time, and the acknowledged revision never exceeds the revision of any
+// director within its lease.
 func TestModel(t *testing.T) {
 	removedCount, longestRemoval := 0, time.Duration(0)
 	for seed := *firstSeed; seed < *firstSeed+*seeds; seed++ {
--- a/internal/controlplane/relaysession/session_test.go
+++ b/internal/controlplane/relaysession/session_test.go
@@ -49,7 +49,7 @@
 }
 func (f *fakeQuota) Sweep(time.Duration) {}
 
-// In steady state, a request for 400 directors must be smaller than 2 KB.
+// TestSteadyRequestIsSmall checks that, in steady state, a request for 400 directors is smaller than 2 KB.
 func TestSteadyRequestIsSmall(t *testing.T) {
 	s, now := New(testSettings, &fakeQuota{}), time.Hour
 	for i := range 400 {
@@ -78,8 +78,8 @@
 	}
 }
 
-// A change is repeated until a request that includes it is answered. An answer to an earlier request, or a duplicate answer,
-// confirms nothing.
+// TestChangesAreRepeatedUntilAnswered checks that a change is repeated until a request that includes it is answered. An answer to
+// an earlier request, or a duplicate answer, must confirm nothing.
 func TestChangesAreRepeatedUntilAnswered(t *testing.T) {
 	s, now := New(testSettings, nil), time.Hour
 	s.RecordWatchRequest(announcement(1), 5, now)
@@ -113,7 +113,8 @@
 	}
 }
 
-// The state of a session and each message are bounded. What does not fit into a request is sent in later ones.
+// TestSessionAndMessageBounds checks that the state of a session and each message are bounded, and that what does not fit into a
+// request is sent in later ones.
 func TestSessionAndMessageBounds(t *testing.T) {
 	s, now := New(testSettings, nil), time.Hour
 	for i := range MaxDirectors + 1 {
@@ -158,7 +159,7 @@
 	}
 }
 
-// A director receives each quota grant and each aggregated health result once.
+// TestGrantsAndHealth checks that a director receives each quota grant and each aggregated health result once.
 func TestGrantsAndHealth(t *testing.T) {
 	q := &fakeQuota{}
 	s, now := New(testSettings, q), time.Hour
@@ -182,7 +183,8 @@
 	}
 }
 
-// A director is lost once its lease has expired by any clock within the drift, and not before.
+// TestDirectorLostAfterLease checks that a director is lost once its lease has expired by any clock within the drift, and not
+// before.
 func TestDirectorLostAfterLease(t *testing.T) {
 	s, now := New(testSettings, nil), time.Hour
 	s.RecordWatchRequest(announcement(1), 1, now)
