--- a/internal/protocol/discovery/client_test.go
+++ b/internal/protocol/discovery/client_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A response that arrives in pieces must be parsed correctly.
+// TestResponseInAnyPieces checks that a response that arrives in pieces is parsed correctly.
 func TestResponseInAnyPieces(t *testing.T) {
 	for _, text := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 21\r\n\r\n{\"no\":4,\"items\":[]}  ",
@@ -26,7 +26,7 @@
 	}
 }
 
-// A malformed response must be neither accepted nor treated as incomplete forever.
+// TestMalformedResponses checks that a malformed response is neither accepted nor treated as incomplete forever.
 func TestMalformedResponses(t *testing.T) {
 	for _, text := range []string{
 		"SMTP 200\r\n\r\n", "HTTP/1.1 abc\r\n\r\n", "HTTP/1.1 200 OK\r\nno colon\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\n",
@@ -54,7 +54,7 @@
 	})
 }
 
-// A malformed event must not hide other events: each event is either decoded or reported as malformed.
+// FuzzDecode checks that a malformed event does not hide other events: each event is either decoded or reported as malformed.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`{"no":3,"items":[{"no":1,"roster":{"seq":1,"whole":true,"hosts":[]}},{"no":2,"recall":{"lot":"x"}},{"no":3}]}`))
 	f.Add([]byte(`{"no":1,"items":[7,{"no":"one"},null]}`))
--- a/internal/protocol/discovery/server_test.go
+++ b/internal/protocol/discovery/server_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A watch request that arrives in pieces must be parsed correctly.
+// TestWatchRequestInAnyPieces checks that a watch request that arrives in pieces is parsed correctly.
 func TestWatchRequestInAnyPieces(t *testing.T) {
 	text := string(AppendRequest(nil, "127.0.0.1:8500", 41, 7000, nil))
 	for n := range len(text) {
@@ -19,7 +19,7 @@
 	}
 }
 
-// A malformed watch request must be rejected with the expected status.
+// TestRejectedWatchRequests checks that a malformed watch request is rejected with the expected status.
 func TestRejectedWatchRequests(t *testing.T) {
 	for text, status := range map[string]int{
 		"GET /bulletins HTTP/1.1\r\nContent-Length: 3\r\n\r\n":    400,
@@ -39,7 +39,7 @@
 	}
 }
 
-// Directors must be able to decode the events that the control plane encodes.
+// TestEventsAreDecodedAsEncoded checks that directors can decode the events that the control plane encodes.
 func TestEventsAreDecodedAsEncoded(t *testing.T) {
 	group := 17
 	var body []byte
