--- a/internal/controlplane/replicas/introduction.go
+++ b/internal/controlplane/replicas/introduction.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// confirmMembership asks another replica whether this disk was removed. If it was, call excludes the
-// disk.
+// confirmMembership asks another replica whether this disk was removed. If it was, peer.call excludes
+// the disk.
 func (p *peer) confirmMembership() {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
--- a/internal/controlplane/replicas/membership.go
+++ b/internal/controlplane/replicas/membership.go
@@ -27,22 +27,22 @@
 // ChangeMembers starts the membership change or leadership transfer that an operator requests. It
 // must be called at the leader. It returns store.ErrNotLeader, store.ErrClosed, replica.ErrBusy, or
 // a *replica.RejectedError.
-func (g *Group) ChangeMembers(order api.ReplicaChange) error {
+func (g *Group) ChangeMembers(change api.ReplicaChange) error {
 	result := make(chan error, 1)
-	if !g.runOnLoop(func() { result <- g.changeMembers(order) }) {
+	if !g.runOnLoop(func() { result <- g.changeMembers(change) }) {
 		return store.ErrClosed
 	}
 	return <-result
 }
 
-func (g *Group) changeMembers(order api.ReplicaChange) error {
+func (g *Group) changeMembers(change api.ReplicaChange) error {
 	if g.driver == nil || !g.isLeader {
 		return store.ErrNotLeader
 	}
-	if order.Action == actionTransferLeadership {
-		return g.transferLeadership(order.Name)
+	if change.Action == actionTransferLeadership {
+		return g.transferLeadership(change.Name)
 	}
-	c, err := g.resolveChange(order)
+	c, err := g.resolveChange(change)
 	if err != nil || c == nil {
 		return err
 	}
@@ -51,21 +51,21 @@
 
 // resolveChange returns the membership change for an operator's request. It returns nil if the
 // change is already made.
-func (g *Group) resolveChange(order api.ReplicaChange) (*replica.Change, error) {
+func (g *Group) resolveChange(change api.ReplicaChange) (*replica.Change, error) {
 	view := g.view()
-	switch order.Action {
+	switch change.Action {
 	case actionAdd:
-		return view.Add(order.Name, g.joinRequests[order.Name])
+		return view.Add(change.Name, g.joinRequests[change.Name])
 	case actionRemove:
-		return view.Remove(order.Name, order.AllowLowerTolerance)
+		return view.Remove(change.Name, change.AllowLowerTolerance)
 	case actionReplace:
-		replacement := order.Replacement
+		replacement := change.Replacement
 		if replacement == "" {
-			replacement = order.Name
+			replacement = change.Name
 		}
-		return view.Replace(order.Name, replacement, g.joinRequests[replacement])
+		return view.Replace(change.Name, replacement, g.joinRequests[replacement])
 	}
-	return nil, &replica.RejectedError{Reason: fmt.Sprintf("nothing is called %q", order.Action)}
+	return nil, &replica.RejectedError{Reason: fmt.Sprintf("unknown action %q", change.Action)}
 }
 
 func (g *Group) transferLeadership(name string) error {
--- a/internal/controlplane/replicas/tick.go
+++ b/internal/controlplane/replicas/tick.go
@@ -69,7 +69,7 @@
 	revision int64
 }
 
-// add records a revision, and drops those that were superseded more than a lease duration ago.
+// add records a revision, and drops those that were superseded at least a lease duration ago.
 func (h *revisionHistory) add(now time.Duration, revision int64, lease time.Duration) {
 	*h = append(*h, revisionAt{at: now, revision: revision})
 	for len(*h) > 1 && (*h)[1].at <= now-lease {
--- a/internal/controlplane/replicas/transport.go
+++ b/internal/controlplane/replicas/transport.go
@@ -31,11 +31,11 @@
 )
 
 const (
-	binaryType     = "application/octet-stream"
-	jsonType       = "application/json"
-	callTimeout    = 500 * time.Millisecond
-	maxAnswerBytes = 1 << 20
-	maxJSONBytes   = 1 << 20 // of a request body
+	binaryType       = "application/octet-stream"
+	jsonType         = "application/json"
+	callTimeout      = 500 * time.Millisecond
+	maxResponseBytes = 1 << 20
+	maxJSONBytes     = 1 << 20 // of a request body
 )
 
 // request is a call to a peer.
@@ -98,7 +98,7 @@
 	}
 	defer func() { _ = res.Body.Close() }() // the body has been read already
 	answer := response{status: res.StatusCode}
-	answer.body, err = io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes))
+	answer.body, err = io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
 	if res.StatusCode == http.StatusGone {
 		g.runOnLoop(func() {
 			if g.phase != Excluded {
