--- a/internal/controlplane/replicas/call_history_test.go
+++ b/internal/controlplane/replicas/call_history_test.go
@@ -138,8 +138,8 @@
 	}
 }
 
-// historyOf returns the events that a replica serves, as the exact bytes.
-func historyOf(t *testing.T, r *testharness.Replica) (events []json.RawMessage) {
+// eventsOf returns the events that a replica serves, as the exact bytes.
+func eventsOf(t *testing.T, r *testharness.Replica) (events []json.RawMessage) {
 	t.Helper()
 	for {
 		res, err := http.Get(fmt.Sprintf("http://%s/v1/history?local=1&after=%d", r.Write.Addr(), len(events)))
@@ -155,24 +155,25 @@
 	}
 }
 
-// checkHistories compares the replicas' events with each other and with the results of the calls. The
-// events must be equal byte for byte. Each acknowledged purge must be present once, under its
-// revision, and each unacknowledged one at most once.
-func (h *callHistory) checkHistories(t *testing.T, cluster *testharness.Cluster) {
+// checkEventLogs compares the replicas' events with each other and with the results of the calls. The
+// events that two replicas have must be equal byte for byte, and no replica may lack more than 50.
+// Each acknowledged purge must be present once, under its revision, and each unacknowledged one at
+// most once.
+func (h *callHistory) checkEventLogs(t *testing.T, cluster *testharness.Cluster) {
 	t.Helper()
 	var longest []json.RawMessage
-	histories := map[string][]json.RawMessage{}
+	byReplica := map[string][]json.RawMessage{}
 	for _, r := range cluster.Replicas {
 		if r.IsStandby {
 			continue
 		}
-		events := historyOf(t, r)
-		histories[r.Name] = events
+		events := eventsOf(t, r)
+		byReplica[r.Name] = events
 		if len(events) > len(longest) {
 			longest = events
 		}
 	}
-	for name, events := range histories {
+	for name, events := range byReplica {
 		for i := range events {
 			if string(events[i]) != string(longest[i]) {
 				t.Fatalf("replica %s has event %s, another replica has %s", name, events[i], longest[i])
@@ -183,7 +184,7 @@
 		}
 	}
 	h.checkPurges(t, longest)
-	t.Logf("%d events, %d purges acknowledged, %d not, logs of %d replicas", len(longest), len(h.accepted), len(h.unknown), len(histories))
+	t.Logf("%d events, %d purges acknowledged, %d not, logs of %d replicas", len(longest), len(h.accepted), len(h.unknown), len(byReplica))
 }
 
 func (h *callHistory) checkPurges(t *testing.T, events []json.RawMessage) {
--- a/internal/controlplane/replicas/claims_test.go
+++ b/internal/controlplane/replicas/claims_test.go
@@ -193,10 +193,10 @@
 	}
 }
 
-// Guards against an order that is executed in two locations: a director is killed with orders in
-// flight, and its clients retry them with the same tokens at a director of another location. Without
-// claims, some orders are executed in both locations. With claims, none may be, and each request must
-// get one final response.
+// TestNoOrderRunsInTwoLocations guards against an order that is executed in two locations: a
+// director is killed with orders in flight, and its clients retry them with the same tokens at a
+// director of another location. Without claims, some orders are executed in both locations. With
+// claims, none may be, and each request must get one final response.
 func TestNoOrderRunsInTwoLocations(t *testing.T) {
 	seed := uint64(envInt(seedVar, 1))
 	losses := envInt("STAIRVANE_LOSSES", 4)
--- a/internal/controlplane/replicas/faults_test.go
+++ b/internal/controlplane/replicas/faults_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// Environment variables that configure TestFaults.
+// Environment variables that configure the tests with faults.
 const (
 	faultsVar   = "STAIRVANE_FAULTS" // number of faults
 	replicasVar = "STAIRVANE_COPIES" // number of replicas
 	seedVar     = "STAIRVANE_SEED"
-	kindVar     = "STAIRVANE_KIND" // restricts the schedule to faults of this kind
+	kindVar     = "STAIRVANE_KIND" // restricts the test to faults of this kind
 )
 
 // TestFaults injects a schedule of faults, drawn from a logged seed, into the replicas: they are
@@ -59,5 +59,5 @@
 		}
 	}
 	calls.checkLinearizable(t)
-	calls.checkHistories(t, cluster)
+	calls.checkEventLogs(t, cluster)
 }
--- a/internal/controlplane/replicas/health_test.go
+++ b/internal/controlplane/replicas/health_test.go
@@ -65,12 +65,13 @@
 	return sum, each
 }
 
-// Guards the exchange of health reports between directors. Two thirds of the fills from one of four
-// parent caches are rejected. Eight directors under a low load each detect that either by themselves
-// or by the reports of all directors. With reports, far fewer fills may be rejected until all
-// directors avoid the parent cache. Once the parent cache is healthy it must get requests again, even
-// though a replica was killed and a director was paused.
-func TestHealthReportsSpareAFaultyParentCache(t *testing.T) {
+// TestHealthReportsLimitFillsFromAFaultyParentCache guards the exchange of health reports between
+// directors. Two thirds of the fills from one of four parent caches are rejected. Eight directors
+// under a low load each detect that either by themselves or by the reports of all directors. With
+// reports, far fewer fills may be rejected until all directors avoid the parent cache. Once the
+// parent cache is healthy it must get requests again, even though a replica was killed and a
+// director was paused.
+func TestHealthReportsLimitFillsFromAFaultyParentCache(t *testing.T) {
 	seconds := envInt("STAIRVANE_SECONDS", 6)
 	sums := map[string]int{}
 	for _, forms := range []string{"", "(signals)"} {
@@ -85,9 +86,9 @@
 		sum, each := corruptedFills(caches, begin, seconds)
 		sums[forms] = sum
 		t.Logf("%q: %d fills rejected, second by second %v", forms, sum, each)
-		for _, d := range f.directors { // with the setting, each must be notified within the time of the test; without it, none
+		for _, d := range f.directors { // with health reports, each must be notified during the test; without them, none
 			if isNotified := d.Count("health.suspected") > 0; isNotified != (forms != "") {
-				t.Errorf("%q: %s was notified of a suspected host: %v", forms, d.Name, isNotified)
+				t.Errorf("%q: %s was notified of a suspected cache: %v", forms, d.Name, isNotified)
 			}
 		}
 		if forms != "" {
--- a/internal/controlplane/replicas/leader_test.go
+++ b/internal/controlplane/replicas/leader_test.go
@@ -10,7 +10,8 @@
 	"stairvane.org/stairvane/internal/fleet"
 )
 
-// Guards against a write that is lost or gets another revision when the leader is killed.
+// TestLeaderKilled guards against a write that is lost or gets another revision when the leader is
+// killed.
 func TestLeaderKilled(t *testing.T) {
 	cluster := startGroup(t, 3, 0)
 	c, err := cluster.Client()
@@ -34,9 +35,9 @@
 	check(t, cluster.AwaitComplete(waitTimeout))
 }
 
-// Guards against a leader that keeps its leadership while its disk fails all writes. Another replica
-// must accept writes within a second. The replica with the failed disk must still serve reads, and
-// must rejoin the group by itself once the disk can be written.
+// TestLeaderWithAFailedDisk guards against a leader that keeps its leadership while its disk fails
+// all writes. Another replica must accept writes within a second. The replica with the failed disk
+// must still serve reads, and must rejoin the group by itself once the disk can be written.
 func TestLeaderWithAFailedDisk(t *testing.T) {
 	cluster := startGroup(t, 3, 0)
 	c, err := cluster.Client()
@@ -67,14 +68,14 @@
 		if status, err := leader.Status(); err != nil || status.Phase != "no-disk" || status.IsLeader {
 			t.Errorf("status of the replica with the failed disk: %+v %v", status, err)
 		}
-		if n := len(historyOf(t, leader)); n < int(p.Revision)-1 {
+		if n := len(eventsOf(t, leader)); n < int(p.Revision)-1 {
 			t.Errorf("%d of the replica's %d events can be read", n, p.Revision-1)
 		}
 		check(t, <-repaired)
 		_, _, err = leader.Event("replica.disk_recovered", lost, waitTimeout)
 		check(t, err)
 		check(t, cluster.AwaitComplete(waitTimeout))
-		if n := len(historyOf(t, leader)); n < int(p.Revision) {
+		if n := len(eventsOf(t, leader)); n < int(p.Revision) {
 			t.Errorf("the replica has %d of %d events", n, p.Revision)
 		}
 	}
--- a/internal/controlplane/replicas/measure_test.go
+++ b/internal/controlplane/replicas/measure_test.go
@@ -83,8 +83,8 @@
 	return address
 }
 
-// Measures the durable writes per second of 1, 3 and 5 replicas, relative to those of a control plane
-// without replicas.
+// TestMeasureWrites measures the durable writes per second of 1, 3 and 5 replicas, relative to
+// those of a control plane without replicas.
 func TestMeasureWrites(t *testing.T) {
 	skipUnlessMeasuring(t)
 	single := map[int][]float64{} // writes per second without replicas, by number of writers and round
@@ -113,7 +113,8 @@
 	return writeFor(t, cluster.Leader(waitTimeout).Write.Addr(), writers, length)
 }
 
-// Measures the time from a fault of the leader to the next accepted write.
+// TestMeasureUnavailability measures the time from a fault of the leader to the next accepted
+// write.
 func TestMeasureUnavailability(t *testing.T) {
 	skipUnlessMeasuring(t)
 	for _, kind := range []string{"killed", "paused", "cut off", "disk full", "disk broken"} {
@@ -227,8 +228,8 @@
 	return func() { _ = conn.Close() } // ends the watch
 }
 
-// Measures the time from the acknowledgment of an event until each of 100 watchers, distributed over
-// three replicas, has received it.
+// TestMeasureNotification measures the time from the acknowledgment of an event until each of 100
+// watchers, distributed over three replicas, has received it.
 func TestMeasureNotification(t *testing.T) {
 	skipUnlessMeasuring(t)
 	cluster := startGroup(t, 3, 0)
@@ -270,8 +271,8 @@
 		rounds, watchers, quantile(each, 0.5), quantile(each, 0.99), quantile(last, 0.5), quantile(last, 0.99), last[len(last)-1])
 }
 
-// Measures the time until a new disk has replaced a lost one when the event log is long, and the
-// latency of writes during the replacement.
+// TestMeasureReplacement measures the time until a new disk has replaced a lost one when the event
+// log is long, and the latency of writes during the replacement.
 func TestMeasureReplacement(t *testing.T) {
 	skipUnlessMeasuring(t)
 	cluster := startGroup(t, 3, 0)
@@ -313,8 +314,8 @@
 	t.Logf("%d events: the new disk is a voter after %v; writes during the replacement: p50 %v, p99 %v", events, took, p50, p99)
 }
 
-// Measures what claims add to the latency of requests with an idempotency key, and to the memory of
-// a director.
+// TestMeasureClaims measures what claims add to the latency of requests with an idempotency key,
+// and to the memory of a director.
 func TestMeasureClaims(t *testing.T) {
 	skipUnlessMeasuring(t)
 	for round := range 3 {
--- a/internal/controlplane/replicas/propagation_test.go
+++ b/internal/controlplane/replicas/propagation_test.go
@@ -10,10 +10,11 @@
 	"stairvane.org/stairvane/internal/tools/testharness"
 )
 
-// Guards against events that reach directors late because the directors watch a replica that is cut
-// off. According to the directors' logs, a purge must reach all of them within 300 ms. According to
-// the cache's record, a drained cache must get no attempt after 500 ms. With a much longer lease the
-// events must be late, which shows that the test can detect the fault.
+// TestEventsReachAllWhileAReplicaIsCutOff guards against events that reach directors late because
+// the directors watch a replica that is cut off. According to the directors' logs, a purge must
+// reach all of them within 300 ms. According to the cache's record, a drained cache must get no
+// attempt after 500 ms. With a much longer lease the events must be late, which shows that the
+// test can detect the fault.
 func TestEventsReachAllWhileAReplicaIsCutOff(t *testing.T) {
 	seed := uint64(envInt(seedVar, 1))
 	t.Logf("%s=%d", seedVar, seed)
@@ -58,7 +59,7 @@
 				}
 			}
 			worst = max(worst, latest)
-			t.Logf("lease %q: %s cut off (there %v, back %v): purge accepted after %v, applied by the last director %v later",
+			t.Logf("lease %q: %s cut off (outgoing %v, incoming %v): purge accepted after %v, applied by the last director %v later",
 				lease, cut.Name, directions[0], directions[1], accepted.Sub(begin), latest)
 			cut.Cut(true, true)
 			check(t, cluster.AwaitComplete(waitTimeout))
--- a/internal/controlplane/replicas/quota_test.go
+++ b/internal/controlplane/replicas/quota_test.go
@@ -32,37 +32,37 @@
 // attempts to the capacity of a cache that is warming up, and that capacity. The capacity is 4 times
 // the attempts that the cache's share allows. The cache has 0.17 of its share at its first attempt and
 // all of it 16 s later. 3 standard deviations and another 3 attempts allow for random variation.
-func fullestWindow(cache *fakes.Cache, share float64, work time.Duration) (requests int, bound float64) {
+func fullestWindow(cache *fakes.Cache, share float64, work time.Duration) (attemptsInWindow int, capacity float64) {
 	const window = 3 * time.Second
 	attempts := cache.Attempts()
 	highestRatio := -1.0
 	for i, attempt := range attempts {
 		warm := min(1, attempt.At.Sub(attempts[0].At).Seconds()/16)
 		mean := 4 * (0.17 + 0.83*warm) * share * window.Seconds() / work.Seconds()
-		bears := mean + 3*math.Sqrt(mean) + 3
+		capacityInWindow := mean + 3*math.Sqrt(mean) + 3
 		inWindow := 0
 		for _, later := range attempts[i:] {
 			if later.At.Sub(attempt.At) < window {
 				inWindow++
 			}
 		}
-		if ratio := float64(inWindow) / bears; ratio > highestRatio {
+		if ratio := float64(inWindow) / capacityInWindow; ratio > highestRatio {
 			highestRatio = ratio
-			requests = inWindow
-			bound = bears
+			attemptsInWindow = inWindow
+			capacity = capacityInWindow
 		}
 	}
-	return requests, bound
+	return attemptsInWindow, capacity
 }
 
 // checkFullestWindow checks that a cache that is warming up was never sent more attempts than its
 // capacity, and that it was sent attempts at all.
 func checkFullestWindow(t *testing.T, cache *fakes.Cache) {
 	t.Helper()
-	requests, bound := fullestWindow(cache, 4, 200*time.Millisecond)
-	t.Logf("the fullest window of 3 s had %d attempts; the capacity is %.0f", requests, bound)
-	if requests < 10 || float64(requests) > bound {
-		t.Errorf("a window of 3 s had %d attempts at a capacity of %.0f", requests, bound)
+	attempts, capacity := fullestWindow(cache, 4, 200*time.Millisecond)
+	t.Logf("the fullest window of 3 s had %d attempts; the capacity is %.0f", attempts, capacity)
+	if attempts < 10 || float64(attempts) > capacity {
+		t.Errorf("a window of 3 s had %d attempts at a capacity of %.0f", attempts, capacity)
 	}
 }
 
@@ -75,8 +75,8 @@
 	return desired
 }
 
-// requestClips requests random objects, with a pause before each, until stop is closed.
-func requestClips(c *fakes.Client, pause time.Duration, stop <-chan struct{}) {
+// requestObjects requests random objects, with a pause before each, until stop is closed.
+func requestObjects(c *fakes.Client, pause time.Duration, stop <-chan struct{}) {
 	for {
 		select {
 		case <-stop:
@@ -99,10 +99,11 @@
 	return 200 * time.Millisecond
 }
 
-// Guards the division of a quota by demand, between processes. A cache that is warming up is added
-// while one of six directors has nine tenths of the load. That director must get the part of the
-// cache's capacity that the others don't use. The cache must never be sent more than its capacity,
-// even though one director is paused and another is killed.
+// TestQuotaOfAWarmingCacheFollowsDemand guards the division of a quota by demand, between
+// processes. A cache that is warming up is added while one of six directors has nine tenths of the
+// load. That director must get the part of the cache's capacity that the others don't use. The
+// cache must never be sent more than its capacity, even though one director is paused and another
+// is killed.
 func TestQuotaOfAWarmingCacheFollowsDemand(t *testing.T) {
 	seed := uint64(envInt(seedVar, 1))
 	t.Logf("%s=%d", seedVar, seed)
@@ -124,7 +125,7 @@
 		c, err := fakes.Connect(d.Addr)
 		check(t, err)
 		clients = append(clients, c)
-		load.Go(func() { requestClips(c, unevenPause(i), stop) })
+		load.Go(func() { requestObjects(c, unevenPause(i), stop) })
 	}
 	time.Sleep(time.Second)
 	c, err := cluster.Client()
--- a/internal/controlplane/replicas/recovery_test.go
+++ b/internal/controlplane/replicas/recovery_test.go
@@ -11,9 +11,10 @@
 	"stairvane.org/stairvane/internal/tools/testharness"
 )
 
-// Guards the recovery of a group that has lost the disks of its majority. No write may be accepted,
-// the remaining event log must be readable, and an operator must be able to make the remaining
-// replica the first member of a new group, in which disks of the old group can't participate.
+// TestRecoveryFromALostMajority guards the recovery of a group that has lost the disks of its
+// majority. No write may be accepted, the remaining event log must be readable, and an operator
+// must be able to make the remaining replica the first member of a new group, in which disks of
+// the old group can't participate.
 func TestRecoveryFromALostMajority(t *testing.T) {
 	cluster := startGroup(t, 3, 0)
 	c, err := cluster.Client()
@@ -35,7 +36,7 @@
 	if _, err := c.Purge(fleet.Purge{Object: "00000000000000aa"}); err == nil {
 		t.Error("a write was accepted without a majority")
 	}
-	if n := len(historyOf(t, remaining)); n != 20 {
+	if n := len(eventsOf(t, remaining)); n != 20 {
 		t.Errorf("%d of 20 events can be read", n)
 	}
 	recoverReplica := func(more ...string) (string, error) {
@@ -68,7 +69,7 @@
 	lost[0].Kill()
 	check(t, lost[0].Start("--new-disk"))
 	check(t, cluster.AwaitComplete(waitTimeout))
-	if n := len(historyOf(t, lost[0])); n != 21 {
+	if n := len(eventsOf(t, lost[0])); n != 21 {
 		t.Errorf("%d of 21 events are on the new disk", n)
 	}
 }
--- a/internal/controlplane/replicas/relays_test.go
+++ b/internal/controlplane/replicas/relays_test.go
@@ -104,10 +104,10 @@
 				continue
 			}
 			text, _ := event["time"].(string)
-			came, err := time.Parse(time.RFC3339Nano, text)
+			appliedAt, err := time.Parse(time.RFC3339Nano, text)
 			check(r.t, err)
-			if came.After(last) {
-				last = came
+			if appliedAt.After(last) {
+				last = appliedAt
 			}
 			break
 		}
@@ -120,13 +120,13 @@
 func (r *region) slowestPurge(count int, pause time.Duration) (slowest time.Duration) {
 	r.t.Helper()
 	from := r.logLengths()
-	begun := map[int64]time.Time{}
+	startedAt := map[int64]time.Time{}
 	for range count {
 		began := time.Now()
-		begun[r.purgeGroup()] = began
+		startedAt[r.purgeGroup()] = began
 		time.Sleep(pause)
 	}
-	for no, began := range begun {
+	for no, began := range startedAt {
 		slowest = max(slowest, r.awaitArrival(no, from).Sub(began))
 	}
 	return slowest
@@ -229,9 +229,10 @@
 	r.t.Logf("%s: %d allocations add up to %.2f", when, len(allocations), sum)
 }
 
-// Guards the propagation of events to directors that are configured with two relays only. Purges must
-// reach all directors in time. All purges must arrive while a relay is killed, the leader is killed,
-// and a relay is cut off, and no director may be announced as having left.
+// TestDirectorsBehindRelays guards the propagation of events to directors that are configured with
+// two relays only. Purges must reach all directors in time. All purges must arrive while a relay
+// is killed, the leader is killed, and a relay is cut off, and no director may be announced as
+// having left.
 func TestDirectorsBehindRelays(t *testing.T) {
 	r := startRegion(t, 2, 4, "")
 	first, second := r.relays[0], r.relays[1]
@@ -272,11 +273,11 @@
 	}
 }
 
-// Guards the division of a quota through relays. A cache that is warming up is added while one of
-// four directors has most of the load. The leader must allocate the cache's capacity to the relays
-// only, and the allocations must not add up to more than the capacity, not even after a relay was
-// killed and its directors have moved to the other one. The cache must never be sent more than its
-// capacity.
+// TestRelaysDivideTheQuotaOfAWarmingCache guards the division of a quota through relays. A cache
+// that is warming up is added while one of four directors has most of the load. The leader must
+// allocate the cache's capacity to the relays only, and the allocations must not add up to more
+// than the capacity, not even after a relay was killed and its directors have moved to the other
+// one. The cache must never be sent more than its capacity.
 func TestRelaysDivideTheQuotaOfAWarmingCache(t *testing.T) {
 	r := startRegion(t, 2, 4, "")
 	caches := startCaches(t, 5)
@@ -288,7 +289,7 @@
 		awaitServing(t, d)
 		c, err := fakes.Connect(d.Addr)
 		check(t, err)
-		load.Go(func() { requestClips(c, unevenPause(i), stop) })
+		load.Go(func() { requestObjects(c, unevenPause(i), stop) })
 		t.Cleanup(func() { c.Finish(2 * time.Second) })
 	}
 	submitPlan(t, r.cluster, withWarmingCache(before, caches[3]))
--- a/internal/controlplane/replicas/removed_test.go
+++ b/internal/controlplane/replicas/removed_test.go
@@ -15,11 +15,11 @@
 	"stairvane.org/stairvane/internal/operatorconfig"
 )
 
-// Guards against a removed disk that never learns of its removal. Disk 2 restarts after it was
-// removed. It reaches one replica, which knows of the removal and is the leader or a follower. The
-// disk itself can campaign or, as a learner, can't. Either its hello is answered, or only its later
-// calls are. In each case it must learn that it was removed, but not before the change that removes
-// it is complete.
+// TestRemovedDiskIsAlwaysAnswered guards against a removed disk that never learns of its removal.
+// Disk 2 restarts after it was removed. It reaches one replica, which knows of the removal and is
+// the leader or a follower. The disk itself can campaign or, as a learner, can't. Either its hello
+// is answered, or only its later calls are. In each case it must learn that it was removed, but
+// not before the change that removes it is complete.
 func TestRemovedDiskIsAlwaysAnswered(t *testing.T) {
 	voters := func(disks ...uint64) *pb.ConfState { return &pb.ConfState{Voters: disks} }
 	for name, c := range map[string]struct {
@@ -72,7 +72,7 @@
 			}
 			for end := time.Now().Add(waitTimeout / 3); !isDone(); time.Sleep(5 * time.Millisecond) {
 				if time.Now().After(end) {
-					t.Fatalf("the disk asked %d times whether it is a member; it is in phase %q, not %q",
+					t.Fatalf("the disk asked %d times whether it was removed; it is in phase %q, not %q",
 						asked.Load(), back.Status().Phase, want)
 				}
 			}
--- a/internal/controlplane/replicas/silence_test.go
+++ b/internal/controlplane/replicas/silence_test.go
@@ -108,13 +108,13 @@
 func (s *stallTest) contact(t *testing.T) {
 	t.Helper()
 	if w := callAs(s.a.calls, "/v1/copies/messages", 3, groupNumber, ""); w.Code != http.StatusNoContent {
-		t.Fatalf("c is answered %d: %s", w.Code, w.Body)
+		t.Fatalf("the call of c was answered with status %d: %s", w.Code, w.Body)
 	}
 }
 
-// Guards against a standby that replaces a live replica. Silence before the leader's election, or
-// while the leader was stalled by its own disk, must not count. The standby must replace c once c is
-// silent while the leader runs.
+// TestSilenceCountsOnlyWhileTheLeaderRuns guards against a standby that replaces a live replica.
+// Silence before the leader's election, or while the leader was stalled by its own disk, must not
+// count. The standby must replace c once c is silent while the leader runs.
 func TestSilenceCountsOnlyWhileTheLeaderRuns(t *testing.T) {
 	s := newStallTest(t)
 	awaitPhase(t, s.a, replicas.Active)
@@ -128,7 +128,7 @@
 	s.isCut.Store(false)
 	for end := time.Now().Add(waitTimeout); !s.a.IsLeader(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("a does not lead")
+			t.Fatal("a is not the leader")
 		}
 	}
 	s.contact(t)
--- a/internal/controlplane/replicas/snapshot_stall_test.go
+++ b/internal/controlplane/replicas/snapshot_stall_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// Guards against a call that is canceled while the receiver verifies the snapshot, which takes longer
-// than the stall timeout: the snapshot was then sent again and again.
+// TestSnapshotReceiverHasTimeToVerify guards against a call that is canceled while the receiver
+// verifies the snapshot, which takes longer than the stall timeout: the leader would then send the
+// snapshot repeatedly.
 func TestSnapshotReceiverHasTimeToVerify(t *testing.T) {
 	ended := make(chan struct{})
 	timer := time.AfterFunc(time.Hour, func() { close(ended) })
--- a/internal/controlplane/replicas/snapshot_test.go
+++ b/internal/controlplane/replicas/snapshot_test.go
@@ -12,7 +12,8 @@
 	"stairvane.org/stairvane/internal/fleet"
 )
 
-// Guards against a snapshot that is sent again because the leader changed during its transfer.
+// TestSnapshotSurvivesALeadershipTransfer guards against a snapshot that is sent again because the
+// leader changed during its transfer.
 func TestSnapshotSurvivesALeadershipTransfer(t *testing.T) {
 	cluster := startGroup(t, 3, 0)
 	leader := cluster.Leader(waitTimeout)
@@ -66,7 +67,7 @@
 	if received != 1 || installed != 1 {
 		t.Errorf("the snapshot was received %d times and installed %d times", received, installed)
 	}
-	if n := len(historyOf(t, lost)); n != 6400 {
+	if n := len(eventsOf(t, lost)); n != 6400 {
 		t.Errorf("%d of 6400 events are on the new disk", n)
 	}
 }
--- a/internal/controlplane/replicas/stale_director_test.go
+++ b/internal/controlplane/replicas/stale_director_test.go
@@ -14,11 +14,12 @@
 	"stairvane.org/stairvane/internal/tools/fakes"
 )
 
-// Guards against a director that routes by a stale endpoint list. A director is paused for longer than
-// the maximum age of its endpoint list, and resumes with requests in its sockets. During the pause a
-// cache was drained. Without a maximum age, the director sends these requests to the cache before it
-// reads the watch events. With one, it must reject them with a Retry-After. The audit must report the
-// director while it is behind.
+// TestPausedDirectorSendsNothingByAStaleEndpointList guards against a director that routes by a
+// stale endpoint list. A director is paused for longer than the maximum age of its endpoint list,
+// and resumes with requests in its sockets. During the pause a cache was drained. Without a
+// maximum age, the director sends these requests to the cache before it reads the watch events.
+// With one, it must reject them with a Retry-After. The audit must report the director while it is
+// behind.
 func TestPausedDirectorSendsNothingByAStaleEndpointList(t *testing.T) {
 	late := map[string]int{} // attempts at the drained cache more than 500 ms after the drain, by setting
 	for _, forms := range []string{"", "(stragglers (behind-most 500ms))"} {
--- a/internal/controlplane/replicas/standby_test.go
+++ b/internal/controlplane/replicas/standby_test.go
@@ -11,8 +11,8 @@
 	"stairvane.org/stairvane/internal/tools/testharness"
 )
 
-// Guards the automatic replacement of a lost replica by a standby, and the rejection of a removal
-// after which the group would tolerate fewer failures.
+// TestStandbyReplacesALostReplica guards the automatic replacement of a lost replica by a standby,
+// and the rejection of a removal after which the group would tolerate fewer failures.
 func TestStandbyReplacesALostReplica(t *testing.T) {
 	cluster, err := testharness.NewCluster(fleetBinary, t.TempDir(), 3, 1)
 	check(t, err)
--- a/internal/controlplane/replicas/watch_test.go
+++ b/internal/controlplane/replicas/watch_test.go
@@ -8,7 +8,8 @@
 	"stairvane.org/stairvane/internal/controlplane/watch/watchtest"
 )
 
-// Guards against a replica that is cut off and keeps its watches open after its lease has expired.
+// TestReplicaThatIsCutOffClosesItsWatches guards against a replica that is cut off and keeps its
+// watches open after its lease has expired.
 func TestReplicaThatIsCutOffClosesItsWatches(t *testing.T) {
 	cluster := startGroup(t, 3, 0)
 	cut := cluster.Replicas[0]
@@ -24,13 +25,13 @@
 		t.Fatalf("%d, %v", status, err)
 	}
 	check(t, watcher.SendRequest(wait))
-	asked := time.Now()
+	requestedAt := time.Now()
 	cut.Cut(false, false)
 	if _, _, err := watcher.ReadAnswer(); err == nil {
 		t.Error("the watch was answered")
 	}
 	closed := time.Now()
-	if took := closed.Sub(asked); took > wait*3/4 {
+	if took := closed.Sub(requestedAt); took > wait*3/4 {
 		t.Errorf("the watch was closed after %v", took)
 	}
 	// The log is read through a pipe, so the line may be read after the watch has closed; it must have been written before that.
