--- a/cmd/stairvane-fleet/fake.go
+++ b/cmd/stairvane-fleet/fake.go
@@ -58,9 +58,9 @@
 		}
 	} else {
 		s.printf("%d sent: %d served, %d refused, %d failed, %d doubled, %d lost\n",
-			tally.Sent, tally.Served, tally.Refused, tally.Failed, tally.Doubled, tally.Lost)
+			tally.Sent, tally.Served, tally.Rejected, tally.Failed, tally.Duplicated, tally.Lost)
 	}
-	if tally.Doubled+tally.Lost > 0 {
+	if tally.Duplicated+tally.Lost > 0 {
 		return &exitError{exitFailed, "an answer is missing or came twice"}
 	}
 	return nil
--- a/cmd/stairvane/descriptors_linux_test.go
+++ b/cmd/stairvane/descriptors_linux_test.go
@@ -43,7 +43,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := client.Send(100, 5*time.Second); err != nil {
+			if err := client.SendRandom(100, 5*time.Second); err != nil {
 				t.Logf("rejected: %v", err)
 			}
 			defer client.Finish(0)
@@ -52,7 +52,7 @@
 	// New clients may be rejected while all others are so new that their first requests may be on their way.
 	for until := time.Now().Add(2 * time.Second); ; time.Sleep(20 * time.Millisecond) {
 		client, err := fakes.Connect(addr)
-		if err == nil && client.Send(100, time.Second) == nil && client.Finish(time.Second).Served == 1 {
+		if err == nil && client.SendRandom(100, time.Second) == nil && client.Finish(time.Second).Served == 1 {
 			break
 		}
 		if time.Now().After(until) {
--- a/cmd/stairvane/restart_linux_test.go
+++ b/cmd/stairvane/restart_linux_test.go
@@ -77,7 +77,7 @@
 		t.Fatal(err)
 	}
 	defer slow.Close()
-	slow.Slow(300 * time.Millisecond)
+	slow.SetDelay(300 * time.Millisecond)
 	fastEndpoint := endpoint("s-1", cache.Addr(), "in_service", 8, 0)
 	slowEndpoint := endpoint("s-2", slow.Addr(), "in_service", 8, 0)
 	d := newFakeControlPlane(endpointList(1, true, fastEndpoint, slowEndpoint))
--- a/internal/controlplane/apply_test.go
+++ b/internal/controlplane/apply_test.go
@@ -104,7 +104,7 @@
 	}
 	for range directors {
 		tally := <-load
-		if t.Logf("%+v", tally); tally.Doubled+tally.Lost+tally.Failed > 0 || tally.Served < tally.Sent*9/10 {
+		if t.Logf("%+v", tally); tally.Duplicated+tally.Lost+tally.Failed > 0 || tally.Served < tally.Sent*9/10 {
 			t.Errorf("%+v", tally)
 		}
 	}
--- a/internal/controlplane/replicas/claims_test.go
+++ b/internal/controlplane/replicas/claims_test.go
@@ -103,7 +103,7 @@
 			l.awaitServing(d)
 		}
 		for _, cache := range locations.caches[site] {
-			cache.Slow(30 * time.Millisecond)
+			cache.SetDelay(30 * time.Millisecond)
 		}
 	}
 	return l
@@ -122,7 +122,7 @@
 	for end := time.Now().Add(patience); ; {
 		c, err := fakes.Connect(d.Addr)
 		check(l.t, err)
-		check(l.t, c.Ask("orders", 1, time.Second, "token", fmt.Sprintf("warm%x", l.rng.Uint64())))
+		check(l.t, c.SendRequest("orders", 1, time.Second, "token", fmt.Sprintf("warm%x", l.rng.Uint64())))
 		if c.Finish(2*time.Second).Served == 1 {
 			return
 		}
@@ -149,7 +149,7 @@
 	for k := range 8 {
 		token := fmt.Sprintf("t%dx%dx%x", n, k, l.rng.Uint32())
 		orders[token] = l.rng.Uint64()
-		if c.Ask("orders", orders[token], 5*time.Second, "token", token) != nil {
+		if c.SendRequest("orders", orders[token], 5*time.Second, "token", token) != nil {
 			break
 		}
 		time.Sleep(time.Duration(l.rng.IntN(4)) * time.Millisecond)
@@ -172,7 +172,7 @@
 	c, err := fakes.Connect(to.Addr)
 	check(l.t, err)
 	for token, object := range orders {
-		check(l.t, c.Ask("orders", object, 1500*time.Millisecond, "token", token))
+		check(l.t, c.SendRequest("orders", object, 1500*time.Millisecond, "token", token))
 	}
 	return c.Finish(patience)
 }
@@ -184,7 +184,7 @@
 	c, err := fakes.Connect(l.directors["west"][0].Addr)
 	check(l.t, err)
 	for object := range uint64(2) {
-		check(l.t, c.Ask("orders", object+1, 1500*time.Millisecond, "token", "twofold"))
+		check(l.t, c.SendRequest("orders", object+1, 1500*time.Millisecond, "token", "twofold"))
 		time.Sleep(100 * time.Millisecond)
 	}
 	if tally := c.Finish(patience); tally.Served != 1 || tally.Failed != 1 {
@@ -214,7 +214,7 @@
 		executed := locations.executions(4 * time.Second)
 		t.Logf("claims %q: %d of %d tokens ran in both locations; the repeated orders: %+v",
 			claims, executed.inBoth, executed.tokens, answers)
-		if answers.Lost+answers.Doubled > 0 {
+		if answers.Lost+answers.Duplicated > 0 {
 			t.Errorf("claims %q: not each request got one answer: %+v", claims, answers)
 		}
 		if claims == "" && executed.inBoth == 0 {
--- a/internal/controlplane/replicas/faults_test.go
+++ b/internal/controlplane/replicas/faults_test.go
@@ -48,7 +48,7 @@
 	calls.end()
 	sum := load.stopLoad()
 	t.Logf("requests: %+v", sum)
-	if sum.Doubled+sum.Lost+sum.Failed > 0 || sum.Served == 0 {
+	if sum.Duplicated+sum.Lost+sum.Failed > 0 || sum.Served == 0 {
 		t.Errorf("requests without one good final answer: %+v", sum)
 	}
 	for _, attempt := range caches[1].Attempts() {
--- a/internal/controlplane/replicas/health_test.go
+++ b/internal/controlplane/replicas/health_test.go
@@ -46,7 +46,7 @@
 	desired.Normalize()
 	awaitApply(t, cluster, submitPlan(t, cluster, desired))
 	for _, c := range caches {
-		c.Fill(map[string]float64{})
+		c.SetFillResults(map[string]float64{})
 	}
 	return cluster, caches, startLoadedFleet(t, cluster, directors, forms, 100_000, pause)
 }
@@ -55,7 +55,7 @@
 func corruptedFills(caches []*fakes.Cache, since time.Time, seconds int) (sum int, each []int) {
 	each = make([]int, seconds)
 	for _, c := range caches {
-		for _, at := range c.Corrupted() {
+		for _, at := range c.RejectedFills() {
 			if n := int(at.Sub(since) / time.Second); !at.Before(since) && n < seconds {
 				each[n]++
 				sum++
@@ -78,14 +78,14 @@
 		faulty := map[string]float64{"hub-1": 0.67}
 		begin := time.Now()
 		for _, c := range caches {
-			c.Fill(faulty)
+			c.SetFillResults(faulty)
 		}
 		time.Sleep(time.Duration(seconds) * time.Second)
 		sum, each := corruptedFills(caches, begin, seconds)
 		sums[forms] = sum
 		t.Logf("%q: %d fills rejected, second by second %v", forms, sum, each)
 		for _, d := range f.directors { // each is notified in the time that the test has, and none without the setting
-			if isNotified := d.Count("health.suspected") > 0; isNotified != (forms != "") {
+			if isNotified := d.CountEvents("health.suspected") > 0; isNotified != (forms != "") {
 				t.Errorf("%q: that %s was notified of a suspected host is %v", forms, d.Name, isNotified)
 			}
 		}
@@ -107,7 +107,7 @@
 				f.directors[3].Signal(syscall.SIGCONT)
 			})
 			for _, c := range caches {
-				c.Fill(map[string]float64{})
+				c.SetFillResults(map[string]float64{})
 			}
 			healthySince := time.Now()
 			time.Sleep(10 * time.Second)
@@ -127,7 +127,7 @@
 		}
 		tally := f.stopLoad()
 		t.Logf("%q: %+v", forms, tally)
-		if tally.Lost+tally.Doubled > 0 || tally.Served < tally.Sent*9/10 {
+		if tally.Lost+tally.Duplicated > 0 || tally.Served < tally.Sent*9/10 {
 			t.Errorf("%q: %+v", forms, tally)
 		}
 		cluster.Close()
--- a/internal/controlplane/replicas/leader_test.go
+++ b/internal/controlplane/replicas/leader_test.go
@@ -46,7 +46,7 @@
 		check(t, err)
 		check(t, cluster.AwaitComplete(patience))
 		leader := cluster.Leader(patience)
-		lines := leader.Lines()
+		lines := leader.EventCount()
 		repaired := make(chan error, 1)
 		begin := time.Now()
 		go func() {
--- a/internal/controlplane/replicas/load_test.go
+++ b/internal/controlplane/replicas/load_test.go
@@ -43,7 +43,7 @@
 				case <-f.stop:
 					return
 				case <-time.After(time.Duration(rng.ExpFloat64() * float64(pause))):
-					if c.Send(objects, 5*time.Second) != nil {
+					if c.SendRandom(objects, 5*time.Second) != nil {
 						return
 					}
 				}
@@ -67,9 +67,9 @@
 func addTallies(a, b fakes.Tally) fakes.Tally {
 	a.Sent += b.Sent
 	a.Served += b.Served
-	a.Refused += b.Refused
+	a.Rejected += b.Rejected
 	a.Failed += b.Failed
-	a.Doubled += b.Doubled
+	a.Duplicated += b.Duplicated
 	a.Lost += b.Lost
 	return a
 }
--- a/internal/controlplane/replicas/measure_test.go
+++ b/internal/controlplane/replicas/measure_test.go
@@ -330,7 +330,7 @@
 			for end := time.Now().Add(patience); !served && time.Now().Before(end); {
 				c, err := fakes.Connect(directors[0].Addr)
 				check(t, err)
-				check(t, c.Ask("orders", 1, time.Second, "token", fmt.Sprint("w", time.Now().UnixNano())))
+				check(t, c.SendRequest("orders", 1, time.Second, "token", fmt.Sprint("w", time.Now().UnixNano())))
 				served = c.Finish(2*time.Second).Served == 1
 			}
 			time.Sleep(time.Second)
@@ -339,11 +339,11 @@
 			check(t, err)
 			const n = 4000
 			for k := range n {
-				check(t, c.Ask("orders", uint64(k), 5*time.Second, "token", fmt.Sprintf("m%dx%d", round, k)))
+				check(t, c.SendRequest("orders", uint64(k), 5*time.Second, "token", fmt.Sprintf("m%dx%d", round, k)))
 				time.Sleep(time.Millisecond)
 			}
 			tally := c.Finish(patience)
-			took := c.Took()
+			took := c.Latencies()
 			after := residentKB(directors[0].Pid())
 			t.Logf("round %d, claims %q: %d served of %d, p50 %v, p99 %v, resident %d kB before, %d kB after",
 				round, claims, tally.Served, tally.Sent, quantile(took, 0.5), quantile(took, 0.99), before, after)
--- a/internal/controlplane/replicas/nemesis_test.go
+++ b/internal/controlplane/replicas/nemesis_test.go
@@ -148,7 +148,7 @@
 func (n *nemesis) disturbLinks(f fault, victim *testharness.Replica) {
 	for _, link := range victim.Peers {
 		if f.kind == "slow" {
-			link.Slow(20 * time.Millisecond)
+			link.SetDelay(20 * time.Millisecond)
 		} else {
 			link.BreakAfter(int64(n.rng.IntN(5000)))
 		}
@@ -156,7 +156,7 @@
 	time.Sleep(f.length)
 	for _, link := range victim.Peers {
 		if f.kind == "slow" {
-			link.Slow(0)
+			link.SetDelay(0)
 		} else {
 			link.BreakAfter(-1)
 		}
--- a/internal/controlplane/replicas/propagation_test.go
+++ b/internal/controlplane/replicas/propagation_test.go
@@ -89,7 +89,7 @@
 		time.Sleep(1500 * time.Millisecond)
 		sum := f.stopLoad()
 		t.Logf("requests: %+v", sum)
-		if drained.IsZero() || sum.Doubled+sum.Lost+sum.Failed > 0 || sum.Served == 0 {
+		if drained.IsZero() || sum.Duplicated+sum.Lost+sum.Failed > 0 || sum.Served == 0 {
 			t.Errorf("drained at %v; requests without one good final answer: %+v", drained, sum)
 		}
 		before := 0
--- a/internal/controlplane/replicas/quota_test.go
+++ b/internal/controlplane/replicas/quota_test.go
@@ -82,7 +82,7 @@
 			return
 		case <-time.After(pause):
 			object := rand.Uint64N(200)
-			if c.Ask("clips", 1+object, 5*time.Second, "group", fmt.Sprint(object), "mem", "1000") != nil {
+			if c.SendRequest("clips", 1+object, 5*time.Second, "group", fmt.Sprint(object), "mem", "1000") != nil {
 				return
 			}
 		}
--- a/internal/controlplane/replicas/relays_test.go
+++ b/internal/controlplane/replicas/relays_test.go
@@ -41,7 +41,7 @@
 		r.relays = append(r.relays, relay)
 	}
 	for i := range directors {
-		d, err := r.cluster.StartDirectorAt(fmt.Sprintf("d-%d", i), "west", r.relays, i, forms)
+		d, err := r.cluster.StartDirectorOnRelays(fmt.Sprintf("d-%d", i), "west", r.relays, i, forms)
 		check(t, err)
 		t.Cleanup(d.Kill)
 		r.directors = append(r.directors, d)
@@ -135,7 +135,7 @@
 // lines returns the lengths of the directors' logs.
 func (r *region) lines() (all []int) {
 	for _, d := range r.directors {
-		all = append(all, d.Lines())
+		all = append(all, d.EventCount())
 	}
 	return all
 }
@@ -248,15 +248,15 @@
 		t.Cleanup(func() { _ = leader.Wait(patience) })
 	}, first, second)
 	r.during("a relay is cut off", func() { second.Cut(true) }, first)
-	if second.Count("relay.lease_lost") == 0 || second.Count("watcher.lease_lost") == 0 {
+	if second.CountEvents("relay.lease_lost") == 0 || second.CountEvents("watcher.lease_lost") == 0 {
 		t.Error("the relay that was cut off has closed no watch")
 	}
-	cutUntil := second.Lines()
+	cutUntil := second.EventCount()
 	second.Cut(false)
 	if _, _, err := second.Event("relay.lease_gained", cutUntil, patience); err != nil {
 		t.Error(err)
 	}
-	r.during("a relay leaves", func() { check(t, first.Leave(patience)) }, second)
+	r.during("a relay leaves", func() { check(t, first.Terminate(patience)) }, second)
 	r.until("the leader has dropped the session of the relay that left", func(members api.Members) bool { return len(members.Relays) == 1 })
 	if departed := r.departed(); len(departed) > 0 {
 		t.Errorf("announced as having left: %v", departed)
--- a/internal/controlplane/replicas/snapshot_test.go
+++ b/internal/controlplane/replicas/snapshot_test.go
@@ -38,7 +38,7 @@
 	lost.Kill()
 	check(t, os.RemoveAll(lost.Folder))
 	check(t, os.MkdirAll(lost.Folder, 0o700))
-	leader.Peers[lost.Name].Slow(20 * time.Millisecond) // each piece: the transfer takes some seconds
+	leader.Peers[lost.Name].SetDelay(20 * time.Millisecond) // each piece: the transfer takes some seconds
 	check(t, lost.Start())
 	(&nemesis{t: t, cluster: cluster}).replace(lost)
 	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
@@ -58,11 +58,11 @@
 			t.Fatal("the leadership is not transferred")
 		}
 	}
-	if lost.Count("replica.snapshot_received") > 0 {
+	if lost.CountEvents("replica.snapshot_received") > 0 {
 		t.Fatal("the snapshot was received before the leadership was transferred: the test shows nothing")
 	}
 	check(t, cluster.AwaitComplete(patience))
-	received, installed := lost.Count("replica.snapshot_received"), lost.Count("replica.snapshot_installed")
+	received, installed := lost.CountEvents("replica.snapshot_received"), lost.CountEvents("replica.snapshot_installed")
 	if received != 1 || installed != 1 {
 		t.Errorf("the snapshot was received %d times and installed %d times", received, installed)
 	}
--- a/internal/controlplane/replicas/stale_director_test.go
+++ b/internal/controlplane/replicas/stale_director_test.go
@@ -51,7 +51,7 @@
 			t.Fatal("the cache is not drained")
 		}
 		for range 20 { // fewer than a connection may have in flight
-			check(t, c.Send(200, 5*time.Second))
+			check(t, c.SendRandom(200, 5*time.Second))
 		}
 		time.Sleep(1500 * time.Millisecond)
 		state, err := client.State()
@@ -88,10 +88,10 @@
 		}
 		t.Logf("%q: %d attempts at the drained cache after it woke; its requests: %+v; the audit reported %v",
 			forms, late[forms], tally, reported.Odd)
-		if tally.Lost+tally.Doubled > 0 || tally.Served+tally.Refused+tally.Failed != tally.Sent {
+		if tally.Lost+tally.Duplicated > 0 || tally.Served+tally.Rejected+tally.Failed != tally.Sent {
 			t.Errorf("not one answer for each: %+v", tally)
 		}
-		if forms != "" && (tally.Refused == 0 || !strings.Contains(strings.Join(d.Log(), " "), "director.stale")) {
+		if forms != "" && (tally.Rejected == 0 || !strings.Contains(strings.Join(d.Log(), " "), "director.stale")) {
 			t.Errorf("it did not reject requests: %+v", tally)
 		}
 		cluster.Close()
--- a/internal/director/group_harness_test.go
+++ b/internal/director/group_harness_test.go
@@ -83,7 +83,7 @@
 				return
 			}
 			for i := range each {
-				if err := client.Send(200, 5*time.Second); err != nil {
+				if err := client.SendRandom(200, 5*time.Second); err != nil {
 					c.t.Error(err)
 					break
 				}
@@ -104,8 +104,8 @@
 func addTally(sum *fakes.Tally, t fakes.Tally) {
 	sum.Sent += t.Sent
 	sum.Served += t.Served
-	sum.Refused += t.Refused
+	sum.Rejected += t.Rejected
 	sum.Failed += t.Failed
-	sum.Doubled += t.Doubled
+	sum.Duplicated += t.Duplicated
 	sum.Lost += t.Lost
 }
--- a/internal/director/group_test.go
+++ b/internal/director/group_test.go
@@ -37,7 +37,7 @@
 			published := time.Now()
 			sum := <-got
 			t.Logf("%+v", sum)
-			if sum.Sent != 24*300 || sum.Served+sum.Refused+sum.Failed != sum.Sent || sum.Doubled+sum.Lost > 0 || sum.Served < sum.Sent/2 {
+			if sum.Sent != 24*300 || sum.Served+sum.Rejected+sum.Failed != sum.Sent || sum.Duplicated+sum.Lost > 0 || sum.Served < sum.Sent/2 {
 				t.Errorf("%+v", sum)
 			}
 			latest := time.Duration(0)
@@ -135,7 +135,7 @@
 	c.events <- fmt.Sprintf(`{"no":2,"items":[{"no":2,"roster":{"seq":2,"whole":false,"hosts":[%s,%s]}}]}`,
 		line(0, 0.25, 0), line(1, 1, started.UnixMilli()))
 	sum := <-got
-	if sum.Served+sum.Refused+sum.Failed != sum.Sent || sum.Doubled+sum.Lost > 0 || sum.Served < sum.Sent/2 {
+	if sum.Served+sum.Rejected+sum.Failed != sum.Sent || sum.Duplicated+sum.Lost > 0 || sum.Served < sum.Sent/2 {
 		t.Errorf("%+v", sum)
 	}
 	var at []time.Duration // of the attempts at the cache that warms up, since its start
--- a/internal/tools/fakes/cache.go
+++ b/internal/tools/fakes/cache.go
@@ -53,21 +53,21 @@
 
 // Fill makes the cache say of each attempt that names a source that it was filled from there, or, for a share of those that name one in
 // the map, that the source rejected it. Caches may share a map; it must not be changed.
-func (c *Cache) Fill(sources map[string]float64) {
+func (c *Cache) SetFillResults(sources map[string]float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sources = sources
 }
 
 // Corrupted is when it said that a source rejected a fill.
-func (c *Cache) Corrupted() []time.Time {
+func (c *Cache) RejectedFills() []time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]time.Time(nil), c.corrupted...)
 }
 
 // Slow delays each answer.
-func (c *Cache) Slow(by time.Duration) {
+func (c *Cache) SetDelay(by time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.delay = by
--- a/internal/tools/fakes/client.go
+++ b/internal/tools/fakes/client.go
@@ -27,12 +27,12 @@
 
 // Tally counts the answers to a load. Every request sent is in exactly one of the other counts, or was doubled or lost.
 type Tally struct {
-	Sent    int
-	Served  int
-	Refused int // rejected
-	Failed  int
-	Doubled int // answered more than once
-	Lost    int // never answered
+	Sent       int
+	Served     int
+	Rejected   int // rejected
+	Failed     int
+	Duplicated int // answered more than once
+	Lost       int // never answered
 }
 
 // Client sends requests on one connection to a director. Its methods may be called concurrently.
@@ -59,13 +59,13 @@
 }
 
 // Send sends one request for a random object of so many.
-func (c *Client) Send(objects int, timeout time.Duration) error {
+func (c *Client) SendRandom(objects int, timeout time.Duration) error {
 	object := rand.IntN(objects)
-	return c.Ask("clips", uint64(1+object), timeout, "group", fmt.Sprint(object%purgeGroups), "mem", "10")
+	return c.SendRequest("clips", uint64(1+object), timeout, "group", fmt.Sprint(object%purgeGroups), "mem", "10")
 }
 
 // Ask sends one request of a class for an object, with further fields as names and values in turn.
-func (c *Client) Ask(class string, object uint64, timeout time.Duration, more ...string) error {
+func (c *Client) SendRequest(class string, object uint64, timeout time.Duration, more ...string) error {
 	c.mu.Lock()
 	c.seq++
 	seq := c.seq
@@ -135,11 +135,11 @@
 	sent, open := c.open[seq]
 	switch {
 	case !open:
-		c.tally.Doubled++
+		c.tally.Duplicated++
 	case kind != kindReply || result == fieldFailed:
 		c.tally.Failed++
 	case result == fieldRejected:
-		c.tally.Refused++
+		c.tally.Rejected++
 	default:
 		c.tally.Served++
 		c.took = append(c.took, time.Since(sent))
@@ -149,7 +149,7 @@
 }
 
 // Took is how long each request took that was served so far.
-func (c *Client) Took() []time.Duration {
+func (c *Client) Latencies() []time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]time.Duration(nil), c.took...)
@@ -183,7 +183,7 @@
 	start := time.Now()
 	for n := 0; time.Since(start) < length; n++ {
 		time.Sleep(time.Until(start.Add(time.Duration(n) * interval)))
-		if err := c.Send(loadObjects, loadTimeout); err != nil {
+		if err := c.SendRandom(loadObjects, loadTimeout); err != nil {
 			break
 		}
 	}
--- a/internal/tools/scale/cluster.go
+++ b/internal/tools/scale/cluster.go
@@ -139,7 +139,7 @@
 	}
 	for i, b := range c.group.Replicas {
 		if len(c.relays) > 0 {
-			b.Watch.To(c.relays[i%len(c.relays)].address)
+			b.Watch.SetTarget(c.relays[i%len(c.relays)].address)
 		}
 	}
 	return nil
--- a/internal/tools/testharness/director.go
+++ b/internal/tools/testharness/director.go
@@ -26,7 +26,7 @@
 }
 
 // StartDirectorAt starts a director that watches relays, the one at a place in the list first.
-func (c *Cluster) StartDirectorAt(name, location string, relays []*Relay, first int, forms string) (*Director, error) {
+func (c *Cluster) StartDirectorOnRelays(name, location string, relays []*Relay, first int, forms string) (*Director, error) {
 	var addresses []string
 	for i := range relays {
 		addresses = append(addresses, relays[(first+i)%len(relays)].Watch.Addr())
--- a/internal/tools/testharness/process.go
+++ b/internal/tools/testharness/process.go
@@ -112,14 +112,14 @@
 }
 
 // Lines is how many lines the log has so far.
-func (p *Process) Lines() int {
+func (p *Process) EventCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.events)
 }
 
 // Count is how many lines of the log have a message.
-func (p *Process) Count(message string) (n int) {
+func (p *Process) CountEvents(message string) (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, e := range p.events {
@@ -150,7 +150,7 @@
 }
 
 // Leave ends the process with SIGTERM and waits.
-func (p *Process) Leave(within time.Duration) error {
+func (p *Process) Terminate(within time.Duration) error {
 	p.Signal(syscall.SIGTERM)
 	return p.Wait(within)
 }
--- a/internal/tools/testharness/proxy.go
+++ b/internal/tools/testharness/proxy.go
@@ -46,7 +46,7 @@
 func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
 // To sets the target. Connections to another one break.
-func (p *Proxy) To(address string) {
+func (p *Proxy) SetTarget(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.target != address {
@@ -56,7 +56,7 @@
 }
 
 // Carry sets in which directions bytes go.
-func (p *Proxy) Carry(forward, backward bool) {
+func (p *Proxy) SetForwarding(forward, backward bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.forward = forward
@@ -65,7 +65,7 @@
 }
 
 // Slow delays each piece that is carried.
-func (p *Proxy) Slow(by time.Duration) {
+func (p *Proxy) SetDelay(by time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.delay = by
--- a/internal/tools/testharness/relay.go
+++ b/internal/tools/testharness/relay.go
@@ -41,7 +41,7 @@
 // Start starts the relay and connects its proxies.
 func (r *Relay) Start() error {
 	for i, replica := range r.cluster.Replicas {
-		r.Upstream[i].To(replica.Write.Addr())
+		r.Upstream[i].SetTarget(replica.Write.Addr())
 	}
 	var err error
 	if r.Process, err = Start(r.Name, r.cluster.Program, []string{"relay", r.path}, nil); err != nil {
@@ -52,14 +52,14 @@
 		return fmt.Errorf("%w\n%s", err, strings.Join(r.Log(), "\n"))
 	}
 	watch, _ := serves["watch"].(string)
-	r.Watch.To(watch)
+	r.Watch.SetTarget(watch)
 	return nil
 }
 
 // Cut cuts the relay off from all replicas, or connects it with them again.
 func (r *Relay) Cut(cut bool) {
 	for _, proxy := range r.Upstream {
-		proxy.Carry(!cut, !cut)
+		proxy.SetForwarding(!cut, !cut)
 	}
 }
 
--- a/internal/tools/testharness/replica.go
+++ b/internal/tools/testharness/replica.go
@@ -58,11 +58,11 @@
 	}
 	write, _ := serves["write"].(string)
 	watch, _ := serves["bulletin"].(string)
-	r.Write.To(write)
-	r.Watch.To(watch)
+	r.Write.SetTarget(write)
+	r.Watch.SetTarget(watch)
 	for _, other := range r.cluster.Replicas {
 		if proxy := other.Peers[r.Name]; proxy != nil {
-			proxy.To(write)
+			proxy.SetTarget(write)
 		}
 	}
 	return nil
@@ -82,8 +82,8 @@
 		}
 		// A connection carries calls one way and their answers the other: what the replica sends goes forward on its own
 		// connections and backward on those of the others.
-		r.Peers[other.Name].Carry(there, back)
-		other.Peers[r.Name].Carry(back, there)
+		r.Peers[other.Name].SetForwarding(there, back)
+		other.Peers[r.Name].SetForwarding(back, there)
 	}
 }
 
