--- a/internal/tools/scale/cluster.go
+++ b/internal/tools/scale/cluster.go
@@ -19,13 +19,13 @@
 	"stairvane.org/stairvane/internal/tools/testharness"
 )
 
-// Roles of processes.
+// Roles of processes, as they are named in results.
 const (
 	RoleLeader    = "leader"
 	RoleReplica   = "replica"
 	RoleRelay     = "relay"
 	RoleDirector  = "director"
-	RoleSimulated = "hollow" // as stored runs name it
+	RoleSimulated = "hollow" // the name in stored results
 	RoleRun       = "run"
 )
 
@@ -36,36 +36,37 @@
 	snapshotEvery    = 10_000 // events
 )
 
-// processSpec is how a process is started: it serves once it has logged an event, a key of which gives an address.
+// processSpec describes how to start a process. The process is ready when it has logged startedEvent, whose attribute addressKey is its
+// address.
 type processSpec struct {
-	name       string
-	args       []string
-	event      string
-	addressKey string
+	name         string
+	args         []string
+	startedEvent string
+	addressKey   string
 }
 
-// member is a process of the run with its role.
+// member is a process of the cluster with its role.
 type member struct {
 	*testharness.Process
 	role    string
-	address string // of its watch server, or of a process of simulated directors's control server
+	address string // of its watch server or, for simulated directors, of its control server
 }
 
-// cluster is all processes of one size.
+// cluster holds all processes that run for one size.
 type cluster struct {
-	settings  Settings
-	folder    string
-	group     *testharness.Cluster
-	relays    []*member
-	directors []*testharness.Director
-	simulated []*member
-	caches    []*fakes.Cache
-	control   *http.Client
+	settings      Settings
+	folder        string
+	group         *testharness.Cluster
+	relays        []*member
+	directors     []*testharness.Director
+	simulated     []*member
+	caches        []*fakes.Cache
+	controlClient *http.Client
 }
 
-// startCluster starts all but the simulated directors.
+// startCluster starts all processes except the simulated directors.
 func startCluster(set Settings, folder string) (*cluster, error) {
-	c := &cluster{settings: set, folder: folder, control: &http.Client{Timeout: controlTimeout}}
+	c := &cluster{settings: set, folder: folder, controlClient: &http.Client{Timeout: controlTimeout}}
 	if err := c.startAll(); err != nil {
 		c.close()
 		return nil, err
@@ -98,29 +99,29 @@
 	return nil
 }
 
-func (c *cluster) start(spec processSpec, role string) (*member, error) {
+func (c *cluster) startProcess(spec processSpec, role string) (*member, error) {
 	p, err := testharness.Start(spec.name, c.settings.Program, spec.args, nil)
 	if err != nil {
 		return nil, err
 	}
-	serves, _, err := p.Event(spec.event, 0, startTimeout)
+	event, _, err := p.Event(spec.startedEvent, 0, startTimeout)
 	if err != nil {
 		p.Kill()
 		return nil, fmt.Errorf("%w\n%s", err, strings.Join(p.Log(), "\n"))
 	}
-	address, is := serves[spec.addressKey].(string)
-	if !is {
+	address, ok := event[spec.addressKey].(string)
+	if !ok {
 		p.Kill()
-		return nil, fmt.Errorf("scale: %s does not tell %s", spec.name, spec.addressKey)
+		return nil, fmt.Errorf("scale: %s did not log its address as %s", spec.name, spec.addressKey)
 	}
 	return &member{Process: p, role: role, address: address}, nil
 }
 
-// startRelays starts the relays, and leads real directors to them.
+// startRelays starts the relays, and points the watch proxies of the replicas, which real directors use, to them.
 func (c *cluster) startRelays() error {
 	var upstream []string
-	for _, b := range c.group.Replicas {
-		upstream = append(upstream, b.Write.Addr())
+	for _, replica := range c.group.Replicas {
+		upstream = append(upstream, replica.Write.Addr())
 	}
 	for i := range c.settings.Relays {
 		name := fmt.Sprintf("r%d", i+1)
@@ -130,23 +131,23 @@
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			return err
 		}
-		spec := processSpec{name: name, args: []string{"relay", file}, event: "relay.started", addressKey: "watch"}
-		relay, err := c.start(spec, RoleRelay)
+		spec := processSpec{name: name, args: []string{"relay", file}, startedEvent: "relay.started", addressKey: "watch"}
+		relay, err := c.startProcess(spec, RoleRelay)
 		if err != nil {
 			return err
 		}
 		c.relays = append(c.relays, relay)
 	}
-	for i, b := range c.group.Replicas {
+	for i, replica := range c.group.Replicas {
 		if len(c.relays) > 0 {
-			b.Watch.SetTarget(c.relays[i%len(c.relays)].address)
+			replica.Watch.SetTarget(c.relays[i%len(c.relays)].address)
 		}
 	}
 	return nil
 }
 
-// watchServers are the addresses that simulated directors watch: the relays', or else the replicas' own, without the proxies
-// between, which would cost CPU in the run.
+// watchServers returns the addresses that simulated directors watch: those of the relays or, if there are none, those of the
+// replicas themselves and not of their proxies, which would use CPU time of the run.
 func (c *cluster) watchServers() (addresses []netip.AddrPort, err error) {
 	for _, relay := range c.relays {
 		address, err := netip.ParseAddrPort(relay.address)
@@ -158,8 +159,8 @@
 	if len(addresses) > 0 {
 		return addresses, nil
 	}
-	for _, b := range c.group.Replicas {
-		address, err := replicaWatch(b)
+	for _, replica := range c.group.Replicas {
+		address, err := replicaWatch(replica)
 		if err != nil {
 			return nil, err
 		}
@@ -168,17 +169,17 @@
 	return addresses, nil
 }
 
-// replicaWatch is the address of a replica's own watch server.
-func replicaWatch(b *testharness.Replica) (netip.AddrPort, error) {
-	serves, _, err := b.Event("controlplane.started", 0, startTimeout)
+// replicaWatch returns the address of a replica's own watch server.
+func replicaWatch(replica *testharness.Replica) (netip.AddrPort, error) {
+	event, _, err := replica.Event("controlplane.started", 0, startTimeout)
 	if err != nil {
 		return netip.AddrPort{}, err
 	}
-	address, _ := serves["bulletin"].(string)
+	address, _ := event["bulletin"].(string)
 	return netip.ParseAddrPort(address)
 }
 
-// startSimulated starts the simulated directors.
+// startSimulated starts the given number of simulated directors, spread evenly over the processes.
 func (c *cluster) startSimulated(count int) error {
 	addresses, err := c.watchServers()
 	if err != nil {
@@ -210,12 +211,12 @@
 			return err
 		}
 		spec := processSpec{
-			name:       name,
-			args:       []string{"scale", "simulated", file},
-			event:      simulated.ServesEvent,
-			addressKey: simulated.ControlKey,
+			name:         name,
+			args:         []string{"scale", "simulated", file},
+			startedEvent: simulated.StartedEvent,
+			addressKey:   simulated.ControlAddressKey,
 		}
-		p, err := c.start(spec, RoleSimulated)
+		p, err := c.startProcess(spec, RoleSimulated)
 		if err != nil {
 			return err
 		}
@@ -224,28 +225,28 @@
 	return nil
 }
 
-// call calls a process of simulated directors's control server.
-func (c *cluster) call(p *member, method, path string, out any) error {
+// callControl sends a request to the control server of a process of simulated directors and decodes the JSON response into out.
+func (c *cluster) callControl(p *member, method, path string, out any) error {
 	request, err := http.NewRequest(method, "http://"+p.address+path, nil)
 	if err != nil {
 		return err
 	}
-	response, err := c.control.Do(request)
+	response, err := c.controlClient.Do(request)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = response.Body.Close() }() // it was read as far as it is wanted
+	defer func() { _ = response.Body.Close() }() // the response has been decoded or is not needed
 	if response.StatusCode != http.StatusOK {
 		return fmt.Errorf("scale: %s answered %s", p.Name, response.Status)
 	}
 	return json.NewDecoder(response.Body).Decode(out)
 }
 
-// sum adds up what all process of simulated directorses answer.
-func (c *cluster) sum(method, path string) (total int, err error) {
+// sumAnswers sends a request to all processes of simulated directors and returns the sum of the numbers that they answer.
+func (c *cluster) sumAnswers(method, path string) (total int, err error) {
 	for _, p := range c.simulated {
 		var one int
-		if err := c.call(p, method, path, &one); err != nil {
+		if err := c.callControl(p, method, path, &one); err != nil {
 			return total, err
 		}
 		total += one
@@ -253,7 +254,7 @@
 	return total, nil
 }
 
-// declareFleet makes the fleet: a location with two caches, which are warm, and what they are filled from.
+// declareFleet applies the fleet's configuration: an origin, and a location with two caches that need no warm-up.
 func (c *cluster) declareFleet() error {
 	rules := fleet.DefaultRules()
 	rules.Cache.WarmUpMS = 0
@@ -279,26 +280,27 @@
 		return err
 	}
 	for end := time.Now().Add(startTimeout); ; time.Sleep(retryPause) {
-		err := change(client, func(fleet.ObservedState) fleet.DesiredState { return wanted })
+		err := submitChange(client, func(fleet.ObservedState) fleet.DesiredState { return wanted })
 		if err == nil || time.Now().After(end) {
 			return err
 		}
 	}
 }
 
-// awaitJoined waits until so many directors are on the membership. It gives how many are, also where the time is over.
+// awaitJoined waits until at least count directors are members, but no longer than the given time. It returns the number of members
+// in either case.
 func (c *cluster) awaitJoined(count int, within time.Duration) (joined int, took time.Duration, err error) {
 	client, err := c.group.Client()
 	if err != nil {
 		return 0, 0, err
 	}
-	begin := time.Now()
+	start := time.Now()
 	for {
 		var members api.Members
 		if members, err = client.Members(); err == nil {
 			joined = len(members.Directors)
 		}
-		took = time.Since(begin)
+		took = time.Since(start)
 		if joined >= count || took > within {
 			return joined, took, err
 		}
@@ -306,18 +308,19 @@
 	}
 }
 
-// members are all processes with their roles as they are now.
+// members returns all processes except the run itself, with their current roles. leader is the replica that leads; nil if that is
+// not needed.
 func (c *cluster) members(leader *testharness.Replica) (all []*member) {
-	for _, b := range c.group.Replicas {
+	for _, replica := range c.group.Replicas {
 		role := RoleReplica
-		if b == leader {
+		if replica == leader {
 			role = RoleLeader
 		}
-		address, err := replicaWatch(b)
+		address, err := replicaWatch(replica)
 		if err != nil {
-			continue // it was killed before it served
+			continue // it was killed before it was ready
 		}
-		all = append(all, &member{Process: b.Process, role: role, address: address.String()})
+		all = append(all, &member{Process: replica.Process, role: role, address: address.String()})
 	}
 	all = append(all, c.relays...)
 	for _, d := range c.directors {
@@ -326,8 +329,8 @@
 	return append(all, c.simulated...)
 }
 
-// resident is the memory of all processes in bytes.
-func (c *cluster) resident() (sum int64) {
+// residentMemory returns the resident memory of all processes in bytes.
+func (c *cluster) residentMemory() (sum int64) {
 	for _, m := range c.members(nil) {
 		if u, err := readUsage(m.Pid()); err == nil {
 			sum += u.rss
@@ -338,7 +341,7 @@
 
 var errNoLeader = errors.New("scale: no replica leads")
 
-// saveLogs writes the processes' logs beside their files.
+// saveLogs writes the processes' logs to the folder of their other files.
 func (c *cluster) saveLogs() error {
 	for _, m := range c.members(nil) {
 		text := strings.Join(m.Log(), "\n") + "\n"
@@ -349,7 +352,7 @@
 	return nil
 }
 
-// close ends all processes.
+// close kills all processes and closes the fake caches.
 func (c *cluster) close() {
 	for _, p := range append(c.relays, c.simulated...) {
 		if p.Running() {
--- a/internal/tools/scale/fit.go
+++ b/internal/tools/scale/fit.go
@@ -6,33 +6,33 @@
 )
 
 const (
-	linearShare   = 0.05 // residual of the line, as a share of the largest value, up to which values count as linear
-	clearlyBetter = 0.5  // residual of the parabola, as a share of the line's, up to which a square term is seen
-	sizesToJudge  = 4    // a parabola goes through any three points
+	linearShare       = 0.05 // largest residual of the line for a linear shape, as a share of the largest value
+	quadraticShare    = 0.5  // largest residual of the parabola for a quadratic shape, as a share of the line's
+	minQuadraticSizes = 4    // for a quadratic shape; a parabola passes through any three points
 )
 
-// Shape is what the residuals tell of a law.
+// Shape classifies a law by its residuals.
 type Shape string
 
-// Shapes. None says anything of sizes beyond the largest one that was measured.
+// Shapes. They hold only up to the largest size that was measured.
 const (
 	Linear    Shape = "linear"    // the line's residual is at most a twentieth of the largest value
-	Quadratic Shape = "quadratic" // it is more, and a positive square term halves it at least, over four sizes or more
+	Quadratic Shape = "quadratic" // the line's residual is larger; a positive square term at least halves it, over at least four sizes
 	Unclear   Shape = "unclear"   // neither
 )
 
-// ErrTooFew is returned where there are fewer than three points of different sizes.
-var ErrTooFew = errors.New("scale: a law needs three points of different sizes at least")
+// ErrTooFewSizes is returned by Fit if the points have fewer than three different sizes.
+var ErrTooFewSizes = errors.New("scale: a law needs points of at least three different sizes")
 
-// Point is one measured value at a number of directors.
+// Point is a value measured with a number of directors.
 type Point struct {
 	Directors float64 `json:"directors"`
 	Value     float64 `json:"value"`
 }
 
-// Law is what least squares make of points: the line Constant + Slope x n, and the parabola
-// QuadraticConstant + QuadraticSlope x n + Square x n^2, n being directors. Residuals are the root of the mean square of the
-// differences between points and curve, in the unit of the values.
+// Law holds two least-squares fits to points, where n is the number of directors: the line Constant + Slope x n, and the parabola
+// QuadraticConstant + QuadraticSlope x n + Square x n^2. The residuals are the root mean squares of the differences between the
+// points and the curve, in the unit of the values.
 type Law struct {
 	Points            []Point `json:"points"`
 	Constant          float64 `json:"constant"`
@@ -45,8 +45,8 @@
 	Shape             Shape   `json:"shape"`
 }
 
-// Fit finds the linear and the quadratic law of points by least squares. With three points the parabola goes through all of them,
-// so that its residual says nothing.
+// Fit fits a line and a parabola to points by least squares. With three points the parabola passes through all of them, so its
+// residual carries no information.
 func Fit(points []Point) (Law, error) {
 	sizes := map[float64]bool{}
 	largest, scale := 0.0, 0.0
@@ -56,7 +56,7 @@
 		scale = max(scale, math.Abs(p.Directors))
 	}
 	if len(sizes) < 3 {
-		return Law{}, ErrTooFew
+		return Law{}, ErrTooFewSizes
 	}
 	line := leastSquares(points, 1, scale)
 	parabola := leastSquares(points, 2, scale)
@@ -73,7 +73,7 @@
 	switch {
 	case law.Residual <= linearShare*largest:
 		law.Shape = Linear
-	case len(sizes) >= sizesToJudge && law.Square > 0 && law.QuadraticResidual <= clearlyBetter*law.Residual:
+	case len(sizes) >= minQuadraticSizes && law.Square > 0 && law.QuadraticResidual <= quadraticShare*law.Residual:
 		law.Shape = Quadratic
 	default:
 		law.Shape = Unclear
@@ -81,11 +81,11 @@
 	return law, nil
 }
 
-// leastSquares is the polynomial of a degree that is nearest to the points, lowest coefficient first. Sizes are divided by scale
-// while it computes, so that the powers stay near 1.
+// leastSquares returns the coefficients of the least-squares polynomial of a degree, lowest power first. It divides the sizes by
+// scale during the computation, so that their powers stay near 1.
 func leastSquares(points []Point, degree int, scale float64) []float64 {
 	n := degree + 1
-	matrix := make([][]float64, n) // normal equations, the right side in the last column
+	matrix := make([][]float64, n) // normal equations, with the right-hand side in the last column
 	for row := range matrix {
 		matrix[row] = make([]float64, n+1)
 	}
@@ -98,7 +98,7 @@
 			matrix[row][n] += math.Pow(x, float64(row)) * p.Value
 		}
 	}
-	solve(matrix)
+	solveLinearSystem(matrix)
 	coefficients := make([]float64, n)
 	for i := range coefficients {
 		coefficients[i] = matrix[i][n] / math.Pow(scale, float64(i))
@@ -106,8 +106,9 @@
 	return coefficients
 }
 
-// solve turns the last column of a system's rows into the solution, by elimination with the largest pivot.
-func solve(rows [][]float64) {
+// solveLinearSystem solves a linear system in place, by Gauss-Jordan elimination with partial pivoting. rows is the augmented matrix; its
+// last column becomes the solution.
+func solveLinearSystem(rows [][]float64) {
 	n := len(rows)
 	for column := range n {
 		pivot := column
--- a/internal/tools/scale/fit_test.go
+++ b/internal/tools/scale/fit_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-func near(a, b float64) bool { return math.Abs(a-b) <= 1e-9*max(1, math.Abs(a), math.Abs(b)) }
+func almostEqual(a, b float64) bool { return math.Abs(a-b) <= 1e-9*max(1, math.Abs(a), math.Abs(b)) }
 
-func TestFitFindsTheLawThatMadeThePoints(t *testing.T) {
+func TestFitRecoversCoefficients(t *testing.T) {
 	for _, square := range []float64{0, 3e-7, 2e-6} {
 		var points []Point
 		for _, n := range []float64{100, 200, 400, 800, 1600} {
@@ -18,11 +18,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		found := near(law.QuadraticConstant, 0.04) && near(law.QuadraticSlope, 0.001) && near(law.Square, square)
+		found := almostEqual(law.QuadraticConstant, 0.04) && almostEqual(law.QuadraticSlope, 0.001) && almostEqual(law.Square, square)
 		if !found || law.QuadraticResidual > 1e-9 {
 			t.Errorf("square %g: %+v", square, law)
 		}
-		if straight := near(law.Constant, 0.04) && near(law.Slope, 0.001) && law.Residual < 1e-9; straight != (square == 0) {
+		if straight := almostEqual(law.Constant, 0.04) && almostEqual(law.Slope, 0.001) && law.Residual < 1e-9; straight != (square == 0) {
 			t.Errorf("square %g: line %+v", square, law)
 		}
 		want := Linear
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestFitLeavesOpenWhatPointsDoNotTell(t *testing.T) {
+func TestFitReportsUnclearShapes(t *testing.T) {
 	for name, points := range map[string][]Point{
 		"three sizes": {{100, 1}, {200, 4}, {300, 9}},
 		"noise":       {{100, 1}, {200, 3}, {300, 1}, {400, 3}, {500, 1}},
@@ -47,9 +47,9 @@
 	}
 }
 
-func TestFitRefusesTooFewSizes(t *testing.T) {
+func TestFitRejectsTooFewSizes(t *testing.T) {
 	for _, points := range [][]Point{nil, {{100, 1}, {200, 2}}, {{100, 1}, {200, 2}, {200, 3}}} {
-		if _, err := Fit(points); !errors.Is(err, ErrTooFew) {
+		if _, err := Fit(points); !errors.Is(err, ErrTooFewSizes) {
 			t.Errorf("%v: %v", points, err)
 		}
 	}
--- a/internal/tools/scale/load.go
+++ b/internal/tools/scale/load.go
@@ -18,36 +18,36 @@
 	retryPause   = 50 * time.Millisecond
 )
 
-// acceptedPurge is a purge that the control plane has accepted; times are of CLOCK_BOOTTIME.
+// acceptedPurge is a purge that the control plane has accepted. Times are readings of CLOCK_BOOTTIME.
 type acceptedPurge struct {
-	number   int64
-	called   time.Duration
-	accepted time.Duration // when the answer was there
+	number   int64         // revision of its event
+	called   time.Duration // when the call was sent
+	accepted time.Duration // when the response was received
 }
 
-// load applies purges and changes of the configuration at steady rates.
+// load applies purges and configuration changes at constant rates.
 type load struct {
-	stop  context.CancelFunc
-	tasks sync.WaitGroup
+	cancel context.CancelFunc
+	tasks  sync.WaitGroup
 
-	mu          sync.Mutex
-	purges      []acceptedPurge
-	failed      []time.Duration // when purges were called that were not accepted
-	changes     []time.Duration // when changes were taken
-	notChanged  []time.Duration
-	lastFailure error
+	mu             sync.Mutex
+	purges         []acceptedPurge
+	failedPurges   []time.Duration // when purges were due or sent that were not accepted
+	appliedChanges []time.Duration // when the configuration changes that were applied were sent
+	failedChanges  []time.Duration
+	lastError      error
 }
 
-// startLoad begins the load. Purges fall due at even times, whether or not those before are answered; one that no writer is free
-// for in a whole period counts as not accepted.
-func startLoad(group *testharness.Cluster, set Settings) (*load, error) {
-	ctx, stop := context.WithCancel(context.Background())
-	l := &load{stop: stop}
+// startLoad starts the load. Purges are due at constant intervals, whether or not earlier ones have been answered. A purge that is
+// due while all writers are busy and their queue is full counts as not accepted.
+func startLoad(group *testharness.Cluster, settings Settings) (*load, error) {
+	ctx, cancel := context.WithCancel(context.Background())
+	l := &load{cancel: cancel}
 	due := make(chan int64, purgeWriters)
 	for range purgeWriters {
 		client, err := group.Client()
 		if err != nil {
-			stop()
+			cancel()
 			return nil, err
 		}
 		l.tasks.Go(func() {
@@ -58,27 +58,27 @@
 	}
 	l.tasks.Go(func() {
 		defer close(due)
-		each(ctx, set.PurgesPerSecond, func(n int64) {
+		callAtRate(ctx, settings.PurgesPerSecond, func(n int64) {
 			select {
 			case due <- n:
 			default:
 				l.mu.Lock()
-				l.failed = append(l.failed, simulated.Now())
+				l.failedPurges = append(l.failedPurges, simulated.Now())
 				l.mu.Unlock()
 			}
 		})
 	})
 	client, err := group.Client()
 	if err != nil {
-		stop()
+		cancel()
 		return nil, err
 	}
-	l.tasks.Go(func() { each(ctx, set.ChangesPerSecond, func(n int64) { l.change(client, n) }) })
+	l.tasks.Go(func() { callAtRate(ctx, settings.ChangesPerSecond, func(n int64) { l.submitChange(client, n) }) })
 	return l, nil
 }
 
-// each calls a function at a rate until the context ends.
-func each(ctx context.Context, perSecond float64, do func(n int64)) {
+// callAtRate calls a function at a rate, with n counting from 1, until the context is done.
+func callAtRate(ctx context.Context, perSecond float64, call func(n int64)) {
 	if perSecond <= 0 {
 		return
 	}
@@ -89,7 +89,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			do(n)
+			call(n)
 		}
 	}
 }
@@ -100,18 +100,18 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err != nil {
-		l.failed, l.lastFailure = append(l.failed, called), err
+		l.failedPurges, l.lastError = append(l.failedPurges, called), err
 		return
 	}
 	l.purges = append(l.purges, acceptedPurge{number: answer.Revision, called: called, accepted: simulated.Now()})
 }
 
-// change has the location's load go up and down. The write side takes changes of the configuration as plans alone, so that this
-// is the lightest one: a plan of one step.
-func (l *load) change(client *api.Client, n int64) {
+// submitChange alternates the location's load between two values. The write server accepts configuration changes only as
+// plans; this is the smallest one, a plan of one step.
+func (l *load) submitChange(client *api.Client, n int64) {
 	called := simulated.Now()
-	err := change(client, func(w fleet.ObservedState) fleet.DesiredState {
-		wanted := w.DesiredState()
+	err := submitChange(client, func(observed fleet.ObservedState) fleet.DesiredState {
+		wanted := observed.DesiredState()
 		for i := range wanted.Locations {
 			wanted.Locations[i].Load = 1 + float64(n%2)/2
 		}
@@ -120,14 +120,14 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err != nil {
-		l.notChanged, l.lastFailure = append(l.notChanged, called), err
+		l.failedChanges, l.lastError = append(l.failedChanges, called), err
 		return
 	}
-	l.changes = append(l.changes, called)
+	l.appliedChanges = append(l.appliedChanges, called)
 }
 
-// change plans the way to a desired state and hands the plan in.
-func change(client *api.Client, desired func(fleet.ObservedState) fleet.DesiredState) error {
+// submitChange plans the steps from the observed state to a desired state, and submits the plan.
+func submitChange(client *api.Client, desired func(fleet.ObservedState) fleet.DesiredState) error {
 	answer, err := client.State()
 	if err != nil {
 		return err
@@ -148,14 +148,14 @@
 	return err
 }
 
-// end stops the load.
-func (l *load) end() {
-	l.stop()
+// stopAndWait stops the load and waits for its goroutines.
+func (l *load) stopAndWait() {
+	l.cancel()
 	l.tasks.Wait()
 }
 
-// within counts the times between two.
-func within(times []time.Duration, from, to time.Duration) (count int) {
+// countBetween returns the number of times that are at or after from and before to.
+func countBetween(times []time.Duration, from, to time.Duration) (count int) {
 	for _, at := range times {
 		if at >= from && at < to {
 			count++
--- a/internal/tools/scale/memory_test.go
+++ b/internal/tools/scale/memory_test.go
@@ -9,7 +9,7 @@
 	"stairvane.org/stairvane/internal/tools/testharness"
 )
 
-func TestGuardMemoryCancelsARunThatUsesTooMuch(t *testing.T) {
+func TestGuardMemoryCancelsRunAboveLimit(t *testing.T) {
 	p, err := testharness.Start("idle", "/bin/sleep", []string{"60"}, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -21,7 +21,7 @@
 		within, stop := context.WithTimeout(ctx, 4*memoryCheckInterval)
 		begin := time.Now()
 		c.guardMemory(within, cancel, most)
-		if got := errors.Is(context.Cause(ctx), ErrMemory); got != (most == 1) {
+		if got := errors.Is(context.Cause(ctx), ErrMemoryLimit); got != (most == 1) {
 			t.Errorf("%d bytes allowed: cancelled %v after %v", most, got, time.Since(begin))
 		}
 		stop()
--- a/internal/tools/scale/parse_test.go
+++ b/internal/tools/scale/parse_test.go
@@ -15,7 +15,7 @@
 		t.Errorf("%v, %v", got, err)
 	}
 	for _, text := range []string{"", "77 (a) S 1", "77 (a) S 1 77 77 0 -1 4194560 900 0 0 0 x 66 5"} {
-		if _, err := parseStat(text); !errors.Is(err, errStat) {
+		if _, err := parseStat(text); !errors.Is(err, errMalformedStat) {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestSettingsBeyondTheBounds(t *testing.T) {
+func TestSettingsOutOfBoundsAreRejected(t *testing.T) {
 	usual := func() Settings {
 		return Settings{Directors: []int{100}, Replicas: 3, Processes: 2, PurgesPerSecond: 21, StartPerSecond: 100, Window: time.Second}
 	}
@@ -65,22 +65,22 @@
 	}
 }
 
-func TestCollapses(t *testing.T) {
-	calm := Row{Simulated: 30, Real: 2, Joined: 32}
-	if got := collapseReasons(calm); len(got) != 0 {
+func TestCollapseReasons(t *testing.T) {
+	healthy := Row{Simulated: 30, Real: 2, Joined: 32}
+	if got := collapseReasons(healthy); len(got) != 0 {
 		t.Errorf("%v", got)
 	}
 	for name, change := range map[string]func(*Row){
 		"joined":   func(r *Row) { r.Joined = 31 },
 		"lost":     func(r *Row) { r.MembershipLost = 1 },
-		"repeated": func(r *Row) { r.Repeated = 1 },
-		"missing":  func(r *Row) { r.Missing = 1 },
+		"repeated": func(r *Row) { r.PurgesRepeated = 1 },
+		"missing":  func(r *Row) { r.PurgesMissing = 1 },
 		"leases":   func(r *Row) { r.LeaseLosses = 1 },
 		"ended":    func(r *Row) { r.EndedByServer = 1 },
 		"lapsed":   func(r *Row) { r.Lapsed = 1 },
 		"faulty":   func(r *Row) { r.Fault = KillLeader },
 	} {
-		row := calm
+		row := healthy
 		change(&row)
 		if got := collapseReasons(row); len(got) != 1 {
 			t.Errorf("%s: %v", name, got)
--- a/internal/tools/scale/run.go
+++ b/internal/tools/scale/run.go
@@ -15,35 +15,35 @@
 	memoryCheckInterval = 500 * time.Millisecond
 )
 
-// ErrMemory ends a run that uses more memory than it may.
-var ErrMemory = errors.New("scale: the run uses more than half of the machine's memory")
+// ErrMemoryLimit is returned by Run if the run's processes use more memory than allowed.
+var ErrMemoryLimit = errors.New("scale: the run uses more than half of the machine's memory")
 
-// Run measures all sizes, the smallest first wanted first, and calls done after each. It ends by itself: after MaxRun, when the
-// processes use too much memory, or at the first size that collapses unless the settings say to keep on. What was measured until
-// then is in the result, beside the error if there is one.
-func Run(ctx context.Context, set Settings, done func(Row)) (Result, error) {
+// Run measures all sizes in the order of the settings, and calls done after each. It stops early after MaxRun, when the processes use
+// too much memory, or at the first size that collapses unless the settings say to keep on. The result holds what was measured until
+// then, also if Run returns an error.
+func Run(ctx context.Context, settings Settings, done func(Row)) (Result, error) {
 	result := Result{
 		Began:    time.Now().UTC(),
-		Settings: set,
+		Settings: settings,
 		Cores:    runtime.NumCPU(),
 		MemoryMB: float64(machineMemory()) / megabyte,
 	}
-	if err := set.Check(); err != nil {
+	if err := settings.Check(); err != nil {
 		return result, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, MaxRun)
 	defer cancel()
-	for _, size := range set.Directors {
-		row, err := runSize(ctx, set, size)
+	for _, size := range settings.Directors {
+		row, err := runSize(ctx, settings, size)
 		if err != nil {
-			result.Stopped = fmt.Sprintf("%d hollow directors: %v", size, err)
+			result.Stopped = fmt.Sprintf("%d simulated directors: %v", size, err)
 			result.Laws = fitLaws(result.Rows)
-			return result, fmt.Errorf("%d hollow directors: %w", size, err)
+			return result, fmt.Errorf("%d simulated directors: %w", size, err)
 		}
 		result.Rows = append(result.Rows, row)
 		done(row)
-		if len(row.Collapsed) > 0 && !set.KeepOn {
-			result.Stopped = fmt.Sprintf("it collapsed at %d hollow directors", size)
+		if len(row.Collapsed) > 0 && !settings.KeepOn {
+			result.Stopped = fmt.Sprintf("the control plane collapsed at %d simulated directors", size)
 			break
 		}
 	}
@@ -51,15 +51,15 @@
 	return result, nil
 }
 
-// runSize measures one size with processes of its own.
-func runSize(ctx context.Context, set Settings, size int) (row Row, err error) {
+// runSize measures one size with newly started processes.
+func runSize(ctx context.Context, settings Settings, size int) (row Row, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	folder := filepath.Join(set.Folder, fmt.Sprintf("size-%d", size))
+	folder := filepath.Join(settings.Folder, fmt.Sprintf("size-%d", size))
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return row, err
 	}
-	c, err := startCluster(set, folder)
+	c, err := startCluster(settings, folder)
 	if err != nil {
 		return row, err
 	}
@@ -79,7 +79,7 @@
 	return c.measure(ctx, size)
 }
 
-// measure waits until all directors are there, applies the load and takes a window.
+// measure waits until all directors have joined or the time is over, starts the load and measures a window.
 func (c *cluster) measure(ctx context.Context, size int) (row Row, err error) {
 	row = Row{Began: time.Now().UTC(), Simulated: size, Real: c.settings.RealDirectors, Fault: c.settings.Fault}
 	var took time.Duration
@@ -87,15 +87,15 @@
 		return row, err
 	}
 	row.JoinSeconds = took.Seconds()
-	purges, err := startLoad(c.group, c.settings)
+	workload, err := startLoad(c.group, c.settings)
 	if err != nil {
 		return row, err
 	}
-	defer purges.end()
+	defer workload.stopAndWait()
 	if err := sleep(ctx, c.settings.Settle); err != nil {
 		return row, err
 	}
-	w := &window{cluster: c, settings: c.settings, load: purges, row: &row}
+	w := &window{cluster: c, settings: c.settings, load: workload, row: &row}
 	if err := w.measure(ctx); err != nil {
 		return row, err
 	}
@@ -103,17 +103,18 @@
 	return row, c.saveLogs()
 }
 
-// guardMemory cancels the run when its processes use more memory, in bytes, than they may; 0: any.
-func (c *cluster) guardMemory(ctx context.Context, cancel context.CancelCauseFunc, most int64) {
+// guardMemory cancels the run with ErrMemoryLimit when its processes use more memory than limit, in bytes; 0 means no limit. It returns
+// then or when the context is done.
+func (c *cluster) guardMemory(ctx context.Context, cancel context.CancelCauseFunc, limit int64) {
 	for sleep(ctx, memoryCheckInterval) == nil {
-		if most > 0 && c.resident() > most {
-			cancel(ErrMemory)
+		if limit > 0 && c.residentMemory() > limit {
+			cancel(ErrMemoryLimit)
 			return
 		}
 	}
 }
 
-// sleep waits; the error is why the context ended before.
+// sleep waits for the given time. If the context is done first, it returns the cause.
 func sleep(ctx context.Context, length time.Duration) error {
 	select {
 	case <-ctx.Done():
--- a/internal/tools/scale/run_test.go
+++ b/internal/tools/scale/run_test.go
@@ -28,7 +28,8 @@
 	os.Exit(status)
 }
 
-// All simulated directors get each purge once and in order, none is removed from the membership, and all figures are there.
+// TestRun checks that every simulated director gets each purge once and in order, that none is removed from the membership, and that
+// all figures are filled in.
 func TestRun(t *testing.T) {
 	const size = 30
 	set := scale.Settings{
@@ -56,20 +57,21 @@
 	row := result.Rows[0]
 	t.Logf("%+v", row)
 	if row.Joined != size+1 {
-		t.Errorf("%d directors on the membership", row.Joined)
+		t.Errorf("%d directors are members", row.Joined)
 	}
-	if row.Accepted.Count == 0 || row.Delay.Count != size*row.Accepted.Count || row.Missing != 0 || row.Repeated != 0 {
+	if row.PurgeAccepted.Count == 0 || row.PurgeDelay.Count != size*row.PurgeAccepted.Count ||
+		row.PurgesMissing != 0 || row.PurgesRepeated != 0 {
 		t.Errorf("%d arrivals of %d purges at %d directors, %d missing, %d repeated",
-			row.Delay.Count, row.Accepted.Count, size, row.Missing, row.Repeated)
+			row.PurgeDelay.Count, row.PurgeAccepted.Count, size, row.PurgesMissing, row.PurgesRepeated)
 	}
 	if row.MembershipLost != 0 {
-		t.Errorf("taken off the membership: %v", row.LostNames)
+		t.Errorf("removed from the membership: %v", row.LostNames)
 	}
 	if row.Changes == 0 || row.Grants == 0 || row.DirectorUp == 0 || row.DirectorDown == 0 {
 		t.Errorf("%d changes, %g grants/s, %g B/s up, %g B/s down", row.Changes, row.Grants, row.DirectorUp, row.DirectorDown)
 	}
 	if row.LargestPartSum <= 0 || row.LargestPartSum > 1 {
-		t.Errorf("parts of a limit of 1 add up to %g", row.LargestPartSum)
+		t.Errorf("shares of a limit of 1 add up to %g", row.LargestPartSum)
 	}
 	roles := map[string]int{}
 	for _, use := range row.Roles {
@@ -85,8 +87,8 @@
 	}
 }
 
-// A run whose processes do not start ends with the reason.
-func TestRunEndsWhereAProcessDoesNotStart(t *testing.T) {
+// TestRunReturnsStartErrors checks that a run whose folder can't be created, or whose processes don't start, returns the reason.
+func TestRunReturnsStartErrors(t *testing.T) {
 	set := scale.Settings{
 		Program: program, Folder: t.TempDir(), Directors: []int{1}, Replicas: 1, Processes: 1, StartPerSecond: 1, Window: time.Second,
 	}
--- a/internal/tools/scale/simulated/answers.go
+++ b/internal/tools/scale/simulated/answers.go
@@ -9,54 +9,58 @@
 	"stairvane.org/stairvane/internal/protocol/discovery"
 )
 
-// maxDecoded bounds the decoded answers in the cache.
-const maxDecoded = 256
+// maxDecodedAnswers is the number of decoded answers at which the decoder clears its cache.
+const maxDecodedAnswers = 256
 
-// personalPart begins what an answer has for one director alone: its grant. All before it is the same for all that ask alike.
-var personalPart = []byte(`],"turns":`)
+// grantSeparator precedes the part of an answer that is specific to one director: its quota grant. The part before it is identical in
+// all answers to directors that made the same request.
+var grantSeparator = []byte(`],"turns":`)
 
-// answers decodes the answers to the directors of a process. On machines of their own each would decode its own; here the part
-// that many are sent alike is decoded once.
-type answers struct {
-	decoded map[uint64]discovery.WatchResponse
+// answerDecoder decodes the answers to the directors of a process. Real directors on separate machines each decode their own; here
+// the part that many answers have in common is decoded once.
+type answerDecoder struct {
+	decoded map[uint64]discovery.WatchResponse // by hash of the common part
 }
 
-func newAnswers() answers { return answers{decoded: map[uint64]discovery.WatchResponse{}} }
+func newAnswerDecoder() answerDecoder {
+	return answerDecoder{decoded: map[uint64]discovery.WatchResponse{}}
+}
 
-// decode decodes the body of an answer. The items must not be changed. An event that can't be read is an error.
-func (a *answers) decode(body []byte) (discovery.WatchResponse, error) {
+// decode decodes the body of an answer. The caller must not modify the events, because other answers share them. A malformed event is
+// an error.
+func (a *answerDecoder) decode(body []byte) (discovery.WatchResponse, error) {
 	shared, grant := body, []byte(nil)
-	if at := bytes.LastIndex(body, personalPart); at >= 0 {
+	if at := bytes.LastIndex(body, grantSeparator); at >= 0 {
 		shared = body[:at+1]
-		grant = body[at+len(personalPart) : len(body)-1]
+		grant = body[at+len(grantSeparator) : len(body)-1]
 	}
-	feed, err := a.decodeShared(shared, len(grant) > 0)
+	response, err := a.decodeShared(shared, len(grant) > 0)
 	if len(grant) > 0 {
-		feed.QuotaGrant = json.RawMessage(grant)
+		response.QuotaGrant = json.RawMessage(grant)
 	}
-	return feed, err
+	return response, err
 }
 
-// decodeShared decodes the shared part; cut tells that the closing brace is missing.
-func (a *answers) decodeShared(shared []byte, cut bool) (discovery.WatchResponse, error) {
+// decodeShared decodes the common part of an answer. truncated means that its closing brace is missing.
+func (a *answerDecoder) decodeShared(shared []byte, truncated bool) (discovery.WatchResponse, error) {
 	key := xxhash.Sum64(shared)
-	if feed, known := a.decoded[key]; known {
-		return feed, nil
+	if response, found := a.decoded[key]; found {
+		return response, nil
 	}
 	complete := shared
-	if cut {
+	if truncated {
 		complete = append(bytes.Clone(shared), '}')
 	}
-	feed, err := discovery.Decode(complete)
+	response, err := discovery.Decode(complete)
 	if err != nil {
-		return feed, err
+		return response, err
 	}
-	if len(feed.Malformed) > 0 {
-		return feed, feed.Malformed[0]
+	if len(response.Malformed) > 0 {
+		return response, response.Malformed[0]
 	}
-	if len(a.decoded) >= maxDecoded {
+	if len(a.decoded) >= maxDecodedAnswers {
 		clear(a.decoded)
 	}
-	a.decoded[key] = feed
-	return feed, nil
+	a.decoded[key] = response
+	return response, nil
 }
--- a/internal/tools/scale/simulated/answers_test.go
+++ b/internal/tools/scale/simulated/answers_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// An answer is decoded alike whether it has a grant or not, and whether its events were decoded before.
-func TestAnswersDecodeGrantsApartFromEvents(t *testing.T) {
-	a := newAnswers()
+// TestDecodeSeparatesGrantsFromEvents checks that an answer is decoded to the same events with and without a grant, and from the cache.
+func TestDecodeSeparatesGrantsFromEvents(t *testing.T) {
+	a := newAnswerDecoder()
 	events := `{"no":7,"items":[{"no":7,"recall":{"item":"00000000000000a1","issued":5}}]`
 	for _, grant := range []string{"", `{"holder":"d1/x","seq":3}`, `{"holder":"d2/x","seq":4}`} {
 		body := events + "}"
@@ -18,7 +18,7 @@
 		}
 	}
 	if len(a.decoded) != 2 { // with and without the closing brace
-		t.Errorf("%d kept", len(a.decoded))
+		t.Errorf("%d answers are cached", len(a.decoded))
 	}
 	for _, body := range []string{`{"no":7,"items":[`, `{"no":7,"items":[{"no":"x"}],"turns":{}}`} {
 		if _, err := a.decode([]byte(body)); err == nil {
--- a/internal/tools/scale/simulated/director.go
+++ b/internal/tools/scale/simulated/director.go
@@ -13,66 +13,67 @@
 	"stairvane.org/stairvane/internal/transport"
 )
 
-// Rejected is the reason of a reconnect where the server has no lease, or too many watchers.
-const Rejected = "status 503"
+// ReasonRejected is the reason of a reconnect after the server rejected the request because it has no lease or too many watchers.
+const ReasonRejected = "status 503"
 
-var errSilent = errors.New("no answer in time")
+var errAnswerTimeout = errors.New("no answer in time")
 
-// simulatedDirector is one simulated director: a connection with one long poll at a time. It implements transport.Handler.
+// simulatedDirector is one simulated director. It has one connection with one long poll at a time. It implements transport.Handler. Only
+// the loop's goroutine uses it.
 type simulatedDirector struct {
 	process            *Process
 	number             int
-	own                discovery.Director
-	at                 int // place of the server among the addresses
-	tried              int // addresses since the last answer
+	identity           discovery.Director
+	addressIndex       int // index of the current server's address
+	addressesTried     int // addresses that failed since the last answer
 	conn               *transport.Conn
 	timer              transport.Timer
-	retry              time.Duration
-	random             *mathrand.Rand
-	lastRevision       int64 // number of the last event that was taken in
-	membershipRevision int64 // number of the last event of the membership
-	renewer            *quota.Holder
+	retryPause         time.Duration
+	rng                *mathrand.Rand
+	lastRevision       int64 // revision of the last event received
+	membershipRevision int64 // revision of the last membership event
+	quotaHolder        *quota.Holder
 	demands            []float64 // mean demands, by warming cache
 	request            []byte
 
-	answers  int64         // since it began: purges of the first one are from before it
-	answered time.Duration // when it was answered last
-	silence  time.Duration // longest in the window
+	answerCount    int64         // since its start; purges in the first answer may be older than the incarnation
+	answeredAt     time.Duration // when the last answer arrived
+	longestSilence time.Duration // longest time without an answer in the window
 }
 
 func newDirector(p *Process, number int, demands []float64) *simulatedDirector {
 	d := &simulatedDirector{
-		process: p,
-		number:  number,
-		at:      number % len(p.settings.Addresses),
-		random:  mathrand.New(mathrand.NewPCG(p.settings.Seed, uint64(number))),
-		demands: demands,
-	}
-	d.timer.Fire = d.overdue
-	d.begin()
+		process:      p,
+		number:       number,
+		addressIndex: number % len(p.settings.Addresses),
+		rng:          mathrand.New(mathrand.NewPCG(p.settings.Seed, uint64(number))),
+		demands:      demands,
+	}
+	d.timer.Fire = d.onTimer
+	d.reset()
 	return d
 }
 
-// begin makes the director a new process of its name, which knows nothing.
-func (d *simulatedDirector) begin() {
-	d.own = discovery.Director{
+// reset gives the director a new incarnation under the same name, without any state.
+func (d *simulatedDirector) reset() {
+	d.identity = discovery.Director{
 		Name:        fmt.Sprintf("hollow-%05d", d.number),
 		Incarnation: rand.Text(),
-		Location:    fmt.Sprintf("zone-%02d", d.number%zones),
+		Location:    fmt.Sprintf("zone-%02d", d.number%zoneCount),
 		Machine:     fmt.Sprintf("machine-%05d", d.number),
-		Site:        fmt.Sprintf("site-%03d", d.number%sites),
+		Site:        fmt.Sprintf("site-%03d", d.number%siteCount),
 		Version:     "0123456789ab",
 	}
-	d.lastRevision, d.membershipRevision, d.answers = 0, 0, 0
-	d.retry = d.process.timing.RetryMin
-	d.renewer = quota.NewHolder(d.own.ID(), quota.DirectorSettings)
+	d.lastRevision, d.membershipRevision, d.answerCount = 0, 0, 0
+	d.retryPause = d.process.timing.RetryMin
+	d.quotaHolder = quota.NewHolder(d.identity.ID(), quota.DirectorSettings)
 }
 
-// restart stops the director without a word and starts it anew.
+// restart stops the director without notice to the server and starts it as a new incarnation.
 func (d *simulatedDirector) restart() {
-	d.process.stopped = append(d.process.stopped, d.own.ID())
+	d.process.stopped = append(d.process.stopped, d.identity.ID())
 	d.close()
-	d.begin()
+	d.reset()
 	d.connect()
 }
 
@@ -84,10 +85,10 @@
 	}
 }
 
-// overdue ends a call that is not answered, or a pause before the next connection.
-func (d *simulatedDirector) overdue() {
+// onTimer handles an answer timeout, or the end of the pause before the next connection.
+func (d *simulatedDirector) onTimer() {
 	if d.conn != nil {
-		d.lost(errSilent)
+		d.scheduleReconnect(errAnswerTimeout)
 		return
 	}
 	d.connect()
@@ -95,28 +96,29 @@
 
 func (d *simulatedDirector) connect() {
 	d.timer.Stop()
-	conn, err := d.process.loop.Dial(d.process.settings.Addresses[d.at], d.process.timing.DialTimeout, d)
+	conn, err := d.process.loop.Dial(d.process.settings.Addresses[d.addressIndex], d.process.timing.DialTimeout, d)
 	if err != nil {
-		d.lost(err)
+		d.scheduleReconnect(err)
 		return
 	}
 	d.conn = conn
 }
 
-// lost goes on at the next address after a pause, as a director does.
-func (d *simulatedDirector) lost(err error) {
+// scheduleReconnect closes the connection and schedules a connection to the next address after a pause, as a director does. The pause
+// grows each time that all addresses have failed.
+func (d *simulatedDirector) scheduleReconnect(err error) {
 	d.close()
-	d.process.count.ended++
-	d.process.count.reasons[err.Error()]++
-	pause := d.process.timing.Pause(d.retry, d.process.settings.Crowd, d.random.Float64())
+	d.process.counters.reconnects++
+	d.process.counters.reasons[err.Error()]++
+	pause := d.process.timing.Pause(d.retryPause, d.process.settings.Crowd, d.rng.Float64())
 	d.process.loop.Set(&d.timer, d.process.loop.Now()+pause)
 	addresses := len(d.process.settings.Addresses)
-	d.at = (d.at + 1) % addresses
-	d.tried++
-	if d.tried%addresses != 0 {
+	d.addressIndex = (d.addressIndex + 1) % addresses
+	d.addressesTried++
+	if d.addressesTried%addresses != 0 {
 		return
 	}
-	d.retry = d.process.timing.NextRetry(d.retry)
+	d.retryPause = d.process.timing.NextRetry(d.retryPause)
 }
 
 // Opened implements transport.Handler.
@@ -128,34 +130,34 @@
 // Closed implements transport.Handler.
 func (d *simulatedDirector) Closed(err error) {
 	d.conn = nil
-	d.lost(err)
+	d.scheduleReconnect(err)
 }
 
 func (d *simulatedDirector) poll() {
-	address := d.process.settings.Addresses[d.at].String()
+	address := d.process.settings.Addresses[d.addressIndex].String()
 	waitMilliseconds := d.process.timing.PollTimeout.Milliseconds()
 	d.request = discovery.AppendRequest(d.request[:0], address, d.lastRevision, waitMilliseconds, d.announcement())
-	traffic := &d.process.count.traffic[d.at]
+	traffic := &d.process.counters.traffic[d.addressIndex]
 	traffic.Requests++
 	traffic.BytesUp += int64(len(d.request))
 	d.conn.Write(d.request)
 	d.process.loop.Set(&d.timer, d.process.loop.Now()+d.process.timing.SilenceTimeout)
 }
 
-// announcement is the director's header: who it is, and its quota renewal with the demands of this moment.
+// announcement returns the director's announcement header: its identity and its quota renewal with the current demands.
 func (d *simulatedDirector) announcement() []byte {
 	for cache, mean := range d.demands {
-		demand := max(LeastDemand, mean*(1+demandVaries*(2*d.random.Float64()-1)))
-		d.renewer.Want(quota.Want{Limit: limitName(cache), Kind: quota.Rate, Demand: demand})
+		demand := max(MinDemand, mean*(1+demandVariation*(2*d.rng.Float64()-1)))
+		d.quotaHolder.Want(quota.Want{Limit: limitName(cache), Kind: quota.Rate, Demand: demand})
 	}
-	a := discovery.Announcement{Director: d.own, MembershipRevision: d.membershipRevision, Config: "0123456789abcdef"}
+	a := discovery.Announcement{Director: d.identity, MembershipRevision: d.membershipRevision, Config: "0123456789abcdef"}
 	var err error
-	if a.QuotaRenewal, err = json.Marshal(d.renewer.Renewal(Now())); err != nil {
-		panic(err) // texts and numbers
+	if a.QuotaRenewal, err = json.Marshal(d.quotaHolder.Renewal(Now())); err != nil {
+		panic(err) // can't happen: it holds only strings and numbers
 	}
 	header, err := json.Marshal(a)
 	if err != nil {
-		panic(err) // texts and numbers
+		panic(err) // can't happen: it holds only strings and numbers
 	}
 	return header
 }
@@ -166,20 +168,20 @@
 	if err != nil || used == 0 {
 		return 0, need, err
 	}
-	traffic := &d.process.count.traffic[d.at]
+	traffic := &d.process.counters.traffic[d.addressIndex]
 	traffic.BytesDown += int64(used)
 	if response.Status != 200 {
 		return used, 0, fmt.Errorf("status %d", response.Status)
 	}
-	feed, err := d.process.answers.decode(response.Body)
+	watchResponse, err := d.process.answerDecoder.decode(response.Body)
 	if err != nil {
 		return used, 0, err
 	}
 	traffic.Answers++
 	now := Now()
-	d.silence = max(d.silence, d.silent(now))
-	d.answered, d.retry, d.tried = now, d.process.timing.RetryMin, 0
-	d.take(feed, now)
+	d.longestSilence = max(d.longestSilence, d.silenceInWindow(now))
+	d.answeredAt, d.retryPause, d.addressesTried = now, d.process.timing.RetryMin, 0
+	d.applyResponse(watchResponse, now)
 	if response.Close {
 		d.close()
 		d.connect()
@@ -189,43 +191,43 @@
 	return used, 0, nil
 }
 
-// take takes a feed in, each event once.
-func (d *simulatedDirector) take(feed discovery.WatchResponse, now time.Duration) {
-	if len(feed.QuotaGrant) > 0 {
-		d.takeGrant(feed.QuotaGrant, now)
+// applyResponse applies the grant and the events of an answer. It counts purges on their first arrival and repeated ones.
+func (d *simulatedDirector) applyResponse(response discovery.WatchResponse, now time.Duration) {
+	if len(response.QuotaGrant) > 0 {
+		d.applyGrant(response.QuotaGrant, now)
 	}
-	count := &d.process.count
-	hadMembership := d.membershipRevision > 0 // without it the server sends all events from the beginning
-	for _, item := range feed.Events {
-		if item.Membership != nil && (item.Membership.Snapshot || item.Revision > d.lastRevision) {
-			d.membershipRevision = max(d.membershipRevision, item.Revision)
+	counters := &d.process.counters
+	hadMembership := d.membershipRevision > 0 // otherwise the server sends all events from the start
+	for _, event := range response.Events {
+		if event.Membership != nil && (event.Membership.Snapshot || event.Revision > d.lastRevision) {
+			d.membershipRevision = max(d.membershipRevision, event.Revision)
 		}
-		if item.Revision <= d.lastRevision {
-			if item.Purge != nil && hadMembership {
-				count.repeated++
+		if event.Revision <= d.lastRevision {
+			if event.Purge != nil && hadMembership {
+				counters.repeated++
 			}
 			continue
 		}
-		d.lastRevision = item.Revision
-		if item.Purge != nil && d.answers > 0 {
-			count.purges[item.Revision] = append(count.purges[item.Revision], int64(now))
+		d.lastRevision = event.Revision
+		if event.Purge != nil && d.answerCount > 0 {
+			counters.purges[event.Revision] = append(counters.purges[event.Revision], int64(now))
 		}
 	}
-	d.lastRevision = max(d.lastRevision, feed.LastRevision)
-	d.answers++
+	d.lastRevision = max(d.lastRevision, response.LastRevision)
+	d.answerCount++
 }
 
-func (d *simulatedDirector) takeGrant(raw json.RawMessage, now time.Duration) {
+func (d *simulatedDirector) applyGrant(raw json.RawMessage, now time.Duration) {
 	var grant quota.Grant
 	if err := json.Unmarshal(raw, &grant); err != nil {
-		d.process.count.reasons["malformed grant: "+err.Error()]++
+		d.process.counters.reasons["malformed grant: "+err.Error()]++
 		return
 	}
-	d.renewer.Apply(grant, now)
-	d.process.count.grants++
+	d.quotaHolder.Apply(grant, now)
+	d.process.counters.grants++
 }
 
-// silent is for how long the director has been without an answer within the window.
-func (d *simulatedDirector) silent(now time.Duration) time.Duration {
-	return now - max(d.answered, d.process.count.begin)
+// silenceInWindow returns the time since the last answer, or since the start of the window if that is later.
+func (d *simulatedDirector) silenceInWindow(now time.Duration) time.Duration {
+	return now - max(d.answeredAt, d.process.counters.windowStart)
 }
--- a/internal/tools/scale/simulated/process.go
+++ b/internal/tools/scale/simulated/process.go
@@ -17,42 +17,42 @@
 )
 
 const (
-	zones        = 26  // in which the directors are spread
-	sites        = 210 // likewise
-	demandVaries = 0.2 // by which a demand differs from its mean, as a share
+	zoneCount       = 26  // locations that the directors are spread over
+	siteCount       = 210 // sites that the directors are spread over
+	demandVariation = 0.2 // largest deviation of a demand from its mean, as a share of the mean
 )
 
-// ServesEvent is the log event that tells that a process runs; ControlKey is its key with the address of the control server.
+// StartedEvent is the log event of a process that is ready. ControlAddressKey is its attribute with the control server's address.
 const (
-	ServesEvent = "simulated.serves"
-	ControlKey  = "control"
+	StartedEvent      = "simulated.serves"
+	ControlAddressKey = "control"
 )
 
-// Now is the time since the machine started, its sleep included: one clock for all processes of a machine.
+// Now returns the time since the machine booted, including suspends. All processes of a machine share this clock.
 func Now() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		panic(err) // no Linux lacks it
+		panic(err) // every supported Linux kernel has this clock
 	}
 	return time.Duration(ts.Nano())
 }
 
 func limitName(cache int) string { return fmt.Sprintf("cold:cache-%03d", cache) }
 
-// Process is all simulated directors of one process on one loop. All but its control server runs on that loop.
+// Process holds the simulated directors of one process, which share one loop. All methods except those of the control server run on it.
 type Process struct {
-	settings  Settings
-	timing    director.WatchTiming
-	answers   answers
-	loop      *transport.Loop
-	directors []*simulatedDirector
-	count     counters
-	stopped   []string
-	next      int // director to be restarted next
-	control   net.Listener
+	settings      Settings
+	timing        director.WatchTiming
+	answerDecoder answerDecoder
+	loop          *transport.Loop
+	directors     []*simulatedDirector
+	counters      windowCounters
+	stopped       []string
+	nextRestart   int // counter that selects the director to restart next
+	control       net.Listener
 }
 
-// New prepares the directors; they begin to watch within Run.
+// New creates the directors and the listener of the control server. The directors start to watch in Run.
 func New(set Settings) (*Process, error) {
 	if err := set.check(); err != nil {
 		return nil, err
@@ -62,11 +62,11 @@
 		return nil, err
 	}
 	p := &Process{
-		settings: set,
-		timing:   director.WatchTimingFor(len(set.Addresses), true),
-		answers:  newAnswers(),
-		loop:     loop,
-		count:    newCounters(set, Now()),
+		settings:      set,
+		timing:        director.WatchTimingFor(len(set.Addresses), true),
+		answerDecoder: newAnswerDecoder(),
+		loop:          loop,
+		counters:      newWindowCounters(set, Now()),
 	}
 	if p.control, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		loop.Release()
@@ -85,7 +85,7 @@
 	return p, nil
 }
 
-// Run serves until the process is ended.
+// Run starts the directors and the control server, and runs the loop until it ends.
 func (p *Process) Run() error {
 	for i, d := range p.directors {
 		at := p.loop.Now() + time.Duration(i)*time.Second/time.Duration(p.settings.StartPerSecond)
@@ -96,56 +96,56 @@
 			slog.Error("simulated.control_ended", "err", err)
 		}
 	}()
-	slog.Info(ServesEvent, ControlKey, p.control.Addr().String(), "directors", len(p.directors))
+	slog.Info(StartedEvent, ControlAddressKey, p.control.Addr().String(), "directors", len(p.directors))
 	return p.loop.Run()
 }
 
-// handler is the control server: POST /begin begins a window, GET /report reports on it, GET /watching tells how many directors
-// watch, POST /restart?count=N stops and starts so many.
+// handler returns the handler of the control server: POST /begin starts a window, GET /report returns a Report on it, GET /watching
+// returns the number of directors that watch, and POST /restart?count=N restarts N directors.
 func (p *Process) handler() http.Handler {
 	mux := http.NewServeMux()
-	p.serve(mux, "POST /begin", func(int) any { return p.begin() })
-	p.serve(mux, "GET /report", func(int) any { return p.report() })
-	p.serve(mux, "GET /watching", func(int) any { return p.watching(Now()) })
-	p.serve(mux, "POST /restart", func(count int) any { return p.restart(count) })
+	p.handle(mux, "POST /begin", func(int) any { return p.beginWindow() })
+	p.handle(mux, "GET /report", func(int) any { return p.report() })
+	p.handle(mux, "GET /watching", func(int) any { return p.watching(Now()) })
+	p.handle(mux, "POST /restart", func(count int) any { return p.restart(count) })
 	return mux
 }
 
-// serve answers a call with what a function on the loop returns.
-func (p *Process) serve(mux *http.ServeMux, pattern string, do func(count int) any) {
+// handle registers a handler that runs call on the loop and sends its result as JSON.
+func (p *Process) handle(mux *http.ServeMux, pattern string, call func(count int) any) {
 	mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
 		count, err := strconv.Atoi(r.URL.Query().Get("count"))
 		if err != nil {
 			count = 0
 		}
 		done := make(chan any, 1)
-		p.loop.Post(func() { done <- do(count) })
+		p.loop.Post(func() { done <- call(count) })
 		if err := json.NewEncoder(w).Encode(<-done); err != nil {
 			slog.Warn("simulated.answer_not_sent", "err", err)
 		}
 	})
 }
 
-func (p *Process) begin() int {
-	p.count = newCounters(p.settings, Now())
+func (p *Process) beginWindow() int {
+	p.counters = newWindowCounters(p.settings, Now())
 	for _, d := range p.directors {
-		d.silence = 0
+		d.longestSilence = 0
 	}
 	return len(p.directors)
 }
 
 func (p *Process) restart(count int) int {
 	for range count {
-		p.directors[p.next%len(p.directors)].restart()
-		p.next++
+		p.directors[p.nextRestart%len(p.directors)].restart()
+		p.nextRestart++
 	}
 	return count
 }
 
-// watching counts the directors that were answered within the silence limit.
+// watching returns the number of directors whose last answer is within the silence timeout.
 func (p *Process) watching(now time.Duration) (count int) {
 	for _, d := range p.directors {
-		if d.answered > 0 && now-d.answered < p.timing.SilenceTimeout {
+		if d.answeredAt > 0 && now-d.answeredAt < p.timing.SilenceTimeout {
 			count++
 		}
 	}
@@ -155,30 +155,30 @@
 func (p *Process) report() Report {
 	now := Now()
 	r := Report{
-		Directors:  len(p.directors),
-		Watching:   p.watching(now),
-		Length:     now - p.count.begin,
-		Traffic:    p.count.traffic,
-		Grants:     p.count.grants,
-		PartSums:   make([]float64, p.settings.ColdCaches),
-		Reconnects: p.count.ended,
-		Reasons:    p.count.reasons,
-		Repeated:   p.count.repeated,
-		Purges:     p.count.purges,
-		Stopped:    p.stopped,
+		Directors:      len(p.directors),
+		Watching:       p.watching(now),
+		Length:         now - p.counters.windowStart,
+		Traffic:        p.counters.traffic,
+		Grants:         p.counters.grants,
+		PartSums:       make([]float64, p.settings.ColdCaches),
+		Reconnects:     p.counters.reconnects,
+		Reasons:        p.counters.reasons,
+		PurgesRepeated: p.counters.repeated,
+		Purges:         p.counters.purges,
+		Stopped:        p.stopped,
 	}
 	for _, d := range p.directors {
-		silence := max(d.silence, d.silent(now))
-		r.LongestSilence = max(r.LongestSilence, silence)
-		if silence > discovery.MembershipLease {
+		longestSilence := max(d.longestSilence, d.silenceInWindow(now))
+		r.LongestSilence = max(r.LongestSilence, longestSilence)
+		if longestSilence > discovery.MembershipLease {
 			r.Lapsed++
 		}
 		for cache := range r.PartSums {
-			if d.renewer.HasShare(limitName(cache), now) {
-				r.PartSums[cache] += d.renewer.Available(limitName(cache), now)
+			if d.quotaHolder.HasShare(limitName(cache), now) {
+				r.PartSums[cache] += d.quotaHolder.Available(limitName(cache), now)
 			}
 		}
 	}
-	p.count.detach() // the report is encoded beside the loop
+	p.counters.cloneMaps() // the report is encoded on another goroutine
 	return r
 }
--- a/internal/tools/scale/simulated/settings.go
+++ b/internal/tools/scale/simulated/settings.go
@@ -1,6 +1,6 @@
-// Package simulated runs many simulated directors in one process. A simulated director speaks the director's side of the watch
-// protocol over TCP with the director's own timing, announcements and quota renewals, and leaves out what a director does with
-// what it learns. The package measures what its directors see; the scale run starts it and adds the figures of all processes up.
+// Package simulated runs many simulated directors in one process. A simulated director implements the director's side of the watch
+// protocol over TCP with the timing, announcements and quota renewals of a real director, but doesn't act on the events that it
+// receives. The package records measurements of its directors; a scale run starts the processes and adds up their reports.
 package simulated
 
 import (
@@ -16,24 +16,24 @@
 // MaxDirectors is the largest number of simulated directors in one process.
 const MaxDirectors = 2000
 
-// LeastDemand is the smallest demand that a director announces for a warming cache.
-const LeastDemand = 0.001
+// MinDemand is the smallest demand that a director announces for a warming cache, in units of its limit.
+const MinDemand = 0.001
 
-// Settings are those of one process. They are passed in a file as JSON.
+// Settings are the settings of one process. They are passed as a JSON file.
 type Settings struct {
-	Addresses      []netip.AddrPort `json:"addresses"`        // of watch servers; director i begins with address i modulo their number
+	Addresses      []netip.AddrPort `json:"addresses"`        // of watch servers; director i starts with address i modulo their number
 	First          int              `json:"first"`            // number of the first director; numbers are unique in a run
 	Count          int              `json:"count"`            // directors in this process
 	Total          int              `json:"total"`            // directors in the whole run
-	Crowd          int              `json:"crowd"`            // directors by their configuration: the reconnect pause grows with it
-	ColdCaches     int              `json:"cold_caches"`      // caches of which each director wants a share
-	Demand         float64          `json:"demand"`           // sum of all directors' demands for one warming cache, in parts of its limit
-	Zipf           float64          `json:"zipf"`             // exponent of the law by which demand is divided among directors
-	Seed           uint64           `json:"seed"`             // of demands and reconnect pauses
-	StartPerSecond int              `json:"start_per_second"` // directors that begin to watch in a second
+	Crowd          int              `json:"crowd"`            // configured number of directors; the reconnect pause grows with it
+	ColdCaches     int              `json:"cold_caches"`      // warming caches of whose limits each director requests a share
+	Demand         float64          `json:"demand"`           // sum of all directors' demands for one warming cache, in units of its limit
+	Zipf           float64          `json:"zipf"`             // exponent of the Zipf law that divides the demand among directors
+	Seed           uint64           `json:"seed"`             // seed of demands and reconnect pauses
+	StartPerSecond int              `json:"start_per_second"` // directors that start to watch per second
 }
 
-// ReadSettings reads and checks a file of settings.
+// ReadSettings reads settings from a file and checks them.
 func ReadSettings(path string) (set Settings, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -48,19 +48,20 @@
 func (s Settings) check() error {
 	switch {
 	case len(s.Addresses) == 0:
-		return errors.New("hollow: no address to watch")
+		return errors.New("simulated directors: no address to watch")
 	case s.Count < 1 || s.Count > MaxDirectors:
-		return fmt.Errorf("hollow: %d directors, 1 to %d are allowed in a process", s.Count, MaxDirectors)
+		return fmt.Errorf("simulated directors: %d in a process, 1 to %d are allowed", s.Count, MaxDirectors)
 	case s.First < 0 || s.First+s.Count > s.Total:
-		return fmt.Errorf("hollow: directors %d to %d of %d", s.First, s.First+s.Count-1, s.Total)
+		return fmt.Errorf("simulated directors: numbers %d to %d are out of range for %d in total", s.First, s.First+s.Count-1, s.Total)
 	case s.ColdCaches < 0 || s.StartPerSecond < 1 || s.Crowd < 1:
-		return errors.New("hollow: cold_caches, crowd or start_per_second out of range")
+		return errors.New("simulated directors: cold_caches, crowd or start_per_second is out of range")
 	}
 	return nil
 }
 
-// Demands are all directors' mean demands for one warming cache, by the director's number: a Zipf law of the ranks, which a
-// generator of the seed and the cache shuffles. They add up to total, before the smallest are raised to LeastDemand.
+// Demands returns the mean demands of all directors for one warming cache, by the director's number. They follow a Zipf law of
+// ranks, which a random generator shuffles with the seed and the cache's index. They add up to total before the smallest ones are
+// raised to MinDemand.
 func Demands(seed uint64, cache, directors int, exponent, total float64) []float64 {
 	ranks := rand.New(rand.NewPCG(seed, uint64(cache))).Perm(directors)
 	sum := 0.0
@@ -69,7 +70,7 @@
 	}
 	demands := make([]float64, directors)
 	for i, rank := range ranks {
-		demands[i] = max(LeastDemand, total*math.Pow(float64(rank+1), -exponent)/sum)
+		demands[i] = max(MinDemand, total*math.Pow(float64(rank+1), -exponent)/sum)
 	}
 	return demands
 }
--- a/internal/tools/scale/simulated/settings_test.go
+++ b/internal/tools/scale/simulated/settings_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestDemandsFollowZipf(t *testing.T) {
+func TestDemandsFollowZipfLaw(t *testing.T) {
 	const directors = 50
 	all := Demands(7, 2, directors, 1, 1.5)
 	sum := 0.0
@@ -15,10 +15,10 @@
 		sum += d
 	}
 	if math.Abs(sum-1.5) > 1e-9 {
-		t.Errorf("they add up to %g", sum)
+		t.Errorf("the demands add up to %g", sum)
 	}
 	if !slices.Equal(all, Demands(7, 2, directors, 1, 1.5)) || slices.Equal(all, Demands(7, 3, directors, 1, 1.5)) {
-		t.Error("demands are not those of the seed and the cache")
+		t.Error("demands don't depend on exactly the seed and the cache")
 	}
 	slices.Sort(all)
 	slices.Reverse(all)
@@ -27,12 +27,12 @@
 			t.Fatalf("rank %d has %g, the first %g", rank+1, d, all[0])
 		}
 	}
-	if small := slices.Min(Demands(7, 0, 2000, 1.5, 1)); small != LeastDemand {
-		t.Errorf("the smallest is %g", small)
+	if small := slices.Min(Demands(7, 0, 2000, 1.5, 1)); small != MinDemand {
+		t.Errorf("the smallest demand is %g", small)
 	}
 }
 
-func TestSettingsAreChecked(t *testing.T) {
+func TestInvalidSettingsAreRejected(t *testing.T) {
 	set := Settings{
 		Addresses:      []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1")},
 		Count:          10,
@@ -54,7 +54,7 @@
 		wrong := set
 		change(&wrong)
 		if wrong.check() == nil {
-			t.Errorf("%+v is accepted", wrong)
+			t.Errorf("accepted: %+v", wrong)
 		}
 	}
 }
--- a/internal/tools/scale/table.go
+++ b/internal/tools/scale/table.go
@@ -10,7 +10,7 @@
 
 const kilobyte = 1000.0
 
-// WriteTable writes rows for people: first one line a size, then one line a size and role.
+// WriteTable writes a result as text: a table with one line per size, a table with one line per size and role, and remarks.
 func WriteTable(out io.Writer, result Result) error {
 	if err := writeSizes(out, result.Rows); err != nil {
 		return err
@@ -22,21 +22,21 @@
 	return err
 }
 
-// remarks are lines on what happened at a size, on the laws found, and on why the run ended.
+// remarks returns lines about collapses and faults, the laws found, and why the run stopped early.
 func remarks(result Result) string {
 	var b strings.Builder
 	for _, row := range result.Rows {
 		if len(row.Collapsed) > 0 {
-			fmt.Fprintf(&b, "%d hollow directors collapsed: %s\n", row.Simulated, strings.Join(row.Collapsed, "; "))
+			fmt.Fprintf(&b, "%d simulated directors collapsed: %s\n", row.Simulated, strings.Join(row.Collapsed, "; "))
 		}
 		if row.Fault != NoFault {
-			fmt.Fprintf(&b, "%d hollow directors, %s: all watch again after %.2f s (seen: %v)\n",
+			fmt.Fprintf(&b, "%d simulated directors, %s: all watch again after %.2f s (recovered: %v)\n",
 				row.Simulated, row.Fault, row.RecoverySeconds, row.Recovered)
 		}
 	}
 	for _, role := range []string{RoleLeader, RoleReplica, RoleRelay, RoleDirector, RoleSimulated} {
-		law, is := result.Laws[role]
-		if !is {
+		law, found := result.Laws[role]
+		if !found {
 			continue
 		}
 		fmt.Fprintf(&b, "CPU of %s: %.4f + %.6f a director (residual %.4f, with a square term %.4f): %s\n",
@@ -58,14 +58,14 @@
 		err := t.Append(
 			fmt.Sprint(r.Simulated),
 			fmt.Sprintf("%d in %.1f s", r.Joined, r.JoinSeconds),
-			fmt.Sprintf("%.1f", r.DirectorCalls),
+			fmt.Sprintf("%.1f", r.DirectorRequests),
 			fmt.Sprintf("%.0f", r.DirectorUp),
 			fmt.Sprintf("%.0f", r.DirectorDown),
-			fmt.Sprintf("%.1f ms", r.Delay.P50),
-			fmt.Sprintf("%.1f ms", r.Delay.P99),
-			fmt.Sprintf("%.1f ms", r.Last.P50),
-			fmt.Sprintf("%.1f ms", r.Last.Max),
-			fmt.Sprint(r.Missing),
+			fmt.Sprintf("%.1f ms", r.PurgeDelay.P50),
+			fmt.Sprintf("%.1f ms", r.PurgeDelay.P99),
+			fmt.Sprintf("%.1f ms", r.PurgeLast.P50),
+			fmt.Sprintf("%.1f ms", r.PurgeLast.Max),
+			fmt.Sprint(r.PurgesMissing),
 			fmt.Sprint(r.MembershipLost),
 			fmt.Sprint(r.EndedByServer),
 			fmt.Sprint(r.Lapsed),
--- a/internal/tools/scale/usage.go
+++ b/internal/tools/scale/usage.go
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// clockTicks is the kernel's unit of CPU time in /proc: USER_HZ, which is 100 on all of Linux's architectures with Go.
+// clockTicks is the number of units of CPU time in /proc per second: USER_HZ, which is 100 on all Linux architectures that Go supports.
 const clockTicks = 100
 
 const kibibyte = 1024
 
-// usage is what a process has used so far.
+// usage is the cumulative resource usage of a process, with its current memory.
 type usage struct {
-	at         time.Time
+	readAt     time.Time
 	cpu        time.Duration
 	rss        int64 // bytes
-	readBytes  int64 // by system calls, those on sockets and files
+	readBytes  int64 // by system calls on sockets and files
 	writeBytes int64
 	readCalls  int64
 	writeCalls int64
 }
 
-// readUsage reads a process's use from /proc.
+// readUsage reads the resource usage of a process from /proc.
 func readUsage(pid int) (u usage, err error) {
 	folder := fmt.Sprintf("/proc/%d/", pid)
 	stat, err := os.ReadFile(folder + "stat")
@@ -40,7 +40,7 @@
 	if err != nil {
 		return u, err
 	}
-	u.at = time.Now()
+	u.readAt = time.Now()
 	if u.cpu, err = parseStat(string(stat)); err != nil {
 		return u, err
 	}
@@ -50,28 +50,28 @@
 	return u, nil
 }
 
-var errStat = errors.New("scale: malformed /proc/PID/stat")
+var errMalformedStat = errors.New("scale: malformed /proc/PID/stat")
 
-// parseStat is the CPU time, user and system, of a line of /proc/PID/stat.
+// parseStat returns the user and system CPU time in a line of /proc/PID/stat.
 func parseStat(line string) (time.Duration, error) {
-	_, rest, found := strings.Cut(line[strings.LastIndexByte(line, ')')+1:], " ") // a name may hold blanks and parentheses
+	_, rest, found := strings.Cut(line[strings.LastIndexByte(line, ')')+1:], " ") // the process name may contain spaces and parentheses
 	fields := strings.Fields(rest)
-	const user, system = 11, 12 // after the name
+	const user, system = 11, 12 // indexes of the fields after the name
 	if !found || len(fields) <= system {
-		return 0, errStat
+		return 0, errMalformedStat
 	}
 	userTicks, err := strconv.ParseInt(fields[user], 10, 64)
 	if err != nil {
-		return 0, errStat
+		return 0, errMalformedStat
 	}
 	systemTicks, err := strconv.ParseInt(fields[system], 10, 64)
 	if err != nil {
-		return 0, errStat
+		return 0, errMalformedStat
 	}
 	return time.Duration(userTicks+systemTicks) * time.Second / clockTicks, nil
 }
 
-// parseKey is the number after a key in lines of "key: number"; 0 if there is none.
+// parseKey returns the number after a key in lines of "key: number"; 0 if there is none.
 func parseKey(text, key string) int64 {
 	for line := range strings.Lines(text) {
 		name, value, found := strings.Cut(line, ":")
@@ -91,7 +91,7 @@
 	return 0
 }
 
-// machineMemory is the machine's memory in bytes; 0 if it can't be read.
+// machineMemory returns the machine's memory in bytes; 0 if it can't be read.
 func machineMemory() int64 {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
@@ -100,7 +100,7 @@
 	return parseKey(string(text), "MemTotal") * kibibyte
 }
 
-// machineBusy is the CPU time that all of the machine's processes have used.
+// machineBusy returns the CPU time that all processes of the machine have used since it started; 0 if it can't be read.
 func machineBusy() time.Duration {
 	text, err := os.ReadFile("/proc/stat")
 	if err != nil {
@@ -110,9 +110,9 @@
 	return parseBusy(line)
 }
 
-// parseBusy adds up the first line of /proc/stat but for idle and waiting time.
+// parseBusy returns the sum of the CPU times in the first line of /proc/stat, except idle and I/O wait time.
 func parseBusy(line string) time.Duration {
-	const idle, waiting, counted = 3, 4, 8 // the fields after them are parts of others
+	const idle, waiting, counted = 3, 4, 8 // the fields from 8 on are included in others
 	ticks := int64(0)
 	for i, field := range strings.Fields(strings.TrimPrefix(line, "cpu ")) {
 		if i == idle || i == waiting || i >= counted {
@@ -127,7 +127,7 @@
 	return time.Duration(ticks) * time.Second / clockTicks
 }
 
-// loadAverage is the machine's load average of the last minute.
+// loadAverage returns the machine's load average of the last minute; 0 if it can't be read.
 func loadAverage() float64 {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
--- a/internal/tools/scale/window.go
+++ b/internal/tools/scale/window.go
@@ -16,32 +16,32 @@
 )
 
 const (
-	megabyte          = 1 << 20
-	leaderTimeout     = 5 * time.Second
-	faultAfter        = 4                     // the fault is made after the window's length divided by this
-	watchPollInterval = 25 * time.Millisecond // to check whether all watch, after a fault
-	arrivalTimeout    = time.Second           // a purge that took longer counts as missing
-	maxNames          = 20
-	logDelay          = 2 * time.Second // after the window, for what happened in it to be logged
+	megabyte            = 1 << 20
+	leaderTimeout       = 5 * time.Second
+	faultAfter          = 4                     // the fault is injected after the window's length divided by this
+	watchPollInterval   = 25 * time.Millisecond // between checks whether all directors watch, after a fault
+	purgeArrivalTimeout = time.Second           // a purge that arrives later counts as missing
+	maxLostNames        = 20
+	logDelay            = 2 * time.Second // after the window, until the logs contain what happened in it
 )
 
-// window measures a cluster under load for a time.
+// window measures a cluster under load for the length of the window.
 type window struct {
-	cluster        *cluster
-	settings       Settings
-	load           *load
-	row            *Row
-	members        []*member
-	before         []usage
-	lines          []int // of each replica's or relay's log before the window
-	began          time.Duration
-	ended          time.Duration
-	faultAt        time.Duration // 0: none was made
-	lastIncomplete atomic.Int64  // when some director was last seen not to watch
-	tasks          sync.WaitGroup
+	cluster          *cluster
+	settings         Settings
+	load             *load
+	row              *Row
+	members          []*member
+	before           []usage
+	logLengths       []int // log lines of each member before the window
+	startedAt        time.Duration
+	endedAt          time.Duration
+	faultAt          time.Duration // 0: no fault was injected
+	lastIncompleteAt atomic.Int64  // when a check last found a director that did not watch
+	tasks            sync.WaitGroup
 }
 
-// measure takes one window and fills the row.
+// measure measures one window and fills in the row.
 func (w *window) measure(ctx context.Context) error {
 	leader := w.cluster.group.Leader(leaderTimeout)
 	if leader == nil {
@@ -49,21 +49,21 @@
 	}
 	w.members = w.cluster.members(leader)
 	w.row.LoadAverage[0] = loadAverage()
-	if _, err := w.cluster.sum("POST", "/begin"); err != nil {
+	if _, err := w.cluster.sumAnswers("POST", "/begin"); err != nil {
 		return err
 	}
-	w.began = simulated.Now()
+	w.startedAt = simulated.Now()
 	busy, own, err := w.readBefore()
 	if err != nil {
 		return err
 	}
 	tasks, stop := context.WithCancel(ctx)
 	defer stop()
-	w.disturb(tasks, leader)
+	w.injectFaults(tasks, leader)
 	if err := sleep(ctx, w.settings.Window); err != nil {
 		return err
 	}
-	w.ended = simulated.Now()
+	w.endedAt = simulated.Now()
 	w.readAfter(busy, own)
 	stop()
 	w.tasks.Wait()
@@ -72,13 +72,13 @@
 		return err
 	}
 	w.row.LoadAverage[1] = loadAverage()
-	w.watchFigures(reports)
-	w.purgeFigures(reports)
-	w.recoveryFigures()
+	w.fillWatchFigures(reports)
+	w.fillPurgeFigures(reports)
+	w.fillRecoveryFigures()
 	if err := sleep(ctx, logDelay); err != nil {
 		return err
 	}
-	w.membershipFigures(reports)
+	w.fillMembershipFigures(reports)
 	return nil
 }
 
@@ -89,29 +89,29 @@
 			return 0, usage{}, err
 		}
 		w.before = append(w.before, used)
-		w.lines = append(w.lines, len(m.Log()))
+		w.logLengths = append(w.logLengths, len(m.Log()))
 	}
 	own, err = readUsage(os.Getpid())
 	return machineBusy(), own, err
 }
 
-// readAfter computes what each process used in the window.
+// readAfter computes the resource usage of each process in the window. busy and own are the readings before it.
 func (w *window) readAfter(busy time.Duration, own usage) {
-	length := (w.ended - w.began).Seconds()
+	length := (w.endedAt - w.startedAt).Seconds()
 	w.row.WindowSeconds = length
 	w.row.MachineBusy = (machineBusy() - busy).Seconds() / length
 	for i, m := range w.members {
-		use := Use{Role: m.role, Name: m.Name, Processes: 1}
+		use := ProcessUsage{Role: m.role, Name: m.Name, Processes: 1}
 		if after, err := readUsage(m.Pid()); err == nil && m.Running() {
-			use.between(w.before[i], after)
+			use.setRates(w.before[i], after)
 		} else {
 			use.Ended = true
 		}
 		w.row.Processes = append(w.row.Processes, use)
 	}
-	use := Use{Role: RoleRun, Name: RoleRun, Processes: 1}
+	use := ProcessUsage{Role: RoleRun, Name: RoleRun, Processes: 1}
 	if after, err := readUsage(os.Getpid()); err == nil {
-		use.between(own, after)
+		use.setRates(own, after)
 	}
 	w.row.Processes = append(w.row.Processes, use)
 	for _, use := range w.row.Processes {
@@ -119,8 +119,8 @@
 	}
 }
 
-func (u *Use) between(before, after usage) {
-	seconds := after.at.Sub(before.at).Seconds()
+func (u *ProcessUsage) setRates(before, after usage) {
+	seconds := after.readAt.Sub(before.readAt).Seconds()
 	u.CPU = (after.cpu - before.cpu).Seconds() / seconds
 	u.ResidentMB = float64(after.rss) / megabyte
 	u.ReadBytes = float64(after.readBytes-before.readBytes) / seconds
@@ -129,14 +129,14 @@
 	u.WriteCalls = float64(after.writeCalls-before.writeCalls) / seconds
 }
 
-// disturb makes the fault and the restarts that are wanted while the window goes on.
-func (w *window) disturb(ctx context.Context, leader *testharness.Replica) {
+// injectFaults starts the tasks that inject the fault and the restarts of the settings during the window.
+func (w *window) injectFaults(ctx context.Context, leader *testharness.Replica) {
 	if w.settings.RestartPerSecond > 0 {
 		w.tasks.Go(func() {
-			each(ctx, float64(w.settings.RestartPerSecond), func(n int64) {
+			callAtRate(ctx, float64(w.settings.RestartPerSecond), func(n int64) {
 				p := w.cluster.simulated[int(n)%len(w.cluster.simulated)]
 				var restarted int
-				_ = w.cluster.call(p, "POST", "/restart?count=1", &restarted) // those that were are counted by the process
+				_ = w.cluster.callControl(p, "POST", "/restart?count=1", &restarted) // the process reports the restarted directors
 			})
 		})
 	}
@@ -153,22 +153,22 @@
 		} else {
 			leader.Signal(syscall.SIGKILL)
 		}
-		each(ctx, float64(time.Second/watchPollInterval), func(int64) { w.observeWatching() })
+		callAtRate(ctx, float64(time.Second/watchPollInterval), func(int64) { w.checkWatching() })
 	})
 }
 
-func (w *window) observeWatching() {
+func (w *window) checkWatching() {
 	at := simulated.Now()
-	watching, err := w.cluster.sum("GET", "/watching")
+	watching, err := w.cluster.sumAnswers("GET", "/watching")
 	if err != nil || watching < w.row.Simulated {
-		w.lastIncomplete.Store(int64(at))
+		w.lastIncompleteAt.Store(int64(at))
 	}
 }
 
 func (w *window) reports() (all []simulated.Report, err error) {
 	for _, p := range w.cluster.simulated {
 		var r simulated.Report
-		if err := w.cluster.call(p, "GET", "/report", &r); err != nil {
+		if err := w.cluster.callControl(p, "GET", "/report", &r); err != nil {
 			return nil, err
 		}
 		all = append(all, r)
@@ -176,8 +176,8 @@
 	return all, nil
 }
 
-// watchFigures adds up what the process of simulated directorses counted of the watch protocol and of quotas.
-func (w *window) watchFigures(reports []simulated.Report) {
+// fillWatchFigures adds up the counters of the watch protocol and of quotas from all processes of simulated directors.
+func (w *window) fillWatchFigures(reports []simulated.Report) {
 	row := w.row
 	row.Reasons = map[string]int64{}
 	sums := make([]float64, w.settings.ColdCaches)
@@ -189,13 +189,13 @@
 		row.Grants += float64(r.Grants) / seconds
 		row.Reconnects += r.Reconnects
 		row.Lapsed += r.Lapsed
-		row.Repeated += r.Repeated
+		row.PurgesRepeated += r.PurgesRepeated
 		row.Restarted += len(r.Stopped)
 		row.LongestSilence = max(row.LongestSilence, milliseconds(r.LongestSilence))
 		for reason, count := range r.Reasons {
 			row.Reasons[reason] += count
 		}
-		row.EndedByServer += r.Reasons[io.EOF.Error()] + r.Reasons[simulated.Rejected]
+		row.EndedByServer += r.Reasons[io.EOF.Error()] + r.Reasons[simulated.ReasonRejected]
 		for cache, sum := range r.PartSums {
 			sums[cache] += sum
 		}
@@ -217,18 +217,18 @@
 		use.BytesDown += float64(t.BytesDown) / seconds
 	}
 	directors := float64(w.row.Simulated) * seconds
-	w.row.DirectorCalls += float64(t.Requests) / directors
+	w.row.DirectorRequests += float64(t.Requests) / directors
 	w.row.DirectorUp += float64(t.BytesUp) / directors
 	w.row.DirectorDown += float64(t.BytesDown) / directors
 }
 
-// meansByRole are the means of each role's processes, in the order in which roles come.
-func meansByRole(processes []Use) (roles []Use) {
+// meansByRole returns the mean usage of each role's processes, in the order in which roles first occur.
+func meansByRole(processes []ProcessUsage) (roles []ProcessUsage) {
 	for _, p := range processes {
 		if p.Ended {
 			continue
 		}
-		at := slices.IndexFunc(roles, func(u Use) bool { return u.Role == p.Role })
+		at := slices.IndexFunc(roles, func(u ProcessUsage) bool { return u.Role == p.Role })
 		if at < 0 {
 			p.Name = ""
 			roles = append(roles, p)
@@ -257,52 +257,52 @@
 	return roles
 }
 
-// purgeFigures compares what was accepted with what came.
-func (w *window) purgeFigures(reports []simulated.Report) {
+// fillPurgeFigures compares the accepted purges with their arrivals at directors.
+func (w *window) fillPurgeFigures(reports []simulated.Report) {
 	l := w.load
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var accepted, delays, last []time.Duration
 	for _, p := range l.purges {
-		if p.called < w.began || p.accepted > w.ended-arrivalTimeout {
+		if p.called < w.startedAt || p.accepted > w.endedAt-purgeArrivalTimeout {
 			continue
 		}
 		accepted = append(accepted, p.accepted-p.called)
-		came := 0
+		arrived := 0
 		latest := time.Duration(0)
 		for _, r := range reports {
 			for _, at := range r.Purges[p.number] {
-				delay := max(0, time.Duration(at)-p.accepted) // it may come before the writer has its answer
+				delay := max(0, time.Duration(at)-p.accepted) // it may arrive before the writer has its response
 				delays = append(delays, delay)
 				latest = max(latest, delay)
-				came++
+				arrived++
 			}
 		}
 		last = append(last, latest)
-		w.row.Missing += max(0, w.row.Simulated-came)
+		w.row.PurgesMissing += max(0, w.row.Simulated-arrived)
 	}
-	w.row.Unjudged = w.settings.RestartPerSecond > 0 // a director that begins anew gets purges from before with its first answer
-	w.row.Accepted, w.row.Delay, w.row.Last = spread(accepted), spread(delays), spread(last)
-	w.row.NotAccepted = within(l.failed, w.began, w.ended)
-	w.row.Changes = within(l.changes, w.began, w.ended)
-	w.row.ChangesBusy = within(l.notChanged, w.began, w.ended)
+	w.row.PurgesUnjudged = w.settings.RestartPerSecond > 0 // a restarted director gets earlier purges with its first answer
+	w.row.PurgeAccepted, w.row.PurgeDelay, w.row.PurgeLast = summarize(accepted), summarize(delays), summarize(last)
+	w.row.PurgesNotAccepted = countBetween(l.failedPurges, w.startedAt, w.endedAt)
+	w.row.Changes = countBetween(l.appliedChanges, w.startedAt, w.endedAt)
+	w.row.ChangesRefused = countBetween(l.failedChanges, w.startedAt, w.endedAt)
 }
 
-func (w *window) recoveryFigures() {
+func (w *window) fillRecoveryFigures() {
 	if w.faultAt == 0 {
 		return
 	}
-	w.row.FaultAtSeconds = (w.faultAt - w.began).Seconds()
-	if notAll := time.Duration(w.lastIncomplete.Load()); notAll > 0 {
-		w.row.RecoverySeconds = (notAll - w.faultAt).Seconds()
-		w.row.Recovered = w.ended-notAll > time.Second
+	w.row.FaultAtSeconds = (w.faultAt - w.startedAt).Seconds()
+	if lastIncomplete := time.Duration(w.lastIncompleteAt.Load()); lastIncomplete > 0 {
+		w.row.RecoverySeconds = (lastIncomplete - w.faultAt).Seconds()
+		w.row.Recovered = w.endedAt-lastIncomplete > time.Second
 		return
 	}
 	w.row.Recovered = true
 }
 
-// membershipFigures counts who was removed from the membership, and who closed their watches, by the logs.
-func (w *window) membershipFigures(reports []simulated.Report) {
+// fillMembershipFigures counts, from the logs, the directors removed from the membership and the lease losses of servers.
+func (w *window) fillMembershipFigures(reports []simulated.Report) {
 	stopped := map[string]bool{}
 	for _, r := range reports {
 		for _, id := range r.Stopped {
@@ -313,7 +313,7 @@
 		if m.role != RoleLeader && m.role != RoleReplica && m.role != RoleRelay {
 			continue
 		}
-		gone, leaseLosses := readLog(m.Log()[w.lines[i]:])
+		gone, leaseLosses := readLog(m.Log()[w.logLengths[i]:])
 		w.row.LeaseLosses += leaseLosses
 		for _, id := range gone {
 			w.row.MembershipGone++
@@ -321,15 +321,15 @@
 				continue
 			}
 			w.row.MembershipLost++
-			if len(w.row.LostNames) < maxNames {
+			if len(w.row.LostNames) < maxLostNames {
 				w.row.LostNames = append(w.row.LostNames, id)
 			}
 		}
 	}
 }
 
-// readLog finds, in lines of a replica's or relay's log, the IDs of directors that were removed from the membership, and how often
-// the process closed its watches for want of a lease.
+// readLog returns, from log lines of a replica or relay, the IDs of directors that were removed from the membership, and how often
+// the process closed its watches for lack of a lease.
 func readLog(lines []string) (gone []string, leaseLosses int) {
 	for _, line := range lines {
 		var event struct {
@@ -351,15 +351,15 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// spread sorts the times.
-func spread(times []time.Duration) Spread {
+// summarize returns the distribution of durations. It sorts them in place.
+func summarize(times []time.Duration) Distribution {
 	if len(times) == 0 {
-		return Spread{}
+		return Distribution{}
 	}
 	slices.Sort(times)
 	at := func(share float64) float64 {
 		return milliseconds(times[min(len(times)-1, int(share*float64(len(times))))])
 	}
 	const median, nearlyAll = 0.5, 0.99
-	return Spread{Count: len(times), P50: at(median), P99: at(nearlyAll), Max: milliseconds(times[len(times)-1])}
+	return Distribution{Count: len(times), P50: at(median), P99: at(nearlyAll), Max: milliseconds(times[len(times)-1])}
 }
