--- a/internal/tools/fleetsim/fleetsim.go
+++ b/internal/tools/fleetsim/fleetsim.go
@@ -1,6 +1,6 @@
-// Package fleetsim is a model of a fleet of directors that share limits. It runs the packages that real directors and the control plane
-// use (membership, quota) with virtual time and without sockets; all chance comes from one seed. It knows what directors send to the
-// control plane and what that answers, and nothing of requests: demand is a number.
+// Package fleetsim simulates a fleet of directors that share limits. It runs the packages that real directors and the control plane use
+// (membership, quota) in virtual time and without sockets. All randomness derives from one seed. It models the messages between directors
+// and the control plane, but no requests: demand is a number.
 package fleetsim
 
 import (
@@ -15,22 +15,22 @@
 	"stairvane.org/stairvane/internal/quota"
 )
 
-// Config is a run. Zero values stand for what is in brackets.
+// Config configures a run. Zero values stand for the defaults in parentheses.
 type Config struct {
 	Seed         uint64
-	Directors    int           // at the start (8)
-	Caches       int           // cold ones, each a limit of its own (4)
-	Length       time.Duration // (30 s)
-	Skew         float64       // exponent of Zipf's law over the directors' demands (1); below 0: all want the same
-	Load         float64       // of what all limits bear that all directors together want (1.5)
-	Loss         float64       // share of calls that are lost
-	Delay        time.Duration // of a message, each up to this (20 ms)
-	Drift        float64       // by which clocks run apart (0.01)
-	Double       time.Duration // when as many again join; 0: never
-	Halve        time.Duration // when half of those that are there die at one moment; 0: never
-	NewAllocator time.Duration // when another allocator takes over; 0: never
-	Cut          time.Duration // when a third is cut off from the control plane, for 5 s; 0: never
-	EvenShares   bool          // for comparison: even shares of the number at the start, and no quotas
+	Directors    int           // number at the start (8)
+	Caches       int           // number of cold caches, each with its own limit (4)
+	Length       time.Duration // virtual time of the run (30 s)
+	Skew         float64       // exponent of the Zipf law of the directors' demands (1); below 0: equal demands
+	Load         float64       // demand of all directors together, as a multiple of all limits together (1.5)
+	Loss         float64       // share of renewals, and of grants, that are lost
+	Delay        time.Duration // largest delay of a message (20 ms)
+	Drift        float64       // largest deviation of a clock's rate from real time (0.01)
+	Double       time.Duration // when as many directors again join; 0: never
+	Halve        time.Duration // when half of the directors die at the same time; 0: never
+	NewAllocator time.Duration // when a new allocator takes over; 0: never
+	Cut          time.Duration // when a third of the directors are partitioned from the control plane, for 5 s; 0: never
+	EvenShares   bool          // for comparison: no quotas, each director uses an even share by the number at the start
 }
 
 func (c *Config) setDefaults() {
@@ -57,13 +57,13 @@
 	}
 }
 
-// Check returns an error that names a setting out of its bounds.
+// Check returns an error that names the first setting that is out of bounds.
 func (c Config) Check() error {
 	switch {
 	case c.Directors < 0 || c.Directors > 5000:
 		return fmt.Errorf("directors: %d is not from 1 to 5000", c.Directors)
 	case c.Caches < 0 || c.Caches > 2000:
-		return fmt.Errorf("boxes: %d is not from 1 to 2000", c.Caches)
+		return fmt.Errorf("caches: %d is not from 1 to 2000", c.Caches)
 	case c.Loss < 0 || c.Loss >= 1:
 		return fmt.Errorf("loss: %v is not from 0 to under 1", c.Loss)
 	case c.Length < 0 || c.Length > time.Hour:
@@ -72,26 +72,26 @@
 	return nil
 }
 
-// Point is the fleet at a moment.
+// Point is a sample of the fleet.
 type Point struct {
 	At        time.Duration
-	Directors int     // that live
-	Members   int     // as the control plane counts
-	Worst     float64 // the most of any one limit that may be used together
-	Used      float64 // of all limits, what is used: what each has, as far as it wants it
-	Usable    float64 // what could be used: demand, or all that is not set aside as fallback
-	Fairness  float64 // Jain's index of what those get that want as much as an even share or more
+	Directors int     // running directors
+	Members   int     // members known to the control plane
+	Worst     float64 // largest sum of the directors' shares of one limit
+	Used      float64 // use of all limits: the sum of the directors' shares, each up to its demand
+	Usable    float64 // sum over limits of the usable part: the demand, at most the limit without the reserve for fallback
+	Fairness  float64 // Jain's index of the use of directors that demand an even share or more of every limit
 }
 
 // Result is the outcome of a run.
 type Result struct {
 	Points           []Point
-	Worst            float64       // of all moments and limits: over 1, a limit was passed
-	Unused           time.Duration // the longest time during which under half of what could be was used
-	Messages         int           // calls and answers
-	Bytes            int           // of the renewals and grants in them
+	Worst            float64       // largest Point.Worst; over 1, a limit was exceeded
+	Unused           time.Duration // longest time in which less than half of Usable was used
+	Messages         int           // renewals and grants
+	Bytes            int           // encoded size of the renewals and grants, estimated from a sample
 	MembershipEvents int
-	Directors        int // that ever lived
+	Directors        int // all that have ever run
 }
 
 const (
@@ -100,8 +100,8 @@
 	sampleInterval  = 50 * time.Millisecond
 	cutLength       = 5 * time.Second
 	membershipLease = 600 * time.Millisecond
-	gatherInterval  = 150 * time.Millisecond // from one change of the membership to the next
-	countEvery      = 16                     // messages, of which one is encoded: all would cost more than the model
+	gatherInterval  = 150 * time.Millisecond // between membership events
+	encodeEvery     = 16                     // one in this many messages is encoded; encoding all would cost more than the rest
 )
 
 type director struct {
@@ -111,10 +111,10 @@
 	clockRate   float64
 	nextRenewal time.Duration
 	alive       bool
-	cutUntil    time.Duration // it is cut off from the control plane until then
+	cutUntil    time.Duration // end of its partition from the control plane
 }
 
-// message is a renewal or a grant on its way.
+// message is a renewal or a grant in flight.
 type message struct {
 	director  *director
 	renewal   *quota.Renewal
@@ -135,10 +135,11 @@
 	limits     []string
 	result     Result
 
-	underusedSince time.Duration // since when too little is used; below 0: it is not
+	underusedSince time.Duration // start of the time in which less than half of Usable is used; below 0: none
 }
 
-// Run plays a run. progress, if it is given, is called once a second of virtual time with the share that is done.
+// Run simulates a fleet and returns the samples. If progress is not nil, it is called once per second of virtual time with the completed
+// share of the run.
 func Run(cfg Config, progress func(done float64)) (Result, error) {
 	if err := cfg.Check(); err != nil {
 		return Result{}, err
@@ -150,13 +151,13 @@
 	for i := range cfg.Caches {
 		m.limits = append(m.limits, fmt.Sprintf("cold:box-%d", i))
 	}
-	m.join(cfg.Directors)
+	m.addDirectors(cfg.Directors)
 	for m.now < cfg.Length {
 		m.now += step
-		m.events()
-		m.deliver()
-		m.renew()
-		m.control()
+		m.applyFaults()
+		m.deliverMessages()
+		m.sendRenewals()
+		m.updateMembership()
 		if m.now%sampleInterval == 0 {
 			m.sample()
 		}
@@ -168,8 +169,9 @@
 	return m.result, nil
 }
 
-// join adds directors. Their demands follow Zipf's law by their place; all together want the load.
-func (m *model) join(n int) {
+// addDirectors adds n directors. Their demands for each limit follow a Zipf law. The demands of the initial directors add up to
+// Config.Load.
+func (m *model) addDirectors(n int) {
 	sum := 0.0
 	weights := make([]float64, n)
 	for i := range weights {
@@ -193,9 +195,9 @@
 
 func (m *model) isDue(when time.Duration) bool { return when > 0 && m.now >= when && m.now-step < when }
 
-func (m *model) events() {
+func (m *model) applyFaults() {
 	if m.isDue(m.cfg.Double) {
-		m.join(len(m.directors))
+		m.addDirectors(len(m.directors))
 	}
 	if m.isDue(m.cfg.Halve) {
 		for i, d := range m.directors {
@@ -218,11 +220,11 @@
 	}
 }
 
-func (m *model) clock(d *director) time.Duration {
+func (m *model) localTime(d *director) time.Duration {
 	return time.Duration(float64(m.now)*d.clockRate) + time.Hour
 }
 
-func (m *model) renew() {
+func (m *model) sendRenewals() {
 	for _, d := range m.directors {
 		if !d.alive || m.now < d.nextRenewal {
 			continue
@@ -231,28 +233,30 @@
 		for i, l := range m.limits {
 			d.holder.Want(quota.Want{Limit: l, Kind: quota.Rate, Demand: d.demand[i]})
 		}
-		renewal := d.holder.Renewal(m.clock(d))
+		renewal := d.holder.Renewal(m.localTime(d))
 		if m.now < d.cutUntil || m.rng.Float64() < m.cfg.Loss {
 			continue
 		}
-		m.count(renewal)
-		m.inFlight = append(m.inFlight, message{director: d, renewal: &renewal, deliverAt: m.now + m.delay()})
+		m.countMessage(renewal)
+		m.inFlight = append(m.inFlight, message{director: d, renewal: &renewal, deliverAt: m.now + m.randomDelay()})
 	}
 }
 
-func (m *model) delay() time.Duration { return time.Duration(m.rng.Int64N(int64(m.cfg.Delay) + 1)) }
+func (m *model) randomDelay() time.Duration {
+	return time.Duration(m.rng.Int64N(int64(m.cfg.Delay) + 1))
+}
 
-// count counts a message and, of some, its bytes.
-func (m *model) count(v any) {
+// countMessage counts a message. It encodes one in encodeEvery messages and counts its size for all of them.
+func (m *model) countMessage(v any) {
 	m.result.Messages++
-	if m.result.Messages%countEvery == 1 {
-		b, _ := json.Marshal(v) // a renewal or a grant, which always has a form
-		m.result.Bytes += countEvery * len(b)
+	if m.result.Messages%encodeEvery == 1 {
+		b, _ := json.Marshal(v) // a renewal or a grant, which can always be encoded
+		m.result.Bytes += encodeEvery * len(b)
 	}
 }
 
-// deliver hands over the messages that have arrived.
-func (m *model) deliver() {
+// deliverMessages processes the messages that are due.
+func (m *model) deliverMessages() {
 	var left []message
 	arriving := m.inFlight
 	m.inFlight = nil
@@ -267,18 +271,18 @@
 			m.membership.RecordHeartbeat(membership.Heartbeat{ID: d.id, Director: &described, At: m.now})
 			grant := m.allocator.Renew(*msg.renewal, m.now)
 			if m.rng.Float64() >= m.cfg.Loss {
-				m.count(grant)
-				left = append(left, message{director: d, grant: &grant, deliverAt: m.now + m.delay()})
+				m.countMessage(grant)
+				left = append(left, message{director: d, grant: &grant, deliverAt: m.now + m.randomDelay()})
 			}
 		case m.now >= d.cutUntil:
-			d.holder.Apply(*msg.grant, m.clock(d))
+			d.holder.Apply(*msg.grant, m.localTime(d))
 		}
 	}
 	m.inFlight = append(left, m.inFlight...)
 }
 
-// control is the leader's tick: changes of the membership become events.
-func (m *model) control() {
+// updateMembership applies a pending membership change as an event, as the leader does on each tick.
+func (m *model) updateMembership() {
 	change := m.membership.Change(m.fleet, m.now)
 	if change == nil {
 		return
@@ -292,15 +296,15 @@
 	m.result.MembershipEvents++
 }
 
-// share is what a director may use of a limit.
+// share returns the share of a limit that a director may use.
 func (m *model) share(d *director, limit string) float64 {
 	if m.cfg.EvenShares {
 		return 1 / float64(m.cfg.Directors)
 	}
-	return d.holder.Available(limit, m.clock(d))
+	return d.holder.Available(limit, m.localTime(d))
 }
 
-// sample takes a point of the result.
+// sample appends a Point to the result.
 func (m *model) sample() {
 	p := Point{At: m.now}
 	for range m.fleet.Directors() {
@@ -333,12 +337,12 @@
 	}
 	p.Fairness = Jain(got)
 	m.result.Worst = max(m.result.Worst, p.Worst)
-	m.observeUse(p)
+	m.recordUnderuse(p)
 	m.result.Points = append(m.result.Points, p)
 }
 
-// observeUse measures for how long too little is used.
-func (m *model) observeUse(p Point) {
+// recordUnderuse tracks for how long less than half of the usable limits has been used.
+func (m *model) recordUnderuse(p Point) {
 	switch {
 	case p.Used >= p.Usable/2:
 		m.underusedSince = -1
@@ -349,7 +353,7 @@
 	}
 }
 
-// Jain is Jain's index of fairness: 1 where all values are equal, 1/n where one has all; 1 for no values.
+// Jain returns Jain's fairness index of n values: 1 if all are equal, 1/n if all but one are 0, and 1 if there are none.
 func Jain(x []float64) float64 {
 	sum, squares := 0.0, 0.0
 	for _, v := range x {
--- a/internal/tools/fleetsim/fleetsim_test.go
+++ b/internal/tools/fleetsim/fleetsim_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// TestLimitsHoldUnderFaults guards the limits while the fleet doubles, half of it dies, a third is cut off, another allocator takes over
-// and messages are lost; unused shares are used again within the allocator's wait and a second. STAIRVANE_SEEDS is the number of runs.
+// TestLimitsHoldUnderFaults checks that no limit is exceeded while the fleet doubles, half of it dies, a third is partitioned, a new
+// allocator takes over and messages are lost, and that free shares are in use again within the allocator's wait and a second.
+// STAIRVANE_SEEDS is the number of runs.
 func TestLimitsHoldUnderFaults(t *testing.T) {
 	n := 40
 	if v, err := strconv.Atoi(os.Getenv("STAIRVANE_SEEDS")); err == nil {
@@ -45,14 +46,14 @@
 		}
 		unused = max(unused, r.Unused)
 		if r.Unused > 2500*time.Millisecond {
-			t.Errorf("seed %d: too little was used for %v", cfg.Seed, r.Unused)
+			t.Errorf("seed %d: less than half of the usable limits was used for %v", cfg.Seed, r.Unused)
 		}
 	}
-	t.Logf("too little was used for %v at most", unused)
-	// Even shares of the number at the start pass the limit once the fleet has doubled.
+	t.Logf("less than half of the usable limits was used for %v at most", unused)
+	// Even shares by the number at the start exceed the limit once the fleet has doubled.
 	r, err := Run(Config{Seed: first, Double: 3 * time.Second, Length: 5 * time.Second, EvenShares: true}, nil)
 	if err != nil || r.Worst < 1.9 {
-		t.Errorf("even parts of a wrong number: %.2f, %v", r.Worst, err)
+		t.Errorf("even shares by an outdated number: %.2f, %v", r.Worst, err)
 	}
 }
 
@@ -70,7 +71,7 @@
 func TestInvalidConfigIsRejected(t *testing.T) {
 	for _, c := range []Config{{Directors: -1}, {Caches: 1 << 20}, {Loss: 1}, {Length: 2 * time.Hour}} {
 		if _, err := Run(c, nil); err == nil {
-			t.Errorf("%+v is taken", c)
+			t.Errorf("%+v is accepted", c)
 		}
 	}
 }
