--- a/internal/tools/golden/golden.go
+++ b/internal/tools/golden/golden.go
@@ -2,10 +2,10 @@
 // when the present version no longer reads such a file to the same values, or no longer writes the same bytes.
 //
 // A sample value is filled by reflection in the order of its fields. A test therefore doesn't depend on the names of fields: a
-// field may be renamed as long as its struct tag keeps the key. A changed key, or a field in another place, fails the test.
+// field may be renamed as long as its struct tag keeps the key. A changed key or a moved field fails the test.
 //
-// The files are in the folder testdata/golden of the package under test. The flag -update-golden writes them anew; use it only
-// for a form that is meant to change.
+// The files are in the folder testdata/golden of the package under test. The flag -update-golden rewrites them; use it only
+// if a format is meant to change.
 package golden
 
 import (
@@ -23,9 +23,9 @@
 	fileMode   = 0o644
 )
 
-var update = flag.Bool("update-golden", false, "write the golden files anew")
+var update = flag.Bool("update-golden", false, "rewrite the golden files")
 
-// Check encodes a filled sample of T and compares the bytes with the golden file of that name. It also decodes the file and
+// Check encodes a filled sample of T and compares the bytes with the golden file of the given name. It also decodes the file and
 // compares the result with the sample.
 func Check[T any](t *testing.T, name string, encode func(any) ([]byte, error), decode func([]byte, any) error) {
 	t.Helper()
@@ -37,24 +37,24 @@
 	}
 	want := Bytes(t, name, got)
 	if !bytes.Equal(got, want) {
-		t.Errorf("%s is written as\n%q\nthe golden file has\n%q", name, got, want)
+		t.Errorf("%s is encoded as\n%q\nwant, from the golden file,\n%q", name, got, want)
 	}
 	var decoded T
 	if err := decode(want, &decoded); err != nil {
 		t.Fatalf("%s: decode: %v", name, err)
 	}
 	if !reflect.DeepEqual(decoded, sample) {
-		t.Errorf("%s is read as\n%+v\nnot as\n%+v", name, decoded, sample)
+		t.Errorf("%s is decoded as\n%+v\nwant\n%+v", name, decoded, sample)
 	}
 }
 
-// JSON is Check for a value that is sent as JSON.
+// JSON calls Check for a value that is encoded as JSON, with the file name name.json.
 func JSON[T any](t *testing.T, name string) {
 	t.Helper()
 	Check[T](t, name+".json", json.Marshal, json.Unmarshal)
 }
 
-// Bytes reads the golden file of a name; with -update-golden it first writes got there.
+// Bytes returns the contents of the golden file of a name. With -update-golden it first writes got to the file.
 func Bytes(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -73,10 +73,10 @@
 	return want
 }
 
-// Updating reports whether golden files are being written. A test that makes its fixture with the program itself asks this.
+// Updating reports whether golden files are being rewritten. Tests use it that create their fixture with the program itself.
 func Updating() bool { return *update }
 
-// Text compares got with the golden file of that name.
+// Text compares got with the golden file of the given name.
 func Text(t *testing.T, name, got string) {
 	t.Helper()
 	if want := Bytes(t, name, []byte(got)); got != string(want) {
--- a/internal/tools/golden/sample.go
+++ b/internal/tools/golden/sample.go
@@ -12,14 +12,14 @@
 	durationType   = reflect.TypeFor[time.Duration]()
 )
 
-// Fill sets every exported field that v points to, nested ones too, to a value of its own. The values follow the order of the
-// fields. Fields that JSON or CBOR leave out stay zero.
+// Fill sets all exported fields of the value that v points to, including nested ones, to distinct values that follow the order
+// of the fields; booleans are set to true. Fields that JSON or CBOR omit remain zero.
 func Fill(v any) {
 	var s sampler
 	s.fill(reflect.ValueOf(v).Elem())
 }
 
-// sampler gives each value that it fills the next number.
+// sampler numbers the values that it fills.
 type sampler struct {
 	number int
 }
@@ -56,7 +56,7 @@
 	}
 }
 
-// fillInt makes durations multiples of a millisecond, because some of the stored forms hold nothing finer.
+// fillInt sets an integer. Durations are multiples of a millisecond, because some stored formats have no finer resolution.
 func (s *sampler) fillInt(v reflect.Value) {
 	n := int64(s.number)
 	if v.Type() == durationType {
--- a/internal/tools/golden/values.go
+++ b/internal/tools/golden/values.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Values is the text of all exported values that v holds, in the order of their fields and without the names of these.
+// Values returns a text with all exported values in v, in the order of their fields and without field names.
 func Values(v any) string {
 	var b strings.Builder
 	write(&b, reflect.ValueOf(v))
@@ -65,7 +65,7 @@
 	b.WriteString("}\n")
 }
 
-// writeMap sorts the entries by their text, so that the result doesn't depend on the order of iteration.
+// writeMap writes the entries sorted by their text, so that the result doesn't depend on the iteration order.
 func writeMap(b *strings.Builder, v reflect.Value) {
 	var entries []string
 	for entry := v.MapRange(); entry.Next(); {
