--- a/internal/tools/scale/cluster.go
+++ b/internal/tools/scale/cluster.go
@@ -259,7 +259,7 @@
 	rules := fleet.DefaultRules()
 	rules.Cache.WarmUpMS = 0
 	rules.Parent.WarmUpMS = 0
-	wanted := fleet.DesiredState{Rules: rules}
+	desired := fleet.DesiredState{Rules: rules}
 	for _, host := range []fleet.HostSpec{
 		{Name: "store", Role: fleet.Origin, Site: "hub", Class: "origin", Share: 40},
 		{Name: "west-0", Role: fleet.Cache, Site: "west", Class: "std", Share: 4, Running: true},
@@ -271,16 +271,16 @@
 		}
 		c.caches = append(c.caches, cache)
 		host.Address = cache.Addr()
-		wanted.Hosts = append(wanted.Hosts, host)
+		desired.Hosts = append(desired.Hosts, host)
 	}
-	wanted.Locations = []fleet.Location{{Name: "west", Floor: 1, Load: 1, Sources: []string{"store"}}}
-	wanted.Normalize()
+	desired.Locations = []fleet.Location{{Name: "west", Floor: 1, Load: 1, Sources: []string{"store"}}}
+	desired.Normalize()
 	client, err := c.group.Client()
 	if err != nil {
 		return err
 	}
 	for end := time.Now().Add(startTimeout); ; time.Sleep(retryPause) {
-		err := submitChange(client, func(fleet.ObservedState) fleet.DesiredState { return wanted })
+		err := submitChange(client, func(fleet.ObservedState) fleet.DesiredState { return desired })
 		if err == nil || time.Now().After(end) {
 			return err
 		}
--- a/internal/tools/scale/load.go
+++ b/internal/tools/scale/load.go
@@ -111,11 +111,11 @@
 func (l *load) submitChange(client *api.Client, n int64) {
 	called := simulated.Now()
 	err := submitChange(client, func(observed fleet.ObservedState) fleet.DesiredState {
-		wanted := observed.DesiredState()
-		for i := range wanted.Locations {
-			wanted.Locations[i].Load = 1 + float64(n%2)/2
+		desired := observed.DesiredState()
+		for i := range desired.Locations {
+			desired.Locations[i].Load = 1 + float64(n%2)/2
 		}
-		return wanted
+		return desired
 	})
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/tools/scale/memory_test.go
+++ b/internal/tools/scale/memory_test.go
@@ -16,13 +16,13 @@
 	}
 	defer p.Kill()
 	c := &cluster{group: &testharness.Cluster{}, simulated: []*member{{Process: p, role: RoleSimulated}}}
-	for _, most := range []int64{1, machineMemory()} {
+	for _, limit := range []int64{1, machineMemory()} {
 		ctx, cancel := context.WithCancelCause(t.Context())
 		within, stop := context.WithTimeout(ctx, 4*memoryCheckInterval)
-		begin := time.Now()
-		c.guardMemory(within, cancel, most)
-		if got := errors.Is(context.Cause(ctx), ErrMemoryLimit); got != (most == 1) {
-			t.Errorf("%d bytes allowed: cancelled %v after %v", most, got, time.Since(begin))
+		start := time.Now()
+		c.guardMemory(within, cancel, limit)
+		if got := errors.Is(context.Cause(ctx), ErrMemoryLimit); got != (limit == 1) {
+			t.Errorf("%d bytes allowed: cancelled %v after %v", limit, got, time.Since(start))
 		}
 		stop()
 		cancel(nil)
