--- a/internal/tools/fakes/cache.go
+++ b/internal/tools/fakes/cache.go
@@ -14,30 +14,30 @@
 	"stairvane.org/stairvane/internal/protocol/resp"
 )
 
-const readBufferLength = 64 << 10 // bytes, at first
+const readBufferLength = 64 << 10 // bytes; the buffer grows if a message is longer
 
-// Attempt is one attempt that came to a cache.
+// Attempt is one attempt that a cache received.
 type Attempt struct {
-	ID     string // of the request
-	Source string // that a miss is to be filled from; empty: none
-	Token  string // the idempotency key; empty: none
-	At     time.Time
+	ID     string    // ID of the request
+	Source string    // the source to fill a miss from; empty: none
+	Token  string    // the idempotency key; empty: none
+	At     time.Time // when it was received
 }
 
-// Cache is a fake cache. It answers every attempt with a small object, and pings. Its methods may be called concurrently.
+// Cache is a fake cache. It answers pings, and every attempt with a small object. Its methods are safe for concurrent use.
 type Cache struct {
 	listener net.Listener
 
-	mu        sync.Mutex
-	attempts  []Attempt
-	conns     map[net.Conn]bool
-	closed    bool
-	delay     time.Duration
-	sources   map[string]float64 // share of the fills from each that it says were rejected there; nil: it fills nothing
-	corrupted []time.Time        // when it said so
+	mu         sync.Mutex
+	attempts   []Attempt
+	conns      map[net.Conn]bool
+	closed     bool
+	delay      time.Duration
+	sources    map[string]float64 // share of fills, by source, that are reported as rejected by it; nil: no fills
+	rejectedAt []time.Time        // when it reported a fill as rejected
 }
 
-// NewCache listens at an address; port 0 picks one.
+// NewCache starts a cache that listens on an address. Port 0 selects a free port.
 func NewCache(address string) (*Cache, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -48,46 +48,46 @@
 	return c, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address that the cache listens on.
 func (c *Cache) Addr() string { return c.listener.Addr().String() }
 
-// Fill makes the cache say of each attempt that names a source that it was filled from there, or, for a share of those that name one in
-// the map, that the source rejected it. Caches may share a map; it must not be changed.
+// SetFillResults makes the cache report each attempt that names a source as filled from that source, or, for the source's share in the
+// map, as rejected by it. Caches may share the map, which must not be modified afterwards.
 func (c *Cache) SetFillResults(sources map[string]float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sources = sources
 }
 
-// Corrupted is when it said that a source rejected a fill.
+// RejectedFills returns the times at which the cache received the attempts whose fills it reported as rejected.
 func (c *Cache) RejectedFills() []time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]time.Time(nil), c.corrupted...)
+	return append([]time.Time(nil), c.rejectedAt...)
 }
 
-// Slow delays each answer.
+// SetDelay sets the delay before each attempt is answered.
 func (c *Cache) SetDelay(by time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.delay = by
 }
 
-// Attempts are all that came so far.
+// Attempts returns all attempts received so far.
 func (c *Cache) Attempts() []Attempt {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]Attempt(nil), c.attempts...)
 }
 
-// Close is the death of the process: it listens no more and its connections break.
+// Close stops listening and closes all connections, as if the process had died.
 func (c *Cache) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
-	_ = c.listener.Close() // nothing is lost with it
+	_ = c.listener.Close() // nothing to flush
 	for conn := range c.conns {
-		_ = conn.Close() // it is to break
+		_ = conn.Close() // closed to break the connection
 	}
 }
 
@@ -99,7 +99,7 @@
 		}
 		c.mu.Lock()
 		if c.closed {
-			_ = conn.Close() // it is to break
+			_ = conn.Close() // the cache is closed
 		}
 		c.conns[conn] = true
 		c.mu.Unlock()
@@ -109,7 +109,7 @@
 
 func (c *Cache) serve(conn net.Conn) {
 	defer func() {
-		_ = conn.Close() // its client has gone, or it is to break
+		_ = conn.Close() // its client has closed it, or Close has
 		c.mu.Lock()
 		delete(c.conns, conn)
 		c.mu.Unlock()
@@ -135,7 +135,7 @@
 	}
 }
 
-// answerAll answers the complete messages in a buffer, and returns what is left of it. words is used again.
+// answerAll answers the complete messages in a buffer, and returns the rest of the buffer. It reuses words.
 func (c *Cache) answerAll(out io.Writer, in []byte, words resp.Words) ([]byte, resp.Words, error) {
 	for {
 		parsed, used, _, err := resp.Parse(in, words)
@@ -151,7 +151,7 @@
 	}
 }
 
-// answer answers one message. Errors of out are those of its flush.
+// answer writes the response to one message. The flush of out reports write errors.
 func (c *Cache) answer(out io.Writer, words resp.Words) {
 	if len(words) < 2 {
 		return
@@ -187,7 +187,7 @@
 	return resp.AppendBulk(b, "copy of "+c.Addr())
 }
 
-// record keeps an attempt and decides how it is answered.
+// record appends an attempt to the recorded ones and returns how to answer it.
 func (c *Cache) record(a Attempt) (status string, rejected bool, delay time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -197,7 +197,7 @@
 	}
 	rejected = rand.Float64() < c.sources[a.Source]
 	if rejected {
-		c.corrupted = append(c.corrupted, a.At)
+		c.rejectedAt = append(c.rejectedAt, a.At)
 	}
 	return "pulled", rejected, c.delay
 }
--- a/internal/tools/fakes/client.go
+++ b/internal/tools/fakes/client.go
@@ -11,43 +11,44 @@
 )
 
 const (
-	strictVersion  = 0x80010000 // of a Thrift message, with its kind in the low byte
-	kindCall       = 1
-	kindReply      = 2
-	fieldRejected  = 1 // of a reply's result
-	fieldFailed    = 2
-	pollInterval   = 5 * time.Millisecond
-	loadObjects    = 200 // that Load asks for
-	loadTimeout    = 5 * time.Second
-	finishTimeout  = 10 * time.Second
-	purgeGroups    = 256
-	shortestReply  = 12 // bytes
-	lengthOfLength = 4  // bytes
+	thriftVersion     = 0x80010000 // of a Thrift message; the low byte holds the message type
+	kindCall          = 1
+	kindReply         = 2
+	fieldRejected     = 1 // field ID in the result of a reply
+	fieldFailed       = 2 // likewise
+	pollInterval      = 5 * time.Millisecond
+	loadObjects       = 200 // distinct objects that Load requests
+	loadTimeout       = 5 * time.Second
+	finishTimeout     = 10 * time.Second
+	purgeGroups       = 256
+	minReplyLength    = 12 // bytes
+	frameHeaderLength = 4  // bytes
 )
 
-// Tally counts the answers to a load. Every request sent is in exactly one of the other counts, or was doubled or lost.
+// Tally counts the requests of a load by outcome. Every request sent is counted in exactly one of Served, Rejected, Failed and Lost;
+// further answers to it are counted in Duplicated.
 type Tally struct {
 	Sent       int
 	Served     int
-	Rejected   int // rejected
+	Rejected   int // rejected by the director
 	Failed     int
-	Duplicated int // answered more than once
+	Duplicated int // answers beyond the first
 	Lost       int // never answered
 }
 
-// Client sends requests on one connection to a director. Its methods may be called concurrently.
+// Client sends requests on one connection to a director. Its methods are safe for concurrent use.
 type Client struct {
 	conn net.Conn
-	done chan struct{} // closed when no more answers are read
+	done chan struct{} // closed when the read loop has ended
 
-	mu    sync.Mutex
-	seq   int32
-	open  map[int32]time.Time // when it was sent, by sequence number
-	took  []time.Duration     // of those that were served
-	tally Tally
+	mu        sync.Mutex
+	seq       int32
+	open      map[int32]time.Time // sending times of unanswered requests, by sequence number
+	latencies []time.Duration     // latencies of served requests
+	tally     Tally
 }
 
-// Connect opens a client's connection.
+// Connect connects a client to a director.
 func Connect(director string) (*Client, error) {
 	conn, err := net.Dial("tcp", director)
 	if err != nil {
@@ -58,13 +59,13 @@
 	return c, nil
 }
 
-// Send sends one request for a random object of so many.
+// SendRandom sends one request of the class clips for a random one of the given number of objects.
 func (c *Client) SendRandom(objects int, timeout time.Duration) error {
 	object := rand.IntN(objects)
 	return c.SendRequest("clips", uint64(1+object), timeout, "group", fmt.Sprint(object%purgeGroups), "mem", "10")
 }
 
-// Ask sends one request of a class for an object, with further fields as names and values in turn.
+// SendRequest sends one request of a class for an object. more holds additional fields as alternating names and values.
 func (c *Client) SendRequest(class string, object uint64, timeout time.Duration, more ...string) error {
 	c.mu.Lock()
 	c.seq++
@@ -82,9 +83,9 @@
 	return err
 }
 
-// appendSubmit appends a Thrift call of submit with a map of fields and an empty body.
+// appendSubmit appends a Thrift call of the method submit with a map of fields and an empty body.
 func appendSubmit(b []byte, seq int32, fields []string) []byte {
-	b = binary.BigEndian.AppendUint32(b, strictVersion|kindCall)
+	b = binary.BigEndian.AppendUint32(b, thriftVersion|kindCall)
 	b = appendText(b, "submit")
 	b = binary.BigEndian.AppendUint32(b, uint32(seq))
 	b = append(b, 0x0d, 0, 1, 0x0b, 0x0b) // field 1: a map from strings to strings
@@ -102,16 +103,16 @@
 	return append(b, text...)
 }
 
-// read counts answers until the connection ends.
+// read counts answers until the connection is closed or a frame is malformed.
 func (c *Client) read() {
 	defer close(c.done)
-	head := make([]byte, lengthOfLength)
+	head := make([]byte, frameHeaderLength)
 	for {
 		if _, err := io.ReadFull(c.conn, head); err != nil {
 			return
 		}
 		frame := make([]byte, binary.BigEndian.Uint32(head))
-		if _, err := io.ReadFull(c.conn, frame); err != nil || len(frame) < shortestReply {
+		if _, err := io.ReadFull(c.conn, frame); err != nil || len(frame) < minReplyLength {
 			return
 		}
 		if !c.count(frame) {
@@ -120,8 +121,8 @@
 	}
 }
 
-// count counts one answer: its message kind, its sequence number, and which of the results it holds. It reports whether the frame can
-// be read.
+// count counts one answer by its message type, its sequence number and the field that its result holds. It returns false if the frame is
+// too short.
 func (c *Client) count(frame []byte) bool {
 	afterName := 8 + int(binary.BigEndian.Uint32(frame[4:]))
 	if len(frame) < afterName+7 {
@@ -142,20 +143,20 @@
 		c.tally.Rejected++
 	default:
 		c.tally.Served++
-		c.took = append(c.took, time.Since(sent))
+		c.latencies = append(c.latencies, time.Since(sent))
 	}
 	delete(c.open, seq)
 	return true
 }
 
-// Took is how long each request took that was served so far.
+// Latencies returns the latencies of all requests served so far.
 func (c *Client) Latencies() []time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]time.Duration(nil), c.took...)
+	return append([]time.Duration(nil), c.latencies...)
 }
 
-// Finish waits until all requests are answered, but no longer than a time, and closes the connection.
+// Finish waits until all requests are answered, but no longer than the given time. It then closes the connection and returns the counts.
 func (c *Client) Finish(within time.Duration) Tally {
 	for deadline := time.Now().Add(within); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		c.mu.Lock()
@@ -165,7 +166,7 @@
 			break
 		}
 	}
-	_ = c.conn.Close() // all that is wanted of it was read
+	_ = c.conn.Close() // nothing more is read from it
 	<-c.done
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -173,15 +174,15 @@
 	return c.tally
 }
 
-// Load sends so many requests a second for a time, then waits for the answers. It ends early if the connection breaks.
-func Load(director string, perSecond int, length time.Duration) (Tally, error) {
+// Load sends requests at a rate for a duration, then waits for the answers and returns the counts. It stops early if the connection breaks.
+func Load(director string, perSecond int, duration time.Duration) (Tally, error) {
 	c, err := Connect(director)
 	if err != nil {
 		return Tally{}, err
 	}
 	interval := time.Second / time.Duration(perSecond)
 	start := time.Now()
-	for n := 0; time.Since(start) < length; n++ {
+	for n := 0; time.Since(start) < duration; n++ {
 		time.Sleep(time.Until(start.Add(time.Duration(n) * interval)))
 		if err := c.SendRandom(loadObjects, loadTimeout); err != nil {
 			break
--- a/internal/tools/fakes/doc.go
+++ b/internal/tools/fakes/doc.go
@@ -1,3 +1,3 @@
-// Package fakes holds fakes of the systems around a director: caches that answer everything at once and record what they were asked,
-// and clients that put a steady load on a director. They serve tests and quick starts; they are no models of real caches.
+// Package fakes provides fakes of the systems around a director: caches that answer every attempt without delay, unless one is set, and
+// record it, and clients that send requests at a constant rate. They are for tests and quick starts and don't model real caches.
 package fakes
--- a/internal/tools/testharness/cluster.go
+++ b/internal/tools/testharness/cluster.go
@@ -18,24 +18,25 @@
 	leaderPollInterval   = 10 * time.Millisecond
 	completePollInterval = 20 * time.Millisecond
 
-	// caughtUpEntries is how many entries a replica may lack, under load, and count as caught up.
+	// caughtUpEntries is the lag, in log entries, below which a replica counts as caught up while the cluster is under load.
 	caughtUpEntries = 50
 
 	defaultSnapshotEvery = 500 // events
 )
 
-// Cluster is a control plane of several replicas, each a process with a folder and with proxies to all others.
+// Cluster is a control plane of several replicas. Each replica is a process with a folder and with a proxy to every other replica.
 type Cluster struct {
-	Program       string // path of stairvane-fleet
+	Program       string // path of the stairvane-fleet binary
 	Folder        string
-	ExtraForms    string // further forms of (copies ...)
-	Parents       bool   // directors fill from parent caches, of the class parent
-	Relays        bool   // relays are admitted
-	SnapshotEvery int    // events from one snapshot to the next; 0: 500
+	ExtraForms    string // additional forms in (copies ...)
+	Parents       bool   // the location's caches fill from parent caches, of the class parent
+	Relays        bool   // the control plane admits relays
+	SnapshotEvery int    // events between snapshots; 0 means 500
 	Replicas      []*Replica
 }
 
-// NewCluster prepares so many replicas, named a, b, c and so on, the last ones standbys. None is started.
+// NewCluster creates the folders and proxies of the given numbers of replicas and standbys, named a, b, c and so on, standbys last. It
+// starts no process.
 func NewCluster(program, folder string, replicas, standbys int) (*Cluster, error) {
 	c := &Cluster{Program: program, Folder: folder}
 	for i := range replicas + standbys {
@@ -54,8 +55,8 @@
 	return c, nil
 }
 
-// config writes the program's file of a replica, beside its folder.
-func (c *Cluster) config(r *Replica) (path string, err error) {
+// writeConfig writes a replica's operator configuration next to its folder and returns the file's path.
+func (c *Cluster) writeConfig(r *Replica) (path string, err error) {
 	var list strings.Builder
 	for _, other := range c.Replicas {
 		address, standby := "127.0.0.1:1", ""
@@ -77,7 +78,7 @@
 	return r.Path(), os.WriteFile(r.Path(), []byte(text), 0o600)
 }
 
-// Addresses are the write sides, as commands take them.
+// Addresses returns the addresses of the replicas' write servers, separated by commas as commands expect them.
 func (c *Cluster) Addresses() string {
 	var all []string
 	for _, r := range c.Replicas {
@@ -86,12 +87,12 @@
 	return strings.Join(all, ",")
 }
 
-// Client calls the write side of whichever replica leads.
+// Client returns a client of the write servers that finds the current leader.
 func (c *Cluster) Client() (*api.Client, error) {
 	return api.NewClient(c.Addresses(), clientName, api.Credentials{})
 }
 
-// running are the replicas whose processes have not ended.
+// running returns the replicas whose processes have not exited.
 func (c *Cluster) running() (all []*Replica) {
 	for _, r := range c.Replicas {
 		if r.Process != nil && r.Running() {
@@ -101,7 +102,7 @@
 	return all
 }
 
-// leader is the replica that leads in the highest term, with its status; nil if none says that it leads.
+// leader returns the replica that reports to lead in the highest term, with its status, or nil if no replica reports to lead.
 func (c *Cluster) leader() (leader *Replica, status api.GroupStatus) {
 	for _, r := range c.running() {
 		s, err := r.Status()
@@ -112,7 +113,7 @@
 	return leader, status
 }
 
-// Leader waits until a replica says that it leads; nil after a time.
+// Leader waits until a replica reports that it leads, and returns it. It returns nil if none does within the given time.
 func (c *Cluster) Leader(within time.Duration) *Replica {
 	for deadline := time.Now().Add(within); time.Now().Before(deadline); time.Sleep(leaderPollInterval) {
 		if leader, _ := c.leader(); leader != nil {
@@ -122,7 +123,7 @@
 	return nil
 }
 
-// Bootstrap starts all replicas and waits until all but the standbys vote.
+// Bootstrap starts all replicas, the first one with the flag that founds the group, and waits until all but the standbys are voters.
 func (c *Cluster) Bootstrap(within time.Duration) error {
 	for i, r := range c.Replicas {
 		var args []string
@@ -136,7 +137,7 @@
 	return c.AwaitComplete(within)
 }
 
-// AwaitComplete waits until as many replicas vote as are no standbys, and all of them are there and have caught up.
+// AwaitComplete waits until the leader reports as many voters as there are replicas without standbys, all of them alive and caught up.
 func (c *Cluster) AwaitComplete(within time.Duration) error {
 	var last string
 	for deadline := time.Now().Add(within); time.Now().Before(deadline); time.Sleep(completePollInterval) {
@@ -151,28 +152,28 @@
 			last = fmt.Sprintf("%+v", status)
 		}
 	}
-	return errors.New("the group is not complete: " + last)
+	return errors.New("the group is not complete; last status of the leader: " + last)
 }
 
-// isComplete reports whether a leader's view is that of a complete group.
+// isComplete reports whether a leader's status shows a complete group, as AwaitComplete defines it.
 func (c *Cluster) isComplete(status api.GroupStatus) bool {
-	wanted := 0
+	votersWanted := 0
 	for _, r := range c.Replicas {
 		if !r.IsStandby {
-			wanted++
+			votersWanted++
 		}
 	}
-	current := 0
+	votersReady := 0
 	for _, r := range status.Replicas {
 		if r.IsVoter && r.Alive && r.Behind < caughtUpEntries {
-			current++
+			votersReady++
 		}
 	}
-	return current == wanted && len(status.Replicas) == wanted && !status.Joint && c.disksVote(status)
+	return votersReady == votersWanted && len(status.Replicas) == votersWanted && !status.Joint && c.disksVote(status)
 }
 
-// disksVote reports whether the very disk of each replica that runs and is no standby votes: a view that is a moment old may still
-// name the disk that one had before.
+// disksVote reports whether the current disk of each running replica that is not a standby is a voter. The leader's status may be
+// slightly out of date and still name the disk that a replica had before.
 func (c *Cluster) disksVote(status api.GroupStatus) bool {
 	for _, r := range c.running() {
 		if r.IsStandby {
@@ -190,7 +191,7 @@
 	return true
 }
 
-// Close ends all processes and proxies.
+// Close kills all replicas and closes all proxies.
 func (c *Cluster) Close() {
 	for _, r := range c.Replicas {
 		if r.Process != nil && r.Running() {
--- a/internal/tools/testharness/director.go
+++ b/internal/tools/testharness/director.go
@@ -9,14 +9,14 @@
 	"strings"
 )
 
-// Director is a director's process that watches the replicas of a control plane, or relays.
+// Director is a director process that watches the replicas of a control plane, or relays.
 type Director struct {
 	*Process
-	Addr string // where clients connect
+	Addr string // address that clients connect to
 }
 
-// StartDirector starts a director in a location that watches replicas, the one at a place in the list first. forms are further ones of
-// (director ...).
+// StartDirector starts a director in a location. It watches the replicas, beginning with the one at index first. forms are additional
+// forms in (director ...).
 func (c *Cluster) StartDirector(name, location string, first int, forms string) (*Director, error) {
 	var addresses []string
 	for i := range c.Replicas {
@@ -25,7 +25,7 @@
 	return c.startDirector(name, location, first, addresses, forms)
 }
 
-// StartDirectorAt starts a director that watches relays, the one at a place in the list first.
+// StartDirectorOnRelays starts a director in a location that watches relays, beginning with the one at index first.
 func (c *Cluster) StartDirectorOnRelays(name, location string, relays []*Relay, first int, forms string) (*Director, error) {
 	var addresses []string
 	for i := range relays {
@@ -71,28 +71,28 @@
 	return &Director{p, address}, nil
 }
 
-// directorSettings are the settings of a director in a location.
+// directorSettings returns the settings of a director in a location.
 func (c *Cluster) directorSettings(location string) map[string]any {
-	own := maps.Clone(settings)
+	own := maps.Clone(defaultSettings)
 	own["Zone"] = location
 	if c.Parents {
-		family := maps.Clone(familySettings)
+		family := maps.Clone(defaultFamilySettings)
 		family["ParentKind"] = 1
 		own["FamilyInfo"] = family
 	}
 	return own
 }
 
-// settings are those of two small sites, under the platform's keys. They have an idempotent class of requests, clips, and one whose
-// repeats the caches of one location drop within 4 s, orders.
-var settings = map[string]any{
+// defaultSettings are the settings of two small sites, under the platform's keys. They define two classes of requests: clips, which is
+// idempotent, and orders, for which the caches of a location drop duplicates within 4 s.
+var defaultSettings = map[string]any{
 	"Areas":      []string{"hub", "west", "east"},
 	"Zone":       "west",
 	"Models":     []string{"std", "parent", "origin"},
 	"Balancers":  1,
 	"SlotNo":     0,
 	"Weights":    "nominal",
-	"FamilyInfo": familySettings,
+	"FamilyInfo": defaultFamilySettings,
 	"Grades": []any{
 		map[string]any{
 			"Name": "clips", "Aim": 600, "AimStretch": 2, "Deadline": 6000, "Worth": 2,
@@ -111,7 +111,7 @@
 	"Rules":  map[string]any{"DrainGrace": 500, "GraceToAnswer": 8, "Cold": 16000, "ColdFrom": 0.17, "Fall": 3000, "TipMultiple": 4},
 }
 
-var familySettings = map[string]any{
+var defaultFamilySettings = map[string]any{
 	"ParentKind": -1, "SourceKind": 2, "CountByZone": []int{0, 1, 1}, "OneFlowKbPerS": 5000, "Tells": "hit", "Joins": true,
 	"Siblings": "off", "NoticeTime": 0, "PurgeDone": 6000, "GoodFor": []int{0, 0}, "OlderBy": []int{0, 0},
 	"PassOn": []bool{false, false}, "MultiPart": []bool{true, false},
--- a/internal/tools/testharness/disk_fault_linux_amd64.go
+++ b/internal/tools/testharness/disk_fault_linux_amd64.go
@@ -12,40 +12,40 @@
 	"golang.org/x/sys/unix"
 )
 
-// FailDisk makes the process's writes at places of files, and its syncs, fail for a time with an error: EIO of a disk that breaks,
-// EROFS of one that was made read-only. With syncs alone, writes are made and only fdatasync and fsync fail, as of a disk that accepts
-// bytes into its memory. The calls are held under ptrace, not made, and answered with the error; the process is a child, so this needs no
-// privilege. FailDisk returns how many calls failed once all threads run freely again.
-func (p *Process) FailDisk(with syscall.Errno, syncs bool, length time.Duration) (failed int, err error) {
+// FailDisk makes the process's positional writes, truncations, allocations and syncs of files fail with an errno for a time: EIO for a
+// broken disk, EROFS for one that was remounted read-only. If syncsOnly is true, only fdatasync and fsync fail and writes succeed, as with
+// a disk that accepts bytes into its volatile cache. The system calls are intercepted with ptrace, not executed, and return the errno. The
+// process is a child, so this needs no privilege. FailDisk returns the number of failed calls after all threads have been released.
+func (p *Process) FailDisk(errno syscall.Errno, syncsOnly bool, length time.Duration) (failedCalls int, err error) {
 	done := make(chan struct{})
-	go func() { // a tracer is a thread, not a process
+	go func() { // for ptrace, the tracer is a thread, not a process
 		defer close(done)
 		runtime.LockOSThread()
 		defer runtime.UnlockOSThread()
-		t := tracer{pid: p.Pid(), with: with, syncs: syncs, end: time.Now().Add(length), threads: map[int]*traced{}}
+		t := tracer{pid: p.Pid(), errno: errno, syncsOnly: syncsOnly, releaseAt: time.Now().Add(length), threads: map[int]*tracedThread{}}
 		err = t.run()
-		failed = t.failed
+		failedCalls = t.failedCalls
 	}()
 	<-done
-	return failed, err
+	return failedCalls, err
 }
 
-// tracer makes the system calls of one process fail. It is used by one locked thread.
+// tracer makes system calls of one process fail. Only the goroutine that is locked to the tracing thread uses it.
 type tracer struct {
-	pid     int
-	with    syscall.Errno
-	syncs   bool            // syncs alone fail
-	end     time.Time       // when threads are released
-	ending  bool            // threads are being released
-	threads map[int]*traced // by thread ID
-	failed  int             // calls
+	pid         int
+	errno       syscall.Errno
+	syncsOnly   bool                  // fail only syncs
+	releaseAt   time.Time             // when threads are released
+	releasing   bool                  // threads are being released
+	threads     map[int]*tracedThread // by thread ID
+	failedCalls int                   // number of calls made to fail
 }
 
-// traced is a thread.
-type traced struct {
-	inCall      bool // it is between the entry and the end of a system call
-	failCall    bool // the call is to fail
-	interrupted bool // it was interrupted in order to be released
+// tracedThread is the state of one thread of the process.
+type tracedThread struct {
+	inCall      bool // the thread is between the entry and the exit of a system call
+	failCall    bool // the current call is to fail
+	interrupted bool // the thread was interrupted so that it can be released
 }
 
 func (t *tracer) run() error {
@@ -54,7 +54,7 @@
 	}
 	var status unix.WaitStatus
 	for len(t.threads) > 0 {
-		tid, err := unix.Wait4(-1, &status, unix.WALL|unix.WNOTHREAD, nil) // of those that this thread traces
+		tid, err := unix.Wait4(-1, &status, unix.WALL|unix.WNOTHREAD, nil) // waits only for threads that this thread traces
 		if errors.Is(err, unix.EINTR) {
 			continue
 		}
@@ -66,17 +66,17 @@
 			continue
 		}
 		if t.threads[tid] == nil {
-			t.threads[tid] = &traced{} // a new thread, whose maker is traced
+			t.threads[tid] = &tracedThread{} // a new thread, cloned by a traced one
 		}
-		t.stopped(tid, t.threads[tid], status)
-		if !t.ending && time.Now().After(t.end) {
+		t.resume(tid, t.threads[tid], status)
+		if !t.releasing && time.Now().After(t.releaseAt) {
 			t.interruptAll()
 		}
 	}
 	return nil
 }
 
-// seizeAll begins to trace all threads. Threads may be made while others are seized.
+// seizeAll attaches to all threads. It repeats until it finds no new one, because threads may be created while others are seized.
 func (t *tracer) seizeAll() error {
 	for grown := true; grown; {
 		grown = false
@@ -91,59 +91,59 @@
 			}
 			err = unix.PtraceSeize(tid)
 			if errors.Is(err, unix.ESRCH) {
-				continue // the thread has ended
+				continue // the thread has exited
 			}
 			if err != nil {
 				return fmt.Errorf("ptrace of %d: %w", tid, err)
 			}
-			t.threads[tid] = &traced{}
+			t.threads[tid] = &tracedThread{}
 			grown = true
-			_ = unix.PtraceInterrupt(tid) // it may have ended
+			_ = unix.PtraceInterrupt(tid) // the thread may have exited
 		}
 	}
 	return nil
 }
 
-// interruptAll stops every thread once more, so that it can be released.
+// interruptAll stops every thread so that it can be detached.
 func (t *tracer) interruptAll() {
-	t.ending = true
+	t.releasing = true
 	for tid, thread := range t.threads {
 		if !thread.interrupted {
 			thread.interrupted = true
-			_ = unix.PtraceInterrupt(tid) // it may have ended
+			_ = unix.PtraceInterrupt(tid) // the thread may have exited
 		}
 	}
 }
 
-// syscallStop is set in the stop signal of a thread that stopped at a system call (PTRACE_O_TRACESYSGOOD).
+// syscallStop is the bit in the stop signal that marks a stop at a system call (PTRACE_O_TRACESYSGOOD).
 const syscallStop = 0x80
 
-// stopped lets a thread go on. At the entry of a call that is to fail, the call is not made; at its end it gets the error. Errors of
-// ptrace mean that the thread was killed meanwhile.
-func (t *tracer) stopped(tid int, thread *traced, status unix.WaitStatus) {
+// resume continues a stopped thread. At the entry of a call that is to fail, it replaces the call with an invalid one; at the exit of
+// that call, it sets the errno as the result. Errors of ptrace mean that the thread was killed after it stopped.
+func (t *tracer) resume(tid int, thread *tracedThread, status unix.WaitStatus) {
 	deliver := 0 // signal
 	switch signal := status.StopSignal(); {
 	case signal == syscall.SIGTRAP|syscallStop:
 		thread.inCall = !thread.inCall
 		var regs unix.PtraceRegs
 		if unix.PtraceGetRegs(tid, &regs) != nil {
-			break // it was killed meanwhile
+			break // the thread was killed
 		}
 		switch {
 		case !thread.inCall && thread.failCall:
 			thread.failCall = false
-			regs.Rax = uint64(-int64(t.with))
+			regs.Rax = uint64(-int64(t.errno))
 			_ = unix.PtraceSetRegs(tid, &regs)
-		case thread.inCall && !t.ending && t.hits(regs.Orig_rax):
+		case thread.inCall && !t.releasing && t.shouldFail(regs.Orig_rax):
 			thread.failCall = true
-			t.failed++
-			regs.Orig_rax = ^uint64(0) // no call
+			t.failedCalls++
+			regs.Orig_rax = ^uint64(0) // not a valid system call
 			_ = unix.PtraceSetRegs(tid, &regs)
 		}
 	case signal != syscall.SIGTRAP && status.TrapCause() != unix.PTRACE_EVENT_STOP:
 		deliver = int(signal)
 	}
-	if t.ending && !thread.failCall {
+	if t.releasing && !thread.failCall {
 		_ = unix.PtraceDetach(tid)
 		delete(t.threads, tid)
 		return
@@ -152,13 +152,13 @@
 	_ = unix.PtraceSyscall(tid, deliver)
 }
 
-// hits reports whether a system call is to fail.
-func (t *tracer) hits(call uint64) bool {
+// shouldFail reports whether a system call is to fail.
+func (t *tracer) shouldFail(call uint64) bool {
 	switch call {
 	case unix.SYS_FDATASYNC, unix.SYS_FSYNC:
 		return true
 	case unix.SYS_PWRITE64, unix.SYS_FTRUNCATE, unix.SYS_FALLOCATE:
-		return !t.syncs
+		return !t.syncsOnly
 	}
 	return false
 }
--- a/internal/tools/testharness/process.go
+++ b/internal/tools/testharness/process.go
@@ -16,26 +16,26 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxLogLine is the longest line of a log, in bytes.
+// maxLogLine is the length limit of a log line, in bytes.
 const maxLogLine = 1 << 20
 
-// Process is one process of the program. Its log is read as it comes. All methods may be called concurrently.
+// Process is a child process whose log is read continuously. All methods are safe for concurrent use.
 type Process struct {
 	Name string
 	cmd  *exec.Cmd
 
 	mu      sync.Mutex
-	changed *sync.Cond       // of the fields below
-	events  []map[string]any // the lines of the log that are JSON
+	cond    *sync.Cond       // signals a change of the fields below
+	events  []map[string]any // the log lines that are JSON objects
 	lines   []string
-	ended   bool
-	err     error // how it ended
+	exited  bool
+	exitErr error // how it exited; nil means status 0
 }
 
-// Start starts a program. Its standard error is read as lines of JSON.
+// Start starts a program and reads its standard error as JSON lines.
 func Start(name, program string, args, env []string) (*Process, error) {
 	p := &Process{Name: name, cmd: exec.Command(program, args...)}
-	p.changed = sync.NewCond(&p.mu)
+	p.cond = sync.NewCond(&p.mu)
 	p.cmd.Env = append(append(os.Environ(), "LB_LOG=json"), env...)
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	out, err := p.cmd.StderrPipe()
@@ -45,45 +45,45 @@
 	if err := p.cmd.Start(); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	go p.read(out)
+	go p.readLog(out)
 	return p, nil
 }
 
-func (p *Process) read(out io.Reader) {
+func (p *Process) readLog(out io.Reader) {
 	lines := bufio.NewScanner(out)
 	lines.Buffer(nil, maxLogLine)
 	for lines.Scan() {
 		var event map[string]any
-		_ = json.Unmarshal(lines.Bytes(), &event) // a line that is no JSON, as of a panic, is kept as text
+		_ = json.Unmarshal(lines.Bytes(), &event) // a line that is not JSON, such as one of a panic, is kept as text only
 		p.mu.Lock()
 		p.lines = append(p.lines, lines.Text())
 		if event != nil {
 			p.events = append(p.events, event)
 		}
-		p.changed.Broadcast()
+		p.cond.Broadcast()
 		p.mu.Unlock()
 	}
-	err := p.cmd.Wait()
+	exitErr := p.cmd.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ended = true
-	p.err = err
-	p.changed.Broadcast()
+	p.exited = true
+	p.exitErr = exitErr
+	p.cond.Broadcast()
 }
 
-// Event waits for the first event of a message from a place in the log on, and returns it with the place after it. It fails if the
-// process ends before, or when the time is over.
+// Event waits for the first event with a message at or after an index in the events. It returns the event and the index after it. It
+// fails if the process exits first, or if no such event is logged within the given time.
 func (p *Process) Event(message string, from int, within time.Duration) (event map[string]any, next int, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	waitUntil := p.deadline(within)
+	waitUntil := p.waiterUntil(within)
 	for i := from; ; i++ {
 		for i >= len(p.events) {
-			if p.ended {
-				return nil, i, fmt.Errorf("%s ended without %s: %w", p.Name, message, p.endError())
+			if p.exited {
+				return nil, i, fmt.Errorf("%s exited without event %s: %w", p.Name, message, p.exitReason())
 			}
 			if !waitUntil() {
-				return nil, i, fmt.Errorf("%s: no %s within %v", p.Name, message, within)
+				return nil, i, fmt.Errorf("%s: no event %s within %v", p.Name, message, within)
 			}
 		}
 		if p.events[i]["msg"] == message {
@@ -92,8 +92,9 @@
 	}
 }
 
-// deadline returns a function that waits for the next change, and reports false once the time is over. p.mu is held for both.
-func (p *Process) deadline(within time.Duration) (wait func() bool) {
+// waiterUntil returns a function that waits for the next change, and returns false once the time is over. The caller holds p.mu in both
+// calls.
+func (p *Process) waiterUntil(within time.Duration) (wait func() bool) {
 	end := time.Now().Add(within)
 	return func() bool {
 		left := time.Until(end)
@@ -103,22 +104,22 @@
 		timer := time.AfterFunc(left, func() {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			p.changed.Broadcast()
+			p.cond.Broadcast()
 		})
 		defer timer.Stop()
-		p.changed.Wait()
+		p.cond.Wait()
 		return true
 	}
 }
 
-// Lines is how many lines the log has so far.
+// EventCount returns the number of events logged so far.
 func (p *Process) EventCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.events)
 }
 
-// Count is how many lines of the log have a message.
+// CountEvents returns the number of events with a message.
 func (p *Process) CountEvents(message string) (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -130,60 +131,61 @@
 	return n
 }
 
-// Log is all that the process has written.
+// Log returns all log lines so far.
 func (p *Process) Log() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]string(nil), p.lines...)
 }
 
-// Pid is the process's number.
+// Pid returns the process ID.
 func (p *Process) Pid() int { return p.cmd.Process.Pid }
 
-// Signal sends a signal.
-func (p *Process) Signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) } // it may have ended already
+// Signal sends a signal to the process.
+func (p *Process) Signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) } // the process may have exited
 
-// Kill ends the process at once and waits for its end.
+// Kill sends SIGKILL to the process and waits until it has exited, at most a minute.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGKILL)
-	_ = p.Wait(time.Minute) // how a killed process ended is known
+	_ = p.Wait(time.Minute) // the error is that it was killed
 }
 
-// Leave ends the process with SIGTERM and waits.
+// Terminate sends SIGTERM to the process and waits until it has exited. It returns the error of Wait.
 func (p *Process) Terminate(within time.Duration) error {
 	p.Signal(syscall.SIGTERM)
 	return p.Wait(within)
 }
 
-// endError is how the process ended. p.mu is held.
-func (p *Process) endError() error {
-	if p.err == nil {
+// exitReason returns how the process exited, never nil. The caller holds p.mu.
+func (p *Process) exitReason() error {
+	if p.exitErr == nil {
 		return errors.New("exit status 0")
 	}
-	return p.err
+	return p.exitErr
 }
 
-// Wait waits for the end of the process; the error is how it ended.
+// Wait waits until the process has exited and returns the error of exec.Cmd.Wait. It returns another error if the process still runs after
+// the given time.
 func (p *Process) Wait(within time.Duration) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	waitUntil := p.deadline(within)
-	for !p.ended {
+	waitUntil := p.waiterUntil(within)
+	for !p.exited {
 		if !waitUntil() {
-			return fmt.Errorf("%s did not end within %v", p.Name, within)
+			return fmt.Errorf("%s did not exit within %v", p.Name, within)
 		}
 	}
-	return p.err
+	return p.exitErr
 }
 
-// Running reports whether the process has not ended.
+// Running reports whether the process has not exited.
 func (p *Process) Running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !p.ended
+	return !p.exited
 }
 
-// LimitFiles lets no file that the process writes grow beyond a length in bytes, as a full disk does. A negative length removes the
+// LimitFiles limits the length in bytes of the files that the process writes, to simulate a full disk. A negative length removes the
 // limit.
 func (p *Process) LimitFiles(length int64) error {
 	limit := unix.Rlimit{Cur: uint64(length), Max: unix.RLIM_INFINITY}
@@ -193,7 +195,7 @@
 	return unix.Prlimit(p.Pid(), unix.RLIMIT_FSIZE, &limit, nil)
 }
 
-// CopyFolder copies the files of a folder, as an image of a machine's disk.
+// CopyFolder copies the regular files of a folder, as an image of a machine's disk. It ignores files that are removed during the copy.
 func CopyFolder(from, to string) error {
 	if err := os.MkdirAll(to, 0o700); err != nil {
 		return err
--- a/internal/tools/testharness/proxy.go
+++ b/internal/tools/testharness/proxy.go
@@ -9,89 +9,90 @@
 
 const (
 	proxyDialTimeout  = time.Second
-	proxyAcceptPause  = 10 * time.Millisecond
+	acceptRetryPause  = 10 * time.Millisecond
 	proxyBufferLength = 64 << 10 // bytes
 	neverBreak        = -1
 )
 
-// Proxy is a port of its own whose connections lead to one process. A direction that is cut takes bytes and delivers none, as a broken
-// network does; connections live on and go on once it is no longer cut. All methods may be called concurrently.
+// Proxy forwards the connections to its own port to one process. A blocked direction accepts bytes and delivers none, as a network
+// partition does; connections stay open and continue once the direction is unblocked. All methods are safe for concurrent use.
 type Proxy struct {
 	listener net.Listener
 
 	mu         sync.Mutex
-	changed    *sync.Cond // of the fields below
+	cond       *sync.Cond // signals a change of the fields below
 	target     string
-	forward    bool // bytes go to the target
-	backward   bool // and back
+	forward    bool // bytes are forwarded to the target
+	backward   bool // bytes are forwarded from the target
 	delay      time.Duration
-	breakAfter int64 // bytes that still go forward before all connections break; below 0: they never do
+	breakAfter int64 // bytes still to forward to the target until a connection is broken; below 0: never
 	conns      map[net.Conn]bool
 	closed     bool
 }
 
-// NewProxy makes a proxy without a target.
+// NewProxy starts a proxy without a target on a free port.
 func NewProxy() (*Proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	p := &Proxy{listener: listener, forward: true, backward: true, breakAfter: neverBreak, conns: map[net.Conn]bool{}}
-	p.changed = sync.NewCond(&p.mu)
+	p.cond = sync.NewCond(&p.mu)
 	go p.accept()
 	return p, nil
 }
 
-// Addr is where the proxy listens.
+// Addr returns the address that the proxy listens on.
 func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
-// To sets the target. Connections to another one break.
+// SetTarget sets the target address. If it changes, all connections are closed.
 func (p *Proxy) SetTarget(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.target != address {
 		p.target = address
-		p.breakConns()
+		p.closeAllConns()
 	}
 }
 
-// Carry sets in which directions bytes go.
+// SetForwarding sets in which directions bytes are forwarded: forward is to the target, backward from it.
 func (p *Proxy) SetForwarding(forward, backward bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.forward = forward
 	p.backward = backward
-	p.changed.Broadcast()
+	p.cond.Broadcast()
 }
 
-// Slow delays each piece that is carried.
+// SetDelay sets the delay before each chunk is forwarded, in both directions.
 func (p *Proxy) SetDelay(by time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.delay = by
 }
 
-// BreakAfter breaks all connections once so many more bytes have gone forward; it happens once.
+// BreakAfter breaks the connection that exceeds the given number of further bytes to the target, counted over all connections. It
+// breaks only one.
 func (p *Proxy) BreakAfter(bytes int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.breakAfter = bytes
 }
 
-// Close ends the proxy and its connections.
+// Close closes the proxy and its connections.
 func (p *Proxy) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	_ = p.listener.Close() // nothing is lost with it
-	p.breakConns()
-	p.changed.Broadcast()
+	_ = p.listener.Close() // nothing to flush
+	p.closeAllConns()
+	p.cond.Broadcast()
 }
 
-// breakConns closes all connections. p.mu is held.
-func (p *Proxy) breakConns() {
+// closeAllConns closes all connections. The caller holds p.mu.
+func (p *Proxy) closeAllConns() {
 	for conn := range p.conns {
-		_ = conn.Close() // it is to break
+		_ = conn.Close() // closed to break the connection
 	}
 }
 
@@ -101,15 +102,15 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // too many files are open: a proxy that ended here would hang whoever connects later
-			time.Sleep(proxyAcceptPause)
+		if err != nil { // too many open files: if the proxy stopped here, later connections would hang
+			time.Sleep(acceptRetryPause)
 			continue
 		}
 		go p.connect(near)
 	}
 }
 
-// connect connects a client with the target.
+// connect dials the target and forwards between it and a client connection.
 func (p *Proxy) connect(near net.Conn) {
 	p.mu.Lock()
 	target := p.target
@@ -117,32 +118,33 @@
 	p.mu.Unlock()
 	far, err := net.DialTimeout("tcp", target, proxyDialTimeout)
 	if err != nil {
-		p.end(near)
+		p.closeConns(near)
 		return
 	}
 	p.mu.Lock()
 	p.conns[far] = true
 	p.mu.Unlock()
-	go p.carry(near, far, true)
-	p.carry(far, near, false)
+	go p.forwardBytes(near, far, true)
+	p.forwardBytes(far, near, false)
 }
 
-func (p *Proxy) end(conns ...net.Conn) {
+func (p *Proxy) closeConns(conns ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, conn := range conns {
-		_ = conn.Close() // its peer has ended, or it is to break
+		_ = conn.Close() // its peer has closed it, or it is closed to break it
 		delete(p.conns, conn)
 	}
 }
 
-// carry takes bytes from one end to the other. While the direction is cut it holds what it has read, and reads no more.
-func (p *Proxy) carry(from, to net.Conn, forward bool) {
-	defer p.end(from, to)
+// forwardBytes copies bytes from one connection to the other. While the direction is blocked, it keeps what it has read and reads no
+// more.
+func (p *Proxy) forwardBytes(from, to net.Conn, forward bool) {
+	defer p.closeConns(from, to)
 	buffer := make([]byte, proxyBufferLength)
 	for {
 		n, err := from.Read(buffer)
-		allowed, delay := p.await(forward, n)
+		allowed, delay := p.awaitForwarding(forward, n)
 		if allowed < n {
 			err = net.ErrClosed
 		}
@@ -160,12 +162,13 @@
 	}
 }
 
-// await waits while the direction is cut. It returns how many of n bytes may pass before the connection breaks, and after which delay.
-func (p *Proxy) await(forward bool, n int) (allowed int, delay time.Duration) {
+// awaitForwarding waits while the direction is blocked. It returns how many of n bytes to forward, fewer than n if the connection is to be
+// broken after them, and the delay before they are forwarded.
+func (p *Proxy) awaitForwarding(forward bool, n int) (allowed int, delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for !p.closed && !p.passes(forward) {
-		p.changed.Wait()
+	for !p.closed && !p.isForwarding(forward) {
+		p.cond.Wait()
 	}
 	if !forward || p.breakAfter < 0 || n == 0 {
 		return n, p.delay
@@ -179,8 +182,8 @@
 	return allowed, p.delay
 }
 
-// passes reports whether a direction is not cut. p.mu is held.
-func (p *Proxy) passes(forward bool) bool {
+// isForwarding reports whether a direction is not blocked. The caller holds p.mu.
+func (p *Proxy) isForwarding(forward bool) bool {
 	if forward {
 		return p.forward
 	}
--- a/internal/tools/testharness/relay.go
+++ b/internal/tools/testharness/relay.go
@@ -7,17 +7,18 @@
 	"strings"
 )
 
-// Relay is a relay's process, with proxies to the write sides of all replicas and one in front of it.
+// Relay is a relay process with a proxy to each replica's write server and one in front of its own watch server.
 type Relay struct {
 	*Process
 	Name     string
-	Upstream []*Proxy // to the replicas, in their order
-	Watch    *Proxy   // from the outside to where it serves watches
-	path     string   // of its program file
+	Upstream []*Proxy // to the replicas' write servers, in the order of Cluster.Replicas
+	Watch    *Proxy   // to its watch server
+	path     string   // of its operator configuration
 	cluster  *Cluster
 }
 
-// NewRelay prepares a relay of the replicas, which are started already. It is not started. forms are further ones of (relay ...).
+// NewRelay creates a relay's proxies and operator configuration without starting the relay. The replicas are expected to be
+// running. forms are additional forms in (relay ...).
 func (c *Cluster) NewRelay(name, region, forms string) (*Relay, error) {
 	r := &Relay{Name: name, cluster: c, path: filepath.Join(c.Folder, name+".scm")}
 	var upstream []string
@@ -38,7 +39,7 @@
 	return r, os.WriteFile(r.path, []byte(text), 0o600)
 }
 
-// Start starts the relay and connects its proxies.
+// Start starts the relay and sets the targets of its proxies.
 func (r *Relay) Start() error {
 	for i, replica := range r.cluster.Replicas {
 		r.Upstream[i].SetTarget(replica.Write.Addr())
@@ -56,14 +57,14 @@
 	return nil
 }
 
-// Cut cuts the relay off from all replicas, or connects it with them again.
+// Cut blocks the connections from the relay to all replicas, or unblocks them.
 func (r *Relay) Cut(cut bool) {
 	for _, proxy := range r.Upstream {
 		proxy.SetForwarding(!cut, !cut)
 	}
 }
 
-// Close ends the process and the proxies.
+// Close kills the process and closes the proxies.
 func (r *Relay) Close() {
 	if r.Process != nil && r.Running() {
 		r.Kill()
--- a/internal/tools/testharness/replica.go
+++ b/internal/tools/testharness/replica.go
@@ -9,7 +9,7 @@
 	"stairvane.org/stairvane/internal/controlplane/api"
 )
 
-// clientName is who the harness says to be on the write side.
+// clientName is the name with which the harness calls the write servers.
 const clientName = "rig"
 
 // Replica is one replica of the control plane.
@@ -17,13 +17,13 @@
 	*Process
 	Name      string
 	Folder    string
-	IsStandby bool              // it stands by
-	Peers     map[string]*Proxy // to the other replicas, by name
-	Write     *Proxy            // from the outside to its write side
-	Watch     *Proxy            // from the outside to where it serves watches
+	IsStandby bool              // it starts as a standby
+	Peers     map[string]*Proxy // from this replica to the others, by name
+	Write     *Proxy            // to its write server, for clients and relays
+	Watch     *Proxy            // to its watch server, for directors
 	cluster   *Cluster
 
-	clientMu sync.Mutex // of client; a client has connections of its own, so there is one
+	clientMu sync.Mutex // guards client, which is created once because it keeps connections open
 	client   *api.Client
 }
 
@@ -43,9 +43,9 @@
 	return err
 }
 
-// Start starts the replica and connects all proxies to it.
+// Start starts the replica and makes it the target of all proxies that lead to it.
 func (r *Replica) Start(args ...string) error {
-	path, err := r.cluster.config(r)
+	path, err := r.cluster.writeConfig(r)
 	if err != nil {
 		return err
 	}
@@ -68,26 +68,27 @@
 	return nil
 }
 
-// Path is the replica's program file.
+// Path returns the path of the replica's operator configuration.
 func (r *Replica) Path() string { return filepath.Join(r.cluster.Folder, r.Name+".scm") }
 
-// Store is the replica's store.
+// Store returns the path of the replica's store.
 func (r *Replica) Store() string { return filepath.Join(r.Folder, "board.db") }
 
-// Cut lets bytes pass, or not, between the replica and all others: there is what the replica sends, back what it receives.
-func (r *Replica) Cut(there, back bool) {
+// Cut sets whether bytes are forwarded between the replica and all others: outbound for what the replica sends, inbound for what it
+// receives. false blocks the direction.
+func (r *Replica) Cut(outbound, inbound bool) {
 	for _, other := range r.cluster.Replicas {
 		if other == r {
 			continue
 		}
-		// A connection carries calls one way and their answers the other: what the replica sends goes forward on its own
-		// connections and backward on those of the others.
-		r.Peers[other.Name].SetForwarding(there, back)
-		other.Peers[r.Name].SetForwarding(back, there)
+		// A connection carries calls one way and their responses the other. What the replica sends therefore goes forward on
+		// its own connections and backward on those that others opened to it.
+		r.Peers[other.Name].SetForwarding(outbound, inbound)
+		other.Peers[r.Name].SetForwarding(inbound, outbound)
 	}
 }
 
-// Status is what the replica knows of the group. It may be called concurrently.
+// Status returns the group's status as the replica knows it. It is safe for concurrent use.
 func (r *Replica) Status() (status api.GroupStatus, err error) {
 	r.clientMu.Lock()
 	defer r.clientMu.Unlock()
