--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,6 @@
-// Package logging sets up the logger of a process: JSON lines for machines, readable lines where standard error is a
-// terminal. A message is a stable event name in dotted words, such as watch.lost; what varies stands in the attributes.
+// Package logging sets up the logger of a process. It writes JSON lines, or human-readable lines if standard error is a
+// terminal. The message of a record is a stable event name of words separated by dots, such as watch.lost; the details
+// are attributes.
 package logging
 
 import (
@@ -13,23 +14,23 @@
 	"github.com/mattn/go-isatty"
 )
 
-// Environment variables that choose the form and the lowest level.
+// Environment variables that select the output format and the minimum level.
 const (
-	FormVar  = "LB_LOG"       // json or text; empty: text on a terminal, else json
-	LevelVar = "LB_LOG_LEVEL" // debug, info (the default), warn or error
+	FormatVar = "LB_LOG"       // json or text; if empty, text on a terminal and json elsewhere
+	LevelVar  = "LB_LOG_LEVEL" // debug, info (the default), warn or error
 )
 
 const (
-	formJSON = "json"
-	formText = "text"
+	formatJSON = "json"
+	formatText = "text"
 
-	// timeFormat shows milliseconds, because the events of one failure often stand within a second.
+	// timeFormat includes milliseconds because the events of a failure often occur within a second.
 	timeFormat = time.TimeOnly + ".000"
 )
 
-// Setup makes the default logger from the environment. An error names the variable that has an invalid value.
+// Setup sets the default logger as the environment variables say. The error names the variable that has an invalid value.
 func Setup() error {
-	logger, err := New(os.Stderr, os.Getenv(FormVar), os.Getenv(LevelVar), isatty.IsTerminal(os.Stderr.Fd()))
+	logger, err := New(os.Stderr, os.Getenv(FormatVar), os.Getenv(LevelVar), isatty.IsTerminal(os.Stderr.Fd()))
 	if err != nil {
 		return err
 	}
@@ -37,22 +38,22 @@
 	return nil
 }
 
-// New makes a logger that writes to w; isTerminal tells whether w is a terminal. An empty form is text on a terminal and JSON
-// elsewhere; an empty level is info. An error names the environment variable of the invalid value.
-func New(w io.Writer, form, level string, isTerminal bool) (*slog.Logger, error) {
+// New returns a logger that writes to w. isTerminal reports whether w is a terminal. An empty format selects text on a
+// terminal and JSON elsewhere; an empty level selects info. The error names the environment variable of the invalid value.
+func New(w io.Writer, format, level string, isTerminal bool) (*slog.Logger, error) {
 	minLevel := slog.LevelInfo
 	if level != "" {
 		if err := minLevel.UnmarshalText([]byte(level)); err != nil {
-			return nil, fmt.Errorf("%s: %q is none of debug, info, warn, error", LevelVar, level)
+			return nil, fmt.Errorf("%s: %q is not one of debug, info, warn, error", LevelVar, level)
 		}
 	}
-	if form == "" {
-		form = defaultForm(isTerminal)
+	if format == "" {
+		format = defaultFormat(isTerminal)
 	}
-	switch form {
-	case formJSON:
+	switch format {
+	case formatJSON:
 		return slog.New(slog.NewJSONHandler(w, &slog.HandlerOptions{Level: minLevel})), nil
-	case formText:
+	case formatText:
 		options := tint.Options{
 			Level:      minLevel,
 			TimeFormat: timeFormat,
@@ -60,12 +61,12 @@
 		}
 		return slog.New(tint.NewTextHandler(w, &options)), nil
 	}
-	return nil, fmt.Errorf("%s: %q is neither json nor text", FormVar, form)
+	return nil, fmt.Errorf("%s: %q is neither json nor text", FormatVar, format)
 }
 
-func defaultForm(isTerminal bool) string {
+func defaultFormat(isTerminal bool) string {
 	if isTerminal {
-		return formText
+		return formatText
 	}
-	return formJSON
+	return formatJSON
 }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// Guards against a log line that a collector can't parse: one JSON object a line, with the event's name alone in msg.
-func TestJSONForm(t *testing.T) {
+// Guards against log lines that a collector can't parse: each line must be one JSON object whose msg is the event name alone.
+func TestJSONFormat(t *testing.T) {
 	var output bytes.Buffer
 	logger, err := New(&output, "", "", false)
 	if err != nil {
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestTextForm(t *testing.T) {
+func TestTextFormat(t *testing.T) {
 	var output bytes.Buffer
 	logger, err := New(&output, "", "debug", true)
 	if err != nil {
@@ -41,15 +41,15 @@
 func TestErrorNamesVariable(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		form     string
+		format   string
 		level    string
 		variable string
 	}{
-		{name: "form", form: "xml", variable: FormVar},
+		{name: "form", format: "xml", variable: FormatVar},
 		{name: "level", level: "loud", variable: LevelVar},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := New(io.Discard, c.form, c.level, false)
+			_, err := New(io.Discard, c.format, c.level, false)
 			if err == nil || !strings.Contains(err.Error(), c.variable) {
 				t.Errorf("error is %v, want one that names %s", err, c.variable)
 			}
