--- a/internal/protocol/resp/resp.go
+++ b/internal/protocol/resp/resp.go
@@ -1,5 +1,5 @@
-// Package resp parses and encodes the messages of caches: RESP arrays of bulk strings. It does no I/O; what it parses are
-// slices of the caller's buffer.
+// Package resp parses and encodes the messages exchanged with caches: RESP arrays of bulk strings. It does no I/O. Parsed
+// values are slices of the caller's buffer.
 package resp
 
 import (
@@ -11,24 +11,24 @@
 
 // Limits of a message.
 const (
-	MaxBulk  = 240_000 // bytes of a bulk string
-	maxWords = 8       // bulk strings of an array
-	maxLine  = 16      // bytes of a line with a count
+	MaxBulk     = 240_000 // bytes in a bulk string
+	maxElements = 8       // bulk strings in an array
+	maxLine     = 16      // bytes in a line with a count, including its prefix and line end
 )
 
 var (
-	errBulkLength   = errors.New("resp: bulk string is not as long as it says")
-	errEndlessCount = errors.New("resp: count without an end")
+	errBulkLength        = errors.New("resp: bulk string does not end at its declared length")
+	errUnterminatedCount = errors.New("resp: count is not terminated")
 )
 
-// Words is the bulk strings of a message.
+// Words holds the bulk strings of a message.
 type Words [][]byte
 
-// Parse reads an array from the start of b; words is reused. used is 0 while the array is incomplete; then need is how
-// many bytes must be there before it can be complete.
+// Parse parses an array at the start of b and returns its bulk strings, for which it reuses words, and the number of bytes
+// that it used. If the array is incomplete, used is 0 and need is the minimum length of b at which it can be complete.
 func Parse(b []byte, words Words) (w Words, used, need int, err error) {
 	words = words[:0]
-	count, at, need, err := parseCount(b, 0, '*', maxWords)
+	count, at, need, err := parseCount(b, 0, '*', maxElements)
 	if err != nil || need > 0 {
 		return words, 0, need, err
 	}
@@ -50,42 +50,44 @@
 	return words, at, 0, nil
 }
 
-// parseCount reads a line at an offset: a mark and a count.
-func parseCount(b []byte, from int, mark byte, limit int) (n, next, need int, err error) {
-	if len(b) <= from {
-		return 0, 0, from + 1, nil
+// parseCount parses a line at an offset that consists of a prefix and a count of at most limit. It returns the count and
+// the offset after the line; or, if the line is incomplete, the minimum length of b at which it can be complete.
+func parseCount(b []byte, offset int, prefix byte, limit int) (n, next, need int, err error) {
+	if len(b) <= offset {
+		return 0, 0, offset + 1, nil
 	}
-	if b[from] != mark {
-		return 0, 0, 0, fmt.Errorf("resp: %q where %q must stand", b[from], mark)
+	if b[offset] != prefix {
+		return 0, 0, 0, fmt.Errorf("resp: got %q, want %q", b[offset], prefix)
 	}
-	line := b[from:min(len(b), from+maxLine)]
+	line := b[offset:min(len(b), offset+maxLine)]
 	end := bytes.IndexByte(line, '\n')
 	if end < 0 {
 		if len(line) == maxLine {
-			return 0, 0, 0, errEndlessCount
+			return 0, 0, 0, errUnterminatedCount
 		}
 		return 0, 0, len(b) + 1, nil
 	}
 	digits, ended := bytes.CutSuffix(line[1:end], []byte{'\r'})
 	if !ended || len(digits) == 0 {
-		return 0, 0, 0, fmt.Errorf("resp: bad count %q", line[:end])
+		return 0, 0, 0, fmt.Errorf("resp: invalid count line %q", line[:end])
 	}
 	for _, d := range digits {
 		if d < '0' || d > '9' {
-			return 0, 0, 0, fmt.Errorf("resp: bad count %q", digits)
+			return 0, 0, 0, fmt.Errorf("resp: invalid count %q", digits)
 		}
-		n = n*10 + int(d-'0') // maxLine keeps it in range
+		n = n*10 + int(d-'0') // can't overflow: maxLine limits the digits
 	}
 	if n > limit {
-		return 0, 0, 0, fmt.Errorf("resp: count %d, more than %d", n, limit)
+		return 0, 0, 0, fmt.Errorf("resp: count %d exceeds the limit of %d", n, limit)
 	}
-	return n, from + end + 1, 0, nil
+	return n, offset + end + 1, 0, nil
 }
 
-// None is the value of an empty list of fields.
+// None is the encoding of an empty list of fields.
 const None = "-"
 
-// Fields calls f for each field of name=value,name=value, until one is malformed or f returns an error.
+// Fields parses a list of fields in the form name=value,name=value and calls f for each of them. It stops at a malformed
+// field or at the first error of f, and returns that error.
 func Fields(b []byte, f func(name, value []byte) error) error {
 	if len(b) == 0 || string(b) == None {
 		return nil
@@ -93,7 +95,7 @@
 	for pair := range bytes.SplitSeq(b, []byte{','}) {
 		name, value, found := bytes.Cut(pair, []byte{'='})
 		if !found || len(name) == 0 {
-			return fmt.Errorf("resp: %q is no name=value", pair)
+			return fmt.Errorf("resp: field %q is not of the form name=value", pair)
 		}
 		if err := f(name, value); err != nil {
 			return err
@@ -102,7 +104,7 @@
 	return nil
 }
 
-// AppendHead appends the start of an array of n bulk strings.
+// AppendHead appends the header of an array of n bulk strings.
 func AppendHead(b []byte, n int) []byte { return appendCount(b, '*', n) }
 
 // AppendBulk appends one bulk string.
@@ -112,7 +114,7 @@
 	return append(b, '\r', '\n')
 }
 
-// AppendField appends a field to a list of fields that starts at an offset of b.
+// AppendField appends a field to the list of fields that starts at offset start of b.
 func AppendField[T string | []byte](b []byte, start int, name string, value T) []byte {
 	if len(b) > start {
 		b = append(b, ',')
@@ -122,8 +124,8 @@
 	return append(b, value...)
 }
 
-func appendCount(b []byte, mark byte, n int) []byte {
-	b = append(b, mark)
+func appendCount(b []byte, prefix byte, n int) []byte {
+	b = append(b, prefix)
 	b = strconv.AppendInt(b, int64(n), 10)
 	return append(b, '\r', '\n')
 }
--- a/internal/protocol/resp/resp_test.go
+++ b/internal/protocol/resp/resp_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Guards against a message that is misread when it comes in pieces.
-func TestMessageInAnyPieces(t *testing.T) {
+// Guards against an array that is misparsed when it is received in several reads.
+func TestParseIncompleteMessage(t *testing.T) {
 	b := AppendHead(nil, 4)
 	for _, w := range []string{"9b1f03aa5c7e2d41", "OK", "n=local,since=1764576000123", "a\r\nb"} {
 		b = AppendBulk(b, w)
@@ -25,8 +25,8 @@
 	}
 }
 
-// Guards against a malformed message that is accepted, or waited for without end.
-func TestMalformedMessages(t *testing.T) {
+// Guards against a malformed message that is accepted, or treated as incomplete forever.
+func TestParseMalformedMessage(t *testing.T) {
 	for _, s := range []string{
 		"+OK\r\n", "*9\r\n", "*-1\r\n", "*x\r\n", "*\r\n", "*1\n", "*1\r\n$240001\r\n",
 		"*1\r\n$1\r\nabc", "*1\r\n:5\r\n", "*" + strings.Repeat("0", 40),
@@ -42,7 +42,7 @@
 		}
 	}
 	if err := Fields([]byte("a=1"), func(_, _ []byte) error { return stop }); !errors.Is(err, stop) {
-		t.Error("the error of a field is lost")
+		t.Error("Fields does not return the callback's error")
 	}
 }
 
