--- a/internal/protocol/thrift/parse.go
+++ b/internal/protocol/thrift/parse.go
@@ -1,5 +1,5 @@
-// Package thrift reads and writes the clients' messages: Thrift's strict binary protocol in framed transport. It does
-// no I/O; what it parses are slices of the caller's buffer.
+// Package thrift parses and encodes the messages exchanged with clients: Thrift's strict binary protocol in framed
+// transport. It does no I/O. Parsed values are slices of the caller's buffer.
 package thrift
 
 import (
@@ -8,22 +8,22 @@
 	"fmt"
 )
 
-// Limits of a message, in bytes and items. A request's body is smaller than an answer's may be.
+// Limits of a message. The body of a request is smaller than that of an answer may be.
 const (
-	MaxFrame  = 64 << 10
-	MaxBody   = 48_000
-	maxName   = 64
+	MaxFrame  = 64 << 10 // bytes
+	MaxBody   = 48_000   // bytes in the body of a request
+	maxName   = 64       // bytes in the name of a method or field
 	maxFields = 64
-	maxDepth  = 8
+	maxDepth  = 8 // levels of nesting
 )
 
 const (
-	version1    = 0x80010000
-	versionMask = 0xffff0000
-	frameHead   = 4
+	version1        = 0x80010000
+	versionMask     = 0xffff0000
+	frameHeaderSize = 4
 )
 
-// The kinds of message.
+// Message types.
 const (
 	messageCall      = 1
 	messageReply     = 2
@@ -31,7 +31,7 @@
 	messageOneway    = 4
 )
 
-// The wire types of values.
+// Wire types of values.
 const (
 	typeStop   = 0
 	typeBool   = 2
@@ -50,7 +50,7 @@
 // Method is a method of the service.
 type Method int
 
-// The methods of the service. Their names on the wire are those of methodNames.
+// The methods of the service. methodNames has their names on the wire.
 const (
 	Unknown Method = iota
 	Submit
@@ -76,15 +76,15 @@
 // Call is a parsed message. Its slices are parts of the buffer that was parsed.
 type Call struct {
 	Method         Method
-	Name           []byte // of the method
-	Oneway         bool   // no answer is expected
+	Name           []byte // the name of the method
+	Oneway         bool   // the client expects no answer
 	SequenceNumber int32
-	Fields         []Field // of Submit; reused by the next Parse into the same Call
-	Body           []byte  // of Submit
-	CancelTarget   int32   // of Cancel: the sequence number of a Submit
+	Fields         []Field // of a Submit; the next Parse into the same Call overwrites them
+	Body           []byte  // of a Submit
+	CancelTarget   int32   // of a Cancel: the sequence number of the Submit to cancel
 }
 
-// Field is the value of a field, nil if it is absent.
+// Field returns the value of a field, or nil if the field is absent.
 func (c *Call) Field(name string) []byte {
 	for _, f := range c.Fields {
 		if string(f.Name) == name {
@@ -99,30 +99,33 @@
 	errTooDeep   = errors.New("thrift: nested too deeply")
 )
 
-// Parse reads one message from the start of b into c. used is 0 while the message is incomplete; then need is how many
-// bytes must be there before it can be complete.
+// Parse parses the message at the start of b into c and returns the number of bytes that it used. If the message is
+// incomplete, used is 0 and need is the minimum length of b at which it can be complete.
 func Parse(b []byte, c *Call) (used, need int, err error) {
-	if len(b) < frameHead {
-		return 0, frameHead, nil
+	if len(b) < frameHeaderSize {
+		return 0, frameHeaderSize, nil
 	}
 	size := binary.BigEndian.Uint32(b)
 	if size > MaxFrame {
 		return 0, 0, fmt.Errorf("thrift: frame of %d bytes, more than %d", size, MaxFrame)
 	}
-	end := frameHead + int(size)
+	end := frameHeaderSize + int(size)
 	if len(b) < end {
 		return 0, end, nil
 	}
-	r := reader{b: b[frameHead:end]}
+	r := reader{b: b[frameHeaderSize:end]}
 	if err := r.readCall(c); err != nil {
 		return 0, 0, err
 	}
 	return end, 0, nil
 }
 
+// reader reads values from the payload of one frame. b is the part that is not read yet.
 type reader struct{ b []byte }
 
-func (r *reader) take(n int) ([]byte, error) {
+// readN returns the next n bytes.
+
+func (r *reader) readN(n int) ([]byte, error) {
 	if n < 0 || n > len(r.b) {
 		return nil, errTruncated
 	}
@@ -132,7 +135,7 @@
 }
 
 func (r *reader) readByte() (byte, error) {
-	v, err := r.take(1)
+	v, err := r.readN(1)
 	if err != nil {
 		return 0, err
 	}
@@ -140,7 +143,7 @@
 }
 
 func (r *reader) readI32() (int32, error) {
-	v, err := r.take(4)
+	v, err := r.readN(4)
 	if err != nil {
 		return 0, err
 	}
@@ -155,7 +158,7 @@
 	if n < 0 || int(n) > limit {
 		return nil, fmt.Errorf("thrift: string of %d bytes, more than %d", n, limit)
 	}
-	return r.take(int(n))
+	return r.readN(int(n))
 }
 
 func (r *reader) readCall(c *Call) error {
@@ -181,7 +184,7 @@
 	return r.readStruct(func(id int16, kind byte) (bool, error) { return r.readArgument(c, id, kind) }, 0)
 }
 
-// readArgument reads an argument of the call, and reports whether it is known.
+// readArgument reads an argument into the call, and reports whether it knows the argument. It reads nothing of others.
 func (r *reader) readArgument(c *Call, id int16, kind byte) (known bool, err error) {
 	switch {
 	case c.Method == Submit && id == 1 && kind == typeMap:
@@ -196,14 +199,14 @@
 	return false, nil
 }
 
-// readStruct reads the fields of a struct, and skips those that readField does not know.
+// readStruct calls readField for each field of a struct, and skips the fields that readField reports as unknown.
 func (r *reader) readStruct(readField func(id int16, kind byte) (known bool, err error), depth int) error {
 	for {
 		kind, err := r.readByte()
 		if err != nil || kind == typeStop {
 			return err
 		}
-		id, err := r.take(2)
+		id, err := r.readN(2)
 		if err != nil {
 			return err
 		}
@@ -218,7 +221,7 @@
 }
 
 func (r *reader) readFields(c *Call) error {
-	keyKind, valueKind, n, err := r.readMapHead()
+	keyKind, valueKind, n, err := r.readMapHeader()
 	if err != nil || n == 0 {
 		return err
 	}
@@ -238,8 +241,8 @@
 	return nil
 }
 
-func (r *reader) readMapHead() (key, value byte, n int32, err error) {
-	kinds, err := r.take(2)
+func (r *reader) readMapHeader() (key, value byte, n int32, err error) {
+	kinds, err := r.readN(2)
 	if err != nil {
 		return 0, 0, 0, err
 	}
@@ -249,14 +252,16 @@
 	return kinds[0], kinds[1], n, err
 }
 
+// fixedSizes has the encoded sizes, in bytes, of the types whose values all have the same size.
 var fixedSizes = map[byte]int{typeBool: 1, typeByte: 1, typeDouble: 8, typeI16: 2, typeI32: 4, typeI64: 8}
 
+// skip reads a value of any type and discards it. depth is its level of nesting.
 func (r *reader) skip(kind byte, depth int) error {
 	if depth > maxDepth {
 		return errTooDeep
 	}
 	if n, ok := fixedSizes[kind]; ok {
-		_, err := r.take(n)
+		_, err := r.readN(n)
 		return err
 	}
 	switch kind {
@@ -266,7 +271,7 @@
 	case typeStruct:
 		return r.readStruct(func(int16, byte) (bool, error) { return false, nil }, depth)
 	case typeMap:
-		key, value, n, err := r.readMapHead()
+		key, value, n, err := r.readMapHeader()
 		if err != nil {
 			return err
 		}
@@ -285,8 +290,9 @@
 	return fmt.Errorf("thrift: unknown type %d", kind)
 }
 
+// skipItems skips n items that consist of one value of each given type.
 func (r *reader) skipItems(n int32, depth int, kinds ...byte) error {
-	if int(n) > len(r.b) { // each item has a byte at least, so the length bounds the work
+	if int(n) > len(r.b) { // an item takes at least 1 byte, so the length of the frame limits the work
 		return errTruncated
 	}
 	for range n {
--- a/internal/protocol/thrift/thrift_test.go
+++ b/internal/protocol/thrift/thrift_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// submitFrame is a frame with a call of submit.
+// submitFrame returns a frame that contains a call of submit.
 func submitFrame(fields [][2]string, body string) []byte {
 	b := []byte{0, 0, 0, 0}
 	b = appendMessage(b[:0], messageCall, "submit", 7)
@@ -19,12 +19,12 @@
 	b = appendField(b, typeBinary, 2)
 	b = appendString(b, body)
 	b = append(b, typeStop)
-	setFrame(b, len(b)-frameHead)
+	setFrame(b, len(b)-frameHeaderSize)
 	return b
 }
 
-// Guards against a call that is misread when it comes in pieces.
-func TestCallInAnyPieces(t *testing.T) {
+// Guards against a call that is misparsed when it is received in several reads.
+func TestParseIncompleteCall(t *testing.T) {
 	frame := submitFrame([][2]string{{"rid", "9b1f03aa5c7e2d41"}, {"budget", "1500"}}, "abc")
 	two := append(bytes.Clone(frame), frame...)
 	var c Call
@@ -41,18 +41,18 @@
 	}
 }
 
-// Guards against a panic, or an accepted call, for a damaged message.
-func TestMalformedCalls(t *testing.T) {
+// Guards against a malformed message that causes a panic or is accepted.
+func TestParseMalformedCall(t *testing.T) {
 	good := submitFrame([][2]string{{"rid", "9b1f03aa5c7e2d41"}}, "abc")
 	var c Call
-	for cut := frameHead; cut < len(good)-1; cut++ { // truncated in a frame of the right length
+	for cut := frameHeaderSize; cut < len(good)-1; cut++ { // a truncated call in a frame whose size is correct
 		b := bytes.Clone(good[:cut])
-		setFrame(b, cut-frameHead)
+		setFrame(b, cut-frameHeaderSize)
 		if _, _, err := Parse(b, &c); err == nil {
 			t.Errorf("cut at %d: accepted", cut)
 		}
 	}
-	for i := frameHead; i < len(good); i++ {
+	for i := frameHeaderSize; i < len(good); i++ {
 		for _, x := range []byte{0x7f, 0x80, 0xff} {
 			b := bytes.Clone(good)
 			b[i] = x
@@ -69,13 +69,13 @@
 	for range 1000 {
 		deep = appendField(deep, typeStruct, 9)
 	}
-	setFrame(deep, len(deep)-frameHead)
+	setFrame(deep, len(deep)-frameHeaderSize)
 	if _, _, err := Parse(deep, &c); err == nil {
-		t.Error("bottomless struct accepted")
+		t.Error("struct that is nested too deeply accepted")
 	}
 }
 
-// Guards against a client that is rejected because it sends fields which this version does not know.
+// Guards against rejecting clients that send fields which this version does not know.
 func TestUnknownFieldsAreSkipped(t *testing.T) {
 	b := appendMessage(nil, messageOneway, "revoke", 3)
 	b = appendField(b, typeList, 8)
@@ -83,7 +83,7 @@
 	b = append(b, make([]byte, 8)...)
 	b = appendField(b, typeI32, 1)
 	b = append(b, 0, 0, 0, 42, typeStop)
-	setFrame(b, len(b)-frameHead)
+	setFrame(b, len(b)-frameHeaderSize)
 	var c Call
 	if used, _, err := Parse(b, &c); err != nil || used != len(b) || c.Method != Cancel || !c.Oneway || c.CancelTarget != 42 {
 		t.Fatalf("used %d, %v, %+v", used, err, c)
--- a/internal/protocol/thrift/write.go
+++ b/internal/protocol/thrift/write.go
@@ -2,26 +2,26 @@
 
 import "encoding/binary"
 
-// The fields of submit's result, as the service declares them: the answer, or a declared exception.
+// Field IDs of the result of submit, as the service declares them: the answer or one of its declared exceptions.
 const (
 	resultAnswer   = 0
 	resultRejected = 1
 	resultFailed   = 2
 )
 
-// Codes of an application exception.
+// Types of an application exception (TApplicationException).
 const (
 	UnknownMethod = 1
 	InternalError = 6
 	ProtocolError = 7
 )
 
-// Pair is a field of an answer.
+// Pair is one field of an answer.
 type Pair struct{ Name, Value string }
 
-// AppendAnswer appends an answer to a call, around a body that is not copied: head goes before the body and tail after it.
-// good is the result of a heartbeat.
-func AppendAnswer(head, tail []byte, method Method, seq int32, bodySize int, good bool, fields ...Pair) (h, t []byte) {
+// AppendAnswer encodes the answer to a call around a body of bodySize bytes, which it does not copy. It appends the bytes
+// that precede the body to head and those that follow it to tail, and returns both. heartbeatOK is the result of a heartbeat.
+func AppendAnswer(head, tail []byte, method Method, seq int32, bodySize int, heartbeatOK bool, fields ...Pair) (h, t []byte) {
 	start := len(head)
 	head = appendReply(head, messageReply, method, seq)
 	head = appendField(head, typeStruct, resultAnswer)
@@ -30,22 +30,22 @@
 	tailStart := len(tail)
 	tail = appendFields(tail, 2, fields)
 	tail = appendField(tail, typeBool, 3)
-	if good {
+	if heartbeatOK {
 		tail = append(tail, 1)
 	} else {
 		tail = append(tail, 0)
 	}
 	tail = append(tail, typeStop, typeStop)
-	setFrame(head[start:], len(head)-start-frameHead+bodySize+len(tail)-tailStart)
+	setFrame(head[start:], len(head)-start-frameHeaderSize+bodySize+len(tail)-tailStart)
 	return head, tail
 }
 
-// AppendRejected appends the declared exception that says that the request has not run and may be repeated.
+// AppendRejected appends the declared exception which tells the client that the request was not executed and may be retried.
 func AppendRejected(b []byte, seq int32, fields ...Pair) []byte {
 	return appendFailure(b, seq, resultRejected, fields)
 }
 
-// AppendFailed appends the declared exception that leaves open whether the request has run.
+// AppendFailed appends the declared exception which tells the client that the request may or may not have been executed.
 func AppendFailed(b []byte, seq int32, fields ...Pair) []byte {
 	return appendFailure(b, seq, resultFailed, fields)
 }
@@ -56,11 +56,11 @@
 	b = appendField(b, typeStruct, result)
 	b = appendFields(b, 1, fields)
 	b = append(b, typeStop, typeStop)
-	setFrame(b[start:], len(b)-start-frameHead)
+	setFrame(b[start:], len(b)-start-frameHeaderSize)
 	return b
 }
 
-// AppendException appends an application exception of Thrift, as the answer to a call that cannot be served.
+// AppendException appends a Thrift application exception in reply to a call that can't be served. code is its type.
 func AppendException(b []byte, name []byte, seq int32, code int32, text string) []byte {
 	start := len(b)
 	b = appendMessage(b, messageException, string(name), seq)
@@ -69,7 +69,7 @@
 	b = appendField(b, typeI32, 2)
 	b = binary.BigEndian.AppendUint32(b, uint32(code))
 	b = append(b, typeStop)
-	setFrame(b[start:], len(b)-start-frameHead)
+	setFrame(b[start:], len(b)-start-frameHeaderSize)
 	return b
 }
 
@@ -78,7 +78,7 @@
 }
 
 func appendMessage(b []byte, kind byte, name string, seq int32) []byte {
-	b = append(b, 0, 0, 0, 0) // the frame's size, set when it is known
+	b = append(b, 0, 0, 0, 0) // placeholder for the frame size, which setFrame fills in
 	b = binary.BigEndian.AppendUint32(b, version1|uint32(kind))
 	b = appendString(b, name)
 	return binary.BigEndian.AppendUint32(b, uint32(seq))
@@ -102,4 +102,5 @@
 	return b
 }
 
+// setFrame stores the size of the frame, without its header, in the header.
 func setFrame(b []byte, size int) { binary.BigEndian.PutUint32(b, uint32(size)) }
