--- a/internal/operatorconfig/compatibility_test.go
+++ b/internal/operatorconfig/compatibility_test.go
@@ -10,19 +10,19 @@
 	"stairvane.org/stairvane/internal/tools/golden"
 )
 
-// TestLandedForms guards the operator's files: every key keeps its spelling and its meaning.
+// TestLandedForms guards the compatibility of the operator's files: every key keeps its spelling and its meaning.
 func TestLandedForms(t *testing.T) {
 	programs := []string{"../../deploy/stairvane.scm", "testdata/every-program-key.scm"}
 	fleets := []string{"testdata/every-fleet-key.scm"}
 	quickstart, err := filepath.Glob("../../deploy/quickstart/*.scm")
 	if err != nil || len(quickstart) == 0 {
-		t.Fatalf("%d files of the quick start, %v", len(quickstart), err)
+		t.Fatalf("found %d files of the quick start, %v", len(quickstart), err)
 	}
 	for _, path := range quickstart {
 		switch name := filepath.Base(path); {
 		case strings.HasPrefix(name, "fleet"):
 			fleets = append(fleets, path)
-		case name != "kinds.scm": // which the others include
+		case name != "kinds.scm": // the fleet files include it
 			programs = append(programs, path)
 		}
 	}
--- a/internal/operatorconfig/control_plane.go
+++ b/internal/operatorconfig/control_plane.go
@@ -11,19 +11,19 @@
 	"stairvane.org/stairvane/internal/sexpr"
 )
 
-// ControlPlane is what the file says of a server of the control plane.
+// ControlPlane holds the settings of a control plane server.
 type ControlPlane struct {
-	Listen        netip.AddrPort // where directors watch
-	Store         string         // path of the store; a relative one is in the folder of the file
+	Listen        netip.AddrPort // address for the watches of directors
+	Store         string         // path of the store; a relative one is resolved against the folder of the file
 	Write         Write
-	Watchers      *bart.Lite // addresses that may watch; nil: only loopback
+	Watchers      *bart.Lite // networks whose addresses may watch; nil: only loopback
 	Observer      Observer
-	SnapshotEvery int // events; default 10,000
-	KeepEvents    int // events that stay after a snapshot, for directors that were away; default 10,000
-	Batch         int // changes in one transaction at most; 1: each has its own; default 256
+	SnapshotEvery int // events between snapshots; default 10,000
+	KeepEvents    int // events kept after a snapshot, for directors that reconnect; default 10,000
+	Batch         int // maximum changes per transaction; with 1 each change has its own; default 256
 	Replicas      ReplicaGroup
-	ClaimReplicas int  // directors, beside the one that decides, that have a claim; default 2
-	Relays        bool // relays may have sessions with it
+	ClaimReplicas int  // directors that hold a copy of a claim in addition to the one that decides on it; default 2
+	Relays        bool // relays may open sessions
 }
 
 const (
@@ -42,15 +42,15 @@
 	}
 }
 
-// ReplicaGroup is the group that a server is a replica of. Self is empty where one server runs alone.
+// ReplicaGroup holds the settings of the group that a server is a replica of. Self is empty for a server without replicas.
 type ReplicaGroup struct {
 	Self           string
 	Replicas       []Replica
-	Lease          time.Duration // for how long a replica may have watchers without a message of the leader; default 200 ms
-	Drift          float64       // by which clocks may run apart, as a share; default 0.02
+	Lease          time.Duration // how long a replica may serve watchers without a message from the leader; default 200 ms
+	Drift          float64       // maximum relative difference between the rates of two clocks; default 0.02
 	Tick           time.Duration // a replica starts an election after 12 to 24 ticks without a leader; default 25 ms
-	ReplaceAfter   time.Duration // after which a standby takes the place of a lost replica; 0: only an operator replaces it
-	RememberWrites time.Duration // for how long the outcome of a write is remembered for its repeats; default 10 min
+	ReplaceAfter   time.Duration // time after which a standby replaces a lost replica; 0: only the operator replaces it
+	RememberWrites time.Duration // how long the outcome of a write is kept to answer retries of it; default 10 min
 }
 
 const (
@@ -60,13 +60,13 @@
 	defaultRememberWrites = 10 * time.Minute
 )
 
-// Replica is one replica's place. Address is where the other replicas reach its write side.
+// Replica is one configured replica. Address is the address of its write side, to which the other replicas connect.
 type Replica struct {
 	replica.ConfiguredReplica
 	Address netip.AddrPort
 }
 
-// Places are the places without their addresses.
+// Places returns the configured replicas without their addresses.
 func (g ReplicaGroup) Places() []replica.ConfiguredReplica {
 	places := make([]replica.ConfiguredReplica, len(g.Replicas))
 	for i := range g.Replicas {
@@ -75,21 +75,21 @@
 	return places
 }
 
-// Write is where the write side listens: a Unix socket, or TCP, which is beyond loopback only with TLS.
+// Write holds the settings of the write side's listener: a Unix socket or TCP. A TCP address other than loopback requires TLS.
 type Write struct {
-	Unix    string // path of the socket; empty: TCP
+	Unix    string // path of the socket; empty: the server listens on TCP
 	TCP     netip.AddrPort
-	Writers *bart.Lite // addresses that may call over TCP; nil: only loopback
-	TLS     *TLS       // nil: none
+	Writers *bart.Lite // networks whose addresses may connect over TCP; nil: only loopback
+	TLS     *TLS       // nil: no TLS
 }
 
-// TLS are the paths of files in PEM: the server's certificate and key, and the authority of its clients' certificates.
+// TLS holds the paths of PEM files: the server's certificate and key, and the certificate authority of its clients.
 type TLS struct{ Certificate, Key, Clients string }
 
-// Observer is how hosts are observed.
+// Observer holds the settings of the observer, which pings hosts.
 type Observer struct {
-	Every, Timeout time.Duration // between pings, and for an answer (default 250 ms); Every is 0 while it is switched off
-	Misses         int           // pings in a row without an answer after which a host counts as unreachable; default 3
+	Every, Timeout time.Duration // interval between pings, 0 if the observer is off; timeout of an answer, default 250 ms
+	Misses         int           // consecutive unanswered pings after which a host counts as unreachable; default 3
 }
 
 const (
@@ -100,9 +100,9 @@
 func (d *decoder) controlPlane(c *ControlPlane, folder string) formReader {
 	return func(n *sexpr.Node, args []*sexpr.Node, key string) {
 		d.forms(n, key+".", args, []form{
-			{name: "listen", need: true, read: d.address(&c.Listen)},
-			{name: "store", need: true, read: d.path(&c.Store, folder)},
-			{name: "write", need: true, read: d.write(&c.Write, folder)},
+			{name: "listen", required: true, read: d.address(&c.Listen)},
+			{name: "store", required: true, read: d.path(&c.Store, folder)},
+			{name: "write", required: true, read: d.write(&c.Write, folder)},
 			{name: "followers", read: d.networks(&c.Watchers)},
 			{name: "observer", read: d.observer(&c.Observer)},
 			{name: "snapshot-every", read: d.integer(&c.SnapshotEvery, 1, 1<<30)},
@@ -113,7 +113,7 @@
 			{name: "relays", read: d.flag(&c.Relays)},
 		})
 		if c.Replicas.Self != "" && c.Write.Unix != "" {
-			d.report(n, key+".write", "the other copies call the write side: with (copies ...) it is (tcp ADDRESS)")
+			d.report(n, key+".write", "the other replicas connect to the write side: with (copies ...) it must be (tcp ADDRESS)")
 		}
 	}
 }
@@ -129,12 +129,12 @@
 		})
 		switch {
 		case (w.Unix == "") == !w.TCP.IsValid():
-			d.report(n, key, "either (unix PATH) or (tcp ADDRESS) is wanted")
+			d.report(n, key, "exactly one of (unix PATH) and (tcp ADDRESS) is required")
 		case w.Unix != "" && w.TLS != nil:
-			d.report(n, key+".tls", "a Unix socket needs no TLS")
+			d.report(n, key+".tls", "TLS is not supported on a Unix socket")
 		case w.TCP.IsValid() && !w.TCP.Addr().IsLoopback() && w.TLS == nil:
 			d.report(n, key+".tcp",
-				"%v is not loopback: changes are taken there only over TLS with client certificates; give (tls ...)", w.TCP)
+				"%v is not loopback: changes are accepted there only over TLS with client certificates; add (tls ...)", w.TCP)
 		}
 	}
 }
@@ -143,9 +143,9 @@
 	return func(n *sexpr.Node, args []*sexpr.Node, key string) {
 		t := &TLS{}
 		d.forms(n, key+".", args, []form{
-			{name: "certificate", need: true, read: d.path(&t.Certificate, folder)},
-			{name: "key", need: true, read: d.path(&t.Key, folder)},
-			{name: "clients", need: true, read: d.path(&t.Clients, folder)},
+			{name: "certificate", required: true, read: d.path(&t.Certificate, folder)},
+			{name: "key", required: true, read: d.path(&t.Key, folder)},
+			{name: "clients", required: true, read: d.path(&t.Clients, folder)},
 		})
 		*to = t
 	}
@@ -156,7 +156,7 @@
 		o.Timeout = defaultObserverTimeout
 		o.Misses = defaultObserverMisses
 		d.forms(n, key+".", args, []form{
-			{name: "every", need: true, read: d.duration(&o.Every, 50*time.Millisecond, time.Minute)},
+			{name: "every", required: true, read: d.duration(&o.Every, 50*time.Millisecond, time.Minute)},
 			{name: "timeout", read: d.duration(&o.Timeout, 10*time.Millisecond, time.Minute)},
 			{name: "misses", read: d.integer(&o.Misses, 1, 100)},
 		})
@@ -170,8 +170,8 @@
 		g.Tick = defaultReplicaTick
 		g.RememberWrites = defaultRememberWrites
 		d.forms(n, key+".", args, []form{
-			{name: "self", need: true, read: d.text(&g.Self)},
-			{name: "copy", need: true, many: true, read: d.replica(&g.Replicas)},
+			{name: "self", required: true, read: d.text(&g.Self)},
+			{name: "copy", required: true, repeatable: true, read: d.replica(&g.Replicas)},
 			{name: "lease", read: d.duration(&g.Lease, 20*time.Millisecond, time.Minute)},
 			{name: "drift", read: d.number(&g.Drift, 0, 0.5)},
 			{name: "tick", read: d.duration(&g.Tick, time.Millisecond, 10*time.Second)},
@@ -180,7 +180,7 @@
 		})
 		isSelf := func(r Replica) bool { return r.Name == g.Self }
 		if g.Self != "" && !slices.ContainsFunc(g.Replicas, isSelf) {
-			d.report(n, key+".self", "no copy is called %q", g.Self)
+			d.report(n, key+".self", "no (copy ...) has the name %q", g.Self)
 		}
 		for _, problem := range replica.ValidateConfigured(g.Places()) {
 			d.report(n, key, "%s", problem)
@@ -188,11 +188,11 @@
 	}
 }
 
-// replica reads a replica, and appends it.
+// replica returns a reader that appends a replica to a list.
 func (d *decoder) replica(to *[]Replica) formReader {
 	return func(n *sexpr.Node, args []*sexpr.Node, key string) {
 		if len(args) == 0 {
-			d.report(n, key, "a name is wanted, as in (copy a (address 10.1.0.1:8501) (machine m-1) (site north))")
+			d.report(n, key, "a name is required, as in (copy a (address 10.1.0.1:8501) (machine m-1) (site north))")
 			return
 		}
 		name, ok := d.word(args[0], key)
@@ -202,9 +202,9 @@
 		var r Replica
 		r.Name = name
 		d.forms(n, key+" "+name+".", args[1:], []form{
-			{name: "address", need: true, read: d.address(&r.Address)},
-			{name: "machine", need: true, read: d.text(&r.Machine)},
-			{name: "site", need: true, read: d.text(&r.Site)},
+			{name: "address", required: true, read: d.address(&r.Address)},
+			{name: "machine", required: true, read: d.text(&r.Machine)},
+			{name: "site", required: true, read: d.text(&r.Site)},
 			{name: "spare", read: d.flag(&r.IsStandby)},
 		})
 		*to = append(*to, r)
--- a/internal/operatorconfig/decode.go
+++ b/internal/operatorconfig/decode.go
@@ -11,13 +11,13 @@
 	"stairvane.org/stairvane/internal/sexpr"
 )
 
-// decoder reads forms and collects errors.
+// decoder reads forms and collects their errors.
 type decoder struct{ errors sexpr.FileErrors }
 
-// formReader reads one form. args are what follows its first word, and key names the form in errors.
+// formReader reads one form. args are the elements after the name of the form, and key identifies the form in errors.
 type formReader func(form *sexpr.Node, args []*sexpr.Node, key string)
 
-// report adds an error at a node.
+// report appends an error at the position of a node.
 func (d *decoder) report(n *sexpr.Node, key, format string, args ...any) {
 	d.errors = append(d.errors, sexpr.FileError{
 		File:    n.Pos.Filename,
@@ -28,7 +28,7 @@
 	})
 }
 
-// reportUnknown adds an error for a word, with the nearest of the known words if one is near.
+// reportUnknown appends an error for an unknown word. The error suggests the known word with the smallest edit distance, if one is close.
 func (d *decoder) reportUnknown(n *sexpr.Node, key, what, word string, known []string) {
 	d.report(n, key, "unknown %s %q", what, word)
 	nearest := ""
@@ -44,23 +44,23 @@
 	}
 }
 
-// form is a form that may stand in a place.
+// form describes a form that is allowed in a context.
 type form struct {
-	name string
-	many bool // it may be given more than once
-	need bool // it must be given
-	read formReader
+	name       string
+	repeatable bool
+	required   bool
+	read       formReader
 }
 
-// forms reads the forms of a place, each by its first word. Missing ones are reported at owner, unless that is nil; prefix names the
-// place in keys.
+// forms reads a list of forms, each with the reader of the known form of the same name. It reports missing required forms at owner, unless
+// owner is nil. prefix is prepended to the keys of the forms.
 func (d *decoder) forms(owner *sexpr.Node, prefix string, items []*sexpr.Node, known []form) {
 	first := map[string]*sexpr.Node{}
 	place := strings.TrimSuffix(prefix, ".")
 	for _, n := range items {
 		name := n.Head()
 		if name == "" {
-			d.report(n, place, "a form in parentheses is wanted here, as in (%s ...)", known[0].name)
+			d.report(n, place, "expected a form in parentheses, such as (%s ...)", known[0].name)
 			continue
 		}
 		i := slices.IndexFunc(known, func(f form) bool { return f.name == name })
@@ -68,15 +68,15 @@
 			d.reportUnknown(n, place, "word", name, formNames(known))
 			continue
 		}
-		if earlier := first[name]; earlier != nil && !known[i].many {
+		if earlier := first[name]; earlier != nil && !known[i].repeatable {
 			d.report(n, prefix+name, "given twice; first on line %d", earlier.Pos.Line)
 			continue
 		}
 		first[name] = n
-		known[i].read(n, n.Words()[1:], prefix+name)
+		known[i].read(n, n.Elements()[1:], prefix+name)
 	}
 	for _, f := range known {
-		if f.need && first[f.name] == nil && owner != nil {
+		if f.required && first[f.name] == nil && owner != nil {
 			d.report(owner, prefix+f.name, "missing")
 		}
 	}
@@ -90,18 +90,18 @@
 	return names
 }
 
-// group reads a form whose arguments are forms.
+// group returns a reader of a form whose arguments are forms.
 func (d *decoder) group(known ...form) formReader {
 	return func(n *sexpr.Node, args []*sexpr.Node, key string) { d.forms(n, key+".", args, known) }
 }
 
-// withoutComments are the nodes that are no comments.
+// withoutComments returns the nodes that are not comments.
 func withoutComments(items []*sexpr.Node) []*sexpr.Node {
 	return slices.DeleteFunc(slices.Clone(items), func(n *sexpr.Node) bool { return n.Comment != nil })
 }
 
-// startOf is a node at the start of a file, for errors that have no other place.
-func startOf(file string) *sexpr.Node {
+// fileStart returns a node at the start of a file, for errors that have no other position.
+func fileStart(file string) *sexpr.Node {
 	n := &sexpr.Node{}
 	n.Pos.Filename = file
 	n.Pos.Line = 1
--- a/internal/operatorconfig/doc.go
+++ b/internal/operatorconfig/doc.go
@@ -1,6 +1,7 @@
-// Package operatorconfig reads the operator's files: the desired state of the fleet, and the settings of the programs. The files are
-// S-expressions; a form is a list that begins with a word of the file's vocabulary, as in (floor 8).
+// Package operatorconfig reads the operator's files: the desired state of the fleet and the settings of the programs. The files are
+// S-expressions. A form is a list that starts with a keyword, such as (floor 8).
 //
-// All errors in all files are reported at once, each with file, line, column and key; for an unknown word the nearest known one is
-// proposed. Files are read only through a function that the caller gives. The words of the files stay as they are.
+// All errors in all files are reported at once, each with file, line, column and key. For an unknown word the error suggests the most
+// similar known one. The package reads files only through a function that the caller provides. The keywords are a stable interface: they
+// keep their spelling even where the code uses another term.
 package operatorconfig
--- a/internal/operatorconfig/fleet.go
+++ b/internal/operatorconfig/fleet.go
@@ -13,7 +13,7 @@
 	"stairvane.org/stairvane/internal/sexpr"
 )
 
-// ReadFile gives a file's text; os.ReadFile is one.
+// ReadFile returns the contents of a file, as os.ReadFile does.
 type ReadFile func(name string) ([]byte, error)
 
 const (
@@ -23,7 +23,7 @@
 	maxRuleTime = 24 * time.Hour
 )
 
-// fleetReader reads the files of a desired state. Hosts inherit from templates and are checked against pools when all files are read.
+// fleetReader reads the files of a desired state. After all files are read, hosts inherit from templates and are checked against pools.
 type fleetReader struct {
 	decoder
 	read      ReadFile
@@ -35,7 +35,7 @@
 	locations []*locationForm
 }
 
-// ReadFleet reads the file of the desired state, and the files that it includes. The errors are in the order of files and lines.
+// ReadFleet reads the file of a desired state and the files that it includes. The errors are ordered by file and line.
 func ReadFleet(name string, read ReadFile) (fleet.DesiredState, sexpr.FileErrors) {
 	r := &fleetReader{
 		read:      read,
@@ -44,7 +44,7 @@
 		templates: map[string]*hostForm{},
 	}
 	r.desired.Rules = fleet.DefaultRules()
-	r.file(startOf(name), name)
+	r.readFile(fileStart(name), name)
 	r.resolve()
 	slices.SortStableFunc(r.errors, func(a, b sexpr.FileError) int {
 		return cmp.Or(cmp.Compare(a.File, b.File), cmp.Compare(a.Line, b.Line))
@@ -53,39 +53,39 @@
 	return r.desired, r.errors
 }
 
-// file reads one file. Errors about the file itself are reported at a node.
-func (r *fleetReader) file(at *sexpr.Node, name string) {
+// readFile reads one file. It reports errors that concern the file as a whole at a node.
+func (r *fleetReader) readFile(at *sexpr.Node, name string) {
 	clean := filepath.Clean(name)
 	switch {
 	case r.included[clean]:
 		r.report(at, "include", "%s is included twice", name)
 		return
 	case len(r.included) == maxIncludes:
-		r.report(at, "include", "more than %d files", maxIncludes)
+		r.report(at, "include", "more than %d files are included", maxIncludes)
 		return
 	}
 	r.included[clean] = true
 	text, err := r.read(name)
 	if err != nil {
-		r.report(at, "", "can't be read: %v", err)
+		r.report(at, "", "file can't be read: %v", err)
 		return
 	}
 	tree, errors := sexpr.Parse(name, string(text))
 	r.errors = append(r.errors, errors...)
 	r.forms(nil, "", withoutComments(tree.Items), []form{
-		{name: "include", many: true, read: r.include},
+		{name: "include", repeatable: true, read: r.include},
 		{name: "rules", read: r.rules()},
-		{name: "pool", many: true, read: r.pool},
-		{name: "template", many: true, read: r.template},
-		{name: "origin", many: true, read: r.source(fleet.Origin)},
-		{name: "hub", many: true, read: r.source(fleet.Parent)},
-		{name: "location", many: true, read: r.location},
+		{name: "pool", repeatable: true, read: r.pool},
+		{name: "template", repeatable: true, read: r.template},
+		{name: "origin", repeatable: true, read: r.source(fleet.Origin)},
+		{name: "hub", repeatable: true, read: r.source(fleet.Parent)},
+		{name: "location", repeatable: true, read: r.location},
 	})
 }
 
-// include reads another file. A relative path begins in the folder of the file that includes it.
+// include reads an included file. A relative path is resolved against the folder of the including file.
 func (r *fleetReader) include(n *sexpr.Node, args []*sexpr.Node, key string) {
-	arg := r.one(n, args, key)
+	arg := r.onlyArg(n, args, key)
 	if arg == nil {
 		return
 	}
@@ -96,7 +96,7 @@
 	if !path.IsAbs(name) {
 		name = filepath.Join(filepath.Dir(n.Pos.Filename), name)
 	}
-	r.file(arg, name)
+	r.readFile(arg, name)
 }
 
 func (r *fleetReader) rules() formReader {
--- a/internal/operatorconfig/fleet_hosts.go
+++ b/internal/operatorconfig/fleet_hosts.go
@@ -11,14 +11,14 @@
 	"stairvane.org/stairvane/internal/sexpr"
 )
 
-// hostForm is the form of a host, or of a template.
+// hostForm holds the values of the form of a host or a template.
 type hostForm struct {
 	node     *sexpr.Node
 	key      string
 	name     string
-	role     fleet.Role // of a host
+	role     fleet.Role // only of a host
 	address  netip.AddrPort
-	template string // that it inherits from; empty: none, or inherited already
+	template string // the template to inherit from; empty: none, or already inherited
 	site     string
 	class    string
 	pool     string
@@ -27,11 +27,11 @@
 	block    int
 	hasBlock bool
 	running  bool
-	// hasUnknownTemplate tells that the template is not known. What the host lacks is then no error of its own.
+	// hasUnknownTemplate reports whether the template is unknown. Missing properties are then not reported separately.
 	hasUnknownTemplate bool
 }
 
-// locationForm is the form of a location.
+// locationForm holds the values of the form of a location.
 type locationForm struct {
 	node  *sexpr.Node
 	key   string
@@ -41,7 +41,7 @@
 
 const maxNameLength = 64
 
-// isValidName tells whether a text is 1 to 64 letters, digits, dots, dashes and underscores.
+// isValidName reports whether a string consists of 1 to 64 letters, digits, dots, dashes and underscores.
 func isValidName(s string) bool {
 	for _, c := range s {
 		if (c < 'a' || c > 'z') && (c < 'A' || c > 'Z') && (c < '0' || c > '9') && c != '.' && c != '-' && c != '_' {
@@ -51,23 +51,23 @@
 	return len(s) >= 1 && len(s) <= maxNameLength
 }
 
-// named reads the name that follows the first word of a form.
-func (r *fleetReader) named(n *sexpr.Node, args []*sexpr.Node, key string) (name string, rest []*sexpr.Node, ok bool) {
+// readName reads the name that follows the keyword of a form, and returns it with the remaining arguments.
+func (r *fleetReader) readName(n *sexpr.Node, args []*sexpr.Node, key string) (name string, rest []*sexpr.Node, ok bool) {
 	if len(args) == 0 {
-		r.report(n, key, "a name is wanted after %s", key)
+		r.report(n, key, "a name is required after %s", key)
 		return "", nil, false
 	}
 	name, ok = args[0].Text()
 	if !ok || !isValidName(name) {
-		r.report(args[0], key, "a name of 1 to %d letters, digits, dots, dashes and underscores is wanted after %s", maxNameLength, key)
+		r.report(args[0], key, "a name of 1 to %d letters, digits, dots, dashes and underscores is required after %s", maxNameLength, key)
 		return "", nil, false
 	}
 	return name, args[1:], true
 }
 
-// pool reads the networks in which hosts must have their addresses.
+// pool reads a pool: the networks that contain the addresses of its hosts.
 func (r *fleetReader) pool(n *sexpr.Node, args []*sexpr.Node, key string) {
-	name, rest, ok := r.named(n, args, key)
+	name, rest, ok := r.readName(n, args, key)
 	if !ok {
 		return
 	}
@@ -80,8 +80,8 @@
 	r.pools[name] = table
 }
 
-// body reads what a host or a template says. more are forms that only one of both has.
-func (r *fleetReader) body(h *hostForm, args []*sexpr.Node, more ...form) {
+// readBody reads the forms inside a host or a template. more are the forms that only one of the two has.
+func (r *fleetReader) readBody(h *hostForm, args []*sexpr.Node, more ...form) {
 	share := r.number(&h.share, 0.001, maxShare)
 	block := r.integer(&h.block, 0, maxBlock)
 	r.forms(h.node, h.key+".", args, append([]form{
@@ -96,7 +96,7 @@
 		{name: "running", read: func(n *sexpr.Node, args []*sexpr.Node, key string) {
 			h.running = true
 			if len(args) > 0 {
-				r.report(n, key, "nothing follows it: the box runs, warm, before it is added")
+				r.report(n, key, "it takes no value: it declares that the host is running and warmed up before it is added")
 			}
 		}},
 		{name: "block", read: func(n *sexpr.Node, args []*sexpr.Node, key string) {
@@ -107,12 +107,12 @@
 }
 
 func (r *fleetReader) template(n *sexpr.Node, args []*sexpr.Node, key string) {
-	name, rest, ok := r.named(n, args, key)
+	name, rest, ok := r.readName(n, args, key)
 	if !ok {
 		return
 	}
 	t := &hostForm{node: n, key: key + " " + name, name: name}
-	r.body(t, rest)
+	r.readBody(t, rest)
 	if r.templates[name] != nil {
 		r.report(n, t.key, "declared twice; first on line %d", r.templates[name].node.Pos.Line)
 		return
@@ -120,40 +120,40 @@
 	r.templates[name] = t
 }
 
-// host reads a host; nil if it has no valid name.
-func (r *fleetReader) host(role fleet.Role, n *sexpr.Node, args []*sexpr.Node, key string) *hostForm {
+// readHost reads a host and appends it. It returns nil if the host has no valid name.
+func (r *fleetReader) readHost(role fleet.Role, n *sexpr.Node, args []*sexpr.Node, key string) *hostForm {
 	word := key[strings.LastIndexByte(key, '.')+1:]
-	name, rest, ok := r.named(n, args, word)
+	name, rest, ok := r.readName(n, args, word)
 	if !ok {
 		return nil
 	}
 	h := &hostForm{node: n, key: key + " " + name, name: name, role: role}
-	r.body(h, rest, form{name: "at", need: true, read: r.address(&h.address)})
+	r.readBody(h, rest, form{name: "at", required: true, read: r.address(&h.address)})
 	r.hosts = append(r.hosts, h)
 	return h
 }
 
-// source reads a parent or an origin.
+// source returns a reader of a parent cache or an origin.
 func (r *fleetReader) source(role fleet.Role) formReader {
-	return func(n *sexpr.Node, args []*sexpr.Node, key string) { r.host(role, n, args, key) }
+	return func(n *sexpr.Node, args []*sexpr.Node, key string) { r.readHost(role, n, args, key) }
 }
 
 func (r *fleetReader) location(n *sexpr.Node, args []*sexpr.Node, key string) {
-	name, rest, ok := r.named(n, args, key)
+	name, rest, ok := r.readName(n, args, key)
 	if !ok {
 		return
 	}
 	l := &locationForm{node: n, key: key + " " + name}
 	l.Name = name
-	l.Load = math.NaN() // not given
+	l.Load = math.NaN() // marks the load as not given
 	var caches []*hostForm
 	r.forms(n, l.key+".", rest, []form{
 		{name: "floor", read: r.number(&l.Floor, 0, maxShare)},
 		{name: "load", read: r.number(&l.Load, 0, maxShare)},
 		{name: "sources", read: r.words(&l.Sources)},
-		{name: "pool", many: true, read: r.words(&l.pools)},
-		{name: "cache", many: true, read: func(n *sexpr.Node, args []*sexpr.Node, key string) {
-			if cache := r.host(fleet.Cache, n, args, key); cache != nil {
+		{name: "pool", repeatable: true, read: r.words(&l.pools)},
+		{name: "cache", repeatable: true, read: func(n *sexpr.Node, args []*sexpr.Node, key string) {
+			if cache := r.readHost(fleet.Cache, n, args, key); cache != nil {
 				caches = append(caches, cache)
 			}
 		}},
@@ -163,7 +163,7 @@
 	}
 	for _, cache := range caches {
 		if cache.site != "" && cache.site != name {
-			r.report(cache.node, cache.key+".site", "a cache's site is its location, %s", name)
+			r.report(cache.node, cache.key+".site", "the site of a cache must be its location, %s", name)
 		}
 		cache.site = name
 	}
--- a/internal/operatorconfig/fleet_resolve.go
+++ b/internal/operatorconfig/fleet_resolve.go
@@ -10,14 +10,14 @@
 	"stairvane.org/stairvane/internal/sexpr"
 )
 
-// declaration is where a host or a location is declared.
+// declaration is the place where a host or a location is declared.
 type declaration struct {
 	node *sexpr.Node
 	key  string
 }
 
-// resolve makes the desired state from what all files say together. The state is validated only if there are no errors yet, for it would
-// only report their consequences.
+// resolve builds the desired state from the forms of all files. It validates the state only if there are no errors yet, because
+// validation would otherwise report their consequences.
 func (r *fleetReader) resolve() {
 	declared := map[string]declaration{}
 	locations := map[string]*locationForm{}
@@ -54,7 +54,8 @@
 	}
 }
 
-// inherit fills in what a host or a template leaves to its template. depth counts the templates on the way.
+// inherit sets the properties that a host or a template does not specify to those of its template. depth is the number of templates
+// between it and the host, and limits the recursion if templates form a cycle.
 func (r *fleetReader) inherit(h *hostForm, depth int) {
 	if h.template == "" {
 		return
@@ -67,7 +68,7 @@
 		return
 	}
 	if depth > len(r.templates) {
-		r.report(h.node, h.key+".like", "template %s is like itself", h.template)
+		r.report(h.node, h.key+".like", "template %s inherits from itself", h.template)
 		h.template = ""
 		t.template = ""
 		return
@@ -96,7 +97,7 @@
 	return s
 }
 
-// checkComplete reports what neither a host nor its template says.
+// checkComplete reports the required properties that neither a host nor its template specifies.
 func (r *fleetReader) checkComplete(h *hostForm) {
 	if h.hasUnknownTemplate {
 		return
@@ -106,12 +107,13 @@
 		missing bool
 	}{{"class", h.class == ""}, {"site", h.site == ""}, {"share", !h.hasShare}} {
 		if property.missing {
-			r.report(h.node, h.key+"."+property.key, "missing, and no template gives it")
+			r.report(h.node, h.key+"."+property.key, "missing, and no template specifies it")
 		}
 	}
 }
 
-// checkAddress reports an address that is outside the host's pool, or outside all pools of a cache's location, which may be nil.
+// checkAddress reports an address that is outside the host's pool or, for a cache without a pool, outside all pools of its location.
+// location may be nil.
 func (r *fleetReader) checkAddress(h *hostForm, location *locationForm) {
 	var pools []string
 	if h.pool != "" {
@@ -132,7 +134,7 @@
 	}
 }
 
-// checkPool reports a pool that no file declares, and tells whether one does.
+// checkPool reports an error if no file declares the pool, and returns whether one does.
 func (r *fleetReader) checkPool(n *sexpr.Node, key, name string) (declared bool) {
 	if r.pools[name] != nil {
 		return true
@@ -141,7 +143,7 @@
 	return false
 }
 
-// validate reports what is wrong with the desired state at the places where it is declared.
+// validate reports the validation errors of the desired state at the declarations of the hosts and locations that they concern.
 func (r *fleetReader) validate(declared map[string]declaration) {
 	for _, invalid := range r.desired.Validate() {
 		at, found := declared[invalid.Thing]
--- a/internal/operatorconfig/fleet_test.go
+++ b/internal/operatorconfig/fleet_test.go
@@ -8,7 +8,7 @@
 	"stairvane.org/stairvane/internal/fleet"
 )
 
-// files gives the texts of files that are not on disk.
+// files returns a ReadFile that reads the given texts by name instead of the disk.
 func files(m map[string]string) ReadFile {
 	return func(name string) ([]byte, error) {
 		if s, ok := m[name]; ok {
@@ -34,7 +34,7 @@
   (cache c-3 (like big) (at [fd00:1::3]:9090)))
 `
 
-// A file is read with what it includes, and with what hosts inherit from templates.
+// Guards the reading of included files and the inheritance of hosts from templates.
 func TestReadFleet(t *testing.T) {
 	d, errors := ReadFleet("d/fleet.scm", files(map[string]string{"d/fleet.scm": fleetText, "d/kinds.scm": templates}))
 	if len(errors) > 0 {
@@ -50,7 +50,8 @@
 	}
 }
 
-// Each error names file, line, column and key. All are reported at once, and the nearest known word is proposed.
+// Guards against errors that an operator can't locate: each names file, line, column and key, all are reported at once, and the most
+// similar known word is suggested.
 func TestErrorsNameTheirPlace(t *testing.T) {
 	text := strings.NewReplacer("(floor 8)", "(flor 8)", "(like big)", "(like bigg)", "10.1.0.2:9090", "10.2.0.2:9090",
 		"(share 20)", "(share -1)", "(width 4)", "(width x)").Replace(fleetText)
@@ -73,7 +74,8 @@
 	}
 }
 
-// A desired state that is wrong in itself is reported at its place, as a floor that the death of one host breaks.
+// Guards against reading an invalid desired state without an error at its declaration, such as a floor that the failure of one host
+// violates.
 func TestInvalidDesiredState(t *testing.T) {
 	const floorError = "location west.floor: floor 8.5 can't be kept: with c-3 dying 8 of 16 is left"
 	for change, want := range map[[2]string]string{
@@ -84,7 +86,7 @@
 		{"10.1.0.2:9090", "10.1.0.1:9090"}:                        "address 10.1.0.1:9090 is that of c-1",
 		{`(include "kinds.scm")`, `(include "fleet.scm")`}:        "included twice",
 		{`(include "kinds.scm")`, `(include "k.scm")`}:            "can't be read",
-		{`(like small) (at 10.1.0.1:9090)`, `(at 10.1.0.1:9090)`}: "missing, and no template gives it",
+		{`(like small) (at 10.1.0.1:9090)`, `(at 10.1.0.1:9090)`}: "missing, and no template specifies it",
 		{`(rules (width 4)`, `(rules (width 4) (width 5)`}:        "given twice",
 	} {
 		text := strings.Replace(fleetText, change[0], change[1], 1)
@@ -95,14 +97,14 @@
 	}
 }
 
-// A file without errors has a valid desired state.
+// Checks that a file without errors has a valid desired state.
 func FuzzFleet(f *testing.F) {
 	f.Add(templates + fleetText)
 	f.Add("(template a (like b)) (template b (like a)) (location x (cache y (like a) (at 1.1.1.1:1)))")
 	f.Fuzz(func(t *testing.T, text string) {
 		desired, errors := ReadFleet("fleet.scm", files(map[string]string{"fleet.scm": text}))
 		if len(errors) == 0 && len(desired.Validate()) > 0 {
-			t.Errorf("not reported: %v", desired.Validate())
+			t.Errorf("validation errors are not reported: %v", desired.Validate())
 		}
 	})
 }
--- a/internal/operatorconfig/program_test.go
+++ b/internal/operatorconfig/program_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Paths are relative to the file, the write side is either a socket or a port, and beyond loopback it needs TLS.
+// Paths are relative to the folder of the file, the write side is either a socket or a TCP address, and a TCP address other than
+// loopback requires TLS.
 func TestReadProgram(t *testing.T) {
 	read := func(write string) (Program, error) {
 		text := "(board (listen 127.0.0.1:8500) (store board.db) (followers 10.0.0.0/8 127.0.0.1) (observer (every 1s)) " +
@@ -28,9 +29,9 @@
 		t.Error(err)
 	}
 	if p, err = read("(unix board.sock)) (relays"); err != nil || !p.ControlPlane.Relays {
-		t.Error(err, "the form does not allow relays")
+		t.Error(err, "(relays) does not enable relays")
 	}
 	if _, err = read("(tcp 127.0.0.1:80) (unix x)"); err == nil {
-		t.Error("both were accepted")
+		t.Error("a write side with both a socket and a TCP address was accepted")
 	}
 }
--- a/internal/operatorconfig/relay_test.go
+++ b/internal/operatorconfig/relay_test.go
@@ -43,9 +43,9 @@
 	for change, want := range map[[2]string]string{
 		{"(name r1) ", ""}:                           "relay.name: missing",
 		{"(region north) ", ""}:                      "relay.region: missing",
-		{"name r1", "name r/1"}:                      `relay.name: "r/1" is no name`,
+		{"name r1", "name r/1"}:                      `relay.name: "r/1" is not a name`,
 		{"127.0.0.1:8502", "127.0.0.1:8501"}:         "relay.upstream: 127.0.0.1:8501 is given twice",
-		{"127.0.0.1:8501 127.0.0.1:8502", ""}:        "relay.upstream: the write sides of all replicas are wanted",
+		{"127.0.0.1:8501 127.0.0.1:8502", ""}:        "relay.upstream: the write sides of all replicas are required",
 		{"127.0.0.1:8502", "10.1.0.1:8501"}:          "relay.upstream: 10.1.0.1:8501 is not loopback",
 		{"(listen 127.0.0.1:8600)", "(listen here)"}: "relay.listen: ",
 		{"(site s-1)", "(site s-1) (gather 1s)"}:     "relay.gather: ",
--- a/internal/sexpr/balance.go
+++ b/internal/sexpr/balance.go
@@ -2,33 +2,34 @@
 
 import "fmt"
 
-// checkBalance finds errors that a recursive parser reports badly: parentheses that do not match, strings that do not end on their line,
-// and nesting that is too deep.
+// checkBalance returns the first error of a kind that a recursive parser reports poorly: unbalanced parentheses, strings that do not end
+// on their line, and nesting that is too deep. It returns nil if there is none.
 func checkBalance(name, text string) *FileError {
-	b := balance{file: name, place: place{line: 1}}
+	b := balanceChecker{file: name, position: position{line: 1}}
 	for _, r := range text {
 		b.col++
-		if e := b.read(r); e != nil {
+		if e := b.checkRune(r); e != nil {
 			return e
 		}
 	}
-	return b.end()
+	return b.finish()
 }
 
-// place is a position in a text.
-type place struct{ line, col int }
+// position is a line and a column of a text.
+type position struct{ line, col int }
 
-// balance is the state of the check after a part of the text.
-type balance struct {
+// balanceChecker holds the state of the check after a prefix of the text.
+type balanceChecker struct {
 	file string
-	place
-	open      []place // parentheses that are not closed
+	position
+	open      []position // parentheses that are not closed yet
 	inString  bool
 	inComment bool
-	isEscaped bool // the next character of a string
+	isEscaped bool // the next character of the string is escaped
 }
 
-func (b *balance) read(r rune) *FileError {
+// checkRune checks the next character of the text.
+func (b *balanceChecker) checkRune(r rune) *FileError {
 	switch {
 	case r == '\n':
 		return b.endLine()
@@ -46,16 +47,16 @@
 		return b.openList()
 	case r == ')':
 		if len(b.open) == 0 {
-			return b.errorAt(b.place, "this ) closes nothing")
+			return b.errorAt(b.position, "unmatched closing parenthesis")
 		}
 		b.open = b.open[:len(b.open)-1]
 	}
 	return nil
 }
 
-func (b *balance) endLine() *FileError {
+func (b *balanceChecker) endLine() *FileError {
 	if b.inString {
-		return b.errorAt(b.place, "the string does not end on its line")
+		return b.errorAt(b.position, "the string does not end on its line")
 	}
 	b.line++
 	b.col = 0
@@ -63,21 +64,23 @@
 	return nil
 }
 
-// openList opens a list. Where one opens in the first column inside another, the other was not closed.
-func (b *balance) openList() *FileError {
+// openList records an opening parenthesis. One in the first column inside a list is reported as an error of that list: its closing
+// parenthesis is missing, since forms inside another are indented.
+func (b *balanceChecker) openList() *FileError {
 	if b.col == 1 && len(b.open) > 0 {
-		return b.errorAt(b.open[0], "this form is not closed before the next one begins on line %d", b.line)
+		return b.errorAt(b.open[0], "this form is not closed before the next one starts on line %d", b.line)
 	}
 	if len(b.open) == MaxDepth {
-		return b.errorAt(b.place, "nested deeper than %d", MaxDepth)
+		return b.errorAt(b.position, "nested deeper than %d", MaxDepth)
 	}
-	b.open = append(b.open, b.place)
+	b.open = append(b.open, b.position)
 	return nil
 }
 
-func (b *balance) end() *FileError {
+// finish checks the state at the end of the text.
+func (b *balanceChecker) finish() *FileError {
 	if b.inString {
-		return b.errorAt(b.place, "the string does not end on its line")
+		return b.errorAt(b.position, "the string does not end on its line")
 	}
 	if len(b.open) > 0 {
 		return b.errorAt(b.open[0], "this form is not closed")
@@ -85,6 +88,6 @@
 	return nil
 }
 
-func (b *balance) errorAt(p place, format string, args ...any) *FileError {
+func (b *balanceChecker) errorAt(p position, format string, args ...any) *FileError {
 	return &FileError{File: b.file, Line: p.line, Col: p.col, Message: fmt.Sprintf(format, args...)}
 }
--- a/internal/sexpr/doc.go
+++ b/internal/sexpr/doc.go
@@ -1,3 +1,3 @@
-// Package sexpr parses S-expressions into trees with positions and comments, and formats them. It knows no vocabulary of any file, and does
-// no I/O. Trees may be used by several goroutines as long as none changes them.
+// Package sexpr parses S-expressions into trees that keep positions and comments, and formats such trees. It does not depend on the
+// vocabulary of any file and does no I/O. Goroutines may share a tree as long as none of them modifies it.
 package sexpr
--- a/internal/sexpr/errors.go
+++ b/internal/sexpr/errors.go
@@ -5,13 +5,13 @@
 	"strings"
 )
 
-// FileError is one thing that is wrong in a file, and where.
+// FileError is an error in a file, with its position.
 type FileError struct {
 	File      string `json:"file"`
-	Line, Col int    // from 1 on; columns count characters
-	Key       string `json:"key,omitempty"` // the form that it is about, as in location.cache.share
+	Line, Col int    // both start at 1; columns count characters
+	Key       string `json:"key,omitempty"` // path of the form that it concerns, such as location.cache.share
 	Message   string `json:"message"`
-	Hint      string `json:"hint,omitempty"` // what may have been meant
+	Hint      string `json:"hint,omitempty"` // a suggested replacement
 }
 
 func (e FileError) Error() string {
@@ -26,7 +26,7 @@
 	return s
 }
 
-// FileErrors are all errors of a file, in the order of their places. As an error it has a line for each.
+// FileErrors is the list of all errors in files, ordered by position. Its Error method returns one line per error.
 type FileErrors []FileError
 
 func (e FileErrors) Error() string {
--- a/internal/sexpr/format.go
+++ b/internal/sexpr/format.go
@@ -8,13 +8,14 @@
 
 const (
 	maxLineWidth = 100 // characters
-	indentWidth  = 2   // characters a level
+	indentWidth  = 2   // characters per level
 )
 
-// Format writes a tree in the canonical form. Comments stay where they were. A list that stood on one line stays there if it fits; others
-// are broken, and indented by two spaces a level. Blank lines between forms become one.
+// Format returns the text of a tree in the canonical format. It preserves the positions of comments between nodes. A list that was on one
+// line stays on one line if it fits; other lists are broken over several lines and indented by two spaces per level. Consecutive blank
+// lines between forms are merged into one.
 func Format(f *File) string {
-	w := &writer{}
+	w := &formatter{}
 	w.items(f.Items, 0, nil)
 	if w.text.Len() == 0 {
 		return ""
@@ -22,10 +23,11 @@
 	return w.text.String() + "\n"
 }
 
-type writer struct{ text strings.Builder }
+type formatter struct{ text strings.Builder }
 
-// items writes nodes, one a line. before is the node in front of them; nil: none. A comment that followed a node on its line still does.
-func (w *writer) items(items []*Node, indent int, before *Node) {
+// items writes nodes, one per line. before is the node that precedes them, or nil. A comment stays on the line of the node that it
+// followed on the same line.
+func (w *formatter) items(items []*Node, indent int, before *Node) {
 	for i, n := range items {
 		previous := before
 		if i > 0 {
@@ -34,7 +36,7 @@
 		switch {
 		case previous == nil:
 		case n.Comment != nil && n.Pos.Line == previous.lastLine() && previous.Comment == nil:
-			w.text.WriteString("  " + comment(n))
+			w.text.WriteString("  " + commentText(n))
 			continue
 		default:
 			w.text.WriteByte('\n')
@@ -47,21 +49,21 @@
 	}
 }
 
-func (w *writer) node(n *Node, indent int) {
+func (w *formatter) node(n *Node, indent int) {
 	switch {
 	case n.Comment != nil:
-		w.text.WriteString(comment(n))
+		w.text.WriteString(commentText(n))
 	case n.List == nil:
-		w.text.WriteString(flat(n))
-	case fits(n, indent):
-		w.text.WriteString(flat(n))
+		w.text.WriteString(singleLine(n))
+	case fitsOnLine(n, indent):
+		w.text.WriteString(singleLine(n))
 	default:
 		w.list(n, indent)
 	}
 }
 
-// list writes a list on several lines. The atoms and strings that it begins with are on the first line.
-func (w *writer) list(n *Node, indent int) {
+// list writes a list on several lines. Its leading atoms and strings stay on the first line.
+func (w *formatter) list(n *Node, indent int) {
 	items := n.List.Items
 	w.text.WriteByte('(')
 	first := 0
@@ -69,7 +71,7 @@
 		if first > 0 {
 			w.text.WriteByte(' ')
 		}
-		w.text.WriteString(flat(items[first]))
+		w.text.WriteString(singleLine(items[first]))
 		first++
 	}
 	var before *Node
@@ -83,20 +85,21 @@
 	w.text.WriteByte(')')
 }
 
-// comment is the text of a comment.
-func comment(n *Node) string { return strings.TrimRight(*n.Comment, " \t\r\v\f") }
+// commentText returns the text of a comment without trailing white space.
+func commentText(n *Node) string { return strings.TrimRight(*n.Comment, " \t\r\v\f") }
 
-// fits tells whether a list goes on one line: it has no comments and is short enough, and was on one line or has no lists inside.
-func fits(n *Node, indent int) bool {
+// fitsOnLine reports whether a list is written on one line: it contains no comments, is short enough, and either was on one line or
+// contains no lists.
+func fitsOnLine(n *Node, indent int) bool {
 	if len(n.List.Items) == 0 {
 		return true
 	}
 	isNested := slices.ContainsFunc(n.List.Items, func(item *Node) bool { return item.List != nil })
 	mayBeFlat := !isNested || n.Pos.Line == n.lastLine()
-	return mayBeFlat && !hasComment(n) && indent+utf8.RuneCountInString(flat(n)) <= maxLineWidth
+	return mayBeFlat && !hasComment(n) && indent+utf8.RuneCountInString(singleLine(n)) <= maxLineWidth
 }
 
-// hasComment tells whether a node is a comment or has one inside.
+// hasComment reports whether a node is or contains a comment.
 func hasComment(n *Node) bool {
 	if n.List == nil {
 		return n.Comment != nil
@@ -104,8 +107,8 @@
 	return slices.ContainsFunc(n.List.Items, hasComment)
 }
 
-// flat is a node on one line.
-func flat(n *Node) string {
+// singleLine returns the text of a node, which contains no comments, on one line.
+func singleLine(n *Node) string {
 	switch {
 	case n.Atom != nil:
 		return *n.Atom
@@ -114,7 +117,7 @@
 	}
 	parts := make([]string, len(n.List.Items))
 	for i, item := range n.List.Items {
-		parts[i] = flat(item)
+		parts[i] = singleLine(item)
 	}
 	return "(" + strings.Join(parts, " ") + ")"
 }
--- a/internal/sexpr/format_test.go
+++ b/internal/sexpr/format_test.go
@@ -17,7 +17,7 @@
  b)
 `
 
-// Comments stay where they were, and what fits on a line is not broken.
+// Guards against a formatter that moves comments or breaks lists that fit on a line.
 func TestFormatKeepsComments(t *testing.T) {
 	f, errors := Parse("x", sample)
 	if len(errors) > 0 {
@@ -40,7 +40,7 @@
 	}
 }
 
-// A formatted text has the same tree, and is formatted to itself.
+// Checks that formatting preserves the tree and is idempotent.
 func FuzzFormat(f *testing.F) {
 	f.Add(sample)
 	f.Add("(a ;x\n) ;y\n;z\n\n\n\"s\\\"\"(((b)))")
@@ -63,7 +63,7 @@
 	})
 }
 
-// shape is a tree without its places.
+// shape returns a representation of a tree without positions.
 func shape(items []*Node) string {
 	s := ""
 	for _, n := range items {
@@ -71,9 +71,9 @@
 		case n.List != nil:
 			s += "(" + shape(n.List.Items) + ")"
 		case n.Comment != nil:
-			s += comment(n) + "\n"
+			s += commentText(n) + "\n"
 		default:
-			s += flat(n) + " "
+			s += singleLine(n) + " "
 		}
 	}
 	return s
--- a/internal/sexpr/parse.go
+++ b/internal/sexpr/parse.go
@@ -9,7 +9,7 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// Limits of a text. The parser is recursive: deep nesting, which no operator writes, would use up its stack.
+// Limits of a text. The parser is recursive, so the depth is limited to protect the stack; operators' files are never nested deeply.
 const (
 	MaxBytes = 32 << 20
 	MaxDepth = 64
@@ -28,11 +28,11 @@
 	grammar = participle.MustBuild[File](participle.Lexer(tokens))
 )
 
-// Parse parses a text. After a syntax error it goes on at the next line that opens a form in the first column, so that all errors are
-// reported at once. The tree lacks the forms with errors.
+// Parse parses a text; name is the file name in positions and errors. After a syntax error it continues at the next line with an opening
+// parenthesis in the first column, so that it reports all errors at once. The tree does not contain the forms with errors.
 func Parse(name, text string) (*File, FileErrors) {
 	if len(text) > MaxBytes {
-		return &File{}, FileErrors{{File: name, Line: 1, Col: 1, Message: fmt.Sprintf("longer than %d bytes", MaxBytes)}}
+		return &File{}, FileErrors{{File: name, Line: 1, Col: 1, Message: fmt.Sprintf("file is longer than %d bytes", MaxBytes)}}
 	}
 	var found FileErrors
 	for {
@@ -49,7 +49,7 @@
 	}
 }
 
-// parse gives the tree of a text, or its first error.
+// parse returns the tree of a text, or its first error.
 func parse(name, text string) (*File, *FileError) {
 	if e := checkBalance(name, text); e != nil {
 		return nil, e
@@ -68,8 +68,8 @@
 	return nil, e
 }
 
-// blankForm blanks the top-level form that contains a line, and leaves the places of all others. It tells whether text remains that may
-// be parsed again.
+// blankForm replaces the top-level form that contains a line by empty lines, so that the positions of the other forms do not change.
+// remains reports whether there is text left to parse.
 func blankForm(text string, line int) (rest string, remains bool) {
 	lines := strings.SplitAfter(text, "\n")
 	from := min(max(line, 1), len(lines)) - 1
--- a/internal/sexpr/parse_test.go
+++ b/internal/sexpr/parse_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// All errors of a text are reported at once, each at its own place, and the complete forms are still in the tree.
+// Guards against a parser that stops at the first error or drops valid forms: all errors of a text are reported, each at its own
+// position, and the tree contains the forms without errors.
 func TestAllSyntaxErrorsAreReported(t *testing.T) {
 	f, errors := Parse("x", "(a 1)\n(b (c)\n(d \"open)\n(e 2))\n(f 3)\n")
 	var at []int
--- a/internal/sexpr/tree.go
+++ b/internal/sexpr/tree.go
@@ -6,33 +6,33 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// File is a complete text.
+// File is the tree of a whole text.
 type File struct {
 	Items []*Node `parser:"@@*"`
 }
 
-// Node is a list, an atom, a string or a comment. Exactly one of the four is set.
+// Node is a list, an atom, a string or a comment. Exactly one of the four fields is set.
 type Node struct {
 	Pos     lexer.Position
 	Comment *string `parser:"  @Comment"`
-	String  *string `parser:"| @String"` // with its quotes
+	String  *string `parser:"| @String"` // including the quotes
 	Atom    *string `parser:"| @Atom"`
 	List    *List   `parser:"| @@"`
 }
 
-// List is what stands between two parentheses, with the comments.
+// List holds the nodes between two parentheses, including comments.
 type List struct {
 	Items []*Node      `parser:"'(' @@*"`
 	Close *parenthesis `parser:"@@"`
 }
 
-// parenthesis is the place of a closing parenthesis.
+// parenthesis is a closing parenthesis with its position.
 type parenthesis struct {
 	Pos   lexer.Position
 	Token string `parser:"@')'"`
 }
 
-// lastLine is the line on which a node ends. Only a list has more than one.
+// lastLine returns the number of the line on which a node ends. Only lists can span several lines.
 func (n *Node) lastLine() int {
 	if n.List != nil {
 		return n.List.Close.Pos.Line
@@ -40,7 +40,7 @@
 	return n.Pos.Line
 }
 
-// Text is the value of an atom or a string. ok is false for lists and comments, and for a string with an invalid escape.
+// Text returns the value of an atom or a string. ok is false for lists, comments and strings with an invalid escape sequence.
 func (n *Node) Text() (text string, ok bool) {
 	switch {
 	case n.Atom != nil:
@@ -52,25 +52,25 @@
 	return "", false
 }
 
-// Words are the items of a list without the comments; nil for a node that is no list.
-func (n *Node) Words() []*Node {
+// Elements returns the items of a list without the comments, or nil if the node is not a list.
+func (n *Node) Elements() []*Node {
 	if n.List == nil {
 		return nil
 	}
-	words := make([]*Node, 0, len(n.List.Items))
+	elements := make([]*Node, 0, len(n.List.Items))
 	for _, item := range n.List.Items {
 		if item.Comment == nil {
-			words = append(words, item)
+			elements = append(elements, item)
 		}
 	}
-	return words
+	return elements
 }
 
-// Head is the atom that a list begins with, which names a form; empty if there is none.
+// Head returns the first element of a list if it is an atom, which is then the name of the form; otherwise it returns "".
 func (n *Node) Head() string {
-	words := n.Words()
-	if len(words) == 0 || words[0].Atom == nil {
+	elements := n.Elements()
+	if len(elements) == 0 || elements[0].Atom == nil {
 		return ""
 	}
-	return *words[0].Atom
+	return *elements[0].Atom
 }
