--- a/cmd/stairvane-fleet/applies.go
+++ b/cmd/stairvane-fleet/applies.go
@@ -7,7 +7,7 @@
 	"stairvane.org/stairvane/internal/fleet/apply"
 )
 
-// appliesCmd shows applies and gives them orders.
+// appliesCmd shows and controls applies.
 type appliesCmd struct {
 	List   appliesListCmd `cmd:"" default:"1" help:"List all applies."`
 	Show   appliesShowCmd `cmd:"" help:"Show an apply and its steps."`
@@ -56,7 +56,7 @@
 	return line
 }
 
-// appliesShowCmd shows one apply.
+// appliesShowCmd shows one apply and its steps.
 type appliesShowCmd struct {
 	controlPlaneFlags
 	outputFlags
@@ -64,7 +64,7 @@
 	Follow bool  `short:"f" help:"Show its steps until it stops."`
 }
 
-// Run shows an apply and its steps.
+// Run shows the apply, or follows it until it stops.
 func (c appliesShowCmd) Run(s streams) error {
 	client, err := c.client()
 	if err != nil {
@@ -94,14 +94,15 @@
 	return nil
 }
 
-// orderCmd gives an order to an apply.
+// orderCmd implements the commands that send an order to an apply.
 type orderCmd struct {
 	controlPlaneFlags
 	outputFlags
 	ID int64 `arg:"" help:"The apply."`
 }
 
-func (c orderCmd) give(s streams, order apply.Order) error {
+// sendOrder sends an order to the control plane and shows the state of the apply after it.
+func (c orderCmd) sendOrder(s streams, order apply.Order) error {
 	client, err := c.client()
 	if err != nil {
 		return err
@@ -120,14 +121,14 @@
 type pauseCmd struct{ orderCmd }
 
 // Run pauses an apply.
-func (c pauseCmd) Run(s streams) error { return c.give(s, apply.OrderPause) }
+func (c pauseCmd) Run(s streams) error { return c.sendOrder(s, apply.OrderPause) }
 
 type resumeCmd struct{ orderCmd }
 
 // Run resumes an apply.
-func (c resumeCmd) Run(s streams) error { return c.give(s, apply.OrderResume) }
+func (c resumeCmd) Run(s streams) error { return c.sendOrder(s, apply.OrderResume) }
 
 type cancelCmd struct{ orderCmd }
 
 // Run cancels an apply.
-func (c cancelCmd) Run(s streams) error { return c.give(s, apply.OrderCancel) }
+func (c cancelCmd) Run(s streams) error { return c.sendOrder(s, apply.OrderCancel) }
--- a/cmd/stairvane-fleet/apply.go
+++ b/cmd/stairvane-fleet/apply.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	pollInterval  = 100 * time.Millisecond // from one look at an apply, or at a control plane that starts, to the next
-	maxUnanswered = 600                    // polls in a row without an answer after which following an apply fails
+	pollInterval  = 100 * time.Millisecond // between requests for the state of an apply, of a group or of a control plane that is starting
+	maxUnanswered = 600                    // consecutive polls without an answer after which the command stops following an apply
 )
 
-// applyCmd hands a plan in and follows it.
+// applyCmd submits a plan and follows the apply.
 type applyCmd struct {
 	controlPlaneFlags
 	outputFlags
@@ -26,7 +26,8 @@
 	Detach bool   `help:"Return once the control plane has taken the plan."`
 }
 
-// Run hands the plan in and shows how it goes. The control plane carries it out, whether or not this command lives.
+// Run submits the plan and shows the progress of the apply. The control plane executes the plan, so that the apply continues even if this
+// command is stopped.
 func (c applyCmd) Run(s streams) error {
 	p, file, err := readPlan(c.Plan)
 	if err != nil {
@@ -41,7 +42,7 @@
 	}
 	accepted, err := client.Submit(file)
 	if err != nil {
-		return c.rejected(s, err)
+		return c.reportRejection(s, err)
 	}
 	switch {
 	case !accepted.Already && !c.Detach:
@@ -56,8 +57,8 @@
 	return nil
 }
 
-// rejected shows a rejection as JSON where that is wanted, and returns it.
-func (c applyCmd) rejected(s streams, err error) error {
+// reportRejection returns the error of a submission. If JSON output is selected, it first writes a rejection by the control plane as JSON.
+func (c applyCmd) reportRejection(s streams, err error) error {
 	var rejection *api.Error
 	if errors.As(err, &rejection) && c.json() {
 		if err := writeJSON(s.out, rejection); err != nil {
@@ -67,17 +68,18 @@
 	return err
 }
 
-// checkDesiredUnchanged rejects a plan whose file of the desired state was edited since. A file that has moved is not looked for.
+// checkDesiredUnchanged returns an error if the file of the desired state was edited after the plan was made. If the file is no longer at
+// its path, nothing is checked.
 func checkDesiredUnchanged(p *plan.Plan) error {
 	if p.DesiredFile == "" {
 		return nil
 	}
 	if _, err := os.Stat(p.DesiredFile); err != nil {
-		return nil //nolint:nilerr // the file has moved: the control plane judges the plan by what it read
+		return nil //nolint:nilerr // the file was moved or removed; the control plane validates the plan itself
 	}
 	desired, faults := operatorconfig.ReadFleet(p.DesiredFile, os.ReadFile)
 	if len(faults) > 0 {
-		return &exitError{exitStale, fmt.Sprintf("the plan is stale: %s has been edited since it was made, and has faults: %s",
+		return &exitError{exitStale, fmt.Sprintf("the plan is stale: %s has been edited since it was made, and has errors: %s",
 			p.DesiredFile, faults[0].Error())}
 	}
 	if fleet.Sum(desired) != p.DesiredSum {
@@ -86,9 +88,9 @@
 	return nil
 }
 
-// follow shows the steps of an apply until it stops. A control plane that does not answer for a while is waited for.
-func follow(s streams, client *api.Client, id int64, form outputFlags) error {
-	progress := newProgress(s, form)
+// follow shows the progress of an apply until it stops. It tolerates a control plane that does not answer for up to maxUnanswered polls.
+func follow(s streams, client *api.Client, id int64, output outputFlags) error {
+	progress := newProgress(s, output)
 	defer progress.close()
 	unanswered := 0
 	for ; ; time.Sleep(pollInterval) {
@@ -99,7 +101,7 @@
 			return rejection
 		case err != nil:
 			if unanswered++; unanswered == 1 {
-				s.notef("the board does not answer (%v); it goes on with apply %d when it is back\n", err, id)
+				s.stderrf("the control plane does not answer (%v); it continues apply %d once it is available again\n", err, id)
 			}
 			if unanswered > maxUnanswered {
 				return err
@@ -107,32 +109,32 @@
 			continue
 		}
 		unanswered = 0
-		if err := progress.show(a); err != nil {
+		if err := progress.update(a); err != nil {
 			return err
 		}
 		if a.Status != apply.Running {
 			progress.close()
-			return reportEnd(s, a, form)
+			return reportEnd(s, a, output)
 		}
 	}
 }
 
-// reportEnd shows how an apply ended; one that stopped before its end is an error.
-func reportEnd(s streams, a api.Apply, form outputFlags) error {
-	if form.json() {
+// reportEnd shows the result of an apply. It returns an error if the apply stopped before it was complete.
+func reportEnd(s streams, a api.Apply, output outputFlags) error {
+	if output.json() {
 		if err := writeJSON(s.out, a); err != nil {
 			return err
 		}
 	}
 	if a.Status == apply.Done {
-		if !form.json() {
+		if !output.json() {
 			s.printf("apply %d is done: %d steps\n", a.ID, a.Record.Steps)
 		}
 		return nil
 	}
 	message := fmt.Sprintf("apply %d is %s after %d of %d steps: %s", a.ID, a.Status, a.StepsDone, a.Record.Steps, a.Reason)
 	if a.RevertedBy != 0 {
-		message += fmt.Sprintf("; apply %d leads back", a.RevertedBy)
+		message += fmt.Sprintf("; apply %d reverts it", a.RevertedBy)
 	}
 	return &exitError{exitStopped, message}
 }
--- a/cmd/stairvane-fleet/audit.go
+++ b/cmd/stairvane-fleet/audit.go
@@ -10,13 +10,13 @@
 	"stairvane.org/stairvane/internal/controlplane/api"
 )
 
-// auditCmd shows which revisions, configurations and programs directors have.
+// auditCmd shows the revisions, configurations and program versions of the directors.
 type auditCmd struct {
 	Versions auditVersionsCmd `cmd:"" help:"Who has applied which revision, by which configuration and program. Ends with 1 if somebody is behind, or differs from most."`
 	Event    auditEventCmd    `cmd:"" help:"When each director applied an event. Ends with 1 if some have not, or if it is not recorded."`
 }
 
-// auditEventCmd shows the adoption of one event.
+// auditEventCmd shows which directors have applied an event, and when.
 type auditEventCmd struct {
 	controlPlaneFlags
 	outputFlags
@@ -39,7 +39,7 @@
 		err = showAdoption(s, event)
 	}
 	if n := len(event.Missing) + len(event.Lost); err == nil && n > 0 {
-		err = &exitError{exitFailed, fmt.Sprintf("%d directors have not taken event %d", n, event.No)}
+		err = &exitError{exitFailed, fmt.Sprintf("%d directors have not applied event %d", n, event.No)}
 	}
 	return err
 }
@@ -55,35 +55,35 @@
 	for _, director := range event.Lost {
 		rows = append(rows, []string{director, "not heard of since"})
 	}
-	if err := writeTable(s, rows, "director", "took it after"); err != nil {
+	if err := writeTable(s, rows, "director", "applied after"); err != nil {
 		return err
 	}
-	s.printf("event %d, accepted %d ms ago: taken by %d (p50 %d ms, p99 %d ms, last %d ms), ",
+	s.printf("event %d, committed %d ms ago: applied by %d (p50 %d ms, p99 %d ms, last %d ms), ",
 		event.No, event.AgeMS, len(event.Applied), event.P50MS, event.P99MS, event.LastMS)
-	s.printf("not by %d, %d are lost; %d came later and had it\n", len(event.Missing), len(event.Lost), event.HadInitially)
+	s.printf("not by %d, %d lost; %d joined later and had it from the start\n", len(event.Missing), len(event.Lost), event.HadInitially)
 	return nil
 }
 
-// auditVersionsCmd compares directors with each other.
+// auditVersionsCmd compares the directors with each other.
 type auditVersionsCmd struct {
 	controlPlaneFlags
 	outputFlags
 	Within time.Duration `default:"1s" help:"A director that has applied only an older revision for longer than this is behind."`
 }
 
-// deviation is a director that differs from most, and how.
+// deviation is a director that is behind, lost or different from most, with the reason.
 type deviation struct {
 	Director string `json:"director"`
 	Reason   string `json:"why"`
 }
 
-// versionsReport is the command's answer as JSON.
+// versionsReport is the JSON output of the command.
 type versionsReport struct {
 	api.Members
 	Deviations []deviation `json:"odd"`
 }
 
-// Run shows the revision, configuration and program of each director, and who deviates.
+// Run shows the revision, configuration and program of each director, and the deviations.
 func (c auditVersionsCmd) Run(s streams) error {
 	client, err := c.client()
 	if err != nil {
@@ -100,7 +100,7 @@
 		err = showVersions(s, members, found)
 	}
 	if err == nil && len(found) > 0 {
-		err = &exitError{exitFailed, fmt.Sprintf("%d of %d directors act otherwise than they should", len(found), len(members.Directors))}
+		err = &exitError{exitFailed, fmt.Sprintf("found %d deviations among %d directors", len(found), len(members.Directors))}
 	}
 	return err
 }
@@ -110,23 +110,24 @@
 	for _, d := range members.Directors {
 		behind := "no"
 		if d.AppliedRevision < members.Revision {
-			behind = fmt.Sprintf("%d events for %d ms", members.Revision-d.AppliedRevision, d.BehindMS)
+			behind = fmt.Sprintf("by %d events for %d ms", members.Revision-d.AppliedRevision, d.BehindMS)
 		}
 		rows = append(rows, []string{
 			d.Name, d.Location, fmt.Sprint(d.AppliedRevision), behind, d.Config, d.Version, fmt.Sprintf("%d ms ago", d.LastHeardMS),
 		})
 	}
-	if err := writeTable(s, rows, "director", "location", "acts by event", "behind", "configuration", "program", "heard"); err != nil {
+	if err := writeTable(s, rows, "director", "location", "at event", "behind", "configuration", "program", "heard"); err != nil {
 		return err
 	}
-	s.printf("%d directors, the history is at event %d\n", len(members.Directors), members.Revision)
+	s.printf("%d directors, the event log is at event %d\n", len(members.Directors), members.Revision)
 	for _, d := range found {
 		s.printf("%s: %s\n", d.Director, d.Reason)
 	}
 	return nil
 }
 
-// deviations finds who is behind, and who has another configuration or program than most.
+// deviations returns the directors that have been behind for longer than within, those that are ahead of the event log, those whose
+// configuration or program differs from that of most, and those that are lost, sorted by name.
 func deviations(members api.Members, within time.Duration) (found []deviation) {
 	config := mostCommon(members.Directors, func(d api.MemberStatus) string { return d.Config })
 	program := mostCommon(members.Directors, func(d api.MemberStatus) string { return d.Version })
@@ -135,13 +136,14 @@
 			found = append(found, deviation{Director: d.Name, Reason: fmt.Sprintf(format, args...)})
 		}
 		if d.AppliedRevision < members.Revision && time.Duration(d.BehindMS)*time.Millisecond > within {
-			add("acts by event %d for %d ms; the history is at %d", d.AppliedRevision, d.BehindMS, members.Revision)
+			add("is still at event %d, behind for %d ms; the event log is at %d", d.AppliedRevision, d.BehindMS, members.Revision)
 		}
 		if d.AppliedRevision > members.Revision {
-			add("acts by event %d, and the history ends at %d: it follows, or followed, another one", d.AppliedRevision, members.Revision)
+			add("is at event %d, but the event log ends at %d: it watches, or watched, another control plane",
+				d.AppliedRevision, members.Revision)
 		}
 		if d.Config != config {
-			add("its configuration is %s, most have %s: send it SIGHUP, or start it anew", d.Config, config)
+			add("its configuration is %s, most have %s: send it SIGHUP or restart it", d.Config, config)
 		}
 		if d.Version != program {
 			add("its program is %s, most run %s", d.Version, program)
@@ -150,14 +152,14 @@
 	for _, lost := range members.Lost {
 		found = append(found, deviation{
 			Director: lost.Name,
-			Reason:   fmt.Sprintf("is not heard of for %d ms; it acted by event %d", lost.LostMS, lost.AppliedRevision),
+			Reason:   fmt.Sprintf("lost for %d ms; it was at event %d", lost.LostMS, lost.AppliedRevision),
 		})
 	}
 	slices.SortFunc(found, func(a, b deviation) int { return cmp.Compare(a.Director+a.Reason, b.Director+b.Reason) })
 	return found
 }
 
-// mostCommon is the value that most directors have; of several the first in order.
+// mostCommon returns the most frequent value among the directors; if there are several, the first in lexical order.
 func mostCommon(directors []api.MemberStatus, value func(api.MemberStatus) string) string {
 	counts := map[string]int{}
 	for _, d := range directors {
--- a/cmd/stairvane-fleet/capacity.go
+++ b/cmd/stairvane-fleet/capacity.go
@@ -12,7 +12,7 @@
 	"stairvane.org/stairvane/internal/tools/capacity"
 )
 
-// capacityCmd works out what each role costs at a size, from the laws that were measured.
+// capacityCmd estimates the resources that each role needs at a given fleet size, from measured laws.
 type capacityCmd struct {
 	outputFlags
 	Slopes string            `default:"docs/design/capacity-slopes.json" help:"The file of laws with their measured points."`
@@ -22,14 +22,14 @@
 	Write  string            `help:"Write the tables into a page, between its markers, and print nothing."`
 }
 
-// capacityReport is the command's answer as JSON.
+// capacityReport is the JSON output of the command.
 type capacityReport struct {
 	Size    capacity.Size     `json:"size"`
 	Design  capacity.Design   `json:"design"`
 	Figures []capacity.Figure `json:"figures"`
 }
 
-// Run shows the figures, or keeps further measurements, or writes a page.
+// Run shows the figures, or merges further measurements into the file of laws, or writes a page, or does the last two in turn.
 func (c capacityCmd) Run(s streams) error {
 	size, design, err := c.sizeAndDesign()
 	if err != nil {
@@ -40,7 +40,7 @@
 		return err
 	}
 	if len(c.Add) > 0 {
-		if err := c.keep(&measured); err != nil || c.Write == "" {
+		if err := c.mergeFiles(&measured); err != nil || c.Write == "" {
 			return err
 		}
 	}
@@ -54,7 +54,7 @@
 	return writeTable(s, capacity.TableRows(figures), "role", "figure", "at size", "budget", "verdict", "laws read")
 }
 
-// sizeAndDesign are the operators' size and the program's design, with the values of the flags in place of theirs.
+// sizeAndDesign returns the expected size and the current design, overridden by the values of the flags.
 func (c capacityCmd) sizeAndDesign() (capacity.Size, capacity.Design, error) {
 	size, design := capacity.ExpectedSize(), capacity.CurrentDesign()
 	for name, value := range c.Size {
@@ -70,10 +70,10 @@
 	return size, design, nil
 }
 
-// keep adds the files of further measurements to the file of laws.
-func (c capacityCmd) keep(measured *capacity.Measured) error {
+// mergeFiles merges the files of further measurements into measured and writes the file of laws.
+func (c capacityCmd) mergeFiles(measured *capacity.Measured) error {
 	for _, path := range c.Add {
-		if err := addMeasured(measured, path); err != nil {
+		if err := mergeFile(measured, path); err != nil {
 			return err
 		}
 	}
@@ -92,8 +92,8 @@
 	return measured, nil
 }
 
-// addMeasured takes in a file of laws, or one that a scale run has saved: that one has settings.
-func addMeasured(measured *capacity.Measured, path string) error {
+// mergeFile merges a file of laws, or one saved by a scale run, into measured. Only a scale run's file has settings.
+func mergeFile(measured *capacity.Measured, path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return err
@@ -128,7 +128,7 @@
 	return os.WriteFile(path, text.Bytes(), 0o644)
 }
 
-// writeCapacityPage rewrites a page's generated tables.
+// writeCapacityPage replaces the generated tables of a page.
 func writeCapacityPage(path string, size capacity.Size, design capacity.Design, measured capacity.Measured) error {
 	page, err := os.ReadFile(path)
 	if err != nil {
--- a/cmd/stairvane-fleet/capacity_test.go
+++ b/cmd/stairvane-fleet/capacity_test.go
@@ -15,7 +15,7 @@
 
 const slopes = "--slopes=../../docs/design/capacity-slopes.json"
 
-// Sizes and layouts that are asked for come out in the figures, and what nothing is called is refused.
+// Guards against --size and --design values that do not reach the figures, and against accepting unknown names.
 func TestCapacity(t *testing.T) {
 	run := func(args ...string) (out string, status int) {
 		var text, faults bytes.Buffer
@@ -44,7 +44,7 @@
 	}
 }
 
-// A law of whole processes that is added makes its figure measured, and is kept with the others.
+// Checks that --add merges a law of whole processes into the file of laws, and that its figure is then computed from the law.
 func TestCapacityAddsLaws(t *testing.T) {
 	folder := t.TempDir()
 	laws, more := filepath.Join(folder, "laws.json"), filepath.Join(folder, "more.json")
@@ -78,10 +78,10 @@
 			return
 		}
 	}
-	t.Error("the figure is not there")
+	t.Error("the figure is missing")
 }
 
-// --write fills a page whose tables are empty as the committed page is filled.
+// Checks that --write fills a page with empty tables so that it equals the committed page.
 func TestCapacityWritesThePage(t *testing.T) {
 	want, err := os.ReadFile("../../docs/CAPACITY.md")
 	if err != nil {
@@ -108,6 +108,6 @@
 		t.Fatal(err)
 	}
 	if empty.Len() >= len(want) || !bytes.Equal(got, want) {
-		t.Errorf("%d bytes from %d, not the page's %d", len(got), empty.Len(), len(want))
+		t.Errorf("wrote %d bytes from a page of %d, want the %d bytes of the committed page", len(got), empty.Len(), len(want))
 	}
 }
--- a/cmd/stairvane-fleet/cli.go
+++ b/cmd/stairvane-fleet/cli.go
@@ -15,7 +15,7 @@
 	"stairvane.org/stairvane/internal/fleet/plan"
 )
 
-// cli is the grammar of the command line. Aliases are the sub-commands' earlier names, which scripts go on using.
+// cli is the grammar of the command line. The aliases are the earlier names of the sub-commands, kept for existing scripts.
 type cli struct {
 	Director     directorCmd     `cmd:"" help:"Run a director on as many cores as the program's file says (LB_CONFIG names its configuration)."`
 	ControlPlane controlPlaneCmd `cmd:"" aliases:"board" help:"Run a replica of the control plane, or one that is alone."`
@@ -46,20 +46,20 @@
 	InstallCompletions kongplete.InstallCompletions `cmd:"" help:"Install or remove the shell's completions."`
 }
 
-const description = "Without a command: a director for depot caches, which LB_CONFIG configures. The commands run the control plane " +
-	"that keeps the fleet, and plan and apply changes to it."
+const description = "Without a command, runs a director, which balances the load of caches and is configured by LB_CONFIG. The commands " +
+	"run the control plane of the fleet, and plan and apply changes to the fleet."
 
-// outputJSON is the value of --output with which a command writes JSON.
+// outputJSON is the value of --output that selects JSON.
 const outputJSON = "json"
 
-// outputFlags choose how a command writes.
+// outputFlags selects the output format of a command.
 type outputFlags struct {
 	Output string `short:"o" enum:"text,json" default:"text" help:"text or json."`
 }
 
 func (f outputFlags) json() bool { return f.Output == outputJSON }
 
-// controlPlaneFlags say how a command reaches the control plane.
+// controlPlaneFlags specifies how a command connects to the control plane.
 type controlPlaneFlags struct {
 	ControlPlane string `name:"board" default:"unix:board.sock" env:"STAIRVANE_BOARD" help:"The control plane's write side: unix:PATH or HOST:PORT; of several replicas all, separated by commas."`
 	Who          string `env:"STAIRVANE_WHO" help:"Who you are, if the system does not tell."`
@@ -72,19 +72,19 @@
 	return api.NewClient(f.ControlPlane, f.Who, api.Credentials{Certificate: f.Certificate, Key: f.Key, Authority: f.Authority})
 }
 
-// streams are where a command writes; they are bound to its Run.
+// streams holds the output streams of a command, which kong passes to its Run method.
 type streams struct{ out, err *stickyWriter }
 
-// printf writes to standard output. The stream remembers a failure, and the command then ends with exitFailed.
+// printf writes to standard output. The stream keeps the first write error, and the command then exits with exitFailed.
 func (s streams) printf(format string, args ...any) { _, _ = fmt.Fprintf(s.out, format, args...) }
 
-// println writes a line to standard output, as printf does.
+// println writes a line to standard output. Write errors are handled as by printf.
 func (s streams) println(args ...any) { _, _ = fmt.Fprintln(s.out, args...) }
 
-// notef writes to standard error, beside the result.
-func (s streams) notef(format string, args ...any) { _, _ = fmt.Fprintf(s.err, format, args...) }
+// stderrf writes to standard error, which carries messages that are not part of the result.
+func (s streams) stderrf(format string, args ...any) { _, _ = fmt.Fprintf(s.err, format, args...) }
 
-// stickyWriter remembers its first error, so that a command may write many lines and the error is still reported.
+// stickyWriter keeps its first error and writes nothing after it, so that a command can check for an error once after many writes.
 type stickyWriter struct {
 	io.Writer
 	err error
@@ -99,7 +99,7 @@
 	return n, err
 }
 
-// exitError is an error with an exit status of its own. An empty message prints nothing.
+// exitError is an error that sets the exit status of the process. If message is empty, nothing is printed.
 type exitError struct {
 	status  int
 	message string
@@ -107,7 +107,7 @@
 
 func (e *exitError) Error() string { return e.message }
 
-// runCommand runs one command line and returns the process's exit status.
+// runCommand parses and runs a command line, and returns the exit status of the process.
 func runCommand(args []string, out, errOut io.Writer) (status int) {
 	s := streams{out: &stickyWriter{Writer: out}, err: &stickyWriter{Writer: errOut}}
 	var c cli
@@ -119,10 +119,10 @@
 		kong.Bind(s),
 		kong.Exit(func(code int) { panic(exitPanic(code)) }))
 	if err != nil {
-		s.notef("stairvane: %v\n", err)
+		s.stderrf("stairvane: %v\n", err)
 		return exitFailed
 	}
-	defer func() { // kong ends the process for --help; here that is a value
+	defer func() { // kong exits the process after --help; the Exit option above turns that into a panic with the status
 		if r := recover(); r != nil {
 			code, is := r.(exitPanic)
 			if !is {
@@ -134,32 +134,32 @@
 	kongplete.Complete(parser)
 	ctx, err := parser.Parse(args)
 	if err != nil {
-		s.notef("stairvane: %v\n", err)
+		s.stderrf("stairvane: %v\n", err)
 		return exitFailed
 	}
 	err = ctx.Run()
 	if err == nil {
 		err = s.out.err
 	}
-	return statusOf(err, s)
+	return exitStatus(err, s)
 }
 
-// exitPanic carries kong's exit status to runCommand.
+// exitPanic is the value of the panic that passes kong's exit status to runCommand.
 type exitPanic int
 
-// statusOf prints an error in one line and returns the status that it stands for.
-func statusOf(err error, s streams) int {
+// exitStatus prints an error on one line and returns the exit status for it.
+func exitStatus(err error, s streams) int {
 	if err == nil {
 		return exitDone
 	}
 	var own *exitError
 	if errors.As(err, &own) {
 		if own.message != "" {
-			s.notef("stairvane: %s\n", own.message)
+			s.stderrf("stairvane: %s\n", own.message)
 		}
 		return own.status
 	}
-	s.notef("stairvane: %v\n", err)
+	s.stderrf("stairvane: %v\n", err)
 	if errors.Is(err, plan.ErrDamaged) || errors.Is(err, plan.ErrNewer) {
 		return exitDamaged
 	}
@@ -183,7 +183,7 @@
 	return encoder.Encode(v)
 }
 
-// writeTable writes rows under a header. All rows have as many cells as the header.
+// writeTable writes a table. All rows must have as many cells as the header.
 func writeTable(s streams, rows [][]string, header ...string) error {
 	t := tablewriter.NewWriter(s.out)
 	t.Header(header)
@@ -193,10 +193,10 @@
 	return t.Render()
 }
 
-// versionCmd tells which program this is.
+// versionCmd shows the version of the program.
 type versionCmd struct{ outputFlags }
 
-// programVersion is the command's answer as JSON.
+// programVersion is the JSON output of the command.
 type programVersion struct {
 	Program  string `json:"program"`
 	Version  string `json:"version"`
@@ -218,7 +218,7 @@
 	return nil
 }
 
-// buildSetting is a setting of the build; empty if the build does not tell it.
+// buildSetting returns the value of a build setting, or "" if the build information does not contain it.
 func buildSetting(info *debug.BuildInfo, key string) string {
 	for _, setting := range info.Settings {
 		if setting.Key == key {
--- a/cmd/stairvane-fleet/cli_test.go
+++ b/cmd/stairvane-fleet/cli_test.go
@@ -17,7 +17,7 @@
 	os.Exit(m.Run())
 }
 
-// call runs a command as a person would.
+// call runs a command line, and returns its exit status and its output with that to standard error.
 func call(args ...string) (status int, out string) {
 	var o, e bytes.Buffer
 	status = runCommand(args, &o, &e)
@@ -33,7 +33,8 @@
   (cache c-3 (like box) (at 127.0.0.1:13)))
 `
 
-// TestStatusesAndRejections guards the exit statuses and the one clear line of each rejection, which are part of what the commands promise.
+// TestStatusesAndRejections guards the exit statuses and the one-line message of each rejection, which are part of the interface of the
+// commands.
 func TestStatusesAndRejections(t *testing.T) {
 	dir := t.TempDir()
 	path := func(name string) string { return filepath.Join(dir, name) }
@@ -57,7 +58,7 @@
 	}
 	t.Setenv("STAIRVANE_BOARD", "unix:"+path("s"))
 	fleet := put("fleet.scm", desiredFleet)
-	want(exitFailed, "board", "plan", fleet) // nobody is there
+	want(exitFailed, "board", "plan", fleet) // no control plane is running
 	b, err := controlplane.New(set.ControlPlane, controlplane.Options{})
 	if err != nil {
 		t.Fatal(err)
@@ -77,7 +78,7 @@
 	want(exitDone, "carried out by apply 1; nothing changes", "apply", path("a.plan"))
 	want(exitDone, "nothing to change", "plan", fleet)
 
-	// The file is edited between plan and apply; comments and form alone do not make a plan stale.
+	// The file is edited between plan and apply. Changes of comments and formatting alone do not make a plan stale.
 	drained := strings.Replace(desiredFleet, "  (cache c-2 (like box) (at 127.0.0.1:12))\n", "", 1)
 	put("fleet.scm", drained)
 	want(exitChanges, "drain cache c-2", "plan", fleet, "--out", path("b.plan"))
@@ -85,14 +86,14 @@
 	want(exitStale, "edited since", "apply", path("b.plan"))
 	put("fleet.scm", "; a remark\n"+drained)
 
-	// Another plan moves the world; the older one is stale and says what moved.
+	// Another plan changes the observed state, which makes the older plan stale. The error names the change.
 	put("other.scm", strings.Replace(drained, "(floor 4)", "(floor 3)", 1))
 	want(exitChanges, "locate west: floor 3", "plan", path("other.scm"), "--out", path("c.plan"))
 	want(exitDone, "is done", "apply", path("c.plan"))
 	want(exitStale, "location west was floor 4", "apply", path("b.plan"))
 	want(exitStale, `"thing": "location west"`, "apply", "-o", "json", path("b.plan"))
 
-	// One that is held up, another that comes meanwhile, and the orders.
+	// Orders to an apply that waits for a long step, and attempts to start another apply before it ends.
 	slower := strings.Replace(drained, "(drain-settle 0s)", "(drain-settle 1h) (give-up 2h)", 1)
 	put("slower.scm", strings.Replace(slower, "(floor 4)", "(floor 3)", 1))
 	want(exitChanges, "set the rules", "plan", path("slower.scm"), "--out", path("d.plan"))
@@ -111,13 +112,13 @@
 	want(exitDone, "cancelled", "applies", "cancel", "4")
 	want(exitFailed, "the apply has ended", "applies", "cancel", "4")
 	want(exitFailed, "no such apply", "applies", "show", "77")
-	want(exitChanges, "back to what was before apply 4", "revert", "4", "--out", path("f.plan"))
+	want(exitChanges, "reverts to the state before apply 4", "revert", "4", "--out", path("f.plan"))
 	want(exitDone, "is done", "apply", path("f.plan"))
 	want(exitDone, "in_service  127.0.0.1:13", "world")
-	want(exitDone, "nothing is told of any box", "signals")
-	want(exitFailed, "nothing is told of c-9", "signals", "c-9")
+	want(exitDone, "no health reports on any cache", "signals")
+	want(exitFailed, "no health reports on c-9", "signals", "c-9")
 
-	// Damaged, newer, impossible, malformed.
+	// Damaged and newer plan files, impossible plans, and files that are malformed or not formatted.
 	file, err := os.ReadFile(path("a.plan"))
 	if err != nil {
 		t.Fatal(err)
@@ -144,7 +145,7 @@
 	}
 }
 
-// TestEarlierSubCommandsAreAliases guards scripts that use the sub-commands' earlier names.
+// TestEarlierSubCommandsAreAliases guards scripts that use the earlier names of the sub-commands.
 func TestEarlierSubCommandsAreAliases(t *testing.T) {
 	for earlier, name := range map[string]string{
 		"board": "control-plane", "copies": "replicas", "roll": "members", "turns": "quotas", "signals": "health", "standin": "fake",
@@ -153,7 +154,7 @@
 		status, help := call(append(strings.Fields(earlier), "--help")...)
 		wantStatus, wantHelp := call(append(strings.Fields(name), "--help")...)
 		if status != exitDone || status != wantStatus || help != wantHelp {
-			t.Errorf("%s is not %s: status %d, %s", earlier, name, status, help)
+			t.Errorf("%s is not an alias of %s: status %d, %s", earlier, name, status, help)
 		}
 	}
 }
--- a/cmd/stairvane-fleet/control_plane.go
+++ b/cmd/stairvane-fleet/control_plane.go
@@ -10,7 +10,7 @@
 	"stairvane.org/stairvane/internal/operatorconfig"
 )
 
-// controlPlaneCmd runs the control plane, or one replica of it.
+// controlPlaneCmd runs a control plane server, which may be a replica of a group.
 type controlPlaneCmd struct {
 	Config      string `arg:"" type:"path" help:"The program's file, as deploy/stairvane.scm."`
 	AcceptOlder bool   `help:"Open a store one of whose two heads can't be read; its last change may be lost."`
@@ -18,7 +18,7 @@
 	NewDisk     bool   `xor:"begin" help:"Put the store aside and begin as a new disk, which waits to be admitted."`
 }
 
-// Run serves until SIGTERM or SIGINT.
+// Run serves until the process receives SIGTERM or SIGINT.
 func (c controlPlaneCmd) Run() error {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
--- a/cmd/stairvane-fleet/director.go
+++ b/cmd/stairvane-fleet/director.go
@@ -14,12 +14,12 @@
 	"stairvane.org/stairvane/internal/operatorconfig"
 )
 
-// directorCmd runs a director with what the operator's file says beyond LB_CONFIG.
+// directorCmd runs a director with the settings of a program file in addition to the configuration in LB_CONFIG.
 type directorCmd struct {
 	Config string `arg:"" type:"path" help:"The program's file, as deploy/stairvane.scm; (director ...) is read."`
 }
 
-// Run serves as stairvane does without arguments, with what the file says beyond LB_CONFIG.
+// Run serves like stairvane without arguments, with the settings of the file in addition to LB_CONFIG.
 func (c directorCmd) Run() error {
 	settings, faults := operatorconfig.ReadProgram(c.Config, os.ReadFile)
 	if len(faults) > 0 {
@@ -29,7 +29,7 @@
 	operator := config.OperatorSettings{Cores: d.Cores, ControlPlanes: d.ControlPlanes}
 	if d.Machine != "" {
 		if d.Cores > 1 {
-			return errors.New(c.Config + ": director.machine: a director on the roll has one core")
+			return errors.New(c.Config + ": director.machine: a director that registers as a member has one core")
 		}
 		operator.Membership = &config.Membership{
 			Machine:      d.Machine,
@@ -43,7 +43,7 @@
 	if d.Claims.Listen.IsValid() {
 		operator.Claims = &config.Claims{
 			Listen:            d.Claims.Listen,
-			Allows:            allows(d.Claims.Peers),
+			Allows:            allowFunc(d.Claims.Peers),
 			MaxClaims:         d.Claims.MaxClaims,
 			UnreachablePolicy: d.Claims.UnreachablePolicy,
 			PolicyByClass:     d.Claims.PolicyByClass,
@@ -52,25 +52,25 @@
 	return director.Serve(operator)
 }
 
-// allows tells which addresses may call; without a list only loopback may.
-func allows(peers *bart.Lite) func(netip.Addr) bool {
+// allowFunc returns a function that reports whether an address may connect. If peers is nil, only loopback may.
+func allowFunc(peers *bart.Lite) func(netip.Addr) bool {
 	if peers == nil {
 		return netip.Addr.IsLoopback
 	}
 	return peers.Contains
 }
 
-// shortRevision is how many digits of a revision name a build.
-const shortRevision = 12
+// shortRevisionLength is the number of digits to which a revision is shortened.
+const shortRevisionLength = 12
 
-// buildVersion is the revision that the program was built from, as far as the build tells.
+// buildVersion returns the shortened revision from which the program was built, or "unknown" if the build information lacks it.
 func buildVersion() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return "unknown"
 	}
-	if revision := buildSetting(info, "vcs.revision"); len(revision) >= shortRevision {
-		return revision[:shortRevision]
+	if revision := buildSetting(info, "vcs.revision"); len(revision) >= shortRevisionLength {
+		return revision[:shortRevisionLength]
 	}
 	return "unknown"
 }
--- a/cmd/stairvane-fleet/fake.go
+++ b/cmd/stairvane-fleet/fake.go
@@ -10,7 +10,7 @@
 	"stairvane.org/stairvane/internal/tools/fakes"
 )
 
-// fakeCmd runs fakes of the systems around a director.
+// fakeCmd runs fakes of the systems that a director communicates with.
 type fakeCmd struct {
 	Caches fakeCachesCmd `cmd:"" help:"Listen as caches, parent caches or the origin that answer everything at once."`
 	Load   fakeLoadCmd   `cmd:"" help:"Send requests to a director and count the answers. Ends with 1 if one is lost or doubled."`
@@ -21,7 +21,7 @@
 	Addresses []string `arg:"" help:"Where to listen."`
 }
 
-// Run listens until SIGTERM or SIGINT.
+// Run serves until the process receives SIGTERM or SIGINT.
 func (c fakeCachesCmd) Run(s streams) error {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
@@ -30,7 +30,7 @@
 			return err
 		}
 	}
-	s.printf("%d stand-ins listen\n", len(c.Addresses))
+	s.printf("%d fake caches are listening\n", len(c.Addresses))
 	<-signals
 	return nil
 }
@@ -46,7 +46,7 @@
 // Run sends requests and counts the answers.
 func (c fakeLoadCmd) Run(s streams) error {
 	if c.PerSecond < 1 {
-		return errors.New("--per-second: at least 1")
+		return errors.New("--per-second must be at least 1")
 	}
 	tally, err := fakes.Load(c.Director, c.PerSecond, c.Length)
 	if err != nil {
@@ -61,7 +61,7 @@
 			tally.Sent, tally.Served, tally.Refused, tally.Failed, tally.Doubled, tally.Lost)
 	}
 	if tally.Doubled+tally.Lost > 0 {
-		return &exitError{exitFailed, "an answer is missing or came twice"}
+		return &exitError{exitFailed, "an answer is missing or was received twice"}
 	}
 	return nil
 }
--- a/cmd/stairvane-fleet/files.go
+++ b/cmd/stairvane-fleet/files.go
@@ -19,7 +19,7 @@
 	Files   []string `arg:"" help:"Files of the desired state."`
 }
 
-// Run tells all faults of all files at once.
+// Run reports all errors in all files at once.
 func (c validateCmd) Run(s streams) error {
 	faults := sexpr.FileErrors{}
 	for _, name := range c.Files {
@@ -41,7 +41,7 @@
 		}
 	}
 	if len(faults) > 0 {
-		return &exitError{exitFailed, fmt.Sprintf("%d faults", len(faults))}
+		return &exitError{exitFailed, fmt.Sprintf("%d errors", len(faults))}
 	}
 	return nil
 }
@@ -52,7 +52,7 @@
 	Files []string `arg:"" help:"Files to format."`
 }
 
-// Run formats all files, also after one of them failed.
+// Run formats all files. It continues after a file that can't be formatted.
 func (c fmtCmd) Run(s streams) error {
 	var failed error
 	for _, name := range c.Files {
@@ -68,7 +68,7 @@
 	}
 	tree, faults := sexpr.Parse(name, string(text))
 	if len(faults) > 0 {
-		return faults // a file with faults is left as it is
+		return faults // a file with syntax errors is not changed
 	}
 	formatted := []byte(sexpr.Format(tree))
 	if bytes.Equal(formatted, text) {
@@ -76,7 +76,7 @@
 	}
 	s.println(name)
 	if c.Check {
-		return fmt.Errorf("%s is not in the form", name)
+		return fmt.Errorf("%s is not in the canonical format", name)
 	}
 	info, err := os.Stat(name)
 	if err != nil {
--- a/cmd/stairvane-fleet/health.go
+++ b/cmd/stairvane-fleet/health.go
@@ -15,7 +15,7 @@
 	Cache string `arg:"" optional:"" name:"box" help:"A cache, as NAME or, of one that was started anew, NAME@BIRTH; then each director's report is shown."`
 }
 
-// Run shows all caches, or the reports on one.
+// Run shows the aggregated health of all caches, or the directors' reports on one cache.
 func (c healthCmd) Run(s streams) error {
 	client, err := c.client()
 	if err != nil {
@@ -31,14 +31,14 @@
 			return c.Cache != status.Cache && c.Cache != name
 		})
 		if len(caches) == 0 {
-			return &exitError{exitFailed, "nothing is told of " + c.Cache + ": no director with (signals) has sent there lately"}
+			return &exitError{exitFailed, "no health reports on " + c.Cache + ": no director with (signals) has sent requests there lately"}
 		}
 	}
 	switch {
 	case c.json():
 		return writeJSON(s.out, caches)
 	case len(caches) == 0:
-		s.println("nothing is told of any box: no director with (signals) has sent anything lately")
+		s.println("no health reports on any cache: no director with (signals) has sent requests lately")
 		return nil
 	case c.Cache == "":
 		return showAggregates(s, caches)
@@ -49,7 +49,7 @@
 func showAggregates(s streams, caches []health.CacheStatus) error {
 	var rows [][]string
 	for _, status := range caches {
-		share, latency, age := "too few tell", "", ""
+		share, latency, age := "too few reports", "", ""
 		if status.Enough {
 			share, latency = percent(status.FailureShare), fmt.Sprintf("%.0f ms", status.LagMS)
 			if status.FailureShare > 0 {
@@ -58,7 +58,7 @@
 		}
 		rows = append(rows, []string{status.Cache, share, latency, fmt.Sprint(status.Machines), fmt.Sprint(len(status.By)), age})
 	}
-	return writeTable(s, rows, "box", "go wrong", "answers late by", "by machines", "directors", "newest fault")
+	return writeTable(s, rows, "box", "failure share", "excess latency", "reporting machines", "directors", "newest fault")
 }
 
 func showReports(s streams, caches []health.CacheStatus) error {
@@ -71,7 +71,7 @@
 			})
 		}
 	}
-	return writeTable(s, rows, "box", "director", "machine", "attempts", "went wrong", "of the last few", "answers late by", "heard")
+	return writeTable(s, rows, "box", "director", "machine", "attempts", "failures", "recent failure share", "excess latency", "heard")
 }
 
 func percent(share float64) string { return fmt.Sprintf("%.0f %%", 100*share) }
--- a/cmd/stairvane-fleet/main.go
+++ b/cmd/stairvane-fleet/main.go
@@ -1,6 +1,6 @@
-// Command stairvane-fleet holds the sub-commands of stairvane: the control plane that keeps the fleet's state, the relay, the tools
-// that plan and apply changes, and the views of what the control plane knows. It is a program of its own so that the director, which
-// needs none of their libraries, is not made larger by them; stairvane runs it for whatever it is called with.
+// Command stairvane-fleet implements the sub-commands of stairvane: the control plane, which stores the state of the fleet, the relay, the
+// commands that plan and apply changes, and those that show the state of the control plane. It is a separate program so that the director
+// binary does not contain their libraries, none of which it needs. stairvane executes it if it is started with arguments.
 package main
 
 import (
@@ -10,20 +10,20 @@
 	"stairvane.org/stairvane/internal/logging"
 )
 
-// Exit statuses, which are part of what the commands promise.
+// Exit statuses. They are part of the interface of the commands.
 const (
 	exitDone    = 0
-	exitFailed  = 1 // also a plan that no order of steps allows, and a command line that can't be read
-	exitChanges = 2 // plan: there is something to change
+	exitFailed  = 1 // also if no order of steps keeps the constraints of a plan, or the command line is invalid
+	exitChanges = 2 // plan: there are changes to apply
 	exitStale   = 3 // apply: the plan is stale
-	exitBusy    = 4 // apply: another apply is under way
-	exitDamaged = 5 // the plan file is damaged, or of a newer version
-	exitStopped = 6 // apply: paused, cancelled or reverted before its end
+	exitBusy    = 4 // apply: another apply is in progress
+	exitDamaged = 5 // the plan file is damaged or has a newer version
+	exitStopped = 6 // apply: paused, cancelled or reverted before it was complete
 )
 
 func main() {
 	if err := logging.Setup(); err != nil {
-		_, _ = fmt.Fprintln(os.Stderr, "stairvane:", err) // nothing else can be reported where standard error fails
+		_, _ = fmt.Fprintln(os.Stderr, "stairvane:", err) // if standard error fails, there is no other place to report it
 		os.Exit(exitFailed)
 	}
 	os.Exit(runCommand(os.Args[1:], os.Stdout, os.Stderr))
--- a/cmd/stairvane-fleet/members.go
+++ b/cmd/stairvane-fleet/members.go
@@ -8,16 +8,16 @@
 	"stairvane.org/stairvane/internal/fleet"
 )
 
-// shortIncarnation is how many characters of an incarnation are shown.
-const shortIncarnation = 8
+// shortIncarnationLength is the number of characters of an incarnation that are shown.
+const shortIncarnationLength = 8
 
-// membersCmd shows which directors there are.
+// membersCmd lists the directors and relays.
 type membersCmd struct {
 	controlPlaneFlags
 	outputFlags
 }
 
-// Run shows directors and relays.
+// Run shows the directors and the relays.
 func (c membersCmd) Run(s streams) error {
 	client, err := c.client()
 	if err != nil {
@@ -36,7 +36,7 @@
 	if err := showRelays(s, members.Relays); err != nil {
 		return err
 	}
-	s.printf("%d directors at event %d; %d parts of the claims are moving\n", len(members.Directors), members.Revision, members.Moving)
+	s.printf("%d directors at event %d; %d shards of the claims are moving\n", len(members.Directors), members.Revision, members.Moving)
 	return nil
 }
 
@@ -47,7 +47,7 @@
 		if d.Suspected {
 			lastHeard += ", suspected"
 		}
-		claims := "takes none"
+		claims := "none"
 		if d.Claims != "" {
 			claims = fmt.Sprintf("decides on %d of %d", d.Shards, fleet.ShardCount)
 		}
@@ -57,7 +57,7 @@
 	return writeTable(s, rows, "director", "incarnation", "location", "machine", "site", "version", "heard", "by relay", "claims")
 }
 
-// showRelays lists the relays, if there are any.
+// showRelays writes a table of the relays, if there are any.
 func showRelays(s streams, relays []api.RelayStatus) error {
 	if len(relays) == 0 {
 		return nil
@@ -76,4 +76,6 @@
 	return writeTable(s, rows, "relay", "incarnation", "region", "machine", "site", "directors", "acknowledged", "stale", "renewed")
 }
 
-func shorten(incarnation string) string { return incarnation[:min(shortIncarnation, len(incarnation))] }
+func shorten(incarnation string) string {
+	return incarnation[:min(shortIncarnationLength, len(incarnation))]
+}
--- a/cmd/stairvane-fleet/model.go
+++ b/cmd/stairvane-fleet/model.go
@@ -9,7 +9,7 @@
 	"stairvane.org/stairvane/internal/tools/fleetsim"
 )
 
-// modelCmd plays a fleet that divides limits by quotas, with virtual time.
+// modelCmd simulates a fleet that shares limits by quotas, in virtual time.
 type modelCmd struct {
 	outputFlags
 	Directors []int         `default:"10,50" help:"Directors at the start; each number is a run. A thousand take a quarter of an hour."`
@@ -28,43 +28,43 @@
 }
 
 const (
-	modelNoteInterval = 2 * time.Second // from one note of the progress to the next
-	modelSettles      = 2 * time.Second // of the model's time, before fairness counts
-	limitTolerance    = 1e-9            // over a whole limit, for rounding
+	modelProgressInterval = 2 * time.Second // between progress messages
+	modelSettleTime       = 2 * time.Second // virtual time at the start of a run in which fairness is ignored
+	limitTolerance        = 1e-9            // excess over a limit, as a fraction of it, that is attributed to rounding
 )
 
-// modelRow is a run in short.
+// modelRow is the summary of a run.
 type modelRow struct {
-	Directors       int     `json:"directors"`
-	Worst           float64 `json:"worst"`
-	Used            float64 `json:"used"`
-	Fairness        float64 `json:"fairness"`
-	UnusedMS        int64   `json:"unused_ms"`
-	MessagesPerS    float64 `json:"messages_per_s"`
-	BytesPerS       float64 `json:"bytes_per_s"`
-	RollEvents      int     `json:"roll_events"`
-	ModelTookMS     int64   `json:"took_ms"`
-	LimitWasNotKept bool    `json:"limit_passed"`
+	Directors         int     `json:"directors"`
+	Worst             float64 `json:"worst"`
+	Used              float64 `json:"used"`
+	Fairness          float64 `json:"fairness"`
+	UnusedMS          int64   `json:"unused_ms"`
+	MessagesPerS      float64 `json:"messages_per_s"`
+	BytesPerS         float64 `json:"bytes_per_s"`
+	MembershipChanges int     `json:"roll_events"`
+	ElapsedMS         int64   `json:"took_ms"`
+	LimitExceeded     bool    `json:"limit_passed"`
 }
 
-// Run plays one run for each number of directors.
+// Run simulates one run for each number of directors and shows the results.
 func (c modelCmd) Run(s streams) error {
 	if c.Plot != "" && !slices.Contains([]string{".svg", ".png", ".pdf"}, filepath.Ext(c.Plot)) {
-		return fmt.Errorf("--plot: %s ends in none of .svg, .png, .pdf", c.Plot)
+		return fmt.Errorf("--plot: the extension of %s is not one of .svg, .png, .pdf", c.Plot)
 	}
 	var rows []modelRow
-	passed := 0
+	exceeded := 0
 	for i, directors := range c.Directors {
 		row, result, err := c.run(s, directors)
 		if err != nil {
 			return err
 		}
-		if row.LimitWasNotKept {
-			passed++
+		if row.LimitExceeded {
+			exceeded++
 		}
 		rows = append(rows, row)
 		if i == 0 && c.Plot != "" {
-			if err := drawModel(result, c.Plot); err != nil {
+			if err := plotRun(result, c.Plot); err != nil {
 				return fmt.Errorf("--plot: %w", err)
 			}
 		}
@@ -72,15 +72,15 @@
 	if err := c.write(s, rows); err != nil {
 		return err
 	}
-	if passed > 0 {
-		return &exitError{exitFailed, fmt.Sprintf("a limit was passed in %d of %d runs", passed, len(rows))}
+	if exceeded > 0 {
+		return &exitError{exitFailed, fmt.Sprintf("a limit was exceeded in %d of %d runs", exceeded, len(rows))}
 	}
 	return nil
 }
 
-// run plays one run and notes its progress.
+// run simulates one run and writes its progress to standard error.
 func (c modelCmd) run(s streams, directors int) (modelRow, fleetsim.Result, error) {
-	started, noted := time.Now(), time.Now()
+	started, lastProgress := time.Now(), time.Now()
 	result, err := fleetsim.Run(fleetsim.Config{
 		Seed:         c.Seed,
 		Directors:    directors,
@@ -95,30 +95,30 @@
 		NewAllocator: c.Regrant,
 		EvenShares:   c.Even,
 	}, func(done float64) {
-		if time.Since(noted) > modelNoteInterval {
-			noted = time.Now()
-			s.notef("%d directors: %.0f %%\n", directors, 100*done)
+		if time.Since(lastProgress) > modelProgressInterval {
+			lastProgress = time.Now()
+			s.stderrf("%d directors: %.0f %%\n", directors, 100*done)
 		}
 	})
 	if err != nil {
 		return modelRow{}, result, err
 	}
 	row := modelRow{
-		Directors:       directors,
-		Worst:           result.Worst,
-		Fairness:        1,
-		UnusedMS:        result.Unused.Milliseconds(),
-		MessagesPerS:    float64(result.Messages) / c.Length.Seconds(),
-		BytesPerS:       float64(result.Bytes) / c.Length.Seconds(),
-		RollEvents:      result.MembershipEvents,
-		ModelTookMS:     time.Since(started).Milliseconds(),
-		LimitWasNotKept: result.Worst > 1+limitTolerance,
+		Directors:         directors,
+		Worst:             result.Worst,
+		Fairness:          1,
+		UnusedMS:          result.Unused.Milliseconds(),
+		MessagesPerS:      float64(result.Messages) / c.Length.Seconds(),
+		BytesPerS:         float64(result.Bytes) / c.Length.Seconds(),
+		MembershipChanges: result.MembershipEvents,
+		ElapsedMS:         time.Since(started).Milliseconds(),
+		LimitExceeded:     result.Worst > 1+limitTolerance,
 	}
 	used, usable := 0.0, 0.0
 	for _, point := range result.Points {
 		used += point.Used
 		usable += point.Usable
-		if point.At > modelSettles {
+		if point.At > modelSettleTime {
 			row.Fairness = min(row.Fairness, point.Fairness)
 		}
 	}
@@ -140,9 +140,9 @@
 			fmt.Sprintf("%d ms", r.UnusedMS),
 			fmt.Sprintf("%.0f", r.MessagesPerS),
 			fmt.Sprintf("%.1f", r.BytesPerS/1000),
-			fmt.Sprint(r.RollEvents),
+			fmt.Sprint(r.MembershipChanges),
 		})
 	}
 	return writeTable(s, cells,
-		"directors", "worst sum", "used of what could be", "least fairness", "longest unused", "messages/s", "kB/s", "roll events")
+		"directors", "maximum total", "used of usable", "minimum fairness", "longest underuse", "messages/s", "kB/s", "membership events")
 }
--- a/cmd/stairvane-fleet/model_plot.go
+++ b/cmd/stairvane-fleet/model_plot.go
@@ -9,17 +9,17 @@
 	"stairvane.org/stairvane/internal/tools/fleetsim"
 )
 
-// Size of the drawing.
+// Size of the plot.
 const (
 	plotWidth  = 18 * vg.Centimeter
 	plotHeight = 10 * vg.Centimeter
 )
 
-// drawModel draws a run over time to a file whose ending gives the format.
-func drawModel(result fleetsim.Result, path string) error {
-	most := 1
+// plotRun plots a run over time to a file, in the format that the extension of the file names.
+func plotRun(result fleetsim.Result, path string) error {
+	maxDirectors := 1
 	for _, point := range result.Points {
-		most = max(most, point.Directors)
+		maxDirectors = max(maxDirectors, point.Directors)
 	}
 	line := func(value func(fleetsim.Point) float64) plotter.XYs {
 		xy := make(plotter.XYs, len(result.Points))
@@ -30,12 +30,12 @@
 	}
 	p := plot.New()
 	p.X.Label.Text = "seconds"
-	p.Y.Label.Text = "of a limit; fairness; directors, of the most"
+	p.Y.Label.Text = "fraction of the limit; fairness; fraction of the maximum directors"
 	err := plotutil.AddLines(p,
-		"worst sum", line(func(x fleetsim.Point) float64 { return x.Worst }),
-		"used of what could be", line(func(x fleetsim.Point) float64 { return x.Used / max(x.Usable, 1e-9) }),
+		"maximum total", line(func(x fleetsim.Point) float64 { return x.Worst }),
+		"used of usable", line(func(x fleetsim.Point) float64 { return x.Used / max(x.Usable, 1e-9) }),
 		"fairness (Jain)", line(func(x fleetsim.Point) float64 { return x.Fairness }),
-		"directors", line(func(x fleetsim.Point) float64 { return float64(x.Directors) / float64(most) }))
+		"directors", line(func(x fleetsim.Point) float64 { return float64(x.Directors) / float64(maxDirectors) }))
 	if err != nil {
 		return err
 	}
--- a/cmd/stairvane-fleet/plan.go
+++ b/cmd/stairvane-fleet/plan.go
@@ -15,7 +15,7 @@
 	"stairvane.org/stairvane/internal/operatorconfig"
 )
 
-// planCmd plans the way to a desired state.
+// planCmd plans the steps from the observed to a desired state.
 type planCmd struct {
 	controlPlaneFlags
 	outputFlags
@@ -24,7 +24,8 @@
 	Wait time.Duration `help:"Wait so long for a control plane that is just starting."`
 }
 
-// Run plans here, from the state that the control plane tells; the control plane judges the plan again when it is applied.
+// Run makes the plan in this process, from the state that the control plane reports. The control plane validates the plan when it is
+// applied.
 func (c planCmd) Run(s streams) error {
 	desired, faults := operatorconfig.ReadFleet(c.File, os.ReadFile)
 	if len(faults) > 0 {
@@ -66,13 +67,13 @@
 	return state.ObservedState()
 }
 
-// writePlan shows a plan and writes its file, if it is given a path. Its status tells whether there is anything to do.
-func writePlan(s streams, p *plan.Plan, path string, form outputFlags) error {
+// writePlan shows a plan and, unless path is empty, writes it to a file. It returns an error with status exitChanges if the plan has steps.
+func writePlan(s streams, p *plan.Plan, path string, output outputFlags) error {
 	file, err := plan.Encode(p)
 	if err != nil {
 		return err
 	}
-	if err := showPlan(s, p, form); err != nil {
+	if err := showPlan(s, p, output); err != nil {
 		return err
 	}
 	if path != "" {
@@ -101,7 +102,7 @@
 	return showPlan(s, p, c.outputFlags)
 }
 
-// readPlan reads a plan file; errors name it.
+// readPlan reads a plan file, and returns the plan and the contents of the file. Errors contain the path.
 func readPlan(path string) (*plan.Plan, []byte, error) {
 	file, err := os.ReadFile(path)
 	if err != nil {
@@ -114,16 +115,16 @@
 	return p, file, nil
 }
 
-// shownKinds is the order in which a plan's steps are summed up.
-var shownKinds = []plan.Kind{
+// summaryKinds lists the kinds of steps in the order in which the summary of a plan shows them.
+var summaryKinds = []plan.Kind{
 	plan.Add, plan.Raise, plan.Lower, plan.Drain, plan.Remove, plan.Locate, plan.Widen, plan.Narrow, plan.Forget, plan.SetRules,
 }
 
-// shortSum is how many digits of a plan's checksum are shown.
-const shortSum = 16
+// shortSumLength is the number of digits of a plan's checksum that are shown.
+const shortSumLength = 16
 
-func showPlan(s streams, p *plan.Plan, form outputFlags) error {
-	if form.json() {
+func showPlan(s streams, p *plan.Plan, output outputFlags) error {
+	if output.json() {
 		return writeJSON(s.out, p)
 	}
 	if len(p.Steps) == 0 {
@@ -134,9 +135,9 @@
 	if err != nil {
 		return err
 	}
-	s.printf("plan %s\nat revision %d, wish %s, %d things read\n", sum[:shortSum], p.Revision, p.DesiredSum, len(p.Reads))
+	s.printf("plan %s\nat revision %d, desired state %s, %d objects read\n", sum[:shortSumLength], p.Revision, p.DesiredSum, len(p.Reads))
 	if p.RevertOf != 0 {
-		s.printf("back to what was before apply %d\n", p.RevertOf)
+		s.printf("reverts to the state before apply %d\n", p.RevertOf)
 	}
 	counts := map[plan.Kind]int{}
 	group, wave := -1, -1
@@ -149,16 +150,16 @@
 		counts[step.Kind]++
 	}
 	var sums []string
-	for _, kind := range shownKinds {
+	for _, kind := range summaryKinds {
 		if counts[kind] > 0 {
 			sums = append(sums, fmt.Sprintf("%d %s", counts[kind], kind))
 		}
 	}
-	s.printf("%d steps: %s; on trouble: %s\n", len(p.Steps), strings.Join(sums, ", "), p.Rules.OnFault)
+	s.printf("%d steps: %s; on a fault: %s\n", len(p.Steps), strings.Join(sums, ", "), p.Rules.OnFault)
 	return nil
 }
 
-// revertCmd plans back to what the fleet was before an apply.
+// revertCmd plans the steps back to the state before an apply.
 type revertCmd struct {
 	controlPlaneFlags
 	outputFlags
@@ -166,7 +167,7 @@
 	Out string `type:"path" help:"Write the plan to this file, for apply."`
 }
 
-// Run makes a new plan; nothing is changed before it is applied.
+// Run makes a new plan. It changes nothing until the plan is applied.
 func (c revertCmd) Run(s streams) error {
 	client, err := c.client()
 	if err != nil {
--- a/cmd/stairvane-fleet/progress.go
+++ b/cmd/stairvane-fleet/progress.go
@@ -14,27 +14,27 @@
 
 const barWidth = 48 // columns
 
-// progress shows an apply: a bar on a terminal, and one line a step elsewhere; with JSON, one object a step.
+// progress shows the progress of an apply: a bar on a terminal, one line per step elsewhere, or one object per step as JSON.
 type progress struct {
-	s     streams
-	form  outputFlags
-	shown map[int]apply.Phase // by step
-	bars  *mpb.Progress       // nil: no bar
-	bar   *mpb.Bar            // nil: nothing was shown yet
+	s      streams
+	output outputFlags
+	shown  map[int]apply.Phase // last phase shown, by step ID
+	bars   *mpb.Progress       // nil: no bar
+	bar    *mpb.Bar            // nil: not shown yet
 }
 
-func newProgress(s streams, form outputFlags) *progress {
-	p := &progress{s: s, form: form, shown: map[int]apply.Phase{}}
-	if f, is := s.out.Writer.(*os.File); is && !form.json() && isatty.IsTerminal(f.Fd()) {
+func newProgress(s streams, output outputFlags) *progress {
+	p := &progress{s: s, output: output, shown: map[int]apply.Phase{}}
+	if f, is := s.out.Writer.(*os.File); is && !output.json() && isatty.IsTerminal(f.Fd()) {
 		p.bars = mpb.New(mpb.WithOutput(s.out), mpb.WithWidth(barWidth))
 	}
 	return p
 }
 
-// show brings the display to where the apply is.
-func (p *progress) show(a api.Apply) error {
+// update shows what has changed since the last update.
+func (p *progress) update(a api.Apply) error {
 	if p.bars != nil {
-		p.showBar(a)
+		p.updateBar(a)
 		return nil
 	}
 	for _, step := range a.Steps {
@@ -42,7 +42,7 @@
 			continue
 		}
 		p.shown[step.ID] = step.Phase
-		if p.form.json() {
+		if p.output.json() {
 			if err := writeJSON(p.s.out, step); err != nil {
 				return err
 			}
@@ -57,7 +57,7 @@
 	return p.s.out.err
 }
 
-func (p *progress) showBar(a api.Apply) {
+func (p *progress) updateBar(a api.Apply) {
 	if p.bar == nil {
 		p.bar = p.bars.AddBar(int64(a.Record.Steps),
 			mpb.PrependDecorators(decor.Name(fmt.Sprintf("apply %d ", a.ID)), decor.CountersNoUnit("%d/%d")),
@@ -66,7 +66,7 @@
 	p.bar.SetCurrent(int64(a.StepsDone))
 }
 
-// close ends the bar, if there is one. It may be called again.
+// close finishes the bar, if there is one. It may be called more than once.
 func (p *progress) close() {
 	if p.bars == nil {
 		return
--- a/cmd/stairvane-fleet/purge.go
+++ b/cmd/stairvane-fleet/purge.go
@@ -10,7 +10,7 @@
 	Group  *int   `xor:"what" required:"" help:"The group, 0 to 255."`
 }
 
-// Run returns once the purge is durable at a majority of the replicas.
+// Run submits the purge and returns once it is durable on a majority of the replicas.
 func (c purgeCmd) Run(s streams) error {
 	client, err := c.client()
 	if err != nil {
--- a/cmd/stairvane-fleet/quickstart_test.go
+++ b/cmd/stairvane-fleet/quickstart_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// TestQuickStart runs the commands of the README's quick start as they stand there, one after the other.
+// TestQuickStart runs the commands of the quick start in the README, unchanged and in order.
 func TestQuickStart(t *testing.T) {
 	out := quickStart(t, "quick start")
 	for _, want := range []string{
@@ -20,24 +20,25 @@
 		"this plan was carried out by apply 2; nothing changes", " 0 failed, 0 doubled, 0 lost", "c-5",
 	} {
 		if !strings.Contains(out, want) {
-			t.Errorf("it does not show %q\n%s", want, out)
+			t.Errorf("the output does not contain %q\n%s", want, out)
 		}
 	}
 }
 
-// TestQuickStartOfReplicas does the same with three replicas, of which one is killed.
+// TestQuickStartOfReplicas runs the quick start with three replicas, one of which is killed.
 func TestQuickStartOfReplicas(t *testing.T) {
 	out := quickStart(t, "quick start of replicas")
 	for _, want := range []string{
-		"apply 1 is done: 7 steps", "3 copies vote, all are there", "purged by event 8", "not for ", "the group bears the loss of 1",
-		" 0 failed, 0 doubled, 0 lost",
+		"apply 1 is done: 7 steps", "3 replicas vote, all are up to date", "purged by event 8", "silent for ",
+		"the group tolerates the loss of 1", " 0 failed, 0 doubled, 0 lost",
 	} {
 		if !strings.Contains(out, want) {
-			t.Errorf("it does not show %q\n%s", want, out)
+			t.Errorf("the output does not contain %q\n%s", want, out)
 		}
 	}
 }
 
+// quickStart runs the commands in the README after a marker comment, and returns their standard output.
 func quickStart(t *testing.T, mark string) string {
 	t.Helper()
 	root, err := filepath.Abs("../..")
--- a/cmd/stairvane-fleet/quotas.go
+++ b/cmd/stairvane-fleet/quotas.go
@@ -10,7 +10,7 @@
 	outputFlags
 }
 
-// Run shows who holds what share of which limit.
+// Run shows which director holds what share of each limit, and for how long.
 func (c quotasCmd) Run(s streams) error {
 	client, err := c.client()
 	if err != nil {
@@ -24,7 +24,7 @@
 		return writeJSON(s.out, allocations)
 	}
 	if len(allocations) == 0 {
-		s.println("nothing is shared by turns at the moment")
+		s.println("no quotas are in force")
 		return nil
 	}
 	var rows [][]string
--- a/cmd/stairvane-fleet/recover.go
+++ b/cmd/stairvane-fleet/recover.go
@@ -9,24 +9,24 @@
 	"stairvane.org/stairvane/internal/operatorconfig"
 )
 
-// replicasRecoverCmd begins a new group from one replica.
+// replicasRecoverCmd founds a new group from one replica.
 type replicasRecoverCmd struct {
 	outputFlags
 	Config string `arg:"" type:"path" help:"The program's file of the replica, whose process is stopped."`
 	Yes    bool   `help:"Do it. Without this it says what may be lost and changes nothing."`
 }
 
-const lostByRecovery = "What other copies have accepted beyond that is lost, and so is what was accepted while this copy was away. " +
-	"Look at each\ncopy that can still be read, and take the one with the highest index."
+const lostByRecovery = "Changes that other replicas accepted after that are lost, as are those accepted while this replica was down. " +
+	"Check each\nreplica that can still be read, and use the one with the highest index."
 
-// Run says what may be lost, and with --yes begins the group.
+// Run shows what may be lost and, with --yes, founds the group.
 func (c replicasRecoverCmd) Run(s streams) error {
 	settings, faults := operatorconfig.ReadProgram(c.Config, os.ReadFile)
 	if len(faults) > 0 {
 		return faults
 	}
 	if settings.ControlPlane.Replicas.Self == "" {
-		return errors.New(c.Config + ": the file lists no copies")
+		return errors.New(c.Config + ": the file has no (copies ...)")
 	}
 	r, err := replicas.Recover(settings.ControlPlane, c.Yes)
 	if err != nil {
@@ -35,16 +35,16 @@
 	if c.json() {
 		return writeJSON(s.out, r)
 	}
-	s.printf("copy %s has the history up to event %d, of %s (index %d of term %d in the log",
+	s.printf("replica %s has the event log up to event %d, of %s (index %d of term %d in the consensus log",
 		r.Replica, r.Revision, time.UnixMilli(r.LastEventMS).UTC().Format(time.RFC3339), r.Applied, r.Term)
 	if r.Undecided > 0 {
-		s.printf("; %d entries after it are not known to be accepted and are dropped", r.Undecided)
+		s.printf("; %d entries after it are not known to be committed and are dropped", r.Undecided)
 	}
 	s.println(")")
 	s.println(lostByRecovery)
 	if !c.Yes {
-		return &exitError{exitFailed, "nothing was changed; --yes does it"}
+		return &exitError{exitFailed, "nothing was changed; use --yes to found the group"}
 	}
-	s.println("it is the first of a new group. Start it as usual; start the others with --new-disk, once they are there")
+	s.println("it is the first replica of a new group. Start it as usual; start the others with --new-disk once they are available")
 	return nil
 }
--- a/cmd/stairvane-fleet/relay.go
+++ b/cmd/stairvane-fleet/relay.go
@@ -15,7 +15,7 @@
 	Config string `arg:"" type:"path" help:"The program's file; (relay ...) is read."`
 }
 
-// Run serves until SIGTERM or SIGINT; a second one ends it at once.
+// Run serves until the process receives SIGTERM or SIGINT, and then drains its watchers. A second signal stops it at once.
 func (c relayCmd) Run() error {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
--- a/cmd/stairvane-fleet/replicas.go
+++ b/cmd/stairvane-fleet/replicas.go
@@ -24,14 +24,14 @@
 	outputFlags
 }
 
-// replicaAnswer is what one replica answered.
+// replicaAnswer is the answer of one replica, or the error of the request.
 type replicaAnswer struct {
 	Address string `json:"address"`
 	Error   string `json:"error,omitempty"`
 	*api.GroupStatus
 }
 
-// Run asks every replica and shows the leader's view.
+// Run requests the status of every replica, and shows it with the leader's view of the group.
 func (c replicasShowCmd) Run(s streams) error {
 	client, err := c.client()
 	if err != nil {
@@ -57,7 +57,7 @@
 		err = showGroup(s, answers, leader)
 	}
 	if err == nil && leader == nil {
-		err = &exitError{exitFailed, "no copy leads, of those that were asked"}
+		err = &exitError{exitFailed, "no leader among the replicas that answered"}
 	}
 	return err
 }
@@ -68,16 +68,16 @@
 		case a.GroupStatus == nil:
 			s.printf("%s: no answer: %s\n", a.Address, a.Error)
 		case a.Reason != "":
-			s.printf("%s: copy %s is %s: %s\n", a.Address, a.Name, a.Phase, a.Reason)
+			s.printf("%s: replica %s is %s: %s\n", a.Address, a.Name, a.Phase, a.Reason)
 		default:
-			s.printf("%s: copy %s is %s, term %d, event %d, taken over up to %d\n",
+			s.printf("%s: replica %s is %s, term %d, event %d, applied up to %d\n",
 				a.Address, a.Name, a.Phase, a.Term, a.Revision, a.Applied)
 		}
 	}
 	if leader == nil {
 		return nil
 	}
-	s.printf("copy %s leads; the group bears the loss of %d\n", leader.Name, leader.ToleratedFailures)
+	s.printf("replica %s is the leader; the group tolerates the loss of %d\n", leader.Name, leader.ToleratedFailures)
 	var rows [][]string
 	for _, r := range leader.Replicas {
 		rows = append(rows, replicaRow(r))
@@ -86,7 +86,7 @@
 		return err
 	}
 	for _, name := range leader.Waiting {
-		s.printf("copy %s waits to be let in\n", name)
+		s.printf("replica %s waits to be admitted\n", name)
 	}
 	return nil
 }
@@ -101,27 +101,27 @@
 	}
 	alive := "yes"
 	if !r.Alive {
-		alive = "not for " + (time.Duration(r.SilentMS) * time.Millisecond).Round(100*time.Millisecond).String()
+		alive = "silent for " + (time.Duration(r.SilentMS) * time.Millisecond).Round(100*time.Millisecond).String()
 	}
 	return []string{
 		r.Name, r.Machine, r.Site, r.Disk, votes, alive, fmt.Sprint(r.Behind), fmt.Sprint(r.Acknowledged), fmt.Sprintf("%d ms", r.LeaseMS),
 	}
 }
 
-// replicasWaitCmd waits for a complete group.
+// replicasWaitCmd waits until the group is complete.
 type replicasWaitCmd struct {
 	controlPlaneFlags
 	outputFlags
 	For time.Duration `default:"1m" help:"For how long."`
 }
 
-// Run waits until all listed replicas vote and have all entries.
+// Run waits until all configured replicas vote and have all log entries.
 func (c replicasWaitCmd) Run(s streams) error {
 	client, err := c.client()
 	if err != nil {
 		return err
 	}
-	lastNote := ""
+	lastMessage := ""
 	for deadline := time.Now().Add(c.For); ; time.Sleep(pollInterval) {
 		leader := findLeader(client)
 		voters, current := countVoters(leader)
@@ -129,24 +129,24 @@
 			if c.json() {
 				return writeJSON(s.out, leader)
 			}
-			s.printf("%d copies vote, all are there\n", voters)
+			s.printf("%d replicas vote, all are up to date\n", voters)
 			return nil
 		}
-		note := "no copy leads"
+		message := "there is no leader"
 		if leader != nil {
-			note = fmt.Sprintf("%d of %d copies vote, %d of them are there", voters, leader.Configured, current)
+			message = fmt.Sprintf("%d of %d replicas vote, %d of them are up to date", voters, leader.Configured, current)
 		}
-		if note != lastNote {
-			s.notef("%s\n", note)
-			lastNote = note
+		if message != lastMessage {
+			s.stderrf("%s\n", message)
+			lastMessage = message
 		}
 		if time.Now().After(deadline) {
-			return &exitError{exitFailed, "the group is not whole: " + note}
+			return &exitError{exitFailed, "the group is not complete: " + message}
 		}
 	}
 }
 
-// findLeader asks all replicas; nil if none leads.
+// findLeader requests the status of all replicas and returns that of the leader, or nil if there is none.
 func findLeader(client *api.Client) (leader *api.GroupStatus) {
 	client.EachReplica(func(_ string, status api.GroupStatus, err error) {
 		if err == nil && status.IsLeader {
@@ -156,7 +156,7 @@
 	return leader
 }
 
-// countVoters counts the replicas that vote, and those of them that lack no entry.
+// countVoters returns the number of replicas that vote, and the number of these that are alive and have all log entries.
 func countVoters(leader *api.GroupStatus) (voters, current int) {
 	if leader == nil {
 		return 0, 0
@@ -173,13 +173,13 @@
 	return voters, current
 }
 
-// replicaChangeFlags are those of the commands that change the group.
+// replicaChangeFlags holds the flags of the commands that change the group.
 type replicaChangeFlags struct {
 	controlPlaneFlags
 	outputFlags
 }
 
-// change has the leader change the group, and prints done.
+// change requests a change of the group from the leader, and prints the message done once the leader has accepted it.
 func (c replicaChangeFlags) change(s streams, change api.ReplicaChange, done string) error {
 	client, err := c.client()
 	if err != nil {
@@ -201,9 +201,9 @@
 	Name string `arg:"" help:"The replica, as the leader's file lists it."`
 }
 
-// Run admits a disk.
+// Run admits a waiting disk.
 func (c replicasAddCmd) Run(s streams) error {
-	return c.change(s, api.ReplicaChange{Action: "add", Name: c.Name}, "copy "+c.Name+" is let in; it votes once it has caught up")
+	return c.change(s, api.ReplicaChange{Action: "add", Name: c.Name}, "replica "+c.Name+" is admitted; it will vote once it has caught up")
 }
 
 type replicasRemoveCmd struct {
@@ -215,7 +215,7 @@
 // Run removes a replica.
 func (c replicasRemoveCmd) Run(s streams) error {
 	change := api.ReplicaChange{Action: "remove", Name: c.Name, AllowLowerTolerance: c.Fewer}
-	return c.change(s, change, "copy "+c.Name+" is being taken out")
+	return c.change(s, change, "replica "+c.Name+" is being removed")
 }
 
 type replicasReplaceCmd struct {
@@ -227,7 +227,7 @@
 // Run replaces a replica's disk.
 func (c replicasReplaceCmd) Run(s streams) error {
 	change := api.ReplicaChange{Action: "replace", Name: c.Name, Replacement: c.Replacement}
-	return c.change(s, change, "the new disk is let in; it takes the place of copy "+c.Name+" once it has caught up")
+	return c.change(s, change, "the new disk is admitted; it will replace replica "+c.Name+" once it has caught up")
 }
 
 type replicasHandOverCmd struct {
@@ -235,7 +235,7 @@
 	Name string `arg:"" optional:"" help:"The replica that is to lead; by default the one that is furthest."`
 }
 
-// Run transfers the leadership.
+// Run starts a transfer of the leadership.
 func (c replicasHandOverCmd) Run(s streams) error {
-	return c.change(s, api.ReplicaChange{Action: "hand-over", Name: c.Name}, "the lead is being handed over")
+	return c.change(s, api.ReplicaChange{Action: "hand-over", Name: c.Name}, "the leadership is being transferred")
 }
--- a/cmd/stairvane-fleet/scale.go
+++ b/cmd/stairvane-fleet/scale.go
@@ -21,7 +21,7 @@
 	Simulated scaleSimulatedCmd `cmd:"" aliases:"hollow" hidden:"" help:"Simulated directors of a run, in one process."`
 }
 
-// scaleRunCmd makes one run.
+// scaleRunCmd runs one measurement at several sizes.
 type scaleRunCmd struct {
 	outputFlags
 	Directors  []int         `default:"100,200,400" help:"Sizes: simulated directors."`
@@ -77,7 +77,7 @@
 	return settings, err
 }
 
-// Run measures; what was measured is written also where the run ends early.
+// Run runs the measurement and writes the result, which is also written if the run ends early.
 func (c scaleRunCmd) Run(s streams) error {
 	settings, err := c.settings()
 	if err != nil {
@@ -92,11 +92,11 @@
 	if err != nil {
 		return err
 	}
-	s.notef("settings: %s\n", shown)
+	s.stderrf("settings: %s\n", shown)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	result, runErr := scale.Run(ctx, settings, func(r scale.Row) {
-		s.notef("%d hollow directors measured, load average %.1f\n", r.Simulated, r.LoadAverage[1])
+		s.stderrf("%d simulated directors measured, load average %.1f\n", r.Simulated, r.LoadAverage[1])
 	})
 	if len(result.Rows) > 0 {
 		err = c.write(s, result)
@@ -108,22 +108,23 @@
 		return err
 	}
 	if last := result.Rows[len(result.Rows)-1]; len(last.Collapsed) > 0 {
-		return &exitError{exitFailed, fmt.Sprintf("%d hollow directors are more than the control plane bears here", last.Simulated)}
+		return &exitError{exitFailed, fmt.Sprintf("the control plane collapsed at %d simulated directors on this machine", last.Simulated)}
 	}
 	return nil
 }
 
-// makeFolder makes the folder of the run's files. What it returns removes it, unless it is to stay.
+// makeFolder creates the folder for the files of the run. It returns a function that removes a temporary folder and keeps one that the
+// user has named.
 func (c scaleRunCmd) makeFolder(settings *scale.Settings) (remove func(), err error) {
 	if c.Folder != "" {
 		settings.Folder = c.Folder
 		return func() {}, os.Mkdir(c.Folder, 0o700)
 	}
 	settings.Folder, err = os.MkdirTemp("", "stairvane-scale")
-	return func() { _ = os.RemoveAll(settings.Folder) }, err // what is left of a temporary folder harms nobody
+	return func() { _ = os.RemoveAll(settings.Folder) }, err // remains of a temporary folder are harmless
 }
 
-// write writes the result as it is wanted.
+// write writes the result in the selected format and, with --save, also to a file.
 func (c scaleRunCmd) write(s streams, result scale.Result) (err error) {
 	if c.json() {
 		err = writeJSON(s.out, result)
@@ -136,7 +137,7 @@
 	return err
 }
 
-// save writes the result to a file of its own.
+// save writes the result as JSON to a new file in the folder of --save.
 func (c scaleRunCmd) save(result scale.Result) (err error) {
 	name := fmt.Sprintf("%s-%d-replicas-%d-relays-%d-cold", result.Began.Format("20060102-150405"), c.Replicas, c.Relays, c.Cold)
 	if fault := result.Settings.Fault; fault != scale.NoFault {
@@ -155,7 +156,7 @@
 	Settings string `arg:"" type:"path" help:"File of settings."`
 }
 
-// Run serves until the run ends it.
+// Run runs the simulated directors until the parent process stops it.
 func (c scaleSimulatedCmd) Run() error {
 	settings, err := simulated.ReadSettings(c.Settings)
 	if err != nil {
--- a/cmd/stairvane-fleet/state.go
+++ b/cmd/stairvane-fleet/state.go
@@ -13,7 +13,7 @@
 	outputFlags
 }
 
-// Run shows the fleet as it is declared and as it was seen.
+// Run shows the declared and the observed state of the fleet.
 func (c stateCmd) Run(s streams) error {
 	client, err := c.client()
 	if err != nil {
@@ -41,7 +41,7 @@
 	}
 	for host := range state.Hosts() {
 		s.printf("%-6s %-16s %-11s %-21s %s  share %.4g/%.4g  %s\n",
-			host.Role, host.Name, host.State, host.Address, host.Site, host.Serving, host.Share, sightOf(state, host))
+			host.Role, host.Name, host.State, host.Address, host.Site, host.Serving, host.Share, sightText(state, host))
 	}
 	return nil
 }
@@ -51,15 +51,15 @@
 	if answer.Observer {
 		observer = "on"
 	}
-	s.printf("revision %d, %d boxes, %d followers told up to event %d, observer %s\n",
+	s.printf("revision %d, %d hosts, %d watchers, acknowledged up to event %d, observer %s\n",
 		state.Revision, state.Len(), answer.Watchers, answer.AcknowledgedUpTo, observer)
 	if r := answer.RunningApply; r != nil {
 		s.println("under way:", recordLine(*r))
 	}
 }
 
-// sightOf says how a host was seen, and for how long it still warms up.
-func sightOf(state fleet.ObservedState, host *fleet.Host) string {
+// sightText returns the observed state of a host, followed by the remaining time of its warm-up, if any.
+func sightText(state fleet.ObservedState, host *fleet.Host) string {
 	sight := string(state.Observed[host.Name].Sight)
 	if sight == "" {
 		sight = string(fleet.Unknown)
