--- a/internal/operatorconfig/fleet_test.go
+++ b/internal/operatorconfig/fleet_test.go
@@ -52,7 +52,7 @@
 
 // Guards against errors that an operator can't locate: each names file, line, column and key, all are reported at once, and the most
 // similar known word is suggested.
-func TestErrorsNameTheirPlace(t *testing.T) {
+func TestErrorsNameTheirPosition(t *testing.T) {
 	text := strings.NewReplacer("(floor 8)", "(flor 8)", "(like big)", "(like bigg)", "10.1.0.2:9090", "10.2.0.2:9090",
 		"(share 20)", "(share -1)", "(width 4)", "(width x)").Replace(fleetText)
 	_, errors := ReadFleet("d/fleet.scm", files(map[string]string{"d/fleet.scm": text, "d/kinds.scm": templates + "(pool"}))
