--- a/internal/controlplane/replicas/faults_test.go
+++ b/internal/controlplane/replicas/faults_test.go
@@ -49,7 +49,7 @@
 	calls.stopClients()
 	sum := load.stopLoad()
 	t.Logf("requests: %+v", sum)
-	if sum.Doubled+sum.Lost+sum.Failed > 0 || sum.Served == 0 {
+	if sum.Duplicated+sum.Lost+sum.Failed > 0 || sum.Served == 0 {
 		t.Errorf("not every request got exactly one successful response: %+v", sum)
 	}
 	for _, attempt := range caches[1].Attempts() {
--- a/internal/controlplane/replicas/stale_director_test.go
+++ b/internal/controlplane/replicas/stale_director_test.go
@@ -52,7 +52,7 @@
 			t.Fatal("the cache is not drained")
 		}
 		for range 20 { // fewer than the maximum in flight on a connection
-			check(t, c.Send(200, 5*time.Second))
+			check(t, c.SendRandom(200, 5*time.Second))
 		}
 		time.Sleep(1500 * time.Millisecond)
 		state, err := client.State()
@@ -89,10 +89,10 @@
 		}
 		t.Logf("%q: %d attempts at the drained cache after the director resumed; its requests: %+v; the audit reported %v",
 			forms, late[forms], tally, reported.Odd)
-		if tally.Lost+tally.Doubled > 0 || tally.Served+tally.Refused+tally.Failed != tally.Sent {
+		if tally.Lost+tally.Duplicated > 0 || tally.Served+tally.Rejected+tally.Failed != tally.Sent {
 			t.Errorf("not every request got exactly one response: %+v", tally)
 		}
-		if forms != "" && (tally.Refused == 0 || !strings.Contains(strings.Join(d.Log(), " "), "director.stale")) {
+		if forms != "" && (tally.Rejected == 0 || !strings.Contains(strings.Join(d.Log(), " "), "director.stale")) {
 			t.Errorf("the director did not reject requests: %+v", tally)
 		}
 		cluster.Close()
