--- a/internal/fleet/apply/machine.go
+++ b/internal/fleet/apply/machine.go
@@ -219,12 +219,12 @@
 		}
 	}
 	event := step.Event(in.State.Revision+1, in.State.NowMS, m.Record.Who, m.Record.ID)
-	broken, err := in.State.Violations(event)
+	violated, err := in.State.Violations(event)
 	if err != nil {
 		return m.fault(i, ": "+err.Error())
 	}
-	if len(broken) > 0 {
-		return m.fault(i, fmt.Sprintf(": it would violate a constraint: %v", broken[0]))
+	if len(violated) > 0 {
+		return m.fault(i, fmt.Sprintf(": it would violate a constraint: %v", violated[0]))
 	}
 	return Decision{Kind: BeginStep, Step: i + 1, Event: event}
 }
--- a/internal/fleet/constraints.go
+++ b/internal/fleet/constraints.go
@@ -81,15 +81,15 @@
 	for _, slack := range s.slacksOf(locations, parents) {
 		before[key{slack.Constraint, slack.Resource}] = slack
 	}
-	var broken []Slack
+	var violated []Slack
 	for _, slack := range after.slacksOf(locations, parents) {
 		old, existed := before[key{slack.Constraint, slack.Resource}]
 		if slack.IsNewViolation(old, existed) {
-			broken = append(broken, slack)
+			violated = append(violated, slack)
 		}
 	}
-	slices.SortStableFunc(broken, func(a, b Slack) int { return cmp.Compare(a.Resource, b.Resource) })
-	return broken, nil
+	slices.SortStableFunc(violated, func(a, b Slack) int { return cmp.Compare(a.Resource, b.Resource) })
+	return violated, nil
 }
 
 // affectedBy returns the locations and parents whose constraints an event may affect, sorted and without duplicates.
--- a/internal/fleet/fleettest/fleettest.go
+++ b/internal/fleet/fleettest/fleettest.go
@@ -84,8 +84,8 @@
 }
 
 // drawLocation draws a location whose floor holds if its largest cache fails.
-func drawLocation(t *rapid.T, site string, greatestFloor int, sources []string) fleet.Location {
-	floor := float64(rapid.IntRange(0, greatestFloor).Draw(t, "floor"))
+func drawLocation(t *rapid.T, site string, maxFloor int, sources []string) fleet.Location {
+	floor := float64(rapid.IntRange(0, maxFloor).Draw(t, "floor"))
 	n := rapid.IntRange(1, len(sources)).Draw(t, "sources")
 	return fleet.Location{
 		Name:    site,
@@ -96,14 +96,14 @@
 }
 
 // cacheShares returns the sum and the maximum of the shares of a site's caches.
-func cacheShares(d fleet.DesiredState, site string) (sum, greatest float64) {
+func cacheShares(d fleet.DesiredState, site string) (sum, largest float64) {
 	for _, h := range d.Hosts {
 		if h.Role == fleet.Cache && h.Site == site {
 			sum += h.Share
-			greatest = max(greatest, h.Share)
+			largest = max(largest, h.Share)
 		}
 	}
-	return sum, greatest
+	return sum, largest
 }
 
 // Build returns a fleet in the desired state, with all hosts warm.
--- a/internal/fleet/location_constraints.go
+++ b/internal/fleet/location_constraints.go
@@ -1,7 +1,7 @@
 package fleet
 
-// siteTotals holds the sums over the serving caches of one location from which its constraints are computed.
-type siteTotals struct {
+// locationTotals holds the sums over the serving caches of one location from which its constraints are computed.
+type locationTotals struct {
 	warm            float64 // serving share of the warm caches
 	serving         float64 // serving share of all caches
 	capacity        float64 // share of all caches
@@ -10,7 +10,7 @@
 	caches          []*Host
 }
 
-func (s ObservedState) siteTotals(location string) (t siteTotals) {
+func (s ObservedState) locationTotals(location string) (t locationTotals) {
 	for host := range s.HostsInSite(location) {
 		if host.Role != Cache || !s.Serves(host) {
 			continue
@@ -35,7 +35,7 @@
 	if l == nil {
 		return nil
 	}
-	totals := s.siteTotals(name)
+	totals := s.locationTotals(name)
 	all = append(all, s.floorSlack(l, totals))
 	if len(totals.caches)+len(l.Sources) > 0 {
 		all = append(all, s.sourceSlack(l))
@@ -59,7 +59,7 @@
 	return all
 }
 
-func (s ObservedState) floorSlack(l *Location, totals siteTotals) Slack {
+func (s ObservedState) floorSlack(l *Location, totals locationTotals) Slack {
 	worst := Slack{Constraint: FloorConstraint, Resource: l.Name, Have: totals.warm, Need: l.Floor, RawSlack: totals.serving}
 	for _, host := range totals.caches {
 		if remaining := totals.warm - host.Serving; !s.IsWarmingUp(host) && remaining < worst.Have {
@@ -93,7 +93,7 @@
 
 // warmingCacheSlack returns the slack of the load on a warming cache. Directors divide the location's load in proportion to the serving
 // shares. The failure of the only warm cache is exempt, since the location is not open without it.
-func (s ObservedState) warmingCacheSlack(l *Location, totals siteTotals, host *Host) Slack {
+func (s ObservedState) warmingCacheSlack(l *Location, totals locationTotals, host *Host) Slack {
 	worst := Slack{
 		Constraint: WarmingCacheConstraint,
 		Resource:   host.Name,
--- a/internal/fleet/membership.go
+++ b/internal/fleet/membership.go
@@ -10,7 +10,7 @@
 )
 
 // Director is a director that is a member. Name and Incarnation together identify one process: a process that restarts under the same
-// name has a new incarnation, and owns nothing of its predecessor.
+// name has a new incarnation and is a new member, which takes over nothing from its predecessor.
 type Director struct {
 	Name        string `json:"name"`
 	Incarnation string `json:"inc"` // chosen at random when the process starts
--- a/internal/fleet/parent_constraint.go
+++ b/internal/fleet/parent_constraint.go
@@ -41,7 +41,7 @@
 				failures[source] = true
 			}
 		}
-		totals := s.siteTotals(l.Name)
+		totals := s.locationTotals(l.Name)
 		if len(totals.warming) == 0 {
 			continue
 		}
@@ -55,7 +55,7 @@
 // fillLoad returns the load from fills that a location puts on a parent when the host failed is down; empty: all hosts are up.
 func (s ObservedState) fillLoad(parent *Host, l *Location, failed string) float64 {
 	var warm, warming, sources float64
-	for _, cache := range s.siteTotals(l.Name).caches {
+	for _, cache := range s.locationTotals(l.Name).caches {
 		switch {
 		case cache.Name == failed:
 		case s.IsWarmingUp(cache):
--- a/internal/fleet/plan/impossible.go
+++ b/internal/fleet/plan/impossible.go
@@ -44,21 +44,21 @@
 
 // rejection is a change that could not be placed, with the constraint that it would violate.
 type rejection struct {
-	change *change
-	broken *fleet.Slack
+	change   *change
+	violated *fleet.Slack
 }
 
 // explain describes the constraint and the hosts that block a change, and what would make the change possible.
 func (r rejection) explain() Blocked {
-	b := Blocked{Change: r.change.String(), Why: r.broken.String()}
+	b := Blocked{Change: r.change.String(), Why: r.violated.String()}
 	if r.change.Host != nil {
 		b.Hosts = []string{r.change.Host.Name}
 	}
-	resource := r.broken.Resource
-	switch r.broken.Constraint {
+	resource := r.violated.Resource
+	switch r.violated.Constraint {
 	case fleet.FloorConstraint:
 		b.Remedy = fmt.Sprintf("add share %.4g to %s first, or lower its floor to %.4g",
-			r.broken.Need-r.broken.Have, resource, max(0, r.broken.Have))
+			r.violated.Need-r.violated.Have, resource, max(0, r.violated.Have))
 	case fleet.SourceConstraint:
 		b.Remedy = fmt.Sprintf("add another source to %s first", resource)
 	case fleet.WarmingCapacityConstraint:
--- a/internal/fleet/plan/ledger.go
+++ b/internal/fleet/plan/ledger.go
@@ -59,7 +59,7 @@
 
 // place adds a change to the current wave. If the change would violate a constraint, or worsen a violation, place returns that constraint
 // and leaves the ledger unchanged.
-func (l *ledger) place(c *change) (broken *fleet.Slack) {
+func (l *ledger) place(c *change) (violated *fleet.Slack) {
 	before := l.slacksOf(l.affectedBy(c))
 	rollback := l.reserve(c)
 	for _, after := range l.slacksOf(l.affectedBy(c)) {
--- a/internal/fleet/plan/plan_test.go
+++ b/internal/fleet/plan/plan_test.go
@@ -42,7 +42,7 @@
 		}
 		s := p.Steps[rapid.SampledFrom(candidates).Draw(t, "next")-1]
 		if state[s.ID] == effected {
-			if host := observed.Host(thingName(s)); s.Wait == Warm && host != nil {
+			if host := observed.Host(hostName(s)); s.Wait == Warm && host != nil {
 				observed.NowMS = max(observed.NowMS, observed.WarmAtMS(host))
 			}
 			state[s.ID] = done
@@ -67,7 +67,7 @@
 	return observed
 }
 
-func thingName(s Step) string {
+func hostName(s Step) string {
 	if s.Host != nil {
 		return s.Host.Name
 	}
--- a/internal/fleet/plan/schedule.go
+++ b/internal/fleet/plan/schedule.go
@@ -123,14 +123,14 @@
 	return nil
 }
 
-// appendSteps appends the steps of a wave to the plan, with the group, wave and predecessors of model, and returns their IDs.
-func (s *scheduler) appendSteps(placed []*change, model Step) []int {
+// appendSteps appends the steps of a wave to the plan, with the group, wave and predecessors of template, and returns their IDs.
+func (s *scheduler) appendSteps(placed []*change, template Step) []int {
 	ids := make([]int, 0, len(placed))
 	for _, c := range placed {
 		c.ID = len(s.plan.Steps) + 1
-		c.Group = model.Group
-		c.Wave = model.Wave
-		c.After = model.After
+		c.Group = template.Group
+		c.Wave = template.Wave
+		c.After = template.After
 		s.plan.Steps = append(s.plan.Steps, c.Step)
 		ids = append(ids, c.ID)
 	}
@@ -166,16 +166,16 @@
 		if len(placed) == maxSteps || len(placed) > 0 && len(rejected) >= maxRejectionsPerWave {
 			break
 		}
-		alone := l.needsOwnWave(c)
-		if alone && len(placed) > 0 {
+		isExclusive := l.needsOwnWave(c)
+		if isExclusive && len(placed) > 0 {
 			continue
 		}
-		if broken := l.place(c); broken != nil {
-			rejected = append(rejected, rejection{change: c, broken: broken})
+		if violated := l.place(c); violated != nil {
+			rejected = append(rejected, rejection{change: c, violated: violated})
 			continue
 		}
 		placed = append(placed, c)
-		if alone {
+		if isExclusive {
 			break
 		}
 	}
--- a/internal/fleet/validate.go
+++ b/internal/fleet/validate.go
@@ -80,9 +80,9 @@
 	if remaining := v.shares[l.Name] - largest.Share; l.Floor > 0 && less(remaining, l.Floor) {
 		name := largest.Name
 		if name == "" {
-			name = "its host"
+			name = "any host"
 		}
-		v.addError(resource, "floor", "floor %.4g can't be kept: with %s dying %.4g of %.4g is left; add hosts or lower the floor",
+		v.addError(resource, "floor", "floor %.4g can't be kept: if %s fails, %.4g of %.4g remains; add hosts or lower the floor",
 			l.Floor, name, remaining, v.shares[l.Name])
 	}
 	usable := 0
--- a/internal/operatorconfig/decode.go
+++ b/internal/operatorconfig/decode.go
@@ -56,16 +56,16 @@
 // owner is nil. prefix is prepended to the keys of the forms.
 func (d *decoder) forms(owner *sexpr.Node, prefix string, items []*sexpr.Node, known []form) {
 	first := map[string]*sexpr.Node{}
-	place := strings.TrimSuffix(prefix, ".")
+	parentKey := strings.TrimSuffix(prefix, ".")
 	for _, n := range items {
 		name := n.Head()
 		if name == "" {
-			d.report(n, place, "expected a form in parentheses, such as (%s ...)", known[0].name)
+			d.report(n, parentKey, "expected a form in parentheses, such as (%s ...)", known[0].name)
 			continue
 		}
 		i := slices.IndexFunc(known, func(f form) bool { return f.name == name })
 		if i < 0 {
-			d.reportUnknown(n, place, "word", name, formNames(known))
+			d.reportUnknown(n, parentKey, "word", name, formNames(known))
 			continue
 		}
 		if earlier := first[name]; earlier != nil && !known[i].repeatable {
--- a/internal/operatorconfig/fleet_test.go
+++ b/internal/operatorconfig/fleet_test.go
@@ -77,7 +77,7 @@
 // Guards against reading an invalid desired state without an error at its declaration, such as a floor that the failure of one host
 // violates.
 func TestInvalidDesiredState(t *testing.T) {
-	const floorError = "location west.floor: floor 8.5 can't be kept: with c-3 dying 8 of 16 is left"
+	const floorError = "location west.floor: floor 8.5 can't be kept: if c-3 fails, 8 of 16 remains"
 	for change, want := range map[[2]string]string{
 		{"(floor 8)", "(floor 8.5)"}:                              floorError,
 		{"(sources h-1 store)", "(sources c-1)"}:                  "source c-1 is a cache",
