--- a/internal/protocol/simulator/digest_day_test.go
+++ b/internal/protocol/simulator/digest_day_test.go
@@ -147,7 +147,7 @@
 func (d *digestDay) run() {
 	d.drawEndpoints()
 	seed := d.random.Uint64()
-	d.play(d.settings(seed))
+	d.processEvent(d.settings(seed))
 	if d.chance(0.4) {
 		share := d.random.Float64()
 		d.server.routers[1].SetSlowStartShare(func() float64 { return share })
@@ -161,7 +161,7 @@
 			break
 		}
 		d.server.now = max(d.server.now, e.at)
-		d.play(e.line)
+		d.processEvent(e.line)
 	}
 }
 
@@ -230,9 +230,9 @@
 	return number
 }
 
-// play processes one event, hashes the resulting actions and schedules the events that follow from
+// processEvent processes one event, hashes the resulting actions and schedules the events that follow from
 // them.
-func (d *digestDay) play(line string) {
+func (d *digestDay) processEvent(line string) {
 	name, rest, _ := strings.Cut(line, " ")
 	router := d.server.routers[1]
 	handle := func(e decision.Event) {
--- a/internal/protocol/simulator/timer.go
+++ b/internal/protocol/simulator/timer.go
@@ -44,7 +44,7 @@
 		case decision.TimerAttemptOverdue, decision.TimerObjectiveMissed:
 			id, number, _ := strings.Cut(rest, ":")
 			t.Request = decision.RequestID(id)
-			t.Attempt, _ = strconv.Atoi(number) // 0 if invalid: that attempt is not in flight or is the one that is meant
+			t.Attempt, _ = strconv.Atoi(number) // 0 if invalid; harmless, since attempt 0 is not in flight or is the timer's attempt
 		}
 		return t
 	}
--- a/internal/protocol/thrift/parse.go
+++ b/internal/protocol/thrift/parse.go
@@ -226,7 +226,7 @@
 		return err
 	}
 	if keyKind != typeBinary || valueKind != typeBinary || n > maxFields {
-		return fmt.Errorf("thrift: the fields are no map of at most %d strings", maxFields)
+		return fmt.Errorf("thrift: the fields are not a map of at most %d strings", maxFields)
 	}
 	for range n {
 		var f Field
