--- a/cmd/stairvane-fleet/state.go
+++ b/cmd/stairvane-fleet/state.go
@@ -41,7 +41,7 @@
 	}
 	for host := range state.Hosts() {
 		s.printf("%-6s %-16s %-11s %-21s %s  share %.4g/%.4g  %s\n",
-			host.Role, host.Name, host.State, host.Address, host.Site, host.Serving, host.Share, sightText(state, host))
+			host.Role, host.Name, host.State, host.Address, host.Site, host.Serving, host.Share, observationText(state, host))
 	}
 	return nil
 }
@@ -59,13 +59,13 @@
 }
 
 // sightText returns the observed state of a host, followed by the remaining time of its warm-up, if any.
-func sightText(state fleet.ObservedState, host *fleet.Host) string {
-	sight := string(state.Observed[host.Name].Reachability)
-	if sight == "" {
-		sight = string(fleet.Unknown)
+func observationText(state fleet.ObservedState, host *fleet.Host) string {
+	observation := string(state.Observed[host.Name].Reachability)
+	if observation == "" {
+		observation = string(fleet.Unknown)
 	}
 	if until := state.WarmAtMS(host); until > state.NowMS {
-		sight += ", cold for " + strconv.FormatInt((until-state.NowMS+999)/1000, 10) + " s"
+		observation += ", cold for " + strconv.FormatInt((until-state.NowMS+999)/1000, 10) + " s"
 	}
-	return sight
+	return observation
 }
--- a/internal/tools/capacity/leader.go
+++ b/internal/tools/capacity/leader.go
@@ -69,8 +69,8 @@
 	return c.valueAt(lawAppliedMemory, c.directorCount()*float64(c.AppliedRecordLength))
 }
 
-// sessionMemory returns the memory of the leader's health and membership state, in bytes.
-func (c *calculation) sessionMemory() float64 {
+// healthAndMembershipMemory returns the memory of the leader's health and membership state, in bytes.
+func (c *calculation) healthAndMembershipMemory() float64 {
 	return c.valueAt(lawHealthMemory, c.directorCount()) + c.valueAt(lawMembershipServiceMemory, c.directorCount())
 }
 
@@ -203,6 +203,6 @@
 		unit:      Bytes,
 		mechanism: "evidence for each director and cache, a heartbeat for each director",
 		working:   "by directors",
-		value:     (*calculation).sessionMemory,
+		value:     (*calculation).healthAndMembershipMemory,
 	},
 }
--- a/internal/tools/capacity/scenario.go
+++ b/internal/tools/capacity/scenario.go
@@ -41,7 +41,7 @@
 	return 0
 }
 
-// calls returns the rate, per second, of watch requests of one director.
+// calls returns the rate of watch requests of one director in a scenario, per second.
 func (c *calculation) calls(s scenario) float64 {
 	batchTime := time.Duration(0)
 	if s.hasRelays {
--- a/internal/tools/fleetsim/fleetsim.go
+++ b/internal/tools/fleetsim/fleetsim.go
@@ -27,7 +27,7 @@
 	Delay        time.Duration // largest delay of a message (20 ms)
 	Drift        float64       // largest deviation of a clock's rate from real time (0.01)
 	Double       time.Duration // when as many directors again join; 0: never
-	Halve        time.Duration // when half of the directors die at the same time; 0: never
+	Halve        time.Duration // when half of the directors fail at the same time; 0: never
 	NewAllocator time.Duration // when a new allocator takes over; 0: never
 	Cut          time.Duration // when a third of the directors are partitioned from the control plane, for 5 s; 0: never
 	EvenShares   bool          // for comparison: no quotas, each director uses an even share by the number at the start
@@ -110,7 +110,7 @@
 	demand      []float64 // by limit
 	clockRate   float64
 	nextRenewal time.Duration
-	alive       bool
+	running     bool
 	cutUntil    time.Duration // end of its partition from the control plane
 }
 
@@ -181,7 +181,7 @@
 	for i := range n {
 		d := &director{
 			id:          fmt.Sprintf("d%d/1", len(m.directors)),
-			alive:       true,
+			running:     true,
 			clockRate:   1 + (2*m.rng.Float64()-1)*m.cfg.Drift,
 			nextRenewal: m.now + time.Duration(m.rng.Int64N(int64(renewalInterval))),
 		}
@@ -202,7 +202,7 @@
 	if m.isDue(m.cfg.Halve) {
 		for i, d := range m.directors {
 			if i%2 == 0 {
-				d.alive = false
+				d.running = false
 			}
 		}
 	}
@@ -226,7 +226,7 @@
 
 func (m *model) sendRenewals() {
 	for _, d := range m.directors {
-		if !d.alive || m.now < d.nextRenewal {
+		if !d.running || m.now < d.nextRenewal {
 			continue
 		}
 		d.nextRenewal = m.now + renewalInterval
@@ -257,28 +257,28 @@
 
 // deliverMessages processes the messages that are due.
 func (m *model) deliverMessages() {
-	var left []message
-	arriving := m.inFlight
+	var undelivered []message
+	pending := m.inFlight
 	m.inFlight = nil
-	for _, msg := range arriving {
+	for _, msg := range pending {
 		d := msg.director
 		switch {
 		case m.now < msg.deliverAt:
-			left = append(left, msg)
-		case !d.alive:
+			undelivered = append(undelivered, msg)
+		case !d.running:
 		case msg.renewal != nil:
 			described := fleet.Director{Name: d.id[:len(d.id)-2], Incarnation: "1"}
 			m.membership.RecordHeartbeat(membership.Heartbeat{ID: d.id, Director: &described, At: m.now})
 			grant := m.allocator.Renew(*msg.renewal, m.now)
 			if m.rng.Float64() >= m.cfg.Loss {
 				m.countMessage(grant)
-				left = append(left, message{director: d, grant: &grant, deliverAt: m.now + m.randomDelay()})
+				undelivered = append(undelivered, message{director: d, grant: &grant, deliverAt: m.now + m.randomDelay()})
 			}
 		case m.now >= d.cutUntil:
 			d.holder.Apply(*msg.grant, m.localTime(d))
 		}
 	}
-	m.inFlight = append(left, m.inFlight...)
+	m.inFlight = append(undelivered, m.inFlight...)
 }
 
 // updateMembership applies a pending membership change as an event, as the leader does on each tick.
@@ -312,9 +312,9 @@
 	}
 	sums := make([]float64, len(m.limits))
 	demands := make([]float64, len(m.limits))
-	var got []float64
+	var uses []float64
 	for _, d := range m.directors {
-		if !d.alive {
+		if !d.running {
 			continue
 		}
 		p.Directors++
@@ -328,14 +328,14 @@
 			wantsEven = wantsEven && d.demand[i] >= (1-quota.DirectorSettings.Reserve)/float64(len(m.directors))
 		}
 		if wantsEven {
-			got = append(got, used)
+			uses = append(uses, used)
 		}
 	}
 	for i, sum := range sums {
 		p.Worst = max(p.Worst, sum)
 		p.Usable += min(demands[i], 1-quota.DirectorSettings.Reserve)
 	}
-	p.Fairness = Jain(got)
+	p.Fairness = Jain(uses)
 	m.result.Worst = max(m.result.Worst, p.Worst)
 	m.recordUnderuse(p)
 	m.result.Points = append(m.result.Points, p)
--- a/internal/tools/fleetsim/fleetsim_test.go
+++ b/internal/tools/fleetsim/fleetsim_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestLimitsHoldUnderFaults checks that no limit is exceeded while the fleet doubles, half of it dies, a third is partitioned, a new
-// allocator takes over and messages are lost, and that free shares are in use again within the allocator's wait and a second.
+// TestLimitsHoldUnderFaults checks that no limit is exceeded while the fleet doubles, half of it fails, a third is partitioned, a new
+// allocator takes over and messages are lost, and that freed shares are in use again within the allocator's waiting time plus one second.
 // STAIRVANE_SEEDS is the number of runs.
 func TestLimitsHoldUnderFaults(t *testing.T) {
 	n := 40
--- a/internal/tools/scale/window.go
+++ b/internal/tools/scale/window.go
@@ -18,7 +18,7 @@
 const (
 	megabyte            = 1 << 20
 	leaderTimeout       = 5 * time.Second
-	faultAfter          = 4                     // the fault is injected after the window's length divided by this
+	faultDivisor        = 4                     // the fault is injected after the length of the window divided by this
 	watchPollInterval   = 25 * time.Millisecond // between checks whether all directors watch, after a fault
 	purgeArrivalTimeout = time.Second           // a purge that arrives later counts as missing
 	maxLostNames        = 20
@@ -144,7 +144,7 @@
 		return
 	}
 	w.tasks.Go(func() {
-		if sleep(ctx, w.settings.Window/faultAfter) != nil {
+		if sleep(ctx, w.settings.Window/faultDivisor) != nil {
 			return
 		}
 		w.faultAt = simulated.Now()
--- a/internal/tools/testharness/process.go
+++ b/internal/tools/testharness/process.go
@@ -97,11 +97,11 @@
 func (p *Process) waiterUntil(within time.Duration) (wait func() bool) {
 	end := time.Now().Add(within)
 	return func() bool {
-		left := time.Until(end)
-		if left <= 0 {
+		remaining := time.Until(end)
+		if remaining <= 0 {
 			return false
 		}
-		timer := time.AfterFunc(left, func() {
+		timer := time.AfterFunc(remaining, func() {
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			p.cond.Broadcast()
--- a/internal/tools/testharness/proxy.go
+++ b/internal/tools/testharness/proxy.go
@@ -98,7 +98,7 @@
 
 func (p *Proxy) accept() {
 	for {
-		near, err := p.listener.Accept()
+		client, err := p.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -106,26 +106,26 @@
 			time.Sleep(acceptRetryPause)
 			continue
 		}
-		go p.connect(near)
+		go p.connect(client)
 	}
 }
 
 // connect dials the target and forwards between it and a client connection.
-func (p *Proxy) connect(near net.Conn) {
+func (p *Proxy) connect(client net.Conn) {
 	p.mu.Lock()
 	target := p.target
-	p.conns[near] = true
+	p.conns[client] = true
 	p.mu.Unlock()
-	far, err := net.DialTimeout("tcp", target, proxyDialTimeout)
+	server, err := net.DialTimeout("tcp", target, proxyDialTimeout)
 	if err != nil {
-		p.closeConns(near)
+		p.closeConns(client)
 		return
 	}
 	p.mu.Lock()
-	p.conns[far] = true
+	p.conns[server] = true
 	p.mu.Unlock()
-	go p.forwardBytes(near, far, true)
-	p.forwardBytes(far, near, false)
+	go p.forwardBytes(client, server, true)
+	p.forwardBytes(server, client, false)
 }
 
 func (p *Proxy) closeConns(conns ...net.Conn) {
