--- a/internal/operatorconfig/fleet.go
+++ b/internal/operatorconfig/fleet.go
@@ -75,11 +75,11 @@
 	r.forms(nil, "", withoutComments(tree.Items), []form{
 		{name: "include", repeatable: true, read: r.include},
 		{name: "rules", read: r.rules()},
-		{name: "pool", repeatable: true, read: r.pool},
-		{name: "template", repeatable: true, read: r.template},
+		{name: "pool", repeatable: true, read: r.readPool},
+		{name: "template", repeatable: true, read: r.readTemplate},
 		{name: "origin", repeatable: true, read: r.source(fleet.Origin)},
 		{name: "hub", repeatable: true, read: r.source(fleet.Parent)},
-		{name: "location", repeatable: true, read: r.location},
+		{name: "location", repeatable: true, read: r.readLocation},
 	})
 }
 
--- a/internal/operatorconfig/fleet_hosts.go
+++ b/internal/operatorconfig/fleet_hosts.go
@@ -65,8 +65,8 @@
 	return name, args[1:], true
 }
 
-// pool reads a pool: the networks that contain the addresses of its hosts.
-func (r *fleetReader) pool(n *sexpr.Node, args []*sexpr.Node, key string) {
+// readPool reads a pool: the networks that contain the addresses of its hosts.
+func (r *fleetReader) readPool(n *sexpr.Node, args []*sexpr.Node, key string) {
 	name, rest, ok := r.readName(n, args, key)
 	if !ok {
 		return
@@ -106,7 +106,7 @@
 	}, more...))
 }
 
-func (r *fleetReader) template(n *sexpr.Node, args []*sexpr.Node, key string) {
+func (r *fleetReader) readTemplate(n *sexpr.Node, args []*sexpr.Node, key string) {
 	name, rest, ok := r.readName(n, args, key)
 	if !ok {
 		return
@@ -138,7 +138,7 @@
 	return func(n *sexpr.Node, args []*sexpr.Node, key string) { r.readHost(role, n, args, key) }
 }
 
-func (r *fleetReader) location(n *sexpr.Node, args []*sexpr.Node, key string) {
+func (r *fleetReader) readLocation(n *sexpr.Node, args []*sexpr.Node, key string) {
 	name, rest, ok := r.readName(n, args, key)
 	if !ok {
 		return
--- a/internal/sexpr/parse.go
+++ b/internal/sexpr/parse.go
@@ -29,7 +29,8 @@
 )
 
 // Parse parses a text; name is the file name in positions and errors. After a syntax error it continues at the next line with an opening
-// parenthesis in the first column, so that it reports all errors at once. The tree does not contain the forms with errors.
+// parenthesis in the first column, so that it reports all errors at once, up to maxSyntaxErrors. The tree does not contain the forms with
+// errors; it is empty if no other text is left or maxSyntaxErrors is reached.
 func Parse(name, text string) (*File, FileErrors) {
 	if len(text) > MaxBytes {
 		return &File{}, FileErrors{{File: name, Line: 1, Col: 1, Message: fmt.Sprintf("file is longer than %d bytes", MaxBytes)}}
