--- a/internal/fleet/plan/ledger_constraints.go
+++ b/internal/fleet/plan/ledger_constraints.go
@@ -34,18 +34,18 @@
 
 // sourcesAfterWorstFailure returns the number of serving sources that a location keeps if any one parent fails.
 func (l *ledger) sourcesAfterWorstFailure(location *locationLedger) int {
-	live := 0
+	count := 0
 	hasParent := false
 	for _, name := range location.certainSources {
 		if s := l.sources[name]; s != nil && (s.serving > 0 || s.isWarmingUp) {
-			live++
+			count++
 			hasParent = hasParent || s.role == fleet.Parent
 		}
 	}
 	if hasParent {
-		live--
+		count--
 	}
-	return live
+	return count
 }
 
 // warmingCapacitySlack returns the slack of the capacity that warms up at once. A location with at most one warm cache must not get another
--- a/internal/tools/fakes/client.go
+++ b/internal/tools/fakes/client.go
@@ -55,7 +55,7 @@
 		return nil, fmt.Errorf("fake client: %w", err)
 	}
 	c := &Client{conn: conn, open: map[int32]time.Time{}, done: make(chan struct{})}
-	go c.read()
+	go c.readAnswers()
 	return c, nil
 }
 
@@ -103,8 +103,8 @@
 	return append(b, text...)
 }
 
-// read counts answers until the connection is closed or a frame is malformed.
-func (c *Client) read() {
+// readAnswers counts answers until the connection is closed or a frame is malformed.
+func (c *Client) readAnswers() {
 	defer close(c.done)
 	head := make([]byte, frameHeaderLength)
 	for {
@@ -115,15 +115,15 @@
 		if _, err := io.ReadFull(c.conn, frame); err != nil || len(frame) < minReplyLength {
 			return
 		}
-		if !c.count(frame) {
+		if !c.countAnswer(frame) {
 			return
 		}
 	}
 }
 
-// count counts one answer by its message type, its sequence number and the field that its result holds. It returns false if the frame is
-// too short.
-func (c *Client) count(frame []byte) bool {
+// countAnswer counts one answer by its message type, its sequence number and the field that its result holds. It returns false if the
+// frame is too short.
+func (c *Client) countAnswer(frame []byte) bool {
 	afterName := 8 + int(binary.BigEndian.Uint32(frame[4:]))
 	if len(frame) < afterName+7 {
 		return false
@@ -160,9 +160,9 @@
 func (c *Client) Finish(within time.Duration) Tally {
 	for deadline := time.Now().Add(within); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		c.mu.Lock()
-		left := len(c.open)
+		unanswered := len(c.open)
 		c.mu.Unlock()
-		if left == 0 {
+		if unanswered == 0 {
 			break
 		}
 	}
--- a/internal/tools/fleetsim/fleetsim_test.go
+++ b/internal/tools/fleetsim/fleetsim_test.go
@@ -9,7 +9,7 @@
 
 // TestLimitsHoldUnderFaults checks that no limit is exceeded while the fleet doubles, half of it fails, a third is partitioned, a new
 // allocator takes over and messages are lost, and that freed shares are in use again within the allocator's waiting time plus one second.
-// STAIRVANE_SEEDS is the number of runs.
+// STAIRVANE_SEEDS is the number of runs, and STAIRVANE_SEED the first seed.
 func TestLimitsHoldUnderFaults(t *testing.T) {
 	n := 40
 	if v, err := strconv.Atoi(os.Getenv("STAIRVANE_SEEDS")); err == nil {
--- a/internal/tools/scale/window.go
+++ b/internal/tools/scale/window.go
@@ -360,6 +360,6 @@
 	at := func(share float64) float64 {
 		return milliseconds(times[min(len(times)-1, int(share*float64(len(times))))])
 	}
-	const median, nearlyAll = 0.5, 0.99
-	return Distribution{Count: len(times), P50: at(median), P99: at(nearlyAll), Max: milliseconds(times[len(times)-1])}
+	const median, percentile99 = 0.5, 0.99
+	return Distribution{Count: len(times), P50: at(median), P99: at(percentile99), Max: milliseconds(times[len(times)-1])}
 }
--- a/internal/tools/testharness/disk_fault_linux_amd64.go
+++ b/internal/tools/testharness/disk_fault_linux_amd64.go
@@ -78,8 +78,8 @@
 
 // seizeAll attaches to all threads. It repeats until it finds no new one, because threads may be created while others are seized.
 func (t *tracer) seizeAll() error {
-	for grown := true; grown; {
-		grown = false
+	for foundNew := true; foundNew; {
+		foundNew = false
 		tasks, err := os.ReadDir(fmt.Sprintf("/proc/%d/task", t.pid))
 		if err != nil {
 			return err
@@ -97,7 +97,7 @@
 				return fmt.Errorf("ptrace of %d: %w", tid, err)
 			}
 			t.threads[tid] = &tracedThread{}
-			grown = true
+			foundNew = true
 			_ = unix.PtraceInterrupt(tid) // the thread may have exited
 		}
 	}
