--- a/cmd/stairvane-fleet/cli.go
+++ b/cmd/stairvane-fleet/cli.go
@@ -124,8 +124,8 @@
 	}
 	defer func() { // kong exits the process after --help; the Exit option above turns that into a panic with the status
 		if r := recover(); r != nil {
-			code, is := r.(exitPanic)
-			if !is {
+			code, ok := r.(exitPanic)
+			if !ok {
 				panic(r)
 			}
 			status = int(code)
@@ -152,12 +152,12 @@
 	if err == nil {
 		return exitDone
 	}
-	var own *exitError
-	if errors.As(err, &own) {
-		if own.message != "" {
-			s.stderrf("stairvane: %s\n", own.message)
+	var exitErr *exitError
+	if errors.As(err, &exitErr) {
+		if exitErr.message != "" {
+			s.stderrf("stairvane: %s\n", exitErr.message)
 		}
-		return own.status
+		return exitErr.status
 	}
 	s.stderrf("stairvane: %v\n", err)
 	if errors.Is(err, plan.ErrDamaged) || errors.Is(err, plan.ErrNewer) {
--- a/cmd/stairvane-fleet/progress.go
+++ b/cmd/stairvane-fleet/progress.go
@@ -25,7 +25,7 @@
 
 func newProgress(s streams, output outputFlags) *progress {
 	p := &progress{s: s, output: output, shown: map[int]apply.Phase{}}
-	if f, is := s.out.Writer.(*os.File); is && !output.json() && isatty.IsTerminal(f.Fd()) {
+	if f, ok := s.out.Writer.(*os.File); ok && !output.json() && isatty.IsTerminal(f.Fd()) {
 		p.bars = mpb.New(mpb.WithOutput(s.out), mpb.WithWidth(barWidth))
 	}
 	return p
--- a/internal/fleet/plan/codec.go
+++ b/internal/fleet/plan/codec.go
@@ -118,8 +118,8 @@
 	if len(body) != length {
 		return nil, fmt.Errorf("%w: %d bytes, expected %d", ErrDamaged, len(body), length)
 	}
-	if is := fmt.Sprintf("%x", blake3.Sum256(body)); is != sum {
-		return nil, fmt.Errorf("%w: checksum is %s, expected %s", ErrDamaged, is, sum)
+	if actual := fmt.Sprintf("%x", blake3.Sum256(body)); actual != sum {
+		return nil, fmt.Errorf("%w: checksum is %s, expected %s", ErrDamaged, actual, sum)
 	}
 	return body, nil
 }
--- a/internal/fleet/plan/diff_locations.go
+++ b/internal/fleet/plan/diff_locations.go
@@ -83,15 +83,15 @@
 			l.Load = want.Load
 		})
 	}
-	wide := slices.Clone(want.Sources)
+	union := slices.Clone(want.Sources)
 	for _, source := range current.Sources {
-		if !slices.Contains(wide, source) {
-			wide = append(wide, source)
+		if !slices.Contains(union, source) {
+			union = append(union, source)
 		}
 	}
-	if len(wide) > len(current.Sources) {
-		widen := chain.addChange(Widen, priorityWiden, func(l *fleet.Location) { l.Sources = wide })
-		widen.dependencies = append(d.addsOfSources(wide, current.Sources), widen.dependencies...)
+	if len(union) > len(current.Sources) {
+		widen := chain.addChange(Widen, priorityWiden, func(l *fleet.Location) { l.Sources = union })
+		widen.dependencies = append(d.addsOfSources(union, current.Sources), widen.dependencies...)
 	}
 	if !slices.Equal(chain.last.Sources, want.Sources) {
 		chain.addChange(Narrow, priorityNarrow, func(l *fleet.Location) { l.Sources = want.Sources })
--- a/internal/fleet/plan/plan_test.go
+++ b/internal/fleet/plan/plan_test.go
@@ -85,13 +85,13 @@
 // isDesired reports whether a fleet matches a desired state.
 func isDesired(f fleet.Fleet, desired fleet.DesiredState) bool {
 	desired.Normalize()
-	is := f.DesiredState()
-	for _, hosts := range [][]fleet.HostSpec{is.Hosts, desired.Hosts} {
+	actual := f.DesiredState()
+	for _, hosts := range [][]fleet.HostSpec{actual.Hosts, desired.Hosts} {
 		for i := range hosts {
 			hosts[i].Running = false // ignored once a host is in service
 		}
 	}
-	return fleet.Sum(is) == fleet.Sum(desired)
+	return fleet.Sum(actual) == fleet.Sum(desired)
 }
 
 // For random observed and desired states, the plan leads to the desired state and a second plan is empty. In any order of steps that the
--- a/internal/tools/fleetsim/fleetsim.go
+++ b/internal/tools/fleetsim/fleetsim.go
@@ -65,9 +65,9 @@
 	case c.Caches < 0 || c.Caches > 2000:
 		return fmt.Errorf("caches: %d is not from 1 to 2000", c.Caches)
 	case c.Loss < 0 || c.Loss >= 1:
-		return fmt.Errorf("loss: %v is not from 0 to under 1", c.Loss)
+		return fmt.Errorf("loss: %v is not at least 0 and below 1", c.Loss)
 	case c.Length < 0 || c.Length > time.Hour:
-		return fmt.Errorf("length: %v is over an hour", c.Length)
+		return fmt.Errorf("length: %v is not from 0 to an hour", c.Length)
 	}
 	return nil
 }
--- a/internal/tools/scale/run.go
+++ b/internal/tools/scale/run.go
@@ -67,14 +67,14 @@
 	if err := c.startSimulated(size); err != nil {
 		return row, err
 	}
-	guarded := make(chan struct{})
+	guardDone := make(chan struct{})
 	go func() {
-		defer close(guarded)
+		defer close(guardDone)
 		c.guardMemory(ctx, cancel, machineMemory()/memoryDivisor)
 	}()
 	defer func() {
 		cancel(nil)
-		<-guarded
+		<-guardDone
 	}()
 	return c.measure(ctx, size)
 }
