--- a/internal/claims/compatibility_test.go
+++ b/internal/claims/compatibility_test.go
@@ -8,8 +8,8 @@
 	"stairvane.org/stairvane/internal/tools/golden"
 )
 
-// TestLandedForms guards the wire format of messages between directors, which must stay readable for older versions.
-func TestLandedForms(t *testing.T) {
+// TestGoldenEncoding guards the wire format of messages between directors, which must stay readable for older versions.
+func TestGoldenEncoding(t *testing.T) {
 	var m Message
 	golden.Fill(&m)
 	m.Kind, m.Verdict = EpochClosed, Unreachable
--- a/internal/controlplane/api/compatibility_test.go
+++ b/internal/controlplane/api/compatibility_test.go
@@ -7,9 +7,9 @@
 	"stairvane.org/stairvane/internal/tools/golden"
 )
 
-// TestLandedForms guards the encoding of the write side's answers and of the reports that replicas send to the leader, which an older
+// TestGoldenEncoding guards the encoding of the write side's answers and of the reports that replicas send to the leader, which an older
 // version must be able to decode.
-func TestLandedForms(t *testing.T) {
+func TestGoldenEncoding(t *testing.T) {
 	golden.JSON[Error](t, "error")
 	golden.JSON[State](t, "state")
 	golden.JSON[History](t, "history")
--- a/internal/controlplane/relaysession/compatibility_test.go
+++ b/internal/controlplane/relaysession/compatibility_test.go
@@ -6,8 +6,8 @@
 	"stairvane.org/stairvane/internal/tools/golden"
 )
 
-// TestLandedForms guards the messages between relays and the leader, which must stay readable for older versions.
-func TestLandedForms(t *testing.T) {
+// TestGoldenEncoding guards the messages between relays and the leader, which must stay readable for older versions.
+func TestGoldenEncoding(t *testing.T) {
 	golden.JSON[Request](t, "request")
 	golden.JSON[Answer](t, "answer")
 }
--- a/internal/controlplane/replicas/compatibility_test.go
+++ b/internal/controlplane/replicas/compatibility_test.go
@@ -7,9 +7,9 @@
 	"stairvane.org/stairvane/internal/tools/golden"
 )
 
-// TestLandedForms guards the format of the JSON bodies that replicas send to each other, which other
+// TestGoldenEncoding guards the format of the JSON bodies that replicas send to each other, which other
 // versions must be able to read.
-func TestLandedForms(t *testing.T) {
+func TestGoldenEncoding(t *testing.T) {
 	golden.JSON[replicas.Hello](t, "hello")
 	golden.JSON[replicas.HelloResponse](t, "greeting")
 	golden.JSON[replicas.LeaseRequest](t, "lease-request")
--- a/internal/controlplane/store/compatibility_test.go
+++ b/internal/controlplane/store/compatibility_test.go
@@ -19,7 +19,7 @@
 )
 
 // Guards the encoding of stored values: this version must read the values that older versions wrote.
-func TestLandedForms(t *testing.T) {
+func TestGoldenEncoding(t *testing.T) {
 	golden.Check[chainedEvent](t, "event.cbor", fleet.Encode, cbor.Unmarshal)
 	golden.Check[snapshot](t, "snapshot.cbor", fleet.Encode, cbor.Unmarshal)
 	golden.Check[outcome](t, "outcome.cbor", fleet.Encode, cbor.Unmarshal)
--- a/internal/fleet/apply/compatibility_test.go
+++ b/internal/fleet/apply/compatibility_test.go
@@ -9,8 +9,8 @@
 	"stairvane.org/stairvane/internal/tools/golden"
 )
 
-// TestLandedForms checks that the stored records of an apply in progress keep their encoding, so that a later version can continue it.
-func TestLandedForms(t *testing.T) {
+// TestGoldenEncoding checks that the stored records of an apply in progress keep their encoding, so that a later version can continue it.
+func TestGoldenEncoding(t *testing.T) {
 	golden.Check[Record](t, "record.cbor", fleet.Encode, cbor.Unmarshal)
 	golden.Check[StepState](t, "step.cbor", fleet.Encode, cbor.Unmarshal)
 	golden.JSON[Record](t, "record")
--- a/internal/fleet/compatibility_test.go
+++ b/internal/fleet/compatibility_test.go
@@ -8,9 +8,9 @@
 	"stairvane.org/stairvane/internal/tools/golden"
 )
 
-// TestLandedForms checks that the encodings of stored events and snapshots, and the checksums that plans compare, stay the same when a
+// TestGoldenEncoding checks that the encodings of stored events and snapshots, and the checksums that plans compare, stay the same when a
 // Go field is renamed.
-func TestLandedForms(t *testing.T) {
+func TestGoldenEncoding(t *testing.T) {
 	golden.Check[Event](t, "event.cbor", Encode, cbor.Unmarshal)
 	golden.Check[Dump](t, "fleet.cbor", Encode, cbor.Unmarshal)
 	golden.Check[DesiredState](t, "desired.cbor", Encode, cbor.Unmarshal)
--- a/internal/fleet/plan/compatibility_test.go
+++ b/internal/fleet/plan/compatibility_test.go
@@ -10,8 +10,8 @@
 	"stairvane.org/stairvane/internal/tools/golden"
 )
 
-// TestLandedForms checks that a plan file of an older version is decoded to the same steps and encoded to the same bytes.
-func TestLandedForms(t *testing.T) {
+// TestGoldenEncoding checks that a plan file of an older version is decoded to the same steps and encoded to the same bytes.
+func TestGoldenEncoding(t *testing.T) {
 	golden.Check[Plan](t, "plan.cbor", fleet.Encode, cbor.Unmarshal)
 	golden.JSON[Plan](t, "plan")
 	golden.JSON[StaleRead](t, "moved")
--- a/internal/health/compatibility_test.go
+++ b/internal/health/compatibility_test.go
@@ -6,8 +6,8 @@
 	"stairvane.org/stairvane/internal/tools/golden"
 )
 
-// TestLandedForms guards the wire format between directors and the control plane, which must stay readable for older versions.
-func TestLandedForms(t *testing.T) {
+// TestGoldenEncoding guards the wire format between directors and the control plane, which must stay readable for older versions.
+func TestGoldenEncoding(t *testing.T) {
 	golden.JSON[Report](t, "report")
 	golden.JSON[AggregatedHealth](t, "aggregated-health")
 	golden.JSON[CacheStatus](t, "cache")
--- a/internal/operatorconfig/compatibility_test.go
+++ b/internal/operatorconfig/compatibility_test.go
@@ -10,8 +10,8 @@
 	"stairvane.org/stairvane/internal/tools/golden"
 )
 
-// TestLandedForms guards the compatibility of the operator's files: every key keeps its spelling and its meaning.
-func TestLandedForms(t *testing.T) {
+// TestGoldenEncoding guards the compatibility of the operator's files: every key keeps its spelling and its meaning.
+func TestGoldenEncoding(t *testing.T) {
 	programs := []string{"../../deploy/stairvane.scm", "testdata/every-program-key.scm"}
 	fleets := []string{"testdata/every-fleet-key.scm"}
 	quickstart, err := filepath.Glob("../../deploy/quickstart/*.scm")
--- a/internal/protocol/discovery/compatibility_test.go
+++ b/internal/protocol/discovery/compatibility_test.go
@@ -6,8 +6,8 @@
 	"stairvane.org/stairvane/internal/tools/golden"
 )
 
-// TestLandedForms guards the event stream and the directors' announcements, which must stay readable for older versions.
-func TestLandedForms(t *testing.T) {
+// TestGoldenEncoding guards the event stream and the directors' announcements, which must stay readable for older versions.
+func TestGoldenEncoding(t *testing.T) {
 	golden.JSON[WatchResponse](t, "feed")
 	golden.JSON[Announcement](t, "announcement")
 }
--- a/internal/quota/compatibility_test.go
+++ b/internal/quota/compatibility_test.go
@@ -6,8 +6,8 @@
 	"stairvane.org/stairvane/internal/tools/golden"
 )
 
-// TestLandedForms guards the wire format between directors, relays and the leader, which must stay readable for older versions.
-func TestLandedForms(t *testing.T) {
+// TestGoldenEncoding guards the wire format between directors, relays and the leader, which must stay readable for older versions.
+func TestGoldenEncoding(t *testing.T) {
 	golden.JSON[Renewal](t, "renewal")
 	golden.JSON[Grant](t, "grant")
 	golden.JSON[Allocation](t, "allocation")
