--- a/internal/controlplane/replica/membership.go
+++ b/internal/controlplane/replica/membership.go
@@ -45,14 +45,14 @@
 // View is the state from which the leader decides about membership changes.
 type View struct {
 	Status
-	Members map[uint64]Member
-	Places  []ConfiguredReplica // the replicas in the operator's configuration
+	Members    map[uint64]Member
+	Configured []ConfiguredReplica // the replicas in the operator's configuration
 }
 
 func (v View) configuredReplica(name string) *ConfiguredReplica {
-	for i := range v.Places {
-		if v.Places[i].Name == name {
-			return &v.Places[i]
+	for i := range v.Configured {
+		if v.Configured[i].Name == name {
+			return &v.Configured[i]
 		}
 	}
 	return nil
--- a/internal/controlplane/replica/membership_test.go
+++ b/internal/controlplane/replica/membership_test.go
@@ -96,7 +96,7 @@
 		},
 	}
 	for i, name := range []string{"a", "b", "c", "d"} {
-		v.Places = append(v.Places, ConfiguredReplica{Name: name, Machine: "m" + name, Site: "s" + name, IsStandby: name == "d"})
+		v.Configured = append(v.Configured, ConfiguredReplica{Name: name, Machine: "m" + name, Site: "s" + name, IsStandby: name == "d"})
 		if name != "d" {
 			v.Members[uint64(i+1)] = Member{Name: name, Machine: "m" + name, Site: "s" + name}
 			v.Progress[uint64(i+1)] = Progress{Match: 1000, IsActive: true}
--- a/internal/controlplane/replica/place.go
+++ b/internal/controlplane/replica/place.go
@@ -16,12 +16,12 @@
 // ValidateConfigured returns the faults of a list of configured replicas; nil if it has none. The
 // group must keep its majority after the loss of any one machine and, if there are three or more
 // sites, of any one site.
-func ValidateConfigured(places []ConfiguredReplica) (faults []string) {
+func ValidateConfigured(configured []ConfiguredReplica) (faults []string) {
 	listed := map[string]bool{}
 	nameByMachine := map[string]string{}
 	replicasBySite := map[string]int{}
 	replicas := 0
-	for _, p := range places {
+	for _, p := range configured {
 		if listed[p.Name] {
 			faults = append(faults, fmt.Sprintf("replica %s is listed twice", p.Name))
 		}
--- a/internal/controlplane/replicas/membership.go
+++ b/internal/controlplane/replicas/membership.go
@@ -80,7 +80,7 @@
 
 // view returns the state on which the leader bases decisions on membership.
 func (g *Group) view() replica.View {
-	return replica.View{Status: g.driver.Status(), Members: g.driver.Members(), Places: g.settings.Places()}
+	return replica.View{Status: g.driver.Status(), Members: g.driver.Members(), Configured: g.settings.Configured()}
 }
 
 func (g *Group) proposeChange(c replica.Change) error {
--- a/internal/operatorconfig/control_plane.go
+++ b/internal/operatorconfig/control_plane.go
@@ -66,13 +66,13 @@
 	Address netip.AddrPort
 }
 
-// Places returns the configured replicas without their addresses.
-func (g ReplicaGroup) Places() []replica.ConfiguredReplica {
-	places := make([]replica.ConfiguredReplica, len(g.Replicas))
+// Configured returns the configured replicas without their addresses.
+func (g ReplicaGroup) Configured() []replica.ConfiguredReplica {
+	configured := make([]replica.ConfiguredReplica, len(g.Replicas))
 	for i := range g.Replicas {
-		places[i] = g.Replicas[i].ConfiguredReplica
+		configured[i] = g.Replicas[i].ConfiguredReplica
 	}
-	return places
+	return configured
 }
 
 // Write holds the settings of the write side's listener: a Unix socket or TCP. A TCP address other than loopback requires TLS.
@@ -182,7 +182,7 @@
 		if g.Self != "" && !slices.ContainsFunc(g.Replicas, isSelf) {
 			d.report(n, key+".self", "no (copy ...) has the name %q", g.Self)
 		}
-		for _, problem := range replica.ValidateConfigured(g.Places()) {
+		for _, problem := range replica.ValidateConfigured(g.Configured()) {
 			d.report(n, key, "%s", problem)
 		}
 	}
