--- a/internal/controlplane/directors.go
+++ b/internal/controlplane/directors.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// TakeHeartbeats processes, at the leader, another replica's report about the directors that watch it.
-func (s *directorServices) TakeHeartbeats(h api.Heartbeats) {
+// MergeHeartbeats processes, at the leader, another replica's report about the directors that watch it.
+func (s *directorServices) MergeHeartbeats(h api.Heartbeats) {
 	now := replicas.Now()
 	s.leadership.RLock()
 	defer s.leadership.RUnlock()
@@ -129,9 +129,9 @@
 	return api.LeaseAnswer{QuotaGrants: grants, AggregatedHealth: s.health.aggregated(now)}
 }
 
-// TakeLeaseAnswer stores, at a follower, the leader's quota grants for the directors that watch this replica, and the aggregated health
+// ApplyLeaseAnswer stores, at a follower, the leader's quota grants for the directors that watch this replica, and the aggregated health
 // of caches.
-func (s *directorServices) TakeLeaseAnswer(a api.LeaseAnswer) {
+func (s *directorServices) ApplyLeaseAnswer(a api.LeaseAnswer) {
 	now := replicas.Now()
 	s.leadership.RLock()
 	defer s.leadership.RUnlock()
--- a/internal/controlplane/directors_test.go
+++ b/internal/controlplane/directors_test.go
@@ -99,9 +99,9 @@
 	const rounds = 300
 	calls := []func(round int){
 		func(round int) { s.recordAnnouncement(director, int64(round)) },
-		func(int) { s.TakeHeartbeats(s.Heartbeats()) },
+		func(int) { s.MergeHeartbeats(s.Heartbeats()) },
 		func(round int) {
-			s.TakeLeaseAnswer(s.Grant([]quota.Renewal{{Holder: fmt.Sprint("e/", round), Seq: 1}}))
+			s.ApplyLeaseAnswer(s.Grant([]quota.Renewal{{Holder: fmt.Sprint("e/", round), Seq: 1}}))
 			s.popGrant(director.ID())
 		},
 		func(round int) {
--- a/internal/controlplane/group.go
+++ b/internal/controlplane/group.go
@@ -78,9 +78,9 @@
 		SnapshotInstalled: s.snapshotInstalled,
 		Acknowledged:      s.watches.Acknowledged,
 		Heartbeats:        s.directors.Heartbeats,
-		TakeHeartbeats:    s.directors.TakeHeartbeats,
+		MergeHeartbeats:   s.directors.MergeHeartbeats,
 		Grant:             s.directors.Grant,
-		TakeLeaseAnswer:   s.directors.TakeLeaseAnswer,
+		ApplyLeaseAnswer:  s.directors.ApplyLeaseAnswer,
 		NotifiedAfter: func() time.Duration {
 			return time.Duration(s.store.Fleet().Rules().NotifiedWithinMS) * time.Millisecond
 		},
--- a/internal/controlplane/replicas/group.go
+++ b/internal/controlplane/replicas/group.go
@@ -36,9 +36,9 @@
 	SnapshotInstalled func()                                // called by the loop after a snapshot has replaced the store's content
 	Acknowledged      func() int64                          // highest revision that all of this replica's watchers have acknowledged
 	Heartbeats        func() api.Heartbeats                 // returns the heartbeats of the directors that watch this replica
-	TakeHeartbeats    func(api.Heartbeats)                  // at the leader: merges heartbeats of directors that watch other replicas
+	MergeHeartbeats   func(api.Heartbeats)                  // at the leader: merges heartbeats of directors that watch other replicas
 	Grant             func([]quota.Renewal) api.LeaseAnswer // at the leader: called right after its leadership was confirmed
-	TakeLeaseAnswer   func(api.LeaseAnswer)                 // at a follower: applies the leader's answer to a lease request
+	ApplyLeaseAnswer  func(api.LeaseAnswer)                 // at a follower: applies the leader's answer to a lease request
 	NotifiedAfter     func() time.Duration                  // time after which a departed watcher counts as having acknowledged
 }
 
--- a/internal/controlplane/replicas/leases.go
+++ b/internal/controlplane/replicas/leases.go
@@ -140,7 +140,7 @@
 	if err := p.callJSON(ctx, leasePath, lease, &answer); err != nil {
 		return err
 	}
-	g.settings.TakeLeaseAnswer(answer)
+	g.settings.ApplyLeaseAnswer(answer)
 	return nil
 }
 
@@ -156,7 +156,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	g.settings.TakeHeartbeats(lease.Heartbeats)
+	g.settings.MergeHeartbeats(lease.Heartbeats)
 	ctx, cancel := context.WithTimeout(r.Context(), g.settings.Lease)
 	defer cancel()
 	if err := g.Barrier(ctx); err != nil {
--- a/internal/controlplane/replicas/local_replica_test.go
+++ b/internal/controlplane/replicas/local_replica_test.go
@@ -40,9 +40,9 @@
 		SnapshotInstalled: func() {},
 		Acknowledged:      func() int64 { return 0 },
 		Heartbeats:        func() api.Heartbeats { return api.Heartbeats{} },
-		TakeHeartbeats:    func(api.Heartbeats) {},
+		MergeHeartbeats:   func(api.Heartbeats) {},
 		Grant:             func([]quota.Renewal) api.LeaseAnswer { return api.LeaseAnswer{} },
-		TakeLeaseAnswer:   func(api.LeaseAnswer) {},
+		ApplyLeaseAnswer:  func(api.LeaseAnswer) {},
 		NotifiedAfter:     func() time.Duration { return 0 },
 	}
 }
