--- a/internal/controlplane/relayserver/watchowner.go
+++ b/internal/controlplane/relayserver/watchowner.go
@@ -28,9 +28,9 @@
 	return true
 }
 
-// TakeQuotaGrant implements watch.Owner.
-func (o watchOwner) TakeQuotaGrant(directorID string) *quota.Grant {
-	return o.relay.session.TakeGrant(directorID)
+// PopQuotaGrant implements watch.Owner.
+func (o watchOwner) PopQuotaGrant(directorID string) *quota.Grant {
+	return o.relay.session.PopGrant(directorID)
 }
 
 // Health implements watch.Owner.
--- a/internal/controlplane/relaysession/session.go
+++ b/internal/controlplane/relaysession/session.go
@@ -137,8 +137,8 @@
 	return &grant
 }
 
-// TakeGrant removes and returns the pending quota grant for a director; nil if there is none.
-func (s *Session) TakeGrant(directorID string) *quota.Grant {
+// PopGrant removes and returns the pending quota grant for a director; nil if there is none.
+func (s *Session) PopGrant(directorID string) *quota.Grant {
 	d := s.directors[directorID]
 	if d == nil {
 		return nil
--- a/internal/controlplane/relaysession/session_test.go
+++ b/internal/controlplane/relaysession/session_test.go
@@ -165,7 +165,7 @@
 	a := announcement(1)
 	a.QuotaRenewal, _ = json.Marshal(quota.Renewal{Holder: a.ID(), Seq: 9})
 	s.RecordWatchRequest(a, 1, now)
-	if g := s.TakeGrant(a.ID()); g == nil || g.Seq != 9 || s.TakeGrant(a.ID()) != nil {
+	if g := s.PopGrant(a.ID()); g == nil || g.Seq != 9 || s.PopGrant(a.ID()) != nil {
 		t.Fatalf("%+v", g)
 	}
 	r := s.Request(1, 1, now)
--- a/internal/controlplane/watch/answer.go
+++ b/internal/controlplane/watch/answer.go
@@ -83,7 +83,7 @@
 		return nil, false
 	}
 	owner := w.server.owner
-	if grant := owner.TakeQuotaGrant(announcement.ID()); grant != nil {
+	if grant := owner.PopQuotaGrant(announcement.ID()); grant != nil {
 		fields = appendField(fields, "turns", grant)
 	}
 	if w.sharesHealth() {
--- a/internal/controlplane/watch/owner.go
+++ b/internal/controlplane/watch/owner.go
@@ -14,8 +14,8 @@
 	// RecordAnnouncement records a director's announcement and the revision that its request acknowledges. It returns false if the
 	// process has no capacity for the director, whose request is then rejected.
 	RecordAnnouncement(announcement discovery.Announcement, acknowledged int64) bool
-	// TakeQuotaGrant removes and returns the pending quota grant for a director; nil if there is none.
-	TakeQuotaGrant(directorID string) *quota.Grant
+	// PopQuotaGrant removes and returns the pending quota grant for a director; nil if there is none.
+	PopQuotaGrant(directorID string) *quota.Grant
 	// Health returns the aggregated health of caches to send to a director now; nil if the director already has the latest result.
 	Health(directorID string) *health.AggregatedHealth
 	// AcknowledgedChanged is called when the result of Server.Acknowledged may have increased.
--- a/internal/controlplane/watch/watch_test.go
+++ b/internal/controlplane/watch/watch_test.go
@@ -51,7 +51,7 @@
 	p.requests <- acknowledged
 	return !p.atCapacity.Load()
 }
-func (p *testOwner) TakeQuotaGrant(string) *quota.Grant     { return nil }
+func (p *testOwner) PopQuotaGrant(string) *quota.Grant      { return nil }
 func (p *testOwner) Health(string) *health.AggregatedHealth { return nil }
 func (p *testOwner) AcknowledgedChanged()                   {}
 func (p *testOwner) ClockMS() int64                         { return time.Now().UnixMilli() }
--- a/internal/controlplane/watchowner.go
+++ b/internal/controlplane/watchowner.go
@@ -42,8 +42,8 @@
 	return true
 }
 
-// TakeQuotaGrant implements watch.Owner.
-func (o watchOwner) TakeQuotaGrant(directorID string) *quota.Grant {
+// PopQuotaGrant implements watch.Owner.
+func (o watchOwner) PopQuotaGrant(directorID string) *quota.Grant {
 	return o.server.directors.popGrant(directorID)
 }
 
