--- a/internal/director/client_conn.go
+++ b/internal/director/client_conn.go
@@ -107,7 +107,7 @@
 		if !c.ended && len(c.inFlight) == 0 {
 			c.conn.ReadAvailable()
 		}
-		if !c.ended && len(c.inFlight) == 0 && c.conn.Unfinished() == 0 {
+		if !c.ended && len(c.inFlight) == 0 && c.conn.IncompleteInput() == 0 {
 			c.closeGracefully()
 		}
 	})
@@ -120,7 +120,7 @@
 	if c.ended || len(c.inFlight) > 0 || c.conn.Queued() > 0 {
 		return false
 	}
-	served := c.conn.HasSent() && c.conn.Unfinished() == 0
+	served := c.conn.HasSent() && c.conn.IncompleteInput() == 0
 	return served || c.frontend.loop.Now()-c.conn.LastUse() >= evictAfter
 }
 
--- a/internal/director/config/config.go
+++ b/internal/director/config/config.go
@@ -147,9 +147,9 @@
 	return int(*value), nil
 }
 
-// Differs returns the keys with a different value in another configuration that a running director cannot change. The
+// RestartRequiredKeys returns the keys with a different value in another configuration that a running director cannot change. The
 // address of the event stream can be applied; the seed and the initial events differ at each start and are not compared.
-func (c Config) Differs(other Config) (keys []string) {
+func (c Config) RestartRequiredKeys(other Config) (keys []string) {
 	sameSettings := reflect.DeepEqual(c.Settings, other.Settings) && reflect.DeepEqual(c.Connections, other.Connections)
 	for _, k := range []struct {
 		key  string
--- a/internal/director/program.go
+++ b/internal/director/program.go
@@ -112,7 +112,7 @@
 // Reload applies a reloaded configuration. Only the address of the event stream can change while the process runs. Other
 // differences are logged and take effect at the next start.
 func (p *Program) Reload(c config.Config) {
-	for _, key := range p.config.Differs(c) {
+	for _, key := range p.config.RestartRequiredKeys(c) {
 		slog.Warn("reload.restart_required", "key", key)
 	}
 	p.watch.switchAddress(c.Discovery)
--- a/internal/director/timing.go
+++ b/internal/director/timing.go
@@ -55,10 +55,10 @@
 	return t
 }
 
-// Pause returns the time to wait before the next reconnect: half of retry, plus a random fraction of retry and of a spread. The
+// ReconnectDelay returns the time to wait before the next reconnect: half of retry, plus a random fraction of retry and of a spread. The
 // spread grows with the number of directors, since all of them may have lost their connections at the same moment. random must
 // be in the range from 0 to 1, excluding 1.
-func (t WatchTiming) Pause(retry time.Duration, directors int, random float64) time.Duration {
+func (t WatchTiming) ReconnectDelay(retry time.Duration, directors int, random float64) time.Duration {
 	spread := min(time.Duration(directors-1)*watchRetrySpread, t.SpreadMax)
 	return retry/2 + time.Duration(random*float64(retry+spread))
 }
--- a/internal/director/watch.go
+++ b/internal/director/watch.go
@@ -112,7 +112,7 @@
 
 // nextPause returns the time to wait before the next reconnect.
 func (w *watchClient) nextPause() time.Duration {
-	return w.timing().Pause(w.retryDelay, w.directors, w.rng.Float64())
+	return w.timing().ReconnectDelay(w.retryDelay, w.directors, w.rng.Float64())
 }
 
 // Opened implements transport.Handler.
--- a/internal/tools/capacity/failures.go
+++ b/internal/tools/capacity/failures.go
@@ -1,7 +1,7 @@
 package capacity
 
 // maxReconnectDelay returns the maximum backoff, in seconds, before a director that has lost its watch reconnects. The formula is
-// the one of WatchTiming.Pause in internal/director/timing.go.
+// the one of WatchTiming.ReconnectDelay in internal/director/timing.go.
 func (c *calculation) maxReconnectDelay() float64 {
 	spread := min(float64(c.Directors-1)*c.ReconnectSpread.Seconds(), c.ReconnectSpreadMax.Seconds())
 	return 1.5*c.ReconnectRetry.Seconds() + spread
--- a/internal/tools/scale/simulated/director.go
+++ b/internal/tools/scale/simulated/director.go
@@ -110,7 +110,7 @@
 	d.close()
 	d.process.counters.reconnects++
 	d.process.counters.reasons[err.Error()]++
-	pause := d.process.timing.Pause(d.retryPause, d.process.settings.Crowd, d.rng.Float64())
+	pause := d.process.timing.ReconnectDelay(d.retryPause, d.process.settings.Crowd, d.rng.Float64())
 	d.process.loop.Set(&d.timer, d.process.loop.Now()+pause)
 	addresses := len(d.process.settings.Addresses)
 	d.addressIndex = (d.addressIndex + 1) % addresses
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -123,8 +123,8 @@
 // Queued returns the number of written bytes that the kernel has not accepted yet.
 func (c *Conn) Queued() int { return c.outputBytes }
 
-// Unfinished returns the number of received bytes that belong to an incomplete message.
-func (c *Conn) Unfinished() int { return len(c.input) }
+// IncompleteInput returns the number of received bytes that belong to an incomplete message.
+func (c *Conn) IncompleteInput() int { return len(c.input) }
 
 // CloseAfterFlush sends the queued output, closes the write side, and waits up to linger for the peer to close the
 // connection; 0 waits without limit. Closing at once with unread input would reset the connection and could discard the last
