--- a/internal/controlplane/api/errors.go
+++ b/internal/controlplane/api/errors.go
@@ -7,7 +7,7 @@
 
 // Error kinds. They are part of the protocol, because callers branch on them.
 const (
-	Stale          = "stale"       // the fleet has changed since the plan was made; see Error.Moved
+	Stale          = "stale"       // the fleet has changed since the plan was made; see Error.StaleReads
 	Busy           = "busy"        // another apply holds the apply lock (see Error.RunningApply), or there is no capacity for another relay
 	Damaged        = "damaged"     // the plan file can't be decoded
 	Newer          = "newer"       // the plan file has a newer format version
@@ -25,7 +25,7 @@
 type Error struct {
 	Kind         string           `json:"error"`   // one of the constants above
 	Message      string           `json:"message"` // human-readable
-	Moved        []plan.StaleRead `json:"moved,omitempty"`
+	StaleReads   []plan.StaleRead `json:"moved,omitempty"`
 	RunningApply *apply.Record    `json:"holder,omitempty"`
 	Leader       string           `json:"leader,omitempty"` // name of the leader; empty if unknown
 }
--- a/internal/controlplane/api/messages.go
+++ b/internal/controlplane/api/messages.go
@@ -47,10 +47,10 @@
 
 // Step is a step of an apply.
 type Step struct {
-	ID    int       `json:"id"` // starts at 1, in plan order
-	What  string    `json:"what"`
-	Thing string    `json:"thing"`
-	Wait  plan.Wait `json:"wait"`
+	ID     int       `json:"id"` // starts at 1, in plan order
+	What   string    `json:"what"`
+	Target string    `json:"thing"`
+	Wait   plan.Wait `json:"wait"`
 	apply.StepState
 }
 
--- a/internal/controlplane/apply_test.go
+++ b/internal/controlplane/apply_test.go
@@ -176,7 +176,7 @@
 		switch {
 		case err == nil && a.Already:
 			already++
-		case errors.As(err, &rejected) && rejected.Kind == api.Stale && len(rejected.Moved) > 0:
+		case errors.As(err, &rejected) && rejected.Kind == api.Stale && len(rejected.StaleReads) > 0:
 			stale++
 		default:
 			t.Errorf("%+v %v", a, err)
--- a/internal/controlplane/writeside_errors.go
+++ b/internal/controlplane/writeside_errors.go
@@ -92,7 +92,7 @@
 	e := api.Error{Kind: errorKind(err), Message: err.Error()}
 	var rejected *apply.RejectedError
 	if errors.As(err, &rejected) {
-		e.Moved = rejected.Moved
+		e.StaleReads = rejected.StaleReads
 		e.RunningApply = rejected.Holder
 	}
 	if e.Kind == api.NotLeader && s.group != nil {
--- a/internal/controlplane/writeside_reads.go
+++ b/internal/controlplane/writeside_reads.go
@@ -98,7 +98,7 @@
 	out := api.Apply{Record: state.record, Steps: make([]api.Step, len(state.steps))}
 	for i, stepState := range state.steps {
 		step := state.plan.Steps[i]
-		out.Steps[i] = api.Step{ID: i + 1, What: step.String(), Thing: step.Thing(), Wait: step.Wait, StepState: stepState}
+		out.Steps[i] = api.Step{ID: i + 1, What: step.String(), Target: step.Target(), Wait: step.Wait, StepState: stepState}
 	}
 	return out, nil
 }
--- a/internal/fleet/apply/errors.go
+++ b/internal/fleet/apply/errors.go
@@ -18,10 +18,10 @@
 
 // RejectedError wraps one of the errors above with details for the operator.
 type RejectedError struct {
-	Err    error
-	Detail string
-	Moved  []plan.StaleRead // for ErrStale: the reads that no longer match
-	Holder *Record          // for ErrBusy: the apply that holds the lease
+	Err        error
+	Detail     string
+	StaleReads []plan.StaleRead // for ErrStale: the reads that no longer match
+	Holder     *Record          // for ErrBusy: the apply that holds the lease
 }
 
 func (r *RejectedError) Error() string {
--- a/internal/fleet/apply/submit.go
+++ b/internal/fleet/apply/submit.go
@@ -32,7 +32,7 @@
 		return Answer{}, err
 	}
 	if len(moved) > 0 {
-		return Answer{}, &RejectedError{Err: ErrStale, Moved: moved, Detail: describeStaleReads(moved)}
+		return Answer{}, &RejectedError{Err: ErrStale, StaleReads: moved, Detail: describeStaleReads(moved)}
 	}
 	return Answer{Start: true}, nil
 }
--- a/internal/fleet/plan/change.go
+++ b/internal/fleet/plan/change.go
@@ -49,7 +49,7 @@
 		priority:    priorityRaise,
 		addedByPlan: true,
 	}
-	c.key = c.Thing()
+	c.key = c.Target()
 	return c
 }
 
--- a/internal/fleet/plan/codec_test.go
+++ b/internal/fleet/plan/codec_test.go
@@ -125,7 +125,7 @@
 			return
 		}
 		for _, s := range p.Steps {
-			_, _ = s.String(), s.Thing()
+			_, _ = s.String(), s.Target()
 			_ = s.Event(1, 1, "x", 1)
 		}
 		if again, err := Encode(p); err != nil || !bytes.Equal(again, b) && !bytes.Equal(again, frame(b)) {
--- a/internal/fleet/plan/diff.go
+++ b/internal/fleet/plan/diff.go
@@ -51,7 +51,7 @@
 
 // addChange sets the key of a change and appends it to the collected changes.
 func (d *differ) addChange(c *change) *change {
-	c.key = c.Thing()
+	c.key = c.Target()
 	d.changes = append(d.changes, c)
 	return c
 }
--- a/internal/fleet/plan/step.go
+++ b/internal/fleet/plan/step.go
@@ -71,8 +71,8 @@
 	return e
 }
 
-// Thing returns the key of the host, location or rules that the step changes.
-func (s Step) Thing() string {
+// Target returns the key of the host, location or rules that the step changes.
+func (s Step) Target() string {
 	switch {
 	case s.Host != nil:
 		return fleet.HostKey(s.Host.Name)
