--- a/internal/fleet/event.go
+++ b/internal/fleet/event.go
@@ -35,9 +35,9 @@
 	Purge
 }
 
-// PurgeKeepMS is the time in milliseconds for which a purge is retained and sent to directors that ask with an older revision. The
+// PurgeRetentionMS is the time in milliseconds for which a purge is retained and sent to directors that ask with an older revision. The
 // responses that a purge affects have left all caches within seconds.
-const PurgeKeepMS = 10 * 60 * 1000
+const PurgeRetentionMS = 10 * 60 * 1000
 
 // maxPurgeGroup is the highest number of a purge group.
 const maxPurgeGroup = 255
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -168,7 +168,7 @@
 	}
 	marks := f.purgeMarks
 	expired := 0
-	for expired < marks.Len() && marks.Get(expired).IssuedMS < nowMS-PurgeKeepMS {
+	for expired < marks.Len() && marks.Get(expired).IssuedMS < nowMS-PurgeRetentionMS {
 		expired++
 	}
 	if expired > 0 {
--- a/internal/tools/capacity/capacity_test.go
+++ b/internal/tools/capacity/capacity_test.go
@@ -29,7 +29,7 @@
 		{"internal/health/reporter.go", `reportInterval = (\d+) \* time.Millisecond`, milliseconds(d.HealthReportInterval)},
 		{"internal/health/aggregator.go", `aggregateInterval += (\d+) \* time.Millisecond`, milliseconds(d.HealthAggregationInterval)},
 		{"internal/health/aggregator.go", `aggregateIntervalPerDirector = (\d+) \* time.Microsecond`, microseconds(d.HealthPerDirector)},
-		{"internal/fleet/event.go", `PurgeKeepMS = (\d+) \* 60 \* 1000`, strconv.Itoa(int(d.PurgeRetention.Minutes()))},
+		{"internal/fleet/event.go", `PurgeRetentionMS = (\d+) \* 60 \* 1000`, strconv.Itoa(int(d.PurgeRetention.Minutes()))},
 		{"internal/protocol/discovery/client.go", `maxBody = (\d+) << 20`, strconv.Itoa(int(d.MaxAnswerBytes) >> 20)},
 	} {
 		text, err := os.ReadFile(repositoryRoot + x.file)
