--- a/internal/controlplane/members.go
+++ b/internal/controlplane/members.go
@@ -58,7 +58,7 @@
 			// A partitioned replica keeps answering directors until its own lease expires, and their leases start at its last answer.
 			Lease:         discovery.MembershipLease + replicaLease,
 			Drift:         discovery.ClockDrift,
-			Gather:        minMembershipInterval,
+			BatchTime:     minMembershipInterval,
 			DirectorLease: discovery.MembershipLease,
 			RelayLease:    relayLease,
 		}),
--- a/internal/controlplane/membership/changes.go
+++ b/internal/controlplane/membership/changes.go
@@ -14,11 +14,11 @@
 const reconcileInterval = time.Second
 
 // NextChange returns the next change to the members of f. It returns nil if there is nothing to change, or if less than
-// Settings.Gather has passed since the last change was written. A director with the name of a current member joins only after that
+// Settings.BatchTime has passed since the last change was written. A director with the name of a current member joins only after that
 // member has been removed.
 func (t *Tracker) NextChange(f fleet.Fleet, now time.Duration) *fleet.MembershipChange {
 	t.expireSessions(now)
-	if now-t.lastChange < t.settings.Gather {
+	if now-t.lastChange < t.settings.BatchTime {
 		return nil
 	}
 	t.removeExpired(now)
--- a/internal/controlplane/membership/changes_test.go
+++ b/internal/controlplane/membership/changes_test.go
@@ -20,7 +20,7 @@
 }
 
 func newHarness(t testing.TB) *harness {
-	return &harness{t: t, tracker: New(Settings{Lease: 400 * ms, Drift: 0.02, Gather: 100 * ms}), now: time.Hour}
+	return &harness{t: t, tracker: New(Settings{Lease: 400 * ms, Drift: 0.02, BatchTime: 100 * ms}), now: time.Hour}
 }
 
 func (h *harness) heartbeat(name, inc string, leaving bool) {
--- a/internal/controlplane/membership/sessions_test.go
+++ b/internal/controlplane/membership/sessions_test.go
@@ -11,7 +11,7 @@
 
 func newRelayHarness(t testing.TB) *harness {
 	h := newHarness(t)
-	h.tracker = New(Settings{Lease: 600 * ms, Drift: 0.02, Gather: 100 * ms, DirectorLease: 400 * ms, RelayLease: 200 * ms})
+	h.tracker = New(Settings{Lease: 600 * ms, Drift: 0.02, BatchTime: 100 * ms, DirectorLease: 400 * ms, RelayLease: 200 * ms})
 	h.tracker.Reset(h.f, h.now)
 	h.now += 700 * ms
 	return h
--- a/internal/controlplane/membership/tracker.go
+++ b/internal/controlplane/membership/tracker.go
@@ -13,8 +13,8 @@
 	Lease time.Duration
 	// Drift is the maximum rate difference between two clocks, as a fraction.
 	Drift float64
-	// Gather is the minimum time between two changes of the members. Changes that occur in between are batched.
-	Gather time.Duration
+	// BatchTime is the minimum time between two changes of the members. Changes that occur in between are batched.
+	BatchTime time.Duration
 	// DirectorLease is the part of Lease that starts with a director's call to a relay. It is unused without relays.
 	DirectorLease time.Duration
 	// RelayLease is the time for which a relay may serve directors after a request to the leader. It is unused without relays.
--- a/internal/controlplane/relayserver/server.go
+++ b/internal/controlplane/relayserver/server.go
@@ -60,7 +60,7 @@
 			Listen:      settings.Listen,
 			Allowed:     settings.Watchers,
 			MaxWatchers: settings.MaxWatchers,
-			Gather:      settings.Gather,
+			BatchTime:   settings.BatchTime,
 		}, watchOwner{s}, s.events.log, s.events.fleet.Rules().NotifiedWithinMS)
 	}
 	if err != nil {
--- a/internal/controlplane/relaysession/model_test.go
+++ b/internal/controlplane/relaysession/model_test.go
@@ -158,7 +158,7 @@
 		DirectorLease: directorLease,
 		RelayLease:    relaysession.Lease,
 		Drift:         drift,
-		Gather:        150 * ms,
+		BatchTime:     150 * ms,
 	})
 	m.tracker.Reset(m.fleet, m.now)
 	m.leases = replica.NewLessor(replica.Lease{Length: relaysession.Lease, Drift: drift})
--- a/internal/controlplane/watch/answer.go
+++ b/internal/controlplane/watch/answer.go
@@ -8,7 +8,7 @@
 	"stairvane.org/stairvane/internal/protocol/discovery"
 )
 
-// answerWhenDue answers with new data, or sets the timer to do so if the last answer with new data was less than Settings.Gather
+// answerWhenDue answers with new data, or sets the timer to do so if the last answer with new data was less than Settings.BatchTime
 // ago.
 func (w *watcher) answerWhenDue() {
 	s := w.server
@@ -54,12 +54,12 @@
 }
 
 // buildBody returns the response body and its size. It combines the log's answer, which is nil if nothing is new, with the fields
-// that are sent to this director only. If the body includes new events or health, buildBody starts the interval of Settings.Gather.
+// that are sent to this director only. If the body includes new events or health, buildBody starts the interval of Settings.BatchTime.
 func (w *watcher) buildBody(parts [][]byte, size int) ([][]byte, int) {
 	s := w.server
 	personal, hasHealth := w.personalFields()
 	if parts != nil || hasHealth {
-		w.nextAnswerAt = s.loop.Now() + s.settings.Gather
+		w.nextAnswerAt = s.loop.Now() + s.settings.BatchTime
 	}
 	if parts == nil {
 		empty := append(discovery.ResponseStart(max(s.log.Last(), 0)), discovery.ResponseEnd...)
--- a/internal/controlplane/watch/server.go
+++ b/internal/controlplane/watch/server.go
@@ -27,9 +27,9 @@
 	Listen      netip.AddrPort
 	Allowed     *bart.Lite // addresses that may watch; nil: loopback only
 	MaxWatchers int        // maximum number of concurrent connections
-	// Gather is the minimum time between two answers with new data to one watcher, so that a burst of events costs the watcher only
+	// BatchTime is the minimum time between two answers with new data to one watcher, so that a burst of events costs the watcher only
 	// a few requests. An event after a quiet period is answered immediately. 0: every event is answered immediately.
-	Gather time.Duration
+	BatchTime time.Duration
 }
 
 // Server serves watches. Each watcher has its own connection.
--- a/internal/controlplane/watch/watch_test.go
+++ b/internal/controlplane/watch/watch_test.go
@@ -130,7 +130,7 @@
 // Events that occur shortly after an answer are sent in one answer. An event after a quiet period is answered immediately.
 func TestGatherBatchesEventsInARow(t *testing.T) {
 	const gather = time.Second
-	p := startServer(t, Settings{Gather: gather})
+	p := startServer(t, Settings{BatchTime: gather})
 	d := p.director("d")
 	p.publishPurges(1)
 	p.request(d, testTimeout)
@@ -162,10 +162,10 @@
 	}
 }
 
-// Settings.Gather must not extend a wait beyond the time that the client requested.
+// Settings.BatchTime must not extend a wait beyond the time that the client requested.
 func TestGatherDoesNotExtendTheWait(t *testing.T) {
 	const gather = 5 * time.Second
-	p := startServer(t, Settings{Gather: gather})
+	p := startServer(t, Settings{BatchTime: gather})
 	d := p.director("d")
 	p.publishPurges(1)
 	p.request(d, testTimeout)
--- a/internal/controlplane/watch/watcher.go
+++ b/internal/controlplane/watch/watcher.go
@@ -25,7 +25,7 @@
 	rejection    int
 	timer        transport.Timer // fires when the wait ends, or when no request arrives in time
 	waitDeadline time.Duration   // when the request must be answered, by the loop's clock
-	nextAnswerAt time.Duration   // earliest time of the next answer with new data, see Settings.Gather
+	nextAnswerAt time.Duration   // earliest time of the next answer with new data, see Settings.BatchTime
 }
 
 // Opened implements transport.Handler.
@@ -71,7 +71,7 @@
 }
 
 // handleRequest handles the current request. The revision in the request acknowledges all events up to it. If there is newer data,
-// the request is answered as soon as Settings.Gather permits.
+// the request is answered as soon as Settings.BatchTime permits.
 func (w *watcher) handleRequest() {
 	s := w.server
 	if !s.owner.MayServe() { // the lease may have expired while the process was paused
--- a/internal/operatorconfig/relay.go
+++ b/internal/operatorconfig/relay.go
@@ -18,7 +18,7 @@
 	Listen        netip.AddrPort   // address for the watches of directors
 	Upstream      []netip.AddrPort // addresses of the write sides of all replicas
 	Watchers      *bart.Lite       // networks whose addresses may watch; nil: only loopback
-	Gather        time.Duration    // minimum time between two answers to a director, in which events are batched; default 100 ms
+	BatchTime     time.Duration    // minimum time between two answers to a director, in which events are batched; default 100 ms
 	MaxWatchers   int              // default 2,000
 	KeepEvents    int              // events kept for directors that reconnect; default 10,000
 	DrainTime     time.Duration    // period over which the connections of watchers are closed on shutdown; default 2 s
@@ -31,7 +31,7 @@
 // DefaultRelay returns the default settings of a relay. There are no defaults for its name, machine, site, region and addresses.
 func DefaultRelay() Relay {
 	return Relay{
-		Gather:      100 * time.Millisecond,
+		BatchTime:   100 * time.Millisecond,
 		MaxWatchers: 2000,
 		KeepEvents:  10_000,
 		DrainTime:   2 * time.Second,
@@ -48,7 +48,7 @@
 			{name: "listen", required: true, read: d.address(&r.Listen)},
 			{name: "upstream", required: true, read: d.upstream(&r.Upstream)},
 			{name: "watchers", read: d.networks(&r.Watchers)},
-			{name: "gather", read: d.duration(&r.Gather, 0, 200*time.Millisecond)},
+			{name: "gather", read: d.duration(&r.BatchTime, 0, 200*time.Millisecond)},
 			{name: "max-watchers", read: d.integer(&r.MaxWatchers, 1, 4000)},
 			{name: "keep", read: d.integer(&r.KeepEvents, 100, 1_000_000)},
 			{name: "leave-over", read: d.duration(&r.DrainTime, 0, time.Minute)},
--- a/internal/operatorconfig/relay_test.go
+++ b/internal/operatorconfig/relay_test.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Name != "r1" || r.Region != "north" || len(r.Upstream) != 2 || r.Gather != 100*time.Millisecond ||
+	if r.Name != "r1" || r.Region != "north" || len(r.Upstream) != 2 || r.BatchTime != 100*time.Millisecond ||
 		r.MaxWatchers != 2000 || r.Watchers != nil {
 		t.Errorf("%+v", r)
 	}
@@ -33,7 +33,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Gather != 0 || r.MaxWatchers != 400 || r.KeepEvents != 500 || r.DrainTime != 5*time.Second ||
+	if r.BatchTime != 0 || r.MaxWatchers != 400 || r.KeepEvents != 500 || r.DrainTime != 5*time.Second ||
 		r.TLS == nil || r.TLS.Authority != "etc/c" || r.Watchers == nil {
 		t.Errorf("%+v", r)
 	}
--- a/internal/tools/capacity/capacity_test.go
+++ b/internal/tools/capacity/capacity_test.go
@@ -16,7 +16,7 @@
 	milliseconds := func(t time.Duration) string { return strconv.FormatInt(t.Milliseconds(), 10) }
 	microseconds := func(t time.Duration) string { return strconv.FormatInt(t.Microseconds(), 10) }
 	for _, x := range []struct{ file, pattern, value string }{
-		{"internal/operatorconfig/relay.go", `Gather: +(\d+) \* time.Millisecond`, milliseconds(d.RelayBatchTime)},
+		{"internal/operatorconfig/relay.go", `BatchTime: +(\d+) \* time.Millisecond`, milliseconds(d.RelayBatchTime)},
 		{"internal/director/timing.go", `announcedPollTimeout = (\d+) \* time.Millisecond`, milliseconds(d.WatchTimeout)},
 		{"internal/director/timing.go", `RetryMax: +(\d+) \* time.Millisecond, // during an election`, milliseconds(d.ReconnectRetry)},
 		{"internal/director/timing.go", `watchRetrySpread = (\d+) \* time.Microsecond`, microseconds(d.ReconnectSpread)},
--- a/internal/tools/capacity/measure/leader.go
+++ b/internal/tools/capacity/measure/leader.go
@@ -8,7 +8,7 @@
 )
 
 // membershipSettings has the same values as the leader; see internal/controlplane/members.go.
-var membershipSettings = membership.Settings{Lease: 600 * time.Millisecond, Drift: 0.02, Gather: 150 * time.Millisecond}
+var membershipSettings = membership.Settings{Lease: 600 * time.Millisecond, Drift: 0.02, BatchTime: 150 * time.Millisecond}
 
 var holderCounts = []int{250, 500, 1000, 2000, 3500}
 
--- a/internal/tools/fleetsim/fleetsim.go
+++ b/internal/tools/fleetsim/fleetsim.go
@@ -147,7 +147,9 @@
 	cfg.setDefaults()
 	m := &model{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 17)), epoch: 1, underusedSince: -1}
 	m.allocator = quota.NewAllocator(quota.DirectorSettings, 1, 0, true)
-	m.membership = membership.New(membership.Settings{Lease: membershipLease, Drift: quota.DirectorSettings.Drift, Gather: gatherInterval})
+	m.membership = membership.New(membership.Settings{
+		Lease: membershipLease, Drift: quota.DirectorSettings.Drift, BatchTime: gatherInterval,
+	})
 	for i := range cfg.Caches {
 		m.limits = append(m.limits, fmt.Sprintf("cold:box-%d", i))
 	}
