--- a/internal/controlplane/watch/watch_test.go
+++ b/internal/controlplane/watch/watch_test.go
@@ -51,7 +51,7 @@
 	p.requests <- acknowledged
 	return !p.atCapacity.Load()
 }
-func (p *testOwner) TakeQuotaGrant(string) *quota.Grant     { return nil }
+func (p *testOwner) PopQuotaGrant(string) *quota.Grant      { return nil }
 func (p *testOwner) Health(string) *health.AggregatedHealth { return nil }
 func (p *testOwner) AcknowledgedChanged()                   {}
 func (p *testOwner) ClockMS() int64                         { return time.Now().UnixMilli() }
@@ -127,10 +127,11 @@
 	return status, len(response.Events)
 }
 
-// Events that occur shortly after an answer are sent in one answer. An event after a quiet period is answered immediately.
+// TestGatherBatchesEventsInARow checks that events that occur shortly after an answer are sent in one answer, and that an event
+// after a quiet period is answered immediately.
 func TestGatherBatchesEventsInARow(t *testing.T) {
 	const gather = time.Second
-	p := startServer(t, Settings{Gather: gather})
+	p := startServer(t, Settings{BatchTime: gather})
 	d := p.director("d")
 	p.publishPurges(1)
 	p.request(d, testTimeout)
@@ -162,10 +163,10 @@
 	}
 }
 
-// Settings.Gather must not extend a wait beyond the time that the client requested.
-func TestGatherDoesNotExtendTheWait(t *testing.T) {
+// TestBatchTimeDoesNotExtendTheWait checks that Settings.BatchTime does not extend a wait beyond the time that the client requested.
+func TestBatchTimeDoesNotExtendTheWait(t *testing.T) {
 	const gather = 5 * time.Second
-	p := startServer(t, Settings{Gather: gather})
+	p := startServer(t, Settings{BatchTime: gather})
 	d := p.director("d")
 	p.publishPurges(1)
 	p.request(d, testTimeout)
@@ -241,8 +242,8 @@
 	}
 }
 
-// A client that is not admitted is answered only once its request is complete: an HTTP client that receives a response before it
-// has sent a request treats the connection as broken.
+// TestRejectionAnswersTheRequest checks that a client that is not admitted is answered only once its request is complete: an HTTP
+// client that receives a response before it has sent a request treats the connection as broken.
 func TestRejectionAnswersTheRequest(t *testing.T) {
 	p := startServer(t, Settings{})
 	p.leaseLost.Store(true)
--- a/internal/director/timing.go
+++ b/internal/director/timing.go
@@ -20,8 +20,8 @@
 const announcedPollTimeout = 100 * time.Millisecond
 
 // An event counts as acknowledged some seconds after its publication, whether or not it arrived (fleet.Rules.NotifiedWithinMS,
-// 7 s by default). Well before that, a silent stream must have been detected, the pause be over, and a new connection be
-// established, regardless of the number of directors.
+// 7 s by default). Well before that, a silent stream must have been detected, the pause must have ended, and a new connection
+// must have been established, regardless of the number of directors.
 var oneAddressTiming = WatchTiming{
 	PollTimeout:    2 * time.Second,
 	SilenceTimeout: 3 * time.Second,
@@ -31,8 +31,8 @@
 	SpreadMax:      2 * time.Second,
 }
 
-// With several addresses, a silent one is abandoned early enough for a purge to arrive in time through the next. Directors that
-// lost a connection must have reconnected before their membership lease expires.
+// With several addresses, a silent one is abandoned early enough for a purge to arrive in time through the next address. Directors
+// that lost a connection must have reconnected before their membership lease expires.
 var severalAddressesTiming = WatchTiming{
 	PollTimeout:    announcedPollTimeout,
 	SilenceTimeout: 2 * announcedPollTimeout,
@@ -55,10 +55,10 @@
 	return t
 }
 
-// Pause returns the time to wait before the next reconnect: half of retry, plus a random fraction of retry and of a spread. The
+// ReconnectDelay returns the time to wait before the next reconnect: half of retry, plus a random fraction of retry and of a spread. The
 // spread grows with the number of directors, since all of them may have lost their connections at the same moment. random must
 // be in the range from 0 to 1, excluding 1.
-func (t WatchTiming) Pause(retry time.Duration, directors int, random float64) time.Duration {
+func (t WatchTiming) ReconnectDelay(retry time.Duration, directors int, random float64) time.Duration {
 	spread := min(time.Duration(directors-1)*watchRetrySpread, t.SpreadMax)
 	return retry/2 + time.Duration(random*float64(retry+spread))
 }
--- a/internal/director/watch.go
+++ b/internal/director/watch.go
@@ -33,7 +33,7 @@
 	membership        *membershipClient             // nil: the director does not announce itself
 	requestedAt       time.Duration                 // when the open poll was sent, on the boot clock
 	leaveSent         bool                          // the open poll announces that the director leaves
-	leaveAcknowledged bool                          // a poll that announced it was answered
+	leaveAcknowledged bool                          // a poll that announced that the director leaves was answered
 }
 
 func newWatchClient(loop *transport.Loop, d *routing.Director, addresses []netip.AddrPort, directors int, seed uint64) *watchClient {
@@ -112,7 +112,7 @@
 
 // nextPause returns the time to wait before the next reconnect.
 func (w *watchClient) nextPause() time.Duration {
-	return w.timing().Pause(w.retryDelay, w.directors, w.rng.Float64())
+	return w.timing().ReconnectDelay(w.retryDelay, w.directors, w.rng.Float64())
 }
 
 // Opened implements transport.Handler.
